--- a/comfreywharf/__init__.py
+++ b/comfreywharf/__init__.py
@@ -1,8 +1,9 @@
 """A router for backend servers that own their keys exclusively.
 
-Decisions live in `records`, `ownership`, `placement`, `routing`, `membership`
-and `events`: they import no event loop, no sockets, no clock and no global
-source of chance. `transport`, `daemon` and `cli` are the shells around them.
+The packages `records`, `ownership`, `placement`, `routing`, `membership` and
+`events` contain the decision logic: they import no event loop, no sockets, no
+clock and no global random generator. `transport`, `daemon` and `cli` connect
+this logic to the network, the operating system and the operator.
 """
 
 __version__ = "0.1.0"
--- a/comfreywharf/clock.py
+++ b/comfreywharf/clock.py
@@ -1,4 +1,4 @@
-"""The one clock by which leases, holds and deadlines are counted."""
+"""The clock that all leases, holds and deadlines use."""
 
 import time
 
@@ -6,17 +6,17 @@
 
 
 def boottime_s():
-    """Return the seconds since boot, those of a suspension included.
+    """Return the time since boot in seconds, including time spent suspended.
 
-    `time.monotonic` stands still while a machine is suspended. A node that woke
-    after 6 s would take a lease of 1 s for valid that ended long ago, and its
-    backend server and the next owner's would run requests for one key. The time
-    of day counts a suspension too, but it jumps. Unit: seconds; no errors.
+    `time.monotonic` stops while a machine is suspended. A node that resumed
+    after 6 s would still consider its 1 s lease valid, so that its backend
+    server and the next owner's would both run requests for the same key. The
+    wall clock includes suspensions too, but it can jump. No errors are raised.
     Source: clock_gettime(2), ``CLOCK_BOOTTIME``.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 PROCESS_BEGAN_S = boottime_s()
-"""When this process began, if this module is imported first. All that an earlier
-process of the node granted or promised lies before it."""
+"""The start of this process, provided that this module is imported first. Everything
+that an earlier process of the node granted or promised is older than this."""
--- a/comfreywharf/routing/__init__.py
+++ b/comfreywharf/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions about requests: outcomes, routes, retries, what is remembered."""
+"""Decisions about requests: outcomes, routes, retries and remembered answers."""
 
 from comfreywharf.routing.budget import RetryBudget
 from comfreywharf.routing.memory import (
--- a/comfreywharf/routing/budget.py
+++ b/comfreywharf/routing/budget.py
@@ -1,9 +1,10 @@
-"""How much of a service's traffic may be retries: a token bucket.
+"""A token bucket that bounds the retries of a service.
 
-Retries multiply an overload: with two retries each, a service that is just too
-slow is sent three times its load. A fraction of the first sends bounds this for
-the whole traffic, whatever each request would be allowed by itself. Source:
-"Addressing Cascading Failures", Site Reliability Engineering (2016).
+Retries multiply an overload: with two retries per request, a service that is
+only slightly too slow receives three times its load. Limiting retries to a
+fraction of the first sends bounds the total traffic, whatever each single
+request would be allowed. Source: "Addressing Cascading Failures", Site
+Reliability Engineering (2016).
 """
 
 __all__ = ["RetryBudget"]
@@ -14,7 +15,7 @@
 class RetryBudget:
     """Count first sends and retries of one service.
 
-    ``max_tokens`` bounds how many retries may come at once after a calm time.
+    ``max_tokens`` bounds the burst of retries after a period without any.
 
     >>> budget = RetryBudget()
     >>> budget.take()
@@ -35,7 +36,7 @@
 
     def take(self):
         """Return whether a retry is allowed, and count it if so."""
-        # Sums of a tenth fall short of one by rounding.
+        # Ten additions of 0.1 add up to slightly less than 1 because of rounding.
         if self._tokens < 1 - 1e-9:
             return False
         self._tokens = max(0.0, self._tokens - 1)
--- a/comfreywharf/routing/memory.py
+++ b/comfreywharf/routing/memory.py
@@ -1,10 +1,10 @@
-"""What the owner of a key remembers of requests, so that a resend runs nothing.
+"""The answers that a key's owner remembers, so that a resend isn't run again.
 
-A request is known by its service, the hash of its key and its request id. While
-it runs, a resend has to wait; afterwards a resend gets the remembered answer.
-The memory is bounded in entries, bytes and age. It knows since when it is whole:
-a request that may have been sent before that time, under an id that isn't
-remembered, can't be vouched for.
+A request is identified by its service, the hash of its key and its request id.
+While it runs, a resend has to wait; afterwards a resend gets the remembered
+answer. The memory is bounded in entries, bytes and age. It records since when
+it is complete: if a request may have been sent before that time and its id isn't
+remembered, it can't be ruled out that the request ran already.
 """
 
 import itertools
@@ -29,17 +29,21 @@
 
 ENTRY_BYTES = 400
 HEADER_BYTES = 200
-"""What an entry and each header of its answer cost beside the body, about."""
+"""Approximate memory in bytes of an entry and of each header, without the body."""
 
 _ALWAYS = float("-inf")
 
 _BUCKET_SHIFT = 53
-"""Hashes of 63 bits fall into 1,024 buckets, so that a slice is found quickly."""
+"""Divides the 63-bit hashes into 1,024 buckets, so that the entries of a slice are
+found without a scan of the whole memory."""
 
 
 @attrs.frozen(kw_only=True)
 class MemoryLimits:
-    """Bounds of an `AnswerMemory`; ``age_s`` is how late a resend may come."""
+    """Bounds of an `AnswerMemory`.
+
+    ``age_s`` is for how long after its completion a request can be resent.
+    """
 
     entries: int = 100_000
     total_bytes: int = 48 << 20
@@ -50,7 +54,7 @@
 
 @attrs.frozen(cache_hash=True)
 class RequestKey:
-    """What makes a request recognisable."""
+    """The identity of a request, which a resend shares."""
 
     service: str
     key_hash: int
@@ -59,7 +63,7 @@
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """What became of a request; ``headers`` are the IDL's, in their order."""
+    """The result of a request; ``headers`` are those of the IDL, in their order."""
 
     outcome: Outcome
     status: int
@@ -71,10 +75,10 @@
 
 @attrs.frozen
 class KeptAnswer:
-    """A remembered request on its way to another owner of its key.
+    """A remembered request, as it is transferred to another owner of its key.
 
-    An empty ``request_id`` bounds the list: the sender's memory is whole only
-    since ``age_s`` ago.
+    An entry with an empty ``request_id`` describes the list itself: the sender's
+    memory is complete only for the last ``age_s`` seconds.
     """
 
     request_id: str
@@ -93,7 +97,12 @@
 
 
 class Recall(Enum):
-    """What the memory says of a request that comes in."""
+    """What the memory says about a request that arrives.
+
+    ``FIRST``: it may run; ``RUNNING``: the same request is running; ``KNOWN``: its
+    answer is remembered; ``NOT_VOUCHED``: it may have run before the memory was
+    complete; ``REUSED``: another request has the same id.
+    """
 
     FIRST = auto()
     RUNNING = auto()
@@ -104,7 +113,7 @@
 
 @attrs.frozen
 class Recollection:
-    """A `Recall`, and the answer where it is `Recall.KNOWN`."""
+    """A `Recall`, and the answer if it is `Recall.KNOWN`."""
 
     recall: Recall
     answer: Answer | None = None
@@ -117,10 +126,10 @@
 
 
 def fingerprint(method, path, body):
-    """Return a 63-bit digest of what a request asks for.
+    """Return a 63-bit digest of a request's method, path and body.
 
-    A request id that comes with another fingerprint is a mistake of a caller,
-    and the remembered answer isn't the answer to it. ``body`` is empty for a
+    A request id that is used with another fingerprint is a caller's mistake, and
+    the remembered answer doesn't belong to that request. ``body`` is empty for a
     streamed body.
     """
     digest = xxhash.xxh3_64(f"{method} {path}\n".encode("latin-1"))
@@ -159,16 +168,17 @@
 
     @property
     def size_bytes(self):
-        """Return what the finished entries take, about."""
+        """Return the approximate size of the finished entries in bytes."""
         return self._size_bytes
 
     def begin(self, key, *, mark, first_sent_s, vouched_since_s, now_s):
-        """Say whether a request may run, and take note of it if so.
+        """Return whether a request may run, and record it as running if so.
 
         ``mark`` is its `fingerprint`. ``first_sent_s`` is the earliest time at
-        which its caller may have sent it first; ``None`` where this send is the
-        first, so that nothing can have run. ``vouched_since_s`` says since when
-        this node's ownership vouches for the memory.
+        which its caller may have sent it for the first time, or ``None`` if this
+        is the first send, so that nothing can have run. ``vouched_since_s`` is
+        the time since when this node, as the key's owner, is known to remember
+        all requests for the key.
         """
         self._expire(now_s)
         mark_running = self._running.get(key)
@@ -181,32 +191,33 @@
             return Recollection(Recall.KNOWN, entry.answer)
         if first_sent_s is not None:
             whole_since_s = self._whole_since_s.get(key.service, _ALWAYS)
-            # A resend of a request that ran before the loss looks like a new
-            # one here. Run again, it would book twice; one would see two
-            # effects under one request id.
+            # A resend of a request that ran before entries were lost looks
+            # like a new request. Running it again would cause two effects
+            # under one request id, for instance two bookings.
             if first_sent_s <= max(whole_since_s, vouched_since_s):
                 return _NOT_VOUCHED
         self._running[key] = mark
         return _FIRST
 
     def finish(self, key, answer, now_s):
-        """Remember what became of a request that began."""
+        """Remember the answer of a running request."""
         mark = self._running.pop(key, None)
         if mark is not None:
             self._keep(key, mark, answer, now_s)
             self._shrink()
 
     def forget(self, key):
-        """Drop a request of which it is proved that it didn't and won't run."""
+        """Remove a request that is proven not to have run and not to run later."""
         self._running.pop(key, None)
         if key in self._done:
             self._drop(key)
 
     def take_out(self, service, start, end, skip, now_s):
-        """Return ``(answers, more)``: a page of what is known of a range of hashes.
+        """Return ``(answers, more)``: one page of the answers in a range of hashes.
 
-        The first page (``skip`` of zero) fixes the list, so that later pages
-        neither miss nor repeat an entry while others expire.
+        ``skip`` is how many answers earlier pages had; ``more`` is whether others
+        follow. The first page (``skip`` of zero) fixes the list, so that later
+        pages neither miss nor repeat an entry while others expire.
         """
         self._expire(now_s)
         if skip == 0:
@@ -225,7 +236,7 @@
         return page, more
 
     def put_in(self, service, answers, now_s):
-        """Take over what another owner remembered."""
+        """Add the answers that another owner remembered."""
         for kept in answers:
             finished_s = now_s - kept.age_s
             if not kept.request_id:
@@ -280,8 +291,9 @@
             self._lose(next(iter(self._done)))
 
     def _lose(self, key):
-        # An id that fell out can't be told from a new one. Every id of its
-        # service that may be as old is therefore no longer vouched for.
+        # An evicted id can't be distinguished from a new one. The memory is
+        # therefore no longer complete for requests of this service that may be
+        # as old as the evicted one.
         entry = self._drop(key)
         self._lose_until(key.service, entry.finished_s)
 
--- a/comfreywharf/routing/outcomes.py
+++ b/comfreywharf/routing/outcomes.py
@@ -1,9 +1,9 @@
-"""The three outcomes of a request, and how callers see them.
+"""The three outcomes of a request, and the statuses that callers receive.
 
-``ANSWERED``: the backend server's whole answer. ``NOT_RUN``: proved that no
-backend server ran it, so that it may be sent again. ``UNKNOWN``: it may have
-run; sending it again under the same request id is safe, sending it under a new
-one is not.
+``ANSWERED``: the backend server answered completely. ``NOT_RUN``: it is proven
+that no backend server ran the request, so that it may be sent again.
+``UNKNOWN``: the request may have run; sending it again under the same request
+id is safe, sending it under a new one is not.
 """
 
 from enum import Enum, IntEnum
@@ -13,11 +13,11 @@
 __all__ = ["SAFE_METHODS", "Outcome", "Reason", "Verdict", "status_of"]
 
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
-"""Methods that ask for no effect (RFC 9110, 9.2.1): run again without harm."""
+"""Methods without side effects, which may be repeated (RFC 9110, section 9.2.1)."""
 
 
 class Outcome(IntEnum):
-    """What is known of a request; the numbers are those of the IDL."""
+    """What is known about a request; the numbers are those of the IDL."""
 
     ANSWERED = 1
     NOT_RUN = 2
@@ -26,14 +26,14 @@
 
 @attrs.frozen
 class Verdict:
-    """How a reason is told to callers."""
+    """The outcome and the HTTP status that callers receive for a reason."""
 
     outcome: Outcome
     status: int
 
 
 class Reason(Enum):
-    """Why a request has no answer of its backend server."""
+    """Why a request has no answer from its backend server."""
 
     BAD_REQUEST = "bad-request"
     UNKNOWN_SERVICE = "unknown-service"
--- a/comfreywharf/routing/route.py
+++ b/comfreywharf/routing/route.py
@@ -1,8 +1,8 @@
-"""Where a request goes next: to whom, when to wait, when to give up.
+"""Decide the next step of a refused request: send it, hold it or give up.
 
-`decide_route` is asked after each refusal that proves that the request didn't
-run. Each step uses up a hint, a wait or a retry, and all of these are bounded,
-so that a request can't travel for ever between nodes that disagree.
+`decide_route` is called after each reply that carries a reason. Each step uses
+up a hint, a hold or a retry, and all of these are bounded, so that a request
+can't circulate forever between nodes that disagree about the owner.
 """
 
 import attrs
@@ -30,9 +30,10 @@
         Reason.PEER_UNREACHABLE,
     }
 )
-"""Refusals that end by themselves when the key has a serving owner again.
+"""Refusals that cease as soon as the key has a serving owner again.
 
-A node whose backend server is gone gives its keys up, so that this is a gap too.
+``NO_BACKEND`` is one of them, since a node that lost its backend server gives up its
+keys.
 """
 
 _OTHER_MEMBER_HELPS = frozenset(
@@ -44,26 +45,30 @@
         Reason.PEER_UNREACHABLE,
     }
 )
-"""Refusals by one member of a service whose other members may serve as well."""
+"""Refusals by one member after which another member of the service may serve, if the
+service isn't divided by key."""
 
 _NO_SERVER_ASKED = frozenset(
     {Reason.PEER_UNREACHABLE, Reason.NO_BACKEND, Reason.DRAINING}
 )
-"""Of these, the ones that come before any backend server heard of the request: the
-next member isn't a retry. While two of three machines were gone, a third of the
-requests met both of them, and was refused beside a server with room."""
+"""Refusals of `_OTHER_MEMBER_HELPS` that were made before a backend server received
+the request, so that the next send doesn't count as a retry. If it did, a third of the
+requests would be refused while two of three machines are lost, namely those that try
+both lost members first, although the third server has capacity."""
 
 
 @attrs.frozen(kw_only=True)
 class RouteLimits:
-    """Bounds of one request's way.
-
-    The waits grow from ``first_hold_s`` to ``longest_hold_s``; a fold that names
-    another owner ends a wait early. ``retry_after_ms`` is told to a caller whose
-    key had no owner for all of that time; ``retry_burst`` bounds the retries that
-    one node may send at once after a calm time. A request whose owner's server
-    refused it is sent there ``resends`` times more, within the retry budget. Up to
-    ``unreached`` members may be gone before one counts as a retry.
+    """Bounds of the routing of one request.
+
+    At most ``asked_between_holds`` nodes are tried between two holds. The holds
+    grow from ``first_hold_s`` to ``longest_hold_s`` and last no longer than
+    ``held_in_all_s`` together; a fold that changes the owner ends a hold early.
+    ``retry_after_ms`` is sent to a caller whose key had no owner for all of that
+    time; ``retry_burst`` bounds the burst of retries that one node may send after
+    a period without any. A request that its owner's server refused is sent there
+    up to ``resends`` more times, within the retry budget. Up to ``unreached``
+    members may be unavailable before a further one counts as a retry.
     """
 
     holds: int = 48
@@ -79,11 +84,11 @@
 
 @attrs.frozen(kw_only=True)
 class Ownership:
-    """Who may serve a key, as this node folded it last; empty: nobody.
+    """The nodes that may serve a key, by this node's latest fold; empty: none.
 
-    While the log is down the fold goes on naming an owner that is lost; the
-    standby that serves in its place is known all the same. During a move the
-    earlier owner serves until the new one has its release.
+    While the log is unavailable, the fold keeps naming a lost owner; the standby
+    that serves in its place is known nevertheless. During a move the earlier
+    owner serves until the new one has received its release.
     """
 
     owner: str = ""
@@ -91,14 +96,14 @@
     previous: str = ""
 
     def candidates(self):
-        """Return the nodes that may serve, the likeliest first."""
+        """Return the nodes that may serve, the most likely one first."""
         named = (self.owner, self.standby, self.previous)
         return [node_id for node_id in dict.fromkeys(named) if node_id]
 
 
 @attrs.frozen(kw_only=True)
 class Trail:
-    """The way of a request so far; ``asked`` since the last wait."""
+    """The progress of a request; ``asked`` are the nodes tried since the last hold."""
 
     target: str
     retries_left: int
@@ -111,7 +116,7 @@
 
 @attrs.frozen
 class Send:
-    """Send the request to a trail's target; ``retry`` if it is a new try."""
+    """Send the request to the trail's target; ``retry`` if that counts as a retry."""
 
     trail: Trail
     retry: bool = False
@@ -119,7 +124,7 @@
 
 @attrs.frozen
 class Hold:
-    """Wait, until the fold changes or a time, then ask `after_hold`."""
+    """Wait until the fold changes or ``until_s``, then continue with `after_hold`."""
 
     trail: Trail
     until_s: float
@@ -127,11 +132,11 @@
 
 @attrs.frozen
 class GiveUp:
-    """Give the caller the refusal, at once."""
+    """Return the refusal to the caller immediately."""
 
 
 def after_hold(trail, ownership):
-    """Return the trail to go on with after a wait."""
+    """Return the trail to continue with after a hold."""
     return attrs.evolve(trail, target=ownership.owner, asked=frozenset())
 
 
@@ -150,10 +155,10 @@
 
     ``ownership`` is ``None`` for a service that isn't divided by key;
     ``other_member`` is then a member that wasn't tried yet. ``replayable`` is
-    false where a part of the body is gone.
+    false if a part of the body is no longer available.
 
-    Only a refusal that proves that nothing ran leads to another send: after an
-    unknown outcome the request may have taken effect, and a second send may
+    Only a refusal that proves that nothing ran leads to another send. After an
+    unknown outcome the request may have taken effect, and a second send could
     apply it twice.
     """
     if reply.outcome != Outcome.NOT_RUN or not replayable or now_s >= deadline_s:
@@ -161,8 +166,9 @@
     reason = Reason(reply.reason)
     if ownership is not None:
         if reason is Reason.REFUSED_BY_BACKEND and trail.resends < limits.resends:
-            # No other server may serve the key, and this one was given no more
-            # than its slots: that it refused says little about the next try.
+            # No other server may serve the key. This server didn't receive
+            # more requests than it has slots, so its refusal doesn't mean that
+            # the next try will be refused as well.
             return Send(attrs.evolve(trail, resends=trail.resends + 1), retry=True)
         if reason not in _OWNERSHIP_GAP:
             return GiveUp()
@@ -186,9 +192,10 @@
 
 
 def _not_asked(trail, hint, ownership, limits):
-    """Return a node that may serve and wasn't asked since the last wait."""
-    # Two nodes that each take the other for the owner would send a request to
-    # and fro; each is asked once, and then the fold is waited for.
+    """Return a node that may serve and wasn't tried since the last hold, or ``""``."""
+    # Two nodes that consider each other the owner would forward a request back
+    # and forth. Each is therefore tried once; then the request is held until
+    # the fold changes.
     if len(trail.asked) >= limits.asked_between_holds:
         return ""
     for node_id in (hint, *ownership.candidates()):
@@ -201,8 +208,8 @@
     held_since_s = now_s if trail.held_since_s is None else trail.held_since_s
     wait_s = min(limits.longest_hold_s, limits.first_hold_s * 2 ** min(trail.holds, 16))
     until_s = now_s + wait_s
-    # A wait that would outlive the request, or the bound, only delays its
-    # refusal: the caller is told now, and told when to come back.
+    # A hold beyond the deadline or the bound would only delay the refusal.
+    # The caller gets it now, together with a time to retry after.
     if (
         trail.holds >= limits.holds
         or until_s >= deadline_s
@@ -214,10 +221,10 @@
 
 
 class HoldBounds:
-    """How many requests a node holds at once, and their bytes.
+    """Bound the requests that a node holds at once, in number and bytes.
 
     Without a bound, the loss of one owner would fill every ingress node with
-    requests that wait for it, and requests for other keys would starve.
+    requests that wait for it, and no resources would be left for other keys.
 
     >>> bounds = HoldBounds(requests=1, size_bytes=100)
     >>> bounds.enter(10), bounds.enter(10)
@@ -232,7 +239,7 @@
         self._bytes_left = size_bytes
 
     def enter(self, size_bytes):
-        """Return whether one more request may be held, and count it if so."""
+        """Return whether another request may be held, and count it if so."""
         if not self._requests_left or size_bytes > self._bytes_left:
             return False
         self._requests_left -= 1
@@ -240,6 +247,6 @@
         return True
 
     def leave(self, size_bytes):
-        """Count a request that is held no longer."""
+        """Remove a request that is no longer held from the count."""
         self._requests_left += 1
         self._bytes_left += size_bytes
--- a/comfreywharf/routing/tests/test_budget.py
+++ b/comfreywharf/routing/tests/test_budget.py
@@ -1,12 +1,14 @@
-"""The bound on retries, of one node and of all together."""
+"""Tests of the bound on the retries of all nodes together."""
 
 from comfreywharf.routing import RetryBudget
 
 
 def test_all_nodes_together_stay_within_the_fleets_budget():
-    """Symptom: after a calm time ten nodes send 200 retries at once.
-    Sequence: each has saved up its burst; a server refuses everything.
-    Cause: the burst was bounded for each node, and not for all."""
+    """Guard against a burst that is bounded for each node but not for all together.
+
+    Ten nodes that each saved up a full burst would otherwise send 200 retries
+    at once when a server refuses everything.
+    """
     nodes = [RetryBudget(max_tokens=5.0) for _ in range(10)]
     requests = 1000
     for node in nodes:
--- a/comfreywharf/routing/tests/test_memory.py
+++ b/comfreywharf/routing/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""The memory of answers: nothing runs twice, through resend, eviction and moves."""
+"""Tests that no request runs twice, despite resends, evictions and moves."""
 
 import attrs
 from hypothesis import settings, strategies as st
@@ -32,7 +32,7 @@
 
 
 class AtMostOnce(RuleBasedStateMachine):
-    """Callers send and resend; the owner's memory is used, moved and lost."""
+    """Callers that send and resend while the owner's memory is moved and lost."""
 
     def __init__(self):
         super().__init__()
@@ -45,7 +45,7 @@
 
     @rule(number=st.integers(0, 20), tells=st.booleans())
     def send(self, number, tells):
-        """Send a request, or send it again, as docs/interfaces-callers.md asks."""
+        """Send or resend a request as docs/interfaces-callers.md requires."""
         first_sent_s = None
         if number in self.first_sent_s:
             age_s = self.now_s - self.first_sent_s[number]
@@ -92,7 +92,7 @@
     @precondition(lambda self: not self.running)
     @rule(passed_s=st.sampled_from([0.0, 12.0]))
     def move_to_another_owner(self, passed_s):
-        """Hand the memory over page by page, while entries grow old."""
+        """Transfer the memory page by page while its entries age."""
         taker = AnswerMemory(LIMITS)
         received, more = 0, True
         while more:
@@ -130,10 +130,10 @@
 
 
 def test_an_id_that_comes_with_another_request_gets_no_answer():
-    """Symptom: a caller gets the answer to a request that it never made.
+    """Guard against a caller that gets the answer to another caller's request.
 
-    Sequence: two callers choose the same request id for the same key.
-    Cause: the id alone was taken for the request.
+    Two callers choose the same request id for the same key, so that the id
+    alone doesn't identify a request.
     """
     memory = AnswerMemory(LIMITS)
     key = request_key(1)
@@ -146,7 +146,7 @@
 
 
 def test_a_long_answer_is_remembered_without_its_body():
-    """A resend learns that the request ran, though not with what answer."""
+    """A resend is told that the request ran, but doesn't get the answer's body."""
     memory = AnswerMemory(LIMITS)
     begin(memory, request_key(1))
     memory.finish(request_key(1), answer(LIMITS.body_bytes + 1), 0.0)
@@ -155,7 +155,7 @@
 
 
 def test_a_page_holds_only_the_slice_that_moves():
-    """Answers of a neighbouring slice stay with their owner."""
+    """Answers of adjacent slices stay with their owner."""
     memory = AnswerMemory(LIMITS)
     for key_hash in (1, 2, 3):
         key = RequestKey(SERVICE, key_hash, "id")
--- a/comfreywharf/routing/tests/test_route.py
+++ b/comfreywharf/routing/tests/test_route.py
@@ -1,4 +1,4 @@
-"""The way of a request: it ends, and only what didn't run is sent again."""
+"""Tests that routing terminates and resends only requests that didn't run."""
 
 import attrs
 from hypothesis import given, settings, strategies as st
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class Refused:
-    """What `decide_route` reads of a reply."""
+    """The fields of a reply that `decide_route` reads."""
 
     reason: str
     outcome: Outcome
@@ -77,11 +77,11 @@
 @settings(derandomize=True, deadline=None)
 @given(st.data(), st.booleans())
 def test_every_way_ends(data, divided_by_key):
-    """Whatever nodes answer and hint, the sends are bounded, and so is the time.
+    """The number of sends and the time are bounded for any replies and hints.
 
-    Symptom: a request travels between two nodes until its deadline. Sequence: a
-    slice moves; each of two nodes takes the other for its owner. Cause: each
-    hint was followed.
+    Guards against following every hint: while a slice moves, two nodes may each
+    consider the other its owner, and a request would be forwarded between them
+    until its deadline.
     """
     trail = Trail(target=data.draw(nodes), retries_left=RETRIES)
     now_s, sends = 0.0, 1
@@ -105,7 +105,7 @@
 @settings(derandomize=True, deadline=None)
 @given(replies, st.one_of(st.none(), ownerships), st.booleans())
 def test_only_what_was_not_run_goes_on(reply, ownership, replayable):
-    """An unknown outcome, or a body that is gone, is never sent again."""
+    """A request of unknown outcome, or without its whole body, isn't sent again."""
     trail = Trail(target="a", retries_left=RETRIES)
     step = decide(trail, reply, ownership, other_member="b", replayable=replayable)
     if not isinstance(step, GiveUp):
@@ -113,7 +113,7 @@
 
 
 def test_a_wrong_route_is_corrected_in_one_hop():
-    """The hint of the node that was asked is followed at once."""
+    """The owner hint of the refusing node is followed immediately."""
     step = decide(
         Trail(target="a", retries_left=0),
         refused(Reason.WRONG_OWNER, "b"),
@@ -123,7 +123,7 @@
 
 
 def test_a_lost_owners_standby_is_asked_without_the_fold():
-    """While the log is down, the fold goes on naming the lost owner."""
+    """While the log is unavailable, the fold keeps naming the lost owner."""
     step = decide(
         Trail(target="a", retries_left=0),
         refused(Reason.PEER_UNREACHABLE),
@@ -133,7 +133,7 @@
 
 
 def test_a_refusal_is_not_held_back_until_the_deadline():
-    """A wait that would outlive the request isn't begun."""
+    """A request isn't held if the hold would end after its deadline."""
     step = decide(
         Trail(target="a", retries_left=0),
         refused(Reason.NOT_YET_OWNER),
@@ -159,10 +159,11 @@
 
 
 def test_a_request_that_its_owners_server_refused_is_sent_there_again():
-    """Symptom: half of the requests fail while servers refuse half of them.
-    Sequence: the only server that may serve a key refuses a request that it has a
-    slot for; the next try would have been served.
-    Cause: there is no other server to send it to, so it was given up."""
+    """Guard against giving up because no other server may serve the key.
+
+    A server that refuses half of the requests for which it has slots would
+    otherwise make half of them fail, although the next try may be served.
+    """
     limits = RouteLimits(resends=2)
     trail, sends = Trail(target="a", retries_left=0), 0
     reply = refused(Reason.REFUSED_BY_BACKEND)
@@ -190,9 +191,11 @@
 
 
 def test_members_that_are_gone_use_up_no_retry():
-    """Symptom: a third of the requests is refused beside a server with room.
-    Sequence: two of a service's three machines are lost; a request meets both.
-    Cause: the one retry was used up where no server had heard of the request."""
+    """Guard against spending the only retry where no server received the request.
+
+    If two of a service's three machines are lost, a third of the requests try
+    both of them, and would be refused although the third server has capacity.
+    """
     trail = Trail(target="a", retries_left=0)
     gone = refused(Reason.PEER_UNREACHABLE)
     for number in range(LIMITS.unreached):
