--- a/comfreywharf/membership/__init__.py
+++ b/comfreywharf/membership/__init__.py
@@ -1,6 +1,6 @@
-"""The life cycles of nodes and backend servers, and the news that nodes share.
+"""The life cycles of nodes and backend servers, and the gossip between nodes.
 
-Life cycles are state charts in files that the code interprets.
+The life cycle of a node is a state chart in a file that the code interprets.
 """
 
 from comfreywharf.membership.charts import Chart, load_chart
--- a/comfreywharf/membership/charts.py
+++ b/comfreywharf/membership/charts.py
@@ -1,8 +1,8 @@
-"""State charts kept in TOML files and interpreted by `transitions`.
+"""State charts that are stored in TOML files and interpreted by `transitions`.
 
-`transitions` (MIT) was chosen over `sismic` (LGPL, its own clock) and
-`python-statemachine` (charts as classes): charts stay data, and the present
-time stays an argument of the code around them.
+`transitions` (MIT) is used instead of `sismic` (LGPL, has its own clock) and
+`python-statemachine` (charts are classes), so that charts are data and the
+current time is an argument of the calling code.
 """
 
 import logging
@@ -13,12 +13,13 @@
 
 __all__ = ["Chart", "load_chart"]
 
-# The library logs each callback that it considers; events say what matters.
+# The library logs each callback that it evaluates. The node's events already
+# report the transitions.
 logging.getLogger("transitions").setLevel(logging.WARNING)
 
 
 class Chart:
-    """A running chart: its state, and triggers that may move it."""
+    """An instance of a chart: its current state, changed by triggers."""
 
     def __init__(self, definition):
         self._machine = Machine(
@@ -31,7 +32,7 @@
         )
 
     def fire(self, name):
-        """Fire a trigger; return whether it was allowed and moved the chart."""
+        """Fire a trigger; return whether it was allowed and caused a transition."""
         try:
             return bool(self.trigger(name))
         except MachineError:
@@ -39,6 +40,6 @@
 
 
 def load_chart(package, name):
-    """Return the definition in a package's TOML file, for `Chart`."""
+    """Return the definition for a `Chart` from a TOML file of a package."""
     text = files(package).joinpath(name).read_text("utf-8")
     return tomllib.loads(text)
--- a/comfreywharf/membership/gossip.py
+++ b/comfreywharf/membership/gossip.py
@@ -1,10 +1,11 @@
-"""When a node exchanges news with which peer.
-
-A node asks a random peer at an interval that grows while there is no news, and
-tells a few peers at once when there is some. The adaptive interval and the
-pull beside the push are those of F. M. Cuenca-Acuna et al., "PlanetP: Using
-Gossiping to Build Content Addressable Peer-to-Peer Information Sharing
-Communities" (2003), section 2; see docs/design/gossip.md for what was measured.
+"""The timing and the partners of a node's gossip exchanges.
+
+A node pulls from a random peer at an interval that grows while there is nothing
+new, and pushes new information to a few peers immediately. The adaptive
+interval and the combination of pull and push are those of F. M. Cuenca-Acuna et
+al., "PlanetP: Using Gossiping to Build Content Addressable Peer-to-Peer
+Information Sharing Communities" (2003), section 2; docs/design/gossip.md has
+the measurements.
 """
 
 import math
@@ -14,18 +15,18 @@
 __all__ = ["GossipPace", "choose_partners", "push_count"]
 
 BASE_INTERVAL_S = 0.5
-"""Between two exchanges while there is news."""
+"""The interval between two exchanges while there is new information."""
 
 MAX_INTERVAL_S = 2.0
-"""Between two exchanges while there is none.
+"""The longest interval between two exchanges while there is nothing new.
 
-A node that can't reach the log hears of a configuration from the first peer
-that it asks, so this and one lost exchange stay well within the 8 s that a
-change may take.
+A node that can't reach the log receives a configuration from the first peer that it
+queries. This interval and one lost exchange stay well within the 8 s that a change
+may take.
 """
 
 GROWTH = 1.5
-"""By how much the interval grows with each exchange that brought no news."""
+"""The factor by which the interval grows with each exchange without anything new."""
 
 
 @attrs.define
@@ -43,15 +44,16 @@
         self.interval_s = min(self.interval_s * GROWTH, MAX_INTERVAL_S)
 
     def wait_s(self, rng):
-        """Return how long to wait, jittered so that nodes don't march in step."""
+        """Return the time to wait, with jitter so that nodes don't synchronize."""
         return self.interval_s * rng.uniform(0.75, 1.25)
 
 
 def push_count(members):
-    """Return how many peers are told at once of news.
+    """Return to how many peers new information is pushed immediately.
 
-    Each node that hears of it tells as many again. With ``k`` pushes by each,
-    a share of about ``exp(-k)`` isn't reached and learns by its next exchange.
+    Each node that receives it pushes it to as many peers. With ``k`` pushes by
+    each, a fraction of about ``exp(-k)`` isn't reached and gets the information
+    with its next exchange.
 
     >>> push_count(3), push_count(640)
     (2, 4)
@@ -60,6 +62,6 @@
 
 
 def choose_partners(candidates, count, rng):
-    """Return up to ``count`` different candidates, each as likely as another."""
+    """Return up to ``count`` distinct candidates, chosen uniformly."""
     ordered = sorted(candidates)
     return rng.sample(ordered, min(count, len(ordered)))
--- a/comfreywharf/membership/instances.py
+++ b/comfreywharf/membership/instances.py
@@ -1,4 +1,4 @@
-"""Which life of the backend server beside a node is the living one."""
+"""Track the current incarnation of the backend server beside a node."""
 
 from enum import Enum
 
@@ -9,17 +9,18 @@
 __all__ = ["LATEST_REPORT_S", "Instances", "Word"]
 
 LATEST_REPORT_S = 5.0
-"""How long a heartbeat may be on its way; seconds, by the platform's word. A start
-that lies behind the newest one is a late report's until then."""
+"""How long a heartbeat may be in transit, in seconds; specified by the platform. Until
+then, a report with a start before the newest one is considered late."""
 
 
 class Word(Enum):
-    """What a heartbeat says.
+    """What a heartbeat or a deregistration means for the current incarnation.
 
-    ``FIRST``: there was no living life before it; ``RIVAL``: it names another one than
-    the living, which has to be verified; ``SAME``: the living one lives; ``LEAVES``:
-    the living one says for the first time that it leaves; ``LEAVING``: it says so
-    again; ``STALE``: it is older than what is known, or of a life that has ended.
+    ``FIRST``: there was no current incarnation before; ``RIVAL``: it is from another
+    incarnation than the current one, which has to be verified; ``SAME``: the current
+    one is up; ``LEAVES``: the current one reports for the first time that it leaves;
+    ``LEAVING``: it reports so again; ``STALE``: the report is older than what is known,
+    or from an incarnation that has ended.
     """
 
     FIRST = "first"
@@ -32,17 +33,17 @@
 
 @attrs.define
 class Instances:
-    """The living life, and those that ended.
+    """The current incarnation, and those that ended.
 
-    Heartbeats overtake each other: one that a partition held up may come after its
-    sender has crashed and another life has begun. It must not bring the earlier one
-    back, since the new one would then be refused its requests.
+    Heartbeats can arrive out of order: one that a partition delayed may arrive after
+    its sender has crashed and another incarnation has started. It must not make the
+    earlier incarnation current again, since the new one would not get its requests.
 
-    Of two lives under one id, the one that began later is the living one. A start that
-    lies behind is a late report's, unless the later life has been silent for longer
-    than a report may be late: then the machine's clock was set back. Equal starts are
-    one life, and a start in the future is as good as any, since starts are compared
-    with each other only.
+    Of two incarnations with the same id, the one that started later is the current
+    one. A report with an earlier start is a late one, unless the later incarnation
+    has been silent for longer than a report may be late: then the machine's clock was
+    set back. Equal starts mean the same incarnation. A start in the future is valid,
+    since starts are only compared with each other.
     """
 
     living: Life | None = None
@@ -53,7 +54,7 @@
     _heard_s: float = float("-inf")
 
     def hear(self, life, sequence, leaving, now_s):
-        """Return the `Word` of a heartbeat that came at ``now_s``."""
+        """Return the `Word` of a heartbeat that was received at ``now_s``."""
         if life in self._ended or self._lies_behind(life, now_s):
             return Word.STALE
         if self.living is None:
@@ -73,19 +74,23 @@
         newest = self._newest.get(life.instance)
         if newest is None or now_s >= self._heard_s + LATEST_REPORT_S:
             return False
-        # A report that lacks the start which its life is known to give is damaged.
+        # A report without a start is damaged if this server's reports have one.
         damaged = life.born_ms is None and newest.born_ms is not None
         return damaged or life.began_before(newest)
 
     def leave(self, life):
-        """Return `Word.LEAVES` if the living life says so for the first time."""
+        """Record that an incarnation leaves.
+
+        Return `Word.LEAVES` if that is the first such report of the current one,
+        and `Word.STALE` otherwise.
+        """
         if self.living is None or not life.may_be(self.living) or self.leaving:
             return Word.STALE
         self.leaving = True
         return Word.LEAVES
 
     def begin(self, life, sequence=-1, now_s=float("-inf")):
-        """Take a life for the living one; the one before it has ended."""
+        """Make an incarnation the current one; the one before it has ended."""
         self.end()
         self.living = life
         self._sequence = sequence
@@ -93,7 +98,7 @@
         self._newest[life.instance] = life
 
     def end(self):
-        """Take note that the living life has ended."""
+        """Record that the current incarnation has ended."""
         if self.living is not None:
             self._ended.add(self.living)
         self.living = None
--- a/comfreywharf/membership/lifecycle.py
+++ b/comfreywharf/membership/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a node, by the chart in `node.toml`."""
+"""The life cycle of a node, as defined by the chart in `node.toml`."""
 
 import attrs
 
@@ -9,12 +9,13 @@
 _CHART = load_chart(__package__, "node.toml")
 
 PAUSE_S = 0.5
-"""A loop that didn't run for this long was paused, by the machine or by work."""
+"""The shortest delay of a loop, in seconds, that counts as a pause. It may be caused by
+the machine or by work of the process itself."""
 
 
 @attrs.frozen(kw_only=True)
 class NodeFacts:
-    """What a node knows of itself at a moment."""
+    """The conditions of a node that determine its state."""
 
     caught_up: bool
     lease_held: bool
@@ -23,7 +24,7 @@
 
 
 class NodeLife:
-    """Move the chart by what the node knows of itself.
+    """Track a node's state, based on its conditions.
 
     >>> life = NodeLife()
     >>> facts = NodeFacts(
@@ -37,11 +38,14 @@
 
     @property
     def state(self):
-        """Return the chart's state."""
+        """Return the current state."""
         return self._chart.state
 
     def observe(self, facts):
-        """Fire the trigger that the facts call for; return what it changed."""
+        """Fire the trigger that the facts require.
+
+        Return the states before and after, or ``None`` without a transition.
+        """
         trigger = self._trigger(facts)
         before = self.state
         if trigger is None or not self._chart.fire(trigger):
@@ -49,7 +53,7 @@
         return before, self.state
 
     def stop(self):
-        """Take note of the end of the process."""
+        """Record that the process stops; return the states before and after."""
         before = self.state
         self._chart.fire("stop")
         return before, self.state
@@ -67,10 +71,10 @@
 
 
 class Pauses:
-    """Notice that this process was frozen, from the times at which it ran.
+    """Detect that this process was frozen, from the times at which it ran.
 
-    A frozen process can't notice it while it lasts. Afterwards the event tells
-    an operator why a lease lapsed although nothing else had failed.
+    A process can detect a freeze only afterwards. The resulting event shows an
+    operator why a lease expired although nothing else had failed.
     """
 
     def __init__(self, now_s, interval_s):
@@ -78,7 +82,7 @@
         self._interval_s = interval_s
 
     def ran(self, now_s):
-        """Return how long the process was paused, or ``None``."""
+        """Record a run; return the preceding pause in seconds, or ``None``."""
         paused_s = now_s - self._ran_s - self._interval_s
         self._ran_s = now_s
         return paused_s if paused_s > PAUSE_S else None
--- a/comfreywharf/membership/lives.py
+++ b/comfreywharf/membership/lives.py
@@ -1,4 +1,4 @@
-"""What names one life of a backend server."""
+"""The identity of one incarnation of a backend server."""
 
 import attrs
 
@@ -7,15 +7,16 @@
 
 @attrs.frozen
 class Life:
-    """One life of a backend server: its id, and when it began.
+    """One incarnation of a backend server: its id, and when it started.
 
-    A server may begin again under the id that it had. The new life knows nothing of
-    what the one before held or ran. Compared by their ids alone, the dead life's word
-    would count for the living one: a late "I leave" would take it out of service, and
-    its own low numbers would be taken for late reports.
+    A server may restart under the same id. The new incarnation doesn't know what the
+    earlier one held or ran. If incarnations were compared by their ids alone, reports
+    of the earlier one would be attributed to the current one: a late report that it
+    leaves would take the current one out of service, and the current one's low
+    sequence numbers would be considered late reports.
 
     ``born_ms`` is the start as a Unix time in milliseconds, or ``None`` from a server
-    that doesn't say.
+    that doesn't report it.
 
     >>> Life("i-7", 1000).began_before(Life("i-7", 2000))
     True
@@ -27,26 +28,30 @@
     born_ms: int | None = None
 
     def began_before(self, other):
-        """Return whether this is an earlier life under the same id.
+        """Return whether this is an earlier incarnation with the same id.
 
-        Of different ids, clocks say nothing: they are those of different machines,
-        or of one whose clock was set. Without a start it can't be told.
+        Starts of different ids can't be compared: they may come from different
+        machines, or from one whose clock was set. Without both starts, the order
+        is unknown and the result is false.
         """
         if not self.shares_id(other) or None in (self.born_ms, other.born_ms):
             return False
         return self.born_ms < other.born_ms
 
     def shares_id(self, other):
-        """Return whether both lives go by one id."""
+        """Return whether both incarnations have the same id."""
         return self.instance == other.instance
 
     def is_named(self, instance):
-        """Return whether an id is this life's; lives that share it answer alike."""
+        """Return whether this incarnation has an id.
+
+        Incarnations with the same id can't be distinguished by it.
+        """
         return self.instance == instance
 
     def may_be(self, other):
-        """Return whether a word that names this life may be another's.
+        """Return whether a report from this incarnation may be from another one.
 
-        Without a start it is of whichever life has the id.
+        A report without a start may be from any incarnation with its id.
         """
         return self == other or (self.born_ms is None and self.shares_id(other))
--- a/comfreywharf/membership/notices.py
+++ b/comfreywharf/membership/notices.py
@@ -1,7 +1,8 @@
-"""Notices: short-lived news that nodes tell each other without the log.
+"""Notices: short-lived information that nodes exchange without the log.
 
-A notice is a hint. It may reach some nodes late or never, so nothing that has
-to be agreed or kept may hang on one; that is what records of the log are for.
+A notice is a hint. It may reach some nodes late or never, so nothing that needs
+agreement or durability may depend on one; such information belongs into the
+records of the log.
 """
 
 import attrs
@@ -9,24 +10,25 @@
 __all__ = ["Notice", "NoticeBoard"]
 
 MAX_NOTICES = 1024
-"""How many notices are kept; those that end first make room."""
+"""How many notices are kept; those that expire first are evicted."""
 
 MAX_TTL_S = 3600.0
-"""The longest life of a notice, in seconds."""
+"""The longest lifetime of a notice, in seconds."""
 
 MAX_TEXT_CHARS = 256
-"""The longest id, kind or subject."""
+"""The longest id, kind or subject, in characters."""
 
 ECHO_MARGIN_S = 30.0
-"""How long the id of an ended notice stays known."""
+"""How long the id of an expired notice is remembered, in seconds."""
 
 
 @attrs.frozen(kw_only=True)
 class Notice:
-    """One piece of news: a kind, what it is about, and a number.
+    """A notice: its kind, the subject that it refers to, and a number.
 
-    ``expires_s`` is on the monotonic clock of the node that holds it; between
-    nodes the remaining time is sent instead, since two machines share no clock.
+    ``expires_s`` is on the monotonic clock of the node that holds the notice.
+    Nodes send each other the remaining time instead, since machines don't share
+    a monotonic clock.
     """
 
     notice_id: str
@@ -37,7 +39,7 @@
 
 
 class NoticeBoard:
-    """The notices that a node knows: bounded, expiring, each id once.
+    """The unexpired notices of a node: bounded in number, each id only once.
 
     >>> board = NoticeBoard()
     >>> notice = Notice(
@@ -54,13 +56,13 @@
         self._ended = {}
 
     def add(self, notice, now_s):
-        """Keep a notice and return whether it is news here."""
+        """Add a notice; return whether it was new and is kept."""
         self._expire(now_s)
         if not self._is_valid(notice, now_s):
             return False
-        # A notice travels with its remaining time, so a copy at another node
-        # ends a little later. Without the ids of ended notices two nodes would
-        # hand such a copy back and forth, and it would never end.
+        # A notice is sent with its remaining time, so that a copy at another
+        # node expires a little later. Without the ids of expired notices, two
+        # nodes would send such a copy back and forth and it would never expire.
         if notice.notice_id in self._notices or notice.notice_id in self._ended:
             return False
         if len(self._notices) >= self._capacity and not self._make_room(notice):
@@ -69,11 +71,11 @@
         return True
 
     def current(self, kind, now_s):
-        """Return the live notices of a kind, oldest news first."""
+        """Return the unexpired notices of a kind, the first added first."""
         return [notice for notice in self.live(now_s) if notice.kind == kind]
 
     def live(self, now_s):
-        """Return all live notices, oldest news first."""
+        """Return all unexpired notices, the first added first."""
         self._expire(now_s)
         return list(self._notices.values())
 
--- a/comfreywharf/membership/relays.py
+++ b/comfreywharf/membership/relays.py
@@ -1,11 +1,11 @@
-"""Through whom a node reads the log, so that few read it themselves.
-
-Each read of the log is a call that the log service counts, and each record would
-otherwise cost one from every node. Members form a tree by rank: the one of rank 0
-reads the log, each other one hears from the member above it, and `FANOUT` hear
-from the same. Three levels reach 640 nodes. The order needs no message, since all
-nodes derive it from the members that they folded; where two have folded different
-members, each still hears from one that says how old its news is.
+"""The relay through which a node reads the log, so that few nodes read it directly.
+
+The log service counts each read, and without relays each record would cost one read
+by every node. The members form a tree by rank: the member of rank 0 reads the log, and
+each other member receives the records from its parent, which has up to `FANOUT`
+children. Three levels are enough for 640 nodes. The order needs no messages, since
+each node derives it from the members that it folded. If two nodes have folded
+different members, each still receives from a relay that reports the age of its data.
 """
 
 import attrs
@@ -14,15 +14,15 @@
 __all__ = ["FANOUT", "NewsAge", "Relays"]
 
 FANOUT = 16
-"""How many nodes hear from the same one. At 640 nodes each relays to 16 others what
-the log brings, and news passes two relays."""
+"""How many nodes receive from the same relay. At 640 nodes each relay sends the log's
+records to 16 others, and a record passes two relays."""
 
 AVOIDED_S = 5.0
-"""How long a relay that didn't answer, or had stale news, isn't asked again. It is
-as long as a restart takes; asked sooner, each try costs its time-out."""
+"""How long a relay that didn't answer, or had stale data, isn't queried again, in
+seconds. A restart takes about as long; an earlier query would cost its timeout."""
 
 LEVEL_AGE_S = 0.6
-"""How much older news may be with each level: one wait and a little."""
+"""How much older data may be with each level, in seconds: one wait and a margin."""
 
 
 def _rank(node_id):
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class NewsAge:
-    """How old what a relay passes on may be: the log's records, and the routes."""
+    """The maximum age of the data that a relay forwards: log records and routes."""
 
     records_s: float
     routes_s: float
@@ -39,10 +39,10 @@
 
 @attrs.define
 class Relays:
-    """Choose the member that a node hears the log's news from.
+    """Choose the member from which a node receives the log's records.
 
-    ``most_age_s`` is how old the records of a node that reads the log itself may be,
-    ``most_routes_age_s`` how old the routes of any relay may be.
+    ``most_age_s`` is the maximum age of the records of a node that reads the log
+    itself, ``most_routes_age_s`` that of the routes of any relay.
 
     >>> relays = Relays("a", most_age_s=1.5)
     >>> relays.choose(["a"], now_s=0.0)
@@ -55,7 +55,7 @@
     _avoided: dict = attrs.Factory(dict)
 
     def choose(self, members, now_s):
-        """Return the member to ask now; empty: read the log itself."""
+        """Return the member to query now, or ``""`` to read the log itself."""
         for node_id, until_s in list(self._avoided.items()):
             if now_s >= until_s:
                 del self._avoided[node_id]
@@ -65,15 +65,16 @@
         return ""
 
     def failed(self, node_id, now_s):
-        """Take note that a relay didn't answer, or didn't know enough."""
+        """Record that a relay didn't answer, or that its data was outdated."""
         self._avoided[node_id] = now_s + AVOIDED_S
 
     def is_fresh(self, members, relay_id, age):
-        """Return whether a relay's news is as new as its level lets one expect.
+        """Return whether a relay's data is as recent as expected at its level.
 
-        ``age`` is its `NewsAge`. A relay that the log has turned away goes on
-        answering, and who hears from it would go by an old configuration without
-        noticing. Routes are read apart from records, so that either may be old alone.
+        ``age`` is its `NewsAge`. A relay that the log refuses keeps answering, and
+        nodes that receive from it would use an outdated configuration without
+        noticing. Routes and records are read separately, so each may be outdated
+        while the other is not.
         """
         order = self._order(members)
         level = _level(order.index(relay_id)) if relay_id in order else 0
@@ -82,10 +83,10 @@
         return age.records_s <= self.most_age_s + level * LEVEL_AGE_S
 
     def _above(self, members):
-        """Return the relays of this node, the one to prefer first.
+        """Return the possible relays of this node, the preferred one first.
 
-        Only members of a lower rank are asked, so that no two nodes hear from
-        each other and from nobody else.
+        Only members of a lower rank are possible, so that no two nodes receive
+        only from each other.
         """
         order = self._order(members)
         if self.node_id not in order:
@@ -100,7 +101,7 @@
 
 
 def _level(rank):
-    """Return how many relays lie between a rank and the log."""
+    """Return how many relays are between a rank and the log."""
     level = 0
     while rank > 0:
         rank = (rank - 1) // FANOUT
--- a/comfreywharf/membership/tests/test_ids_alone.py
+++ b/comfreywharf/membership/tests/test_ids_alone.py
@@ -1,4 +1,4 @@
-"""Nothing but `Life` compares servers by their ids alone."""
+"""Tests that only the module of `Life` compares backend servers by their ids."""
 
 import ast
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 
 def compares_an_id(node):
-    """Return whether a comparison has a server's id on one of its sides."""
+    """Return whether a node compares a server's id with something but ``None``."""
     if not isinstance(node, ast.Compare):
         return False
     sides = [node.left, *node.comparators]
@@ -28,9 +28,11 @@
 
 
 def test_no_module_compares_servers_by_their_ids_alone():
-    """Symptom: a dead life's word counts for the living one that has its id.
-    Sequence: a server crashes and begins again under the id that it had.
-    Cause: a place of its own compared the two by their ids."""
+    """Guard against attributing an earlier incarnation's report to the current one.
+
+    This happens if a server crashes and restarts under the same id, and a module
+    compares the two incarnations by their ids instead of using `Life`.
+    """
     modules = [path for path in ROOT.rglob("*.py") if "tests" not in path.parts]
     modules = [path for path in modules if path != LIVES and "gen" not in path.parts]
     found = {
@@ -43,7 +45,7 @@
 
 
 def test_the_search_finds_what_it_looks_for():
-    """Either side, as a field or a name; a look whether there is one is none."""
+    """An id is found on either side, as a field or a name; ``is None`` is allowed."""
     assert found_in("if self.living.instance == life.instance: pass") == [1]
     assert found_in("ok = instance in known") == [1]
     assert found_in("ok = other != backend.announcement.instance") == [1]
--- a/comfreywharf/membership/tests/test_instances.py
+++ b/comfreywharf/membership/tests/test_instances.py
@@ -1,4 +1,4 @@
-"""Heartbeats that come late, twice, or of an instance that has ended."""
+"""Tests of heartbeats that are late, repeated or from an earlier incarnation."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 def test_a_life_from_first_word_to_leaving():
-    """The usual order."""
+    """Reports that arrive in order."""
     instances = Instances()
     assert instances.hear(A, 1, False, NOW_S) is Word.FIRST
     assert instances.hear(A, 2, False, NOW_S) is Word.SAME
@@ -20,9 +20,11 @@
 
 
 def test_a_late_heartbeat_doesnt_undo_a_leaving():
-    """Symptom: a leaving server gets new work again.
-    Sequence: "ready" is held up and comes behind "draining".
-    Cause: the state of the last heartbeat to arrive counted."""
+    """Guard against new work for a leaving server.
+
+    A "ready" report is delayed and arrives after "draining", so that the last
+    report to arrive isn't the newest one.
+    """
     instances = Instances()
     instances.hear(A, 1, False, NOW_S)
     instances.hear(A, 3, True, NOW_S)
@@ -31,9 +33,11 @@
 
 
 def test_an_earlier_life_isnt_revived():
-    """Symptom: each request is answered by 421, for as long as the node runs.
-    Sequence: a crashes, b registers at its address, a heartbeat of a arrives.
-    Cause: the last instance to be heard of counted as the living one."""
+    """Guard against answering each request with 421 for as long as the node runs.
+
+    Server a crashes, b registers at its address, and then a late heartbeat of a
+    arrives, so that the last server to report isn't the current one.
+    """
     instances = Instances()
     instances.hear(A, 5, False, NOW_S)
     assert instances.hear(B, 1, False, NOW_S) is Word.RIVAL
@@ -43,7 +47,7 @@
 
 
 def test_a_server_that_only_deregisters_leaves_as_well():
-    """Some never say that they drain."""
+    """Some servers never report that they drain."""
     instances = Instances()
     instances.hear(A, 1, False, NOW_S)
     assert instances.leave(A) is Word.LEAVES
@@ -52,7 +56,7 @@
 
 
 def test_after_its_end_an_instance_is_gone_for_good():
-    """A heartbeat that was on its way when the server died changes nothing."""
+    """A heartbeat that was in transit when the server crashed changes nothing."""
     instances = Instances()
     instances.hear(A, 1, False, NOW_S)
     instances.end()
@@ -64,7 +68,7 @@
 
 
 def second_life(sequence=1):
-    """Return what knows of a server's first life, and then of its second."""
+    """Return `Instances` that saw a server's first and second incarnation."""
     instances = Instances()
     instances.hear(FIRST, 900, False, NOW_S)
     assert instances.hear(SECOND, sequence, False, NOW_S + 1) is Word.RIVAL
@@ -73,41 +77,48 @@
 
 
 def test_a_second_life_under_one_id_is_heard_from_its_first_report_on():
-    """Symptom: a server that leaves gets new work until it is gone.
-    Sequence: it was started again under its id, and counts its reports from 1; it
-    says that it drains by its fifth, while the first life had come to 900.
-    Cause: its reports passed for late ones of the first."""
+    """Guard against new work for a leaving server that had restarted.
+
+    The second incarnation numbers its reports from 1 and reports with the fifth
+    that it drains, while the first one had reached 900. Its reports must not be
+    considered late ones of the first incarnation.
+    """
     instances = second_life()
     assert instances.hear(SECOND, 5, True, NOW_S + 2) is Word.LEAVES
 
 
 @pytest.mark.parametrize("leaving", [False, True])
 def test_a_late_report_of_the_first_life_changes_nothing(leaving):
-    """Symptom: a server that has just begun is taken out of service.
-    Sequence: its first life's last report was held up and comes behind its own.
-    Cause: the two were told apart by a number that only grew in the first."""
+    """Guard against taking a server that has just restarted out of service.
+
+    The last report of its first incarnation is delayed, arrives after the first
+    report of the second one, and has a higher sequence number.
+    """
     instances = second_life()
     assert instances.hear(FIRST, 901, leaving, NOW_S + 2) is Word.STALE
     assert (instances.living, instances.leaving) == (SECOND, False)
 
 
 def test_a_late_report_of_a_life_that_was_never_heard_changes_nothing():
-    """The node began after that life had ended."""
+    """The node started after that incarnation had ended."""
     instances = Instances()
     instances.hear(SECOND, 1, False, NOW_S)
     assert instances.hear(FIRST, 901, False, NOW_S + 1) is Word.STALE
 
 
 def test_a_late_deregistration_of_the_first_life_changes_nothing():
-    """Unless it names no start: then it is of the life that has the id."""
+    """Without a start, it applies to the current incarnation with that id."""
     instances = second_life()
     assert instances.leave(FIRST) is Word.STALE
     assert instances.leave(Life("a")) is Word.LEAVES
 
 
 def test_a_start_that_lies_behind_is_believed_once_no_report_can_be_that_late():
-    """Symptom: a server is never used again. Sequence: its machine's clock is set
-    back, and it is started again under its id. Cause: it passes for its past."""
+    """Guard against never using a server again whose clock was set back.
+
+    The server restarts under its id after its machine's clock was set back, so
+    that its start is before that of its earlier incarnation.
+    """
     instances = second_life()
     back = Life("a", 500)
     assert instances.hear(back, 1, False, NOW_S + LATEST_REPORT_S) is Word.STALE
@@ -116,14 +127,14 @@
 
 
 def test_equal_starts_are_one_life():
-    """Its reports are told apart by their numbers alone."""
+    """Its reports are ordered by their sequence numbers alone."""
     instances = second_life(sequence=10)
     assert instances.hear(Life("a", 2_000), 10, False, NOW_S + 2) is Word.STALE
     assert instances.hear(Life("a", 2_000), 11, False, NOW_S + 2) is Word.SAME
 
 
 def test_a_report_without_the_start_that_its_life_gives_is_of_nobody():
-    """Another writer's, or a damaged one."""
+    """Such a report is from another sender, or damaged."""
     instances = second_life()
     assert instances.hear(Life("a"), 9, True, NOW_S + 2) is Word.STALE
     assert not instances.leaving
--- a/comfreywharf/membership/tests/test_lifecycle.py
+++ b/comfreywharf/membership/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a node follows its chart, whatever happens in which order."""
+"""Tests of a node's life cycle with conditions that change in any order."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -21,7 +21,7 @@
 @settings(derandomize=True, deadline=None)
 @given(st.lists(facts, max_size=12))
 def test_state_tells_what_the_node_may_do(history):
-    """Active means a held lease, and nothing leads back from replaced."""
+    """An active node holds its lease, and a replaced one stays replaced."""
     life = NodeLife()
     for seen in history:
         was_replaced = life.state == "replaced"
@@ -37,7 +37,7 @@
 @settings(derandomize=True, deadline=None)
 @given(st.lists(facts, max_size=12))
 def test_a_node_that_is_well_ends_active(history):
-    """From any state but replaced, a caught-up node with its lease is active."""
+    """A caught-up node with its lease becomes active from any state but replaced."""
     life = NodeLife()
     for seen in history:
         settle(life, seen)
@@ -47,7 +47,7 @@
 
 
 def test_pause_is_noticed_afterwards():
-    """A gap between two runs of the loop is a pause, a late run is none."""
+    """A long gap between two runs of the loop is a pause, a short delay is not."""
     pauses = Pauses(10.0, 0.1)
     assert pauses.ran(10.2) is None
     assert round(pauses.ran(12.3), 3) == 2.0
--- a/comfreywharf/membership/tests/test_notices.py
+++ b/comfreywharf/membership/tests/test_notices.py
@@ -1,4 +1,4 @@
-"""Notices between nodes: bounded, expiring, each id once."""
+"""Tests that notices are bounded in number, expire and are new only once."""
 
 import attrs
 from hypothesis import given, settings, strategies as st
@@ -24,7 +24,7 @@
 @settings(derandomize=True, deadline=None)
 @given(st.lists(adds, max_size=40))
 def test_board_keeps_its_bounds(steps):
-    """No id is news twice within the margin, none outlives its time, none overflows."""
+    """No id is new twice within the margin, and number and lifetime are bounded."""
     board, now_s, news = NoticeBoard(CAPACITY), 0.0, {}
     for notice_id, ttl_s, pause_s in steps:
         now_s += pause_s
@@ -37,11 +37,11 @@
 
 
 def test_notice_that_ended_is_not_taken_back_from_a_peer():
-    """
-    Symptom: a suspect stays in quarantine for ever.
-    Sequence: a notice ends here; a peer, whose copy ends a little later because
-    it was under way for a while, sends it back; and so on between the two.
-    Cause: only the live notices' ids were compared.
+    """Guard against a suspect that stays in quarantine forever.
+
+    A notice expires at one node; a peer's copy expires a little later, because it
+    was in transit for a while, and is sent back, and so on between the two. The
+    ids of expired notices have to be compared as well.
     """
     board = NoticeBoard()
     notice = make_notice("a", expires_s=1.0)
--- a/comfreywharf/membership/tests/test_relays.py
+++ b/comfreywharf/membership/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""Who reads the log, and through whom the others hear of it."""
+"""Tests of which member reads the log and which relays the others choose."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -19,7 +19,7 @@
 
 @given(NAMES)
 def test_one_member_reads_the_log_and_each_other_one_leads_to_it(members):
-    """No two members hear from each other and from nobody else."""
+    """Each member receives the records through at most three relays."""
     relays = {name: relay_of(name, members) for name in members}
     assert list(relays.values()).count("") == 1
     for name in members:
@@ -32,9 +32,11 @@
 
 @given(NAMES, st.randoms(use_true_random=False))
 def test_no_circle_forms_whichever_relays_fail(members, rng):
-    """Symptom: two nodes go by an old configuration for good.
-    Sequence: relays are lost; two nodes choose each other instead.
-    Cause: a node asked members of any rank."""
+    """Guard against two nodes that keep an outdated configuration forever.
+
+    If relays are lost and nodes may choose members of any rank, two nodes can
+    choose each other.
+    """
     relays = {}
     for name in members:
         own = Relays(name, MOST_AGE_S)
@@ -50,14 +52,14 @@
 
 
 def test_a_member_passes_news_on_to_few_others():
-    """At 640 nodes no node answers more than a bounded number."""
+    """At 640 nodes no member relays to more than `FANOUT` others."""
     members = [f"node-{number}" for number in range(640)]
     relays = [relay_of(name, members) for name in members]
     assert max(relays.count(name) for name in members) <= FANOUT
 
 
 def test_a_relay_that_failed_is_left_alone_for_a_while():
-    """Asked each time, a lost relay would cost each time its time-out."""
+    """Each query of a lost relay would cost its timeout."""
     members = ["a", "b", "c", "d"]
     order = sorted(members, key=lambda name: len(relay_of(name, members)))
     reader = next(name for name in members if not relay_of(name, members))
@@ -73,9 +75,11 @@
 
 @pytest.mark.parametrize(("age_s", "fresh"), [(0.2, True), (1.4, True), (1.7, False)])
 def test_news_of_a_reader_that_the_log_turned_away_is_not_relied_on(age_s, fresh):
-    """Symptom: a healthy node goes by old routes for as long as an outage lasts.
-    Sequence: the store turns the one reader away and serves all others.
-    Cause: the reader's answers were taken for news, however old they were."""
+    """Guard against a healthy node that uses outdated routes during an outage.
+
+    If the store refuses the only reader but serves all others, the reader keeps
+    answering with data that gets older and older.
+    """
     members = ["a", "b"]
     reader = next(name for name in members if not relay_of(name, members))
     age = NewsAge(records_s=age_s, routes_s=0.0)
@@ -84,7 +88,7 @@
 
 @pytest.mark.parametrize(("age_s", "fresh"), [(0.2, True), (1.7, True), (1.9, False)])
 def test_old_routes_of_a_relay_with_new_records_are_not_relied_on(age_s, fresh):
-    """Guards against a relay that counts as fresh by its records alone."""
+    """Guard against a relay that is considered fresh by its records alone."""
     members = ["a", "b"]
     reader = next(name for name in members if not relay_of(name, members))
     relays = Relays("c", MOST_AGE_S, longest_relayed_age_s(apply_s=2.5))
@@ -93,5 +97,5 @@
 
 
 def test_a_node_that_is_no_member_reads_the_log_itself():
-    """It can't be told where it stands before the log names it."""
+    """Its rank is unknown until the log names it as a member."""
     assert relay_of("new", ["a", "b"]) == ""
