--- a/comfreywharf/routes/__init__.py
+++ b/comfreywharf/routes/__init__.py
@@ -1,8 +1,8 @@
-"""Which service a caller's request goes to, and on which terms.
+"""The routes that map callers' requests to services, with their limits.
 
-A `RouteTable` is one numbered version of an operator's routes. It comes from
-outside the log of records, for instance from the platform's store, and nodes pass
-it on to each other.
+A `RouteTable` is one numbered version of an operator's routes. It is not part of
+the log of records but comes from elsewhere, for instance from the platform's store,
+and nodes forward it to each other.
 """
 
 from comfreywharf.routes.codec import RouteTableError, decode_table, encode_table
--- a/comfreywharf/routes/codec.py
+++ b/comfreywharf/routes/codec.py
@@ -1,4 +1,4 @@
-"""A `RouteTable` as nodes pass it on to each other."""
+"""The encoding of a `RouteTable` that nodes send to each other."""
 
 import attrs
 import orjson
@@ -15,17 +15,20 @@
 
 
 class RouteTableError(ValueError):
-    """A table that can't be read."""
+    """The bytes are not a valid encoded table."""
 
 
 def encode_table(table):
-    """Return a table as bytes."""
+    """Return a table encoded as JSON."""
     fields = attrs.asdict(table, filter=lambda field, _: not field.name[0] == "_")
     return orjson.dumps(fields)
 
 
 def decode_table(data):
-    """Return the `RouteTable` in bytes; raises `RouteTableError`."""
+    """Return the `RouteTable` that is encoded in bytes.
+
+    Raises `RouteTableError` if they are not a valid encoded table.
+    """
     try:
         fields = orjson.loads(data)
         return RouteTable(
--- a/comfreywharf/routes/model.py
+++ b/comfreywharf/routes/model.py
@@ -8,10 +8,10 @@
 
 
 class GrantWay(Enum):
-    """How a service's backend servers are told which keys they hold.
+    """How a service's backend servers are notified of the keys that they hold.
 
-    ``ORDERS`` are sent to the server, one for each range; ``HEARTBEATS`` are answered
-    with a list of all ranges.
+    With ``ORDERS``, the server is sent an order for each range of keys. With
+    ``HEARTBEATS``, each heartbeat of the server is answered with a list of all ranges.
     """
 
     ORDERS = "orders"
@@ -20,7 +20,7 @@
 
 @attrs.frozen(kw_only=True)
 class Part:
-    """The part of a route's requests that goes to one service."""
+    """The share of a route's requests that goes to one service."""
 
     service: str
     weight: float
@@ -28,13 +28,13 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """How requests for one host and path prefix are treated.
+    """How requests for one host and path prefix are handled.
 
-    ``repeatable`` requests may run more than once; all others at most once for
-    each caller's request id. ``max_sends`` bounds how many backend servers one
-    request may be sent to. ``timeout_ms`` is the longest a caller is kept waiting,
-    ``latency_target_ms`` the time within which an answer is worth most.
-    ``priority`` 0 is the most urgent.
+    ``repeatable`` requests may run more than once; all others run at most once
+    for each caller's request id. ``max_sends`` bounds to how many backend servers
+    one request may be sent. ``timeout_ms`` is the longest time that a caller
+    waits, ``latency_target_ms`` the time within which an answer has its full
+    value. ``priority`` 0 is the most urgent.
     """
 
     name: str
@@ -50,11 +50,12 @@
 
 @attrs.frozen(kw_only=True)
 class RoutedService:
-    """A service that routes lead to.
+    """A service that is the target of routes.
 
-    One that is divided by number has a key from 0 to 65,535 in each request, and
-    its backend servers hold their keys by grants, in its ``grant_way``.
-    ``connections`` is what one backend server accepts from all together.
+    If it is divided by number, each request has a key from 0 to 65,535, and its
+    backend servers hold their keys by grants, which are made in its
+    ``grant_way``. ``connections`` is how many connections one backend server
+    accepts in total.
     """
 
     name: str
@@ -66,7 +67,7 @@
 
 @attrs.frozen(kw_only=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of a caller's requests and on its slowness and idleness."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 64 << 20
@@ -78,7 +79,7 @@
 class RouteTable:
     """One version of all routes, services and limits.
 
-    Version 0 is the empty table that exists before the first one is known.
+    Version 0 is the empty table that is used before the first one is received.
     """
 
     version: int = 0
@@ -103,8 +104,9 @@
     def find(self, host, path):
         """Return the route of a host with the longest prefix of a path, or ``None``.
 
-        Prefixes begin and end with a slash, so that only the slashes of the path
-        are tried: the cost grows with the path and not with the table.
+        Prefixes begin and end with a slash, so that only prefixes of the path that
+        end with a slash are looked up: the cost grows with the length of the path
+        and not with the size of the table.
 
         >>> part = Part(service="booking", weight=1)
         >>> route = Route(name="r", host="a.example", path_prefix="/b/",
--- a/comfreywharf/routes/splits.py
+++ b/comfreywharf/routes/splits.py
@@ -1,14 +1,14 @@
-"""Share the requests of a route among its parts."""
+"""Distribute the requests of a route among its parts."""
 
 __all__ = ["Splitter"]
 
 
 class Splitter:
-    """Deal out requests in proportion to the weights, without chance.
+    """Distribute requests in proportion to the weights, without randomness.
 
-    Drawn by chance, 200 requests at 0.1 would often be 4 in 100 off; dealt out
-    in turn they are off by one request. Source: the smooth weighted round robin
-    of nginx's upstream module.
+    With random choices, the share of 200 requests at a weight of 0.1 would often
+    be off by 4 in 100; with this method it is off by at most one request. Source:
+    the smooth weighted round robin of nginx's upstream module.
 
     >>> from comfreywharf.routes.model import Part
     >>> parts = (Part(service="a", weight=3), Part(service="b", weight=1))
@@ -35,6 +35,6 @@
         return parts[best]
 
     def keep(self, route_names):
-        """Forget routes that aren't there any more."""
+        """Remove the state of all routes but these."""
         for name in set(self._credits) - set(route_names):
             del self._credits[name]
--- a/comfreywharf/routes/staleness.py
+++ b/comfreywharf/routes/staleness.py
@@ -1,23 +1,23 @@
-"""What a node may conclude from routes that may be out of date.
+"""What a node may conclude from routes that may be outdated.
 
-A change of the routes is to be in force at all nodes within a bounded time. A node that
-heard from nobody for longer may lack it, and can't know. It goes on serving by the
-routes that it has, since most of them stay as they are; what it doesn't know it leaves
-open instead of denying it. See docs/design/configuration.md.
+A change of the routes has to be in force at all nodes within a bounded time. A node
+that received nothing for longer may lack a change without knowing it. It continues to
+use the routes that it has, since most of them don't change, but it doesn't report an
+unknown route as absent. See docs/design/configuration.md.
 """
 
 __all__ = ["REACTION_S", "is_absence_certain", "longest_relayed_age_s"]
 
 REACTION_S = 0.7
-"""Until a node that hears from a relay has read the routes itself: the relay's next
-answer, and one read."""
+"""The time in seconds until a node that receives from a relay has read the routes
+itself: the relay's next answer, and one read."""
 
 
 def is_absence_certain(age_s, apply_s):
-    """Return whether a route that isn't known can be told to be absent.
+    """Return whether a route that isn't known is certainly absent.
 
-    ``age_s`` is for how long the routes may have been out of date, ``apply_s`` how long
-    a change may take to be in force.
+    ``age_s`` is for how long the routes may have been outdated, ``apply_s`` within
+    which time a change has to be in force, both in seconds.
 
     >>> is_absence_certain(0.4, 2.0), is_absence_certain(2.3, 2.0)
     (True, False)
@@ -26,7 +26,7 @@
 
 
 def longest_relayed_age_s(apply_s):
-    """Return how old the routes of a relay may be for others to rely on them.
+    """Return the maximum age in seconds at which a relay's routes may be used.
 
     >>> longest_relayed_age_s(2.5)
     1.8
--- a/comfreywharf/routes/tests/test_routes.py
+++ b/comfreywharf/routes/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes: found by host and prefix, shared out by weight, passed on between nodes."""
+"""Tests of the lookup of routes, their division by weight and their exchange."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -10,7 +10,7 @@
 
 
 def test_the_longest_prefix_wins():
-    """A route for a part of another's paths goes before it."""
+    """A route for a subset of another route's paths takes precedence."""
     table = make_table(
         routes=(make_route("short", prefix="/a/"), make_route("long", prefix="/a/b/"))
     )
@@ -21,13 +21,13 @@
 
 @pytest.mark.parametrize(("host", "path"), [("y.example", "/a/"), ("x.example", "/a")])
 def test_what_no_route_covers_isnt_found(host, path):
-    """Another host, and a path that lacks the prefix's last slash."""
+    """Neither another host nor a path without the prefix's last slash matches."""
     assert make_table(routes=(make_route("r", prefix="/a/"),)).find(host, path) is None
 
 
 @given(st.lists(st.integers(1, 100), min_size=2, max_size=5))
 def test_each_part_gets_its_share_within_one_request(weights):
-    """After as many requests as all weights together, each part had its weight."""
+    """After as many requests as the sum of the weights, each part got its weight."""
     parts = tuple(Part(service=str(i), weight=w) for i, w in enumerate(weights))
     splitter = Splitter()
     total = sum(weights)
@@ -37,9 +37,10 @@
 
 
 def test_an_older_version_never_replaces_a_newer_one():
-    """Symptom: a node handles requests by routes that were replaced.
-    Sequence: a peer brings version 7; the store's answer with version 5 was slow.
-    Cause: whatever came last was put in force."""
+    """Guard against handling requests by routes that were already replaced.
+
+    A peer sends version 7 before the store's slow answer with version 5 arrives.
+    """
     routes = Routes()
     assert routes.use(make_table(version=7))
     assert not routes.use(make_table(version=5))
@@ -48,7 +49,7 @@
 
 
 def test_a_peer_gets_the_routes_only_if_its_own_are_older():
-    """The table travels once, and comes out as it went in."""
+    """The table isn't sent if the peer has it, and is unchanged by the transfer."""
     routes = Routes()
     routes.use(make_table(version=7))
     assert routes.document_after(7) == b""
@@ -59,7 +60,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{", b'{"version":1}'])
 def test_a_table_that_cant_be_read_changes_nothing(data):
-    """A peer that sends nonsense doesn't take the routes away."""
+    """A peer that sends invalid data doesn't remove the routes."""
     with pytest.raises(RouteTableError):
         decode_table(data)
     routes = Routes()
