--- a/comfreywharf/records/__init__.py
+++ b/comfreywharf/records/__init__.py
@@ -1,8 +1,8 @@
 """The records of the log, and the deterministic fold that turns them into state.
 
-Every node folds the same records in the order of their offsets and so reaches
-the same state. A record that builds on a stale version is refused by the fold
-itself, at the same offset for everyone.
+Each node folds the same records in the order of their offsets and so reaches the
+same state. A record that is based on a stale version is refused by the fold itself,
+at the same offset on each node.
 """
 
 from comfreywharf.records.changes import ChangesSince, changes_since
--- a/comfreywharf/records/appends.py
+++ b/comfreywharf/records/appends.py
@@ -1,4 +1,4 @@
-"""How often a node may append, so that the whole fleet doesn't drown the log."""
+"""Limits on a node's appends, so that all nodes together don't overload the log."""
 
 from enum import IntEnum
 
@@ -9,26 +9,27 @@
 __all__ = ["AppendBudget", "Backoff", "Priority", "priority_of"]
 
 FLEET_APPENDS_PER_S = 200.0
-"""What all nodes together may append: half of what the log takes."""
+"""The append rate of all nodes together: half of what the log accepts."""
 
 PLANNER_APPENDS_PER_S = 40.0
-"""The part of it that the planner alone may use."""
+"""The part of `FLEET_APPENDS_PER_S` that is reserved for the planner."""
 
 BURST = 16.0
-"""Appends that a node may do at once after a quiet time."""
+"""How many appends a node may make at once after a period without any."""
 
 BUSY_FACTOR = 2.0
-"""How many times Retry-After what isn't urgent waits after a refusal."""
+"""How long records that aren't urgent wait after a refusal, as a multiple of
+Retry-After."""
 
 MAX_DELAY_S = 5.0
-"""The longest of the delays between two tries, before jitter."""
+"""The longest delay between two attempts, before jitter."""
 
 
 class Priority(IntEnum):
-    """How urgent a record is; lower goes first.
+    """How urgent a record is; lower values go first.
 
-    ``URGENT`` are records that somebody waits for to be served, ``NORMAL``
-    plans and operators' patches, ``LOW`` announcements and snapshots.
+    Requests wait for ``URGENT`` records; ``NORMAL`` are plans and operators'
+    patches, ``LOW`` are announcements and snapshots.
     """
 
     URGENT = 0
@@ -46,7 +47,7 @@
 }
 
 _RESERVES = {Priority.URGENT: 0.0, Priority.NORMAL: 4.0, Priority.LOW: 8.0}
-"""Tokens that stay in the bucket for what is more urgent."""
+"""Tokens that are left in the bucket for more urgent records."""
 
 _BASE_DELAYS_S = {Priority.URGENT: 0.1, Priority.NORMAL: 0.25, Priority.LOW: 1.0}
 
@@ -70,17 +71,17 @@
     _busy_until_s: float = float("-inf")
 
     def refused(self, now_s, retry_after_s):
-        """Note that the log is busy; what isn't urgent waits until it may not be.
+        """Record that the log is busy; delay all records that aren't urgent.
 
-        After an outage each node has several records to append. Were they to
-        meet the busy log one by one, announcements would take the places that
-        takeovers wait for.
+        After an outage each node has several records to append. If each of them
+        were tried at the busy log, announcements would use up the capacity that
+        takeovers need.
         """
         until_s = now_s + BUSY_FACTOR * retry_after_s
         self._busy_until_s = max(self._busy_until_s, until_s)
 
     def take(self, priority, members, planner, now_s):
-        """Take a token; return 0, or how long to wait in seconds and ask again."""
+        """Take a token and return 0, or return the seconds to wait before a retry."""
         rate = self._rate(members, planner)
         earned = max(now_s - self.now_s, 0.0) * rate
         self.tokens = min(BURST, self.tokens + earned)
@@ -88,8 +89,8 @@
         if priority is not Priority.URGENT and now_s < self._busy_until_s:
             return self._busy_until_s - now_s
         missing = 1.0 + _RESERVES[priority] - self.tokens
-        # Refilled tokens are sums of floats: without a tolerance the wait that
-        # was just served may fall short by a rounding error, again and again.
+        # The tokens are sums of floats: without a tolerance, a rounding error
+        # may leave them just short of one after each wait, again and again.
         if missing <= 1e-9:
             self.tokens -= 1.0
             return 0.0
@@ -105,7 +106,7 @@
 class Backoff:
     """Exponential delays with full jitter, never shorter than Retry-After.
 
-    It outlives a single record: a caller that gives up on one record and comes
+    It is kept across records: a caller that gives up on one record and continues
     with the next doesn't start from the short delays again.
     """
 
@@ -114,11 +115,11 @@
         self._failures = dict.fromkeys(Priority, 0)
 
     def failed(self, priority, retry_after_s=0.0):
-        """Return how long to wait after a failure, in seconds."""
+        """Count a failure; return the delay before the next attempt in seconds."""
         scale_s = _BASE_DELAYS_S[priority] * 2 ** min(self._failures[priority], 16)
         self._failures[priority] += 1
         return retry_after_s + self._rng.uniform(0.0, min(scale_s, MAX_DELAY_S))
 
     def succeeded(self, priority):
-        """Start from the short delays again."""
+        """Reset the delays after a success."""
         self._failures[priority] = 0
--- a/comfreywharf/records/changes.py
+++ b/comfreywharf/records/changes.py
@@ -1,4 +1,4 @@
-"""What changed in the configuration since a version that someone built on."""
+"""The changes of the configuration since a version that a patch was based on."""
 
 import attrs
 
@@ -16,7 +16,7 @@
     after: ServiceConfig | None
 
     def fields(self):
-        """Return ``{field: (before, after)}`` of what differs."""
+        """Return ``{field: (before, after)}`` for each field that differs."""
         if self.before is None or self.after is None:
             return {}
         before, after = attrs.asdict(self.before), attrs.asdict(self.after)
@@ -29,7 +29,7 @@
 
 @attrs.frozen(kw_only=True)
 class VersionNote:
-    """Who made a version, and what they said about it."""
+    """The author of a version and the note that was given with it."""
 
     version: int
     author: str
@@ -40,8 +40,8 @@
 class ChangesSince:
     """The difference between an older version and the one in force.
 
-    ``known`` is false where the older version is no longer kept, or never was;
-    ``changes`` and ``versions`` then say nothing.
+    ``known`` is false if the older version is no longer kept or never existed;
+    ``changes`` and ``versions`` are then empty.
     """
 
     base_version: int
@@ -52,7 +52,7 @@
 
 
 def changes_since(state, version):
-    """Return the `ChangesSince` a version, for the author of a stale patch.
+    """Return the `ChangesSince` a version, to show to the author of a stale patch.
 
     >>> from comfreywharf.records.state import ClusterState
     >>> changes_since(ClusterState(), 3).known
--- a/comfreywharf/records/codec.py
+++ b/comfreywharf/records/codec.py
@@ -1,7 +1,7 @@
-"""Records as bytes of JSON, by cattrs and orjson.
+"""Encode records as JSON, with cattrs and orjson.
 
-JSON with a named kind, and no pickling: what comes back from the log is data
-from outside, and reading it must never run anything.
+The format is JSON with a named kind instead of pickle: records from the log are
+untrusted input, and decoding them must never execute code.
 """
 
 import cattrs
@@ -28,7 +28,7 @@
 
 
 class RecordError(ValueError):
-    """Bytes that are no record: it says what was given and what was expected."""
+    """The bytes are no valid record; the message has the found and expected values."""
 
 
 def encode_record(record):
@@ -46,8 +46,8 @@
 def decode_record(data) -> Result[messages.Record, RecordError]:
     """Return ``Success(record)`` or ``Failure(RecordError)``.
 
-    An unknown kind is no error but an `UnknownRecord`: a newer version's record
-    must not stop an older node's fold.
+    An unknown kind is decoded as an `UnknownRecord` instead of an error, since a
+    record of a newer version must not stop the fold of an older node.
     """
     if len(data) > MAX_RECORD_BYTES:
         return Failure(
@@ -78,8 +78,8 @@
     if kind not in _KINDS:
         return messages.UnknownRecord(record_id=record_id, kind=str(kind))
     record = converter.structure(fields, _KINDS[kind])
-    # A number written as a long string becomes an integer that JSON can't hold.
-    # Folded, it would make every later snapshot fail, at each node alike. What
-    # can't be encoded again is therefore no record.
+    # A number given as a long string becomes an integer that can't be encoded
+    # as JSON. If it were folded, all later snapshots would fail on each node. A
+    # record that can't be encoded again is therefore invalid.
     encode_record(record)
     return record
--- a/comfreywharf/records/fold.py
+++ b/comfreywharf/records/fold.py
@@ -1,4 +1,4 @@
-"""The fold: one record after another, deterministic, refusing what is stale."""
+"""The fold: apply records in order, deterministically, and refuse stale ones."""
 
 from enum import Enum
 from functools import singledispatch
@@ -31,7 +31,7 @@
 
 @attrs.frozen(kw_only=True)
 class FoldResult:
-    """What a record did: whether it counts, and which slices it changed."""
+    """The effect of a record: whether it was accepted, and the slices it changed."""
 
     accepted: bool
     refusal: Refusal | None = None
@@ -48,10 +48,10 @@
 def fold(state, offset, record):
     """Apply a record to the state, in place, and return a `FoldResult`.
 
-    ``offset`` must be the state's ``next_offset``: a gap is a `ValueError`,
-    since a state built over a gap would be another state than everyone else's.
-    A record whose id was folded before is refused, so that a writer who wrote
-    twice after a lost answer changes nothing the second time.
+    ``offset`` must be the state's ``next_offset``: another offset raises a
+    `ValueError`, since a state with missing records would differ from that of
+    all other nodes. A record whose id was folded before is refused, so that a
+    second append after a lost answer changes nothing.
     """
     if offset != state.next_offset:
         raise ValueError(f"record at offset {offset}; expected {state.next_offset}")
@@ -99,11 +99,11 @@
 
 
 def _divide_services(state, offset):
-    """Give each divided service its slices; an existing division is kept.
+    """Create the slices of each service divided by key that has none yet.
 
-    The slices of a removed service stay. Were they dropped and the service
-    declared again, an owner that hasn't folded this far and the new owner would
-    both serve, and no slice would say whose release has to be awaited.
+    The slices of a removed service are kept. If they were removed and the service
+    were declared again, an owner that hasn't folded the removal and the new owner
+    would both serve, and no slice would record whose release has to be awaited.
     """
     for name, service in state.config.services.items():
         if service.divided_by_key and name not in state.slices:
@@ -133,7 +133,7 @@
 
 
 def _lease_refusal(record, member):
-    """Return why a record that builds on a member's lease is refused, or ``None``."""
+    """Return why a record based on a member's lease is refused, or ``None``."""
     if member is None:
         return Refusal.UNKNOWN_NODE
     if record.incarnation != member.incarnation:
@@ -177,11 +177,11 @@
 
 
 def _earlier_witnesses(member, record):
-    """Return the witnesses that have to go on being asked beside the new ones.
+    """Return the earlier witnesses that are still required beside the new ones.
 
-    One that hasn't heard of the new epoch would still grant a claim that is
-    built on the earlier one. The node writes a second record once a majority of
-    them has heard of it; only then are they let go.
+    A witness that hasn't received the new epoch would still grant a claim that is
+    based on the earlier one. The node appends a second record once a majority of
+    the earlier witnesses has received the epoch; only then are they released.
     """
     if set(record.witnesses) == set(member.witnesses):
         return ()
@@ -209,9 +209,9 @@
     if move.owner not in state.members:
         return False
     changes_owner = move.owner != piece.owner
-    # A slice whose release is still awaited has two nodes that may believe in
-    # it. A second move would make it three, and the release of the first could
-    # no longer be told from that of the second.
+    # While the release of a slice is awaited, two nodes may consider themselves
+    # its owner. A second move would make it three, and the releases of the
+    # first and the second owner could no longer be distinguished.
     if piece.previous and changes_owner:
         return False
     previous = piece.owner if changes_owner else piece.previous
@@ -257,11 +257,11 @@
 
 
 def _awaited_after_take(piece, taker_id):
-    """Return whose release the taker of a slice still has to await.
+    """Return the node whose release the taker of a slice still has to await.
 
-    A standby may take over from a new owner that never had the release of the
-    earlier one. That one may be alive and serving; were it dropped here, two
-    nodes would answer for the slice.
+    A standby may take over from a new owner that never received the release of
+    the earlier owner. The earlier owner may still be serving; if it were dropped
+    here, two nodes would serve the slice.
     """
     return "" if piece.previous == taker_id else piece.previous
 
@@ -273,7 +273,8 @@
         return _refuse(Refusal.UNKNOWN_SLICE)
     if piece.epoch != record.epoch or not piece.previous:
         return _refuse(Refusal.STALE_EPOCH)
-    # The epoch stays: the owner serves already, and its fence with it.
+    # The epoch stays the same, and so does the fence, since the owner already
+    # serves under it.
     done = attrs.evolve(piece, previous="")
     _put(state, offset, record.service, piece, done)
     return FoldResult(accepted=True, changed=((record.service, record.start),))
@@ -329,8 +330,8 @@
         return _refuse(Refusal.UNKNOWN_NODE)
     if record.incarnation != member.incarnation:
         return _refuse(Refusal.STALE_INCARNATION)
-    # A node that still owns keys can't be forgotten: nobody could then tell
-    # whose lease has to lapse before the next owner may serve.
+    # A node that still owns keys can't be removed: the lease that has to expire
+    # before the next owner may serve would then be unknown.
     for pieces in state.slices.values():
         if any(record.node_id in (p.owner, p.previous) for p in pieces.slices):
             return _refuse(Refusal.NOT_ALLOWED)
@@ -369,7 +370,7 @@
 
 
 def _touch(state, offset, piece):
-    """Raise the portfolio epoch of each node that a slice concerns."""
+    """Set the portfolio epoch of a slice's owner, standby and previous owner."""
     for node_id in {piece.owner, piece.standby, piece.previous}:
         member = state.members.get(node_id)
         if member is not None:
--- a/comfreywharf/records/messages.py
+++ b/comfreywharf/records/messages.py
@@ -1,4 +1,4 @@
-"""The records that nodes and operators append to the log, as typed messages."""
+"""Typed messages for the records that nodes and operators append to the log."""
 
 import attrs
 
@@ -27,16 +27,20 @@
 
 @attrs.frozen(kw_only=True)
 class Record:
-    """Any record. ``record_id`` lets a writer whose answer was lost read back."""
+    """The base class of records.
+
+    With ``record_id``, a writer that got no answer to an append can find out from
+    the log whether the record was appended.
+    """
 
     record_id: str
 
 
 @attrs.frozen(kw_only=True)
 class ConfigPatched(Record):
-    """A change of configuration against a numbered version.
+    """A change of the configuration, based on a numbered version.
 
-    A service that maps to ``None`` is removed; one that isn't named stays.
+    A service that maps to ``None`` is removed; one that isn't named is kept.
     """
 
     base_version: int
@@ -47,7 +51,7 @@
 
 @attrs.frozen(kw_only=True)
 class NodeAnnounced(Record):
-    """A node, and the backend server beside it, as they came up."""
+    """A node and the backend server beside it, as they started."""
 
     node_id: str
     incarnation: int
@@ -67,8 +71,9 @@
 class LeaseStarted(Record):
     """A node starts to hold its lease, with these witnesses.
 
-    It is appended only after the lease was granted, and the node owns nothing
-    before it was read back. A takeover built on the earlier epoch is refused.
+    The record is appended only after the lease was granted, and the node owns
+    nothing before it has read the record back. A takeover that is based on the
+    earlier epoch is refused.
     """
 
     node_id: str
@@ -79,11 +84,11 @@
 
 @attrs.frozen(kw_only=True)
 class WitnessesReset(Record):
-    """A node that can't reach a majority of its witnesses takes others.
+    """A node that can't reach a majority of its witnesses replaces them.
 
-    It owns nothing before no earlier witness can grant anything any more: each
-    grants only for a while after its fold was confirmed, and by then its fold has
-    this record.
+    The node owns nothing until no earlier witness can grant anything any more:
+    each witness grants only for a bounded time after its fold was confirmed, and by
+    the end of that time its fold has this record.
     """
 
     node_id: str
@@ -105,7 +110,7 @@
 
 @attrs.frozen(kw_only=True)
 class SlicesMoved(Record):
-    """A planner's assignment. Each move stands or falls by its own epoch."""
+    """A planner's assignment. Each move is accepted or refused by its own epoch."""
 
     term: int
     moves: tuple[SliceMove, ...]
@@ -143,7 +148,7 @@
 
 @attrs.frozen(kw_only=True)
 class SliceSplit(Record):
-    """Divide a slice at a hash; a slice of width one pins a hot key."""
+    """Split a slice at a hash; a slice of width one isolates a hot key."""
 
     service: str
     start: int
@@ -153,7 +158,7 @@
 
 @attrs.frozen(kw_only=True)
 class SlicesMerged(Record):
-    """Join a slice with the next one, where owner and standby are the same."""
+    """Merge a slice with the next one, which has the same owner and standby."""
 
     service: str
     start: int
@@ -163,7 +168,7 @@
 
 @attrs.frozen(kw_only=True)
 class DrainChanged(Record):
-    """An operator or a stopping node asks for, or ends, a drain."""
+    """An operator or a stopping node starts or ends a drain."""
 
     node_id: str
     draining: bool
@@ -172,7 +177,7 @@
 
 @attrs.frozen(kw_only=True)
 class NodeRemoved(Record):
-    """A node is gone for good: it left, or an operator says its VM is destroyed."""
+    """A node that won't return: it left, or an operator reports its VM as destroyed."""
 
     node_id: str
     incarnation: int
@@ -180,7 +185,7 @@
 
 @attrs.frozen(kw_only=True)
 class PlannerTermStarted(Record):
-    """A node starts to plan; a second planner's records are refused by term."""
+    """A node becomes the planner; records with an earlier term are refused."""
 
     node_id: str
     base_term: int
@@ -188,9 +193,9 @@
 
 @attrs.frozen(kw_only=True)
 class SnapshotWritten(Record):
-    """All parts of a snapshot stand in the stream of snapshots.
+    """All parts of a snapshot have been written to the stream of snapshots.
 
-    ``offset`` is the `ClusterState.next_offset` of the state that it holds.
+    ``offset`` is the `ClusterState.next_offset` of the state in the snapshot.
     """
 
     node_id: str
@@ -199,6 +204,6 @@
 
 @attrs.frozen(kw_only=True)
 class UnknownRecord(Record):
-    """A record that this version can't read: it is refused, not fatal."""
+    """A record of a kind that this version doesn't know; the fold refuses it."""
 
     kind: str
--- a/comfreywharf/records/recent.py
+++ b/comfreywharf/records/recent.py
@@ -1,4 +1,4 @@
-"""The last encoded records, kept to hand them to peers."""
+"""The most recent encoded records, kept in order to send them to peers."""
 
 from collections import deque
 
@@ -9,7 +9,7 @@
 
 
 class RecentRecords:
-    """Consecutive records by offset, bounded in number and bytes.
+    """The most recent consecutive records, bounded in number and bytes.
 
     >>> recent = RecentRecords()
     >>> recent.add(5, b"a"); recent.add(6, b"b")
@@ -26,11 +26,11 @@
 
     @property
     def next(self):
-        """Return the offset behind the last kept record."""
+        """Return the offset after the last kept record."""
         return self.first + len(self._records)
 
     def add(self, offset, data):
-        """Keep a record; one that doesn't follow the last starts anew."""
+        """Add a record; if it doesn't follow the last one, remove the others first."""
         if offset != self.next:
             self._records.clear()
             self._bytes = 0
@@ -44,8 +44,9 @@
     def since(self, offset, max_bytes):
         """Return ``[(offset, data)]`` from an offset on, or ``None``.
 
-        ``None`` means that the record at ``offset`` isn't kept any more. At
-        least one record is returned, then as many as fit ``max_bytes``.
+        ``None`` means that the records from ``offset`` on aren't kept. The first
+        record is returned whatever its size, and others while all of them fit
+        into ``max_bytes``.
         """
         if not self.first <= offset <= self.next:
             return None
--- a/comfreywharf/records/replica.py
+++ b/comfreywharf/records/replica.py
@@ -1,8 +1,8 @@
-"""A node's copy of the state: what it does with the records it is given.
+"""A node's replica of the state, updated by records and snapshots.
 
 Records come from the log and from peers, snapshots from the stream of snapshots
-and from peers. Whatever comes, in whatever order and however often, the copy
-moves forward along the log's offsets and never back.
+and from peers. They may arrive in any order and repeatedly; the replica only
+moves forward along the log's offsets.
 """
 
 import attrs
@@ -19,7 +19,7 @@
 
 @attrs.frozen(kw_only=True)
 class Folded:
-    """A record that was folded, where, and what it did."""
+    """A folded record with its offset and result."""
 
     offset: int
     record: Record
@@ -27,7 +27,7 @@
 
 
 class Replica:
-    """The state, the last records, and whether the log still connects to it.
+    """The state, the most recent records, and whether the log still continues it.
 
     >>> replica = Replica()
     >>> replica.truncated(first=10)
@@ -46,11 +46,11 @@
 
     @property
     def usable(self):
-        """Return whether anything may be owned by this state.
+        """Return whether a node may own keys according to this state.
 
-        A node that starts knows only what peers tell it until it caught up with
-        the log itself. A peer may be cut from the log and know an older
-        configuration than the one that this node followed before its restart.
+        Until a node that starts has caught up with the log itself, its state comes
+        only from peers. A peer may be cut off from the log and have an older
+        configuration than the one that this node used before its restart.
         """
         return self._caught_up and not self.gap
 
@@ -58,14 +58,14 @@
     def gap(self):
         """Return whether records are missing that the log no longer has.
 
-        Either the log begins behind the state, or it ends before it. In both
-        cases others may have agreed on what this node can't know.
+        Either the log starts after the state's offset, or it ends before it. In
+        both cases other nodes may have agreed on records that this node can't get.
         """
         return self._log_first > self.state.next_offset or self._log_next_lost
 
     @property
     def log_first(self):
-        """Return the oldest offset that the log was seen to keep."""
+        """Return the log's first offset, as far as this node knows."""
         return self._log_first
 
     def take(self, offset, data):
@@ -82,7 +82,7 @@
         return Folded(offset=offset, record=record, result=result)
 
     def load(self, state):
-        """Take a snapshot's state if it is newer; return whether it was."""
+        """Load a snapshot's state if it is newer; return whether it was."""
         if state.lineage < self.state.lineage:
             return False
         newer = state.lineage > self.state.lineage
@@ -92,28 +92,29 @@
         return True
 
     def answered(self, start, log_first, log_next):
-        """Note the bounds of the log from the answer to a read at ``start``."""
+        """Update the bounds of the log from the answer to a read at ``start``."""
         self._log_first = max(self._log_first, log_first)
-        # A log that ends before what was already folded has lost acknowledged
-        # records, or is another log. Records would be folded at offsets that
-        # mean something else to every other node; the state therefore stays.
+        # A log that ends before the folded records has lost acknowledged ones,
+        # or is another log. Its further records would be folded at other
+        # offsets than on the other nodes, so the state is left unchanged.
         self._log_next_lost = log_next < start
 
     def truncated(self, first):
-        """Note that the log no longer keeps records below ``first``."""
+        """Record that the log no longer keeps records below ``first``."""
         self._log_first = max(self._log_first, first)
 
     def reached(self, log_next):
-        """Return whether the state holds all that the log held at an answer."""
+        """Return whether the state includes all records below ``log_next``."""
         if not self.gap and self.state.next_offset >= log_next:
             self._caught_up = True
             return True
         return False
 
     def news_for(self, next_offset, max_bytes):
-        """Return ``[(offset, data)]`` for a peer, or ``None`` if it's too old.
+        """Return ``[(offset, data)]`` for a peer whose state is at ``next_offset``.
 
-        Empty where the peer knows as much as this node or more.
+        The list is empty if the peer has all records of this node. ``None`` means
+        that the records that it lacks are no longer kept, so it needs a snapshot.
         """
         if next_offset >= self.state.next_offset:
             return []
--- a/comfreywharf/records/schedule.py
+++ b/comfreywharf/records/schedule.py
@@ -1,4 +1,4 @@
-"""When a snapshot is due, and whose turn it is to write it."""
+"""When a snapshot is due, and which node writes it."""
 
 import attrs
 import xxhash
@@ -9,26 +9,27 @@
 """A snapshot is due when it is this many records old."""
 
 MAX_AGE_S = 300.0
-"""A snapshot is due at this age, also when nothing changed: the streams expire
-records by age, and the newest snapshot must never be among them."""
+"""A snapshot is due at this age, even if nothing changed since the last one: the
+streams expire records by age, and the newest snapshot must never expire."""
 
 MIN_INTERVAL_S = 2.0
-"""Between two snapshots, however short the log's retention is."""
+"""The shortest interval between two snapshots, whatever the log's retention."""
 
 TURN_S = 3.0
-"""How much longer each next node in the order waits before it writes."""
+"""How much longer each node waits than the one before it in the order."""
 
 MAX_TURNS = 20
 
 
 @attrs.define
 class SnapshotSchedule:
-    """One node's view of when to write.
+    """Decide when one node writes a snapshot.
 
-    All nodes agree on an order that differs for each snapshot, since it hashes
-    the last snapshot's offset. The first in it writes at once, the next ones
-    wait for their turns and see by then that it was done. Two that write
-    nevertheless do no harm: each snapshot is whole by itself.
+    All nodes derive the same order, which differs for each snapshot since it
+    depends on a hash of the last snapshot's offset. The first node writes
+    immediately; the next ones wait for their turns and usually see by then that
+    a snapshot was written. It is harmless if two nodes write, since each snapshot
+    is complete by itself.
     """
 
     node_id: str
@@ -57,9 +58,9 @@
             return False
         if behind >= MAX_RECORDS_BEHIND or age_s >= MAX_AGE_S:
             return True
-        # How long the log keeps records is only seen from where it begins. A
-        # snapshot in the older half of what it keeps would soon be followed by
-        # records that are gone, and a new node couldn't come up.
+        # The log's retention can be seen only from its first offset. If a
+        # snapshot is in the older half of the records that the log keeps, the
+        # records after it may expire soon, and a new node couldn't start.
         middle = (log_first + state.next_offset) // 2
         return log_first > 0 and state.snapshot_offset < middle
 
--- a/comfreywharf/records/services.py
+++ b/comfreywharf/records/services.py
@@ -1,22 +1,22 @@
-"""The configuration that operators declare: services and how to spread their keys."""
+"""The configuration that operators declare: services and how to divide their keys."""
 
 import attrs
 
 __all__ = ["DEFAULT_RETRY_FRACTION", "Configuration", "ServiceConfig"]
 
 DEFAULT_RETRY_FRACTION = 0.1
-"""How many retries there may be for each first send of a service."""
+"""How many retries are allowed for each first send of a service."""
 
 
 @attrs.frozen(kw_only=True)
 class ServiceConfig:
     """One service, as an operator declares it in an INI file.
 
-    ``default_timeout_ms`` is given to a request that names none;
-    ``longest_request_ms`` bounds what a request may ask for, and so how long a
-    takeover may have to wait for a backend server that checks no fences. The
-    two weights are relative to each other: a service that weighs churn more is
-    rebalanced later and in fewer moves.
+    ``default_timeout_ms`` applies to a request without a timeout of its own;
+    ``longest_request_ms`` bounds the timeout of each request, and thereby how
+    long a takeover may have to wait for a backend server that doesn't check
+    fences. The two weights are relative to each other: a service with a higher
+    weight of churn is rebalanced later and in fewer moves.
     """
 
     name: str
@@ -36,7 +36,7 @@
     """A numbered version of all services.
 
     ``version`` counts the accepted patches; zero is the empty configuration
-    that exists before the first one. ``offset`` is where the log holds it.
+    before the first patch. ``offset`` is that of its record in the log.
     """
 
     version: int = 0
--- a/comfreywharf/records/slices.py
+++ b/comfreywharf/records/slices.py
@@ -17,23 +17,24 @@
 ]
 
 KEY_SPACE = 1 << 63
-"""The hash space; 63 bits, so that a hash fits thrift's signed integer."""
+"""The size of the hash space: 63 bits, so that a hash fits thrift's signed i64."""
 
 
 NUMBER_KEYS = 1 << 16
-"""How many keys a service has that is divided by numbers."""
+"""How many keys a service has that is divided by number."""
 
 _NUMBER_SHIFT = 47
 _NUMBER_MARK = b"\0number"
-"""Begins the key of a number. No header of a caller can hold a NUL, so that no
-other key looks like one."""
+"""The prefix of the key of a number. It has a NUL, which no caller's header can
+contain, so no other key has this prefix."""
 
 
 def number_key(number):
     """Return the key of a number from 0 to 65,535.
 
-    Such keys aren't hashed: neighbours stay neighbours, so that a run of numbers
-    lies in one slice and can be granted to a backend server at once.
+    Such keys aren't hashed: adjacent numbers are adjacent in the hash space, so
+    that a range of numbers is in one slice and can be granted to a backend server
+    by a single grant.
 
     >>> numbers_in(key_hash(number_key(7)), key_hash(number_key(9)))
     (7, 8)
@@ -49,7 +50,7 @@
 
 
 def range_of_numbers(first, last):
-    """Return the hashes of the numbers from first to last: start, and end behind them.
+    """Return the range of hashes, ``(start, end)``, of the numbers first to last.
 
     >>> numbers_in(*range_of_numbers(7, 9))
     (7, 9)
@@ -58,10 +59,10 @@
 
 
 def key_hash(key):
-    """Return where a key (bytes) lies in the hash space.
+    """Return the position of a key (bytes) in the hash space.
 
-    A number lies one above the lower end of its part of the space: a hash of
-    zero stands for a request without a key.
+    The position of a number is one above the start of its part of the space,
+    since a hash of zero means a request without a key.
     """
     if key.startswith(_NUMBER_MARK):
         number = int.from_bytes(key[len(_NUMBER_MARK) :], "big")
@@ -71,11 +72,11 @@
 
 @attrs.frozen(kw_only=True)
 class Slice:
-    """A range of hashes ``start <= hash < end`` and who owns it.
+    """A range of hashes ``start <= hash < end`` and its owner.
 
     ``epoch`` is the offset of the record that last changed it. ``previous`` is
     the earlier owner while its release is still awaited: the new owner serves
-    only after that release, or after a lapse of the earlier owner's lease.
+    only after that release, or after the earlier owner's lease has expired.
     """
 
     start: int
@@ -88,7 +89,7 @@
 
 @attrs.define
 class SliceMap:
-    """All slices of one service, ordered, without gap or overlap."""
+    """All slices of one service, in order, without gaps or overlaps."""
 
     slices: list[Slice]
     _starts: list[int] = attrs.field(init=False, eq=False, repr=False)
@@ -97,12 +98,12 @@
         self.index()
 
     def index(self):
-        """Note where each slice starts, after ``slices`` was filled."""
+        """Rebuild the index of starts after ``slices`` was filled."""
         self._starts = [piece.start for piece in self.slices]
 
     @classmethod
     def divide(cls, count, epoch):
-        """Return ``count`` slices of equal width, owned by nobody."""
+        """Return ``count`` slices of equal width, without owners."""
         bounds = [index * KEY_SPACE // count for index in range(count + 1)]
         return cls(
             [
@@ -112,22 +113,22 @@
         )
 
     def at_hash(self, value):
-        """Return the slice that holds a hash."""
+        """Return the slice that contains a hash."""
         return self.slices[bisect_right(self._starts, value) - 1]
 
     def at_start(self, start):
-        """Return the slice that starts exactly there, or ``None``."""
+        """Return the slice that starts exactly at ``start``, or ``None``."""
         index = bisect_right(self._starts, start) - 1
         if index < 0 or self._starts[index] != start:
             return None
         return self.slices[index]
 
     def replace(self, piece):
-        """Put a slice in the place of the one with the same start."""
+        """Replace the slice that has the same start."""
         self.slices[self._index(piece.start)] = piece
 
     def split(self, start, at, epoch):
-        """Divide the slice at ``start``; both parts keep owner and standby."""
+        """Split the slice at ``start``; both parts keep its owner and standby."""
         index = self._index(start)
         whole = self.slices[index]
         left = attrs.evolve(whole, end=at, epoch=epoch)
@@ -136,7 +137,7 @@
         self._starts.insert(index + 1, at)
 
     def merge(self, start, epoch):
-        """Join the slice at ``start`` with the next one."""
+        """Merge the slice at ``start`` with the next one."""
         index = self._index(start)
         left, right = self.slices[index : index + 2]
         self.slices[index : index + 2] = [
@@ -145,7 +146,7 @@
         del self._starts[index + 1]
 
     def next_after(self, start):
-        """Return the slice behind the one that starts there, or ``None``."""
+        """Return the slice after the one that starts at ``start``, or ``None``."""
         index = self._index(start) + 1
         return self.slices[index] if index < len(self.slices) else None
 
--- a/comfreywharf/records/snapshots.py
+++ b/comfreywharf/records/snapshots.py
@@ -1,9 +1,9 @@
-"""Snapshots: a whole state as parts that fit the log's records.
+"""Snapshots: a complete state, divided into parts that fit into log records.
 
-A snapshot is a document of JSON lines, one a section of the state, compressed
-and cut into parts. Each part names the snapshot, its place and the digest of
-the whole, so that parts which are torn, repeated, out of order or mixed with
-those of another writer are told apart.
+A snapshot is a document of JSON lines, one for each section of the state, that is
+compressed and divided into parts. Each part has the id of the snapshot, its own
+number and the digest of the whole, so that parts which are missing, repeated, out
+of order or mixed with those of another writer can be distinguished.
 """
 
 import binascii
@@ -31,18 +31,18 @@
 ]
 
 FORMAT = 1
-"""The version of the document; one that isn't known is left alone."""
+"""The version of the document format; documents of other versions are ignored."""
 
 PART_BYTES = 160 * 1024
-"""Compressed bytes in a part: in base64 and JSON it stays under 256 KB."""
+"""Compressed bytes in a part; encoded as base64 in JSON, a part is below 256 KB."""
 
 SECTION_ITEMS = 256
-"""How many members, slices or outcomes one line holds."""
+"""How many members, slices or outcomes one line has at most."""
 
 MAX_PARTS = 256
 MAX_DOCUMENT_BYTES = 256 << 20
 MAX_OPEN = 16
-"""How many incomplete snapshots are kept while their parts come in."""
+"""How many incomplete snapshots are kept while their parts arrive."""
 
 
 @attrs.frozen(kw_only=True)
@@ -62,11 +62,11 @@
 
 
 def encode_sections(state):
-    """Yield the document's lines as compressed bytes, a piece for each line.
+    """Yield the compressed document in chunks, one for each line.
 
-    The state must not change meanwhile; see `ClusterState.copy`. Between two
-    pieces the caller may let other work go on: at tens of thousands of slices
-    the whole takes longer than a request may wait.
+    The state must not change meanwhile; see `ClusterState.copy`. The caller may
+    yield to other tasks between two chunks: with tens of thousands of slices,
+    encoding the whole document takes longer than a request may wait.
     """
     compressor = zlib.compressobj(level=6)
     for kind, items in _sections(state):
@@ -95,7 +95,7 @@
 
 
 def encode_snapshot(state, snapshot_id, part_bytes=PART_BYTES):
-    """Return the encoded parts of a state in one go."""
+    """Return all encoded parts of a state at once."""
     blob = b"".join(encode_sections(state))
     return make_parts(blob, snapshot_id, state.next_offset, part_bytes)
 
@@ -122,7 +122,7 @@
 
 
 class SnapshotAssembler:
-    """Gather parts, in any order, and keep the newest whole state.
+    """Collect parts, in any order, and keep the newest complete state.
 
     >>> assembler = SnapshotAssembler()
     >>> for data in encode_snapshot(ClusterState(next_offset=7), "a"):
@@ -136,16 +136,16 @@
         self._open = OrderedDict()
 
     def add(self, data):
-        """Take one encoded part; bytes that are none are ignored."""
+        """Add an encoded part; bytes that aren't a valid part are ignored."""
         decoded = decode_part(data)
         if isinstance(decoded, Failure):
             return
         part = decoded.unwrap()
         if self.newest is not None and part.offset <= self.newest.next_offset:
             return
-        # The digest is part of the name: a writer that died and came back with
-        # other contents under the same id must not be mixed with its former
-        # self.
+        # The digest is part of the name, so that the parts of a writer that
+        # crashed, restarted and wrote other contents under the same id aren't
+        # mixed with its earlier ones.
         name = (part.snapshot_id, part.offset, part.parts, part.digest)
         parts = self._open.setdefault(name, {})
         parts[part.part] = part.data
@@ -195,7 +195,7 @@
 
 
 def _decode_document(blob):
-    """Return the state, or ``None`` for a document of another format."""
+    """Return the state, or ``None`` if the document is invalid or of another format."""
     decompressor = zlib.decompressobj()
     try:
         document = decompressor.decompress(blob, MAX_DOCUMENT_BYTES)
--- a/comfreywharf/records/state.py
+++ b/comfreywharf/records/state.py
@@ -10,25 +10,26 @@
 __all__ = ["ClusterState", "FoldOutcome", "Member"]
 
 REMEMBERED_RECORDS = 4096
-"""How many outcomes stay known for a writer that reads back.
+"""How many outcomes are kept for writers that read their records back.
 
-A writer gives up after a few seconds; the log takes a few hundred appends a
-second, so an outcome outlives every writer that may still ask for it.
+A writer gives up after a few seconds, and the log accepts a few hundred appends per
+second, so an outcome is kept for longer than any writer may need it.
 """
 
 REMEMBERED_VERSIONS = 64
-"""How many configuration versions stay known, to say what changed since."""
+"""How many configuration versions are kept, to report the changes since them."""
 
 
 @attrs.frozen(kw_only=True)
 class Member:
-    """A node as the log knows it.
-
-    ``lease_epoch`` is the offset of its last `LeaseStarted`; ``portfolio_epoch``
-    the offset of the last record that changed a slice it owns, stands by for, or
-    still has to release. ``earlier_witnesses`` are those of the lease epoch
-    before, as long as some of them may still grant a claim that is built on it.
-    ``reset_pending`` is true from a `WitnessesReset` to the next `LeaseStarted`.
+    """A node as described by the records of the log.
+
+    ``lease_epoch`` is the offset of its last `LeaseStarted` or `WitnessesReset`.
+    ``portfolio_epoch`` is the offset of the last record that changed a slice of
+    which it is the owner, the standby or the previous owner.
+    ``earlier_witnesses`` are those of the preceding lease epoch, as long as some
+    of them may still grant a claim that is based on it. ``reset_pending`` is true
+    from a `WitnessesReset` to the next `LeaseStarted`.
     """
 
     node_id: str
@@ -54,14 +55,14 @@
 
     @property
     def witness_groups(self):
-        """Return the groups that each have to grant this node's lease."""
+        """Return the groups of witnesses that each have to grant the node's lease."""
         groups = (self.witnesses, self.earlier_witnesses)
         return [group for group in groups if group]
 
 
 @attrs.frozen(kw_only=True)
 class FoldOutcome:
-    """What became of a record: kept so that its writer can read it back."""
+    """The outcome of a folded record, kept so that its writer can read it back."""
 
     offset: int
     accepted: bool
@@ -72,9 +73,9 @@
 class ClusterState:
     """The state after folding every record below ``next_offset``.
 
-    ``snapshot_offset`` is how far the newest snapshot reaches that a folded
-    record tells of; zero is the empty state, which needs no snapshot. ``lineage``
-    counts how often the state was begun anew over records that everyone lost.
+    ``snapshot_offset`` is the `next_offset` of the newest snapshot according to the
+    folded records; zero is the empty state, which needs no snapshot. ``lineage``
+    counts how often the state was restarted after all nodes had lost records.
     """
 
     next_offset: int = 0
@@ -89,12 +90,12 @@
     outcomes: OrderedDict[str, FoldOutcome] = attrs.Factory(OrderedDict)
 
     def replace_by(self, other):
-        """Become equal to another state, so that who holds this one sees it."""
+        """Copy all fields of another state into this one, which others refer to."""
         for field in attrs.fields(ClusterState):
             setattr(self, field.name, getattr(other, field.name))
 
     def copy(self):
-        """Return a copy that later folds don't change.
+        """Return a copy that later folds of the original don't change.
 
         Members, slices, configurations and outcomes are frozen, so only the
         containers are copied.
@@ -109,7 +110,7 @@
         return copied
 
     def owner_of(self, service, value):
-        """Return the slice of a service that holds a hash, or ``None``."""
+        """Return the slice of a service that contains a hash, or ``None``."""
         pieces = self.slices.get(service)
         return pieces.at_hash(value) if pieces else None
 
@@ -121,21 +122,22 @@
                     yield service, piece
 
     def fence(self, piece):
-        """Return the fence of a slice's owner: it only ever grows.
+        """Return the fence of a slice's owner, which never decreases.
 
         Offsets are doubled so that a standby that takes over while the log is
-        down has a number of its own (`takeover_fence`), above the owner's and
-        below that of any later record.
+        unavailable has a fence of its own (`takeover_fence`), above the owner's
+        and below that of any later record.
         """
         return 2 * max(piece.epoch, self._lease_epoch(piece.owner))
 
     def takeover_fence(self, piece):
         """Return the fence of the standby that took a slice over.
 
-        It grows with the standby's own lease, which is new after each loss of its
-        backend server. Where it didn't, and the takeover's record was still to be
-        written, the next server would be granted the slice under the same fence
-        as the lost one, whose late orders could no longer be told from its own.
+        It increases with the standby's own lease, which starts anew after each loss
+        of its backend server. Otherwise, if the server were lost before the record
+        of the takeover is written, the next server would be granted the slice under
+        the same fence as the lost one, and late orders to the lost server could not
+        be distinguished from orders to the next one.
         """
         own = 2 * self._lease_epoch(piece.standby)
         return max(self.fence(piece), own) + 1
@@ -151,6 +153,6 @@
             self.outcomes.popitem(last=False)
 
     def remember_version(self, config):
-        """Keep a configuration for `what changed since`, within bounds."""
+        """Keep a configuration for `changes_since`, within bounds."""
         self.config_history.append(config)
         del self.config_history[:-REMEMBERED_VERSIONS]
--- a/comfreywharf/records/tests/builders.py
+++ b/comfreywharf/records/tests/builders.py
@@ -1,4 +1,4 @@
-"""Records for the tests of the fold: partly sensible, partly stale or wrong."""
+"""Build records for the tests of the fold: valid, stale and invalid ones."""
 
 import random
 
@@ -52,13 +52,13 @@
 
 
 def make_record(rng, state, record_id):
-    """Return a random record that builds on a state, or now and then on none."""
+    """Return a random record that is based on a state or sometimes on a stale one."""
     builder = rng.choice(_BUILDERS)
     return builder(rng, state, record_id)
 
 
 def opening():
-    """Return the records of a small deployment that has come up."""
+    """Return the first records of a small deployment that has started."""
     state = ClusterState()
     rng = random.Random(0)
     announced = [
@@ -85,7 +85,7 @@
 
 
 def _nearly(rng, number):
-    """Return a number, or sometimes a stale one."""
+    """Return a number or sometimes, as a stale one, the number before it."""
     return number - rng.choice([0, 0, 0, 0, 1])
 
 
@@ -94,7 +94,7 @@
 
 
 def _piece(rng, state):
-    """Return a service, and a slice of it or a start and epoch of none."""
+    """Return a service and one of its slices, or ``None`` if it has no slices."""
     service = rng.choice(SERVICES)
     pieces = state.slices.get(service)
     if pieces is None:
--- a/comfreywharf/records/tests/test_appends.py
+++ b/comfreywharf/records/tests/test_appends.py
@@ -1,4 +1,4 @@
-"""The append budget of the fleet, and whose turn it is to write a snapshot."""
+"""Tests of the append budget of all nodes, and of which node writes a snapshot."""
 
 import heapq
 import random
@@ -24,7 +24,7 @@
 
 @attrs.define
 class Writer:
-    """A record that a node tries to append until the log takes it."""
+    """A record that a node tries to append until the log accepts it."""
 
     budget: AppendBudget
     backoff: Backoff
@@ -32,7 +32,7 @@
 
 
 class BusyLog:
-    """The log's own limit, as the stand-in has it."""
+    """The log's rate limit, as implemented by the stand-in."""
 
     def __init__(self):
         self.tokens, self.now_s = LOG_APPENDS_PER_S, 0.0
@@ -50,7 +50,7 @@
 
 
 def run_after_outage(priorities):
-    """Let each of 640 nodes append at once; return the log and the times."""
+    """Let 640 nodes append at the same time; return the log and the times."""
     log, queue, done_s = BusyLog(), [], {priority: [] for priority in priorities}
     for number in range(NODES):
         budget = AppendBudget(now_s=0.0)
@@ -72,11 +72,11 @@
 
 
 def test_fleet_does_not_drown_the_log_after_an_outage():
-    """
-    Symptom: minutes after an outage of the log no takeover is on record.
-    Sequence: the log comes back; 640 nodes append a takeover, a lease start
-    and an announcement each; most are refused and come again.
-    Cause: all came again at once, and announcements before takeovers.
+    """Guard against takeovers that are delayed for minutes after a log outage.
+
+    After the outage, 640 nodes append a takeover, a lease start and an
+    announcement each, and the log refuses most of them. The retries must not all
+    come at once, nor announcements before takeovers.
     """
     urgent, low = Priority.URGENT, Priority.LOW
     log, done_s = run_after_outage((urgent, urgent, low))
@@ -84,7 +84,7 @@
     fastest_s = (2 * NODES - LOG_APPENDS_PER_S) / LOG_APPENDS_PER_S
     assert len(done_s[urgent]) == 2 * NODES
     assert len(log.asked_s) <= 2 * records
-    # Those refused at first come back spread out, not all together.
+    # The retries of the refused appends are spread out.
     assert max(Counter(round(s, 1) for s in log.asked_s if s > 0).values()) < NODES
     assert max(done_s[urgent]) <= 4 * fastest_s
     mean_s = {p: sum(times) / len(times) for p, times in done_s.items()}
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("members", [8, 64, 640])
 def test_nodes_share_what_the_fleet_may_append(members):
-    """A node that always has something to append gets its share and no more."""
+    """A node that always has records to append gets its share and no more."""
     budget = AppendBudget(now_s=0.0)
     granted = sum(
         not budget.take(Priority.URGENT, members, False, step / 20)
@@ -104,7 +104,7 @@
 
 
 def test_reserve_is_kept_for_what_is_urgent():
-    """Announcements leave tokens for plans, and both leave some for takeovers."""
+    """Announcements leave tokens for plans, and both leave tokens for takeovers."""
     budget = AppendBudget(now_s=0.0)
     granted = {}
     for priority in reversed(Priority):
@@ -127,7 +127,7 @@
 
 
 def turns(state, log_first, times_s):
-    """Return who would write at each time, all nodes knowing the same."""
+    """Return the nodes that would write at each time if all have the same state."""
     schedules = [SnapshotSchedule(name) for name in state.members]
     return [
         [each.node_id for each in schedules if each.is_turn(state, log_first, time_s)]
@@ -142,7 +142,7 @@
 
 
 def test_writer_changes_with_each_snapshot():
-    """The cost of writing doesn't stay with one node."""
+    """The cost of writing is distributed among the nodes."""
     writers = {
         turns(make_state(offset + 2000, offset), 0, [0.0, 5.0])[1][0]
         for offset in range(1, 40)
@@ -157,7 +157,7 @@
     age_s=st.floats(0.0, 2 * MAX_AGE_S),
 )
 def test_snapshot_is_due_before_the_log_expires_it(behind, kept, age_s):
-    """A snapshot is due as long as it lies in the older half of a truncated log."""
+    """A new snapshot is due if the last one is in the older half of a truncated log."""
     state = make_state(10_000, 10_000 - behind, members=1)
     log_first = 10_000 - kept
     due = bool(turns(state, log_first, [0.0, age_s])[1])
--- a/comfreywharf/records/tests/test_config.py
+++ b/comfreywharf/records/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Patches of the configuration: refused when stale, checked, never merged."""
+"""Tests that configuration patches are validated, and refused if they are stale."""
 
 import attrs
 import pytest
@@ -23,11 +23,11 @@
 
 
 def test_one_of_two_racing_operators_wins():
-    """
-    Symptom: two operators are both told that their patch is in force.
-    Sequence: both build on version 0; the second arrives after the first; the
-    first writes again, since its answer was lost.
-    Cause: the loser's patch was merged, or the winner's repeat counted.
+    """Guard against two conflicting patches that are both reported as accepted.
+
+    Both are based on version 0, and the first one is appended again since its
+    answer was lost. The second patch must not be merged, and the repeat must not
+    be applied.
     """
     state = ClusterState()
     assert submit(state, "p1", 0, booking=make_service()).accepted
@@ -73,7 +73,7 @@
     ids=str,
 )
 def test_values_that_are_not_allowed_are_refused(fields):
-    """A declaration that would stop or mislead every node never comes in force."""
+    """An invalid declaration, which would affect all nodes, never comes into force."""
     state = ClusterState()
     service = attrs.evolve(make_service(), **fields)
     result = submit(state, "p1", 0, booking=service)
@@ -97,7 +97,7 @@
     ids=range(7),
 )
 def test_bytes_that_are_no_record(data):
-    """Unreadable bytes are a `Failure`, whatever they are, and stop no fold."""
+    """Any invalid bytes are decoded as a `Failure` instead of raising an error."""
     assert not decode_record(data).value_or(None)
 
 
--- a/comfreywharf/records/tests/test_fences.py
+++ b/comfreywharf/records/tests/test_fences.py
@@ -1,4 +1,4 @@
-"""Fences grow with each life of a backend server."""
+"""Tests that fences increase with each incarnation of a backend server."""
 
 from comfreywharf.records import ClusterState, Slice
 from comfreywharf.records.tests.builders import make_member
@@ -15,17 +15,19 @@
 
 
 def test_a_standby_takes_over_under_a_higher_fence_after_each_loss_of_its_server():
-    """Symptom: two lives of a server at one address are granted keys under one fence.
-    Sequence: a standby takes keys over; before its record is written its server dies
-    and another life begins, for which it takes the same keys over again.
-    Cause: the fence of a takeover hung on the owner's lease alone."""
+    """Guard against granting keys to two incarnations of a server under one fence.
+
+    A standby takes keys over; before its record is written its server crashes and
+    restarts, and the standby takes the same keys over again. The fence of a
+    takeover must therefore not depend on the owner's lease alone.
+    """
     before = takeover_fence(owner_lease=7, standby_lease=9)
     after = takeover_fence(owner_lease=7, standby_lease=30)
     assert before < after
 
 
 def test_a_takeover_lies_between_the_owner_and_any_later_record():
-    """A late order of the owner meets a higher fence, and so does one of the taker."""
+    """The fence is above the owner's, and below that of any later record."""
     owners = 2 * 7
     assert owners < takeover_fence(owner_lease=7, standby_lease=-1) < 2 * 8
     assert owners < takeover_fence(owner_lease=7, standby_lease=9) < 2 * 10
--- a/comfreywharf/records/tests/test_number_keys.py
+++ b/comfreywharf/records/tests/test_number_keys.py
@@ -1,4 +1,4 @@
-"""Keys that are numbers keep their order in the space of hashes."""
+"""Tests that keys which are numbers keep their order in the hash space."""
 
 from hypothesis import given, strategies as st
 
@@ -16,7 +16,7 @@
 
 @given(st.integers(1, 300), NUMBERS)
 def test_each_number_lies_in_the_slice_whose_range_names_it(count, number):
-    """A grant of a slice's range covers just the keys that are routed to it."""
+    """A grant of a slice's range covers exactly the keys that are routed to it."""
     piece = SliceMap.divide(count, 0).at_hash(key_hash(number_key(number)))
     first, last = numbers_in(piece.start, piece.end)
     assert first <= number <= last
@@ -24,7 +24,7 @@
 
 @given(st.lists(st.integers(1, KEY_SPACE - 1), max_size=20, unique=True))
 def test_ranges_of_any_division_neither_overlap_nor_leave_a_gap(bounds):
-    """Split anywhere, two slices never grant the same number."""
+    """However the hash space is split, no two slices grant the same number."""
     bounds = [0, *sorted(bounds), KEY_SPACE]
     ranges = [
         found
@@ -38,7 +38,7 @@
 
 @given(NUMBERS)
 def test_a_pinned_number_is_a_range_of_one(number):
-    """The planner pins a hot key as a slice of width one."""
+    """The planner isolates a hot key in a slice of width one."""
     value = key_hash(number_key(number))
     assert numbers_in(value, value + 1) == (number, number)
     assert value > 0
--- a/comfreywharf/records/tests/test_replica.py
+++ b/comfreywharf/records/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Replicas of the state, whatever the log, its snapshots and peers do to them."""
+"""Tests of replicas under faults of the log, of its snapshots and of peers."""
 
 import random
 
@@ -19,7 +19,7 @@
 from comfreywharf.records.tests.builders import NODES, make_record, opening
 
 PART_BYTES = 300
-"""Small parts, so that each snapshot has several."""
+"""Small enough that each snapshot has several parts."""
 
 ACTIONS = (
     *("write", "write", "write_again", "read", "read", "read"),
@@ -31,10 +31,10 @@
 
 
 class ReplicasMachine(RuleBasedStateMachine):
-    """Three nodes, a log and its stream of snapshots, and everything that fails.
+    """Three nodes, a log and its stream of snapshots, with all their faults.
 
-    ``truth`` is the fold of all records by somebody who misses none; a node's
-    state must at any time be what the truth was at the node's offset.
+    ``truth`` has the state after each record of the log, without any faults; a
+    node's state must always be equal to the one at the node's offset.
     """
 
     @initialize()
@@ -62,17 +62,18 @@
         )
     )
     def act(self, actions):
-        """Do some of what may happen, to one node each.
+        """Run some actions, each on one node.
 
-        One rule chooses among all actions, since the library would leave out
-        half of the rules in each run, and what has to meet here would not.
+        A single rule chooses among all actions, since hypothesis would omit some
+        of the rules in each run, and faults that only occur together would be
+        missed.
         """
         for name, node_id, seed in actions:
             getattr(self, f"_{name}")(node_id, random.Random(seed))
             self.check_nodes()
 
     def _write(self, node_id, rng):
-        """Append some records, whose writers may get no answer."""
+        """Append some records; the answers to their writers may be lost."""
         for _ in range(rng.randint(1, 6)):
             self.written += 1
             record = make_record(rng, self.truth[-1], f"record-{self.written}")
@@ -81,12 +82,12 @@
                 self.unanswered.append(record)
 
     def _write_again(self, node_id, rng):
-        """Append a record again, whose writer got no answer."""
+        """Append a record again whose writer got no answer."""
         if self.unanswered:
             self._append(rng.choice(self.unanswered))
 
     def _read(self, node_id, rng):
-        """Read on, or learn that what the node needs has expired."""
+        """Read the next records, or find out that they have expired."""
         replica = self.replicas[node_id]
         start = replica.state.next_offset
         if start < self.first:
@@ -104,7 +105,7 @@
             self.acknowledged.setdefault(record.record_id, outcome)
 
     def _write_snapshot(self, node_id, rng):
-        """Write a snapshot: whole or torn, mixed with what stands there."""
+        """Write a complete or incomplete snapshot, mixed with the parts of others."""
         state = self.replicas[node_id].state
         parts = encode_snapshot(state, f"snapshot-{node_id}", PART_BYTES)
         whole = rng.random() < 0.7
@@ -122,7 +123,7 @@
             )
 
     def _load_snapshot(self, node_id, rng):
-        """Take the newest whole snapshot."""
+        """Load the newest complete snapshot."""
         assembler = SnapshotAssembler()
         for part in self.parts:
             assembler.add(part)
@@ -130,7 +131,7 @@
             self.replicas[node_id].load(assembler.newest)
 
     def _exchange(self, node_id, rng):
-        """Ask a peer for what the node doesn't know."""
+        """Request the records that the node lacks from a peer."""
         replica, peer = self.replicas[node_id], self.replicas[rng.choice(NODES)]
         news = peer.news_for(replica.state.next_offset, max_bytes=600)
         if news is None:
@@ -139,28 +140,28 @@
             replica.take(offset, data)
 
     def _deliver_late(self, node_id, rng):
-        """Deliver a record that was long under way, or comes too early."""
+        """Deliver a record that is late or too early."""
         offset = rng.randrange(len(self.log))
         self.replicas[node_id].take(offset, self.log[offset])
 
     def _truncate(self, node_id, rng):
-        """Expire the log's oldest records."""
+        """Remove the log's oldest records, as when they expire."""
         self.first = min(self.first + rng.randint(1, 10), len(self.log))
 
     def _restart(self, node_id, rng):
-        """Replace a node by one that knows nothing."""
+        """Replace a node by one with an empty state."""
         self.replicas[node_id] = Replica()
         self.versions[node_id] = 0
 
     def check_nodes(self):
-        """Check what must hold at any time."""
+        """Check all invariants."""
         self.nodes_agree()
         self.configuration_never_goes_back()
         self.acknowledged_records_stay()
         self.gap_owns_nothing()
 
     def nodes_agree(self):
-        """Hold the truth of the node's offset, and no other state."""
+        """Check that each node has the true state at its offset."""
         for replica in self.replicas.values():
             assert replica.state == self.truth[replica.state.next_offset]
 
@@ -171,7 +172,7 @@
             self.versions[node_id] = version
 
     def acknowledged_records_stay(self):
-        """Say of a record what the node said that read it back."""
+        """Check that all nodes agree on the outcome that a writer has read back."""
         for replica in self.replicas.values():
             for record_id, outcome in self.acknowledged.items():
                 known = replica.state.outcomes.get(record_id, outcome)
@@ -183,7 +184,7 @@
             assert not (missing and replica.usable)
 
     def teardown(self):
-        """Let all nodes come up from a snapshot and the records after it."""
+        """Check that all nodes can start from a snapshot and the records after it."""
         self.first = max(self.first, len(self.log) // 2)
         self.parts += encode_snapshot(self.truth[self.first], "last", PART_BYTES)
         for node_id, replica in self.replicas.items():
@@ -208,11 +209,10 @@
 
 
 def test_part_with_foreign_contents_is_no_snapshot():
-    """
-    Symptom: a node comes up with a state that no other node has.
-    Sequence: a part stands in the stream whose contents aren't those that its
-    writer's digest names.
-    Cause: parts were taken without a check of the whole.
+    """Guard against a node that starts with a state that no other node has.
+
+    The stream has a part whose contents don't match its digest, so that the
+    complete snapshot has to be verified.
     """
     old = encode_snapshot(ClusterState(next_offset=5), "old")
     new = encode_snapshot(ClusterState(next_offset=9), "new")
@@ -224,11 +224,10 @@
 
 
 def test_writer_that_restarts_under_one_id_spoils_no_snapshot():
-    """
-    Symptom: a whole snapshot in the stream isn't found.
-    Sequence: a writer dies in the middle and writes again under the same id;
-    the parts of both stand mixed.
-    Cause: parts were told apart by the id alone.
+    """Guard against a complete snapshot in the stream that isn't found.
+
+    A writer crashes in the middle of a snapshot and writes another one under the
+    same id, so that the parts of both are mixed and the id doesn't identify them.
     """
     first, second = (
         encode_snapshot(ClusterState(next_offset=offset), "same", part_bytes=40)
@@ -248,11 +247,11 @@
 
 
 def test_shorter_log_is_a_gap():
-    """
-    Symptom: two nodes own one key after the log service lost its records.
-    Sequence: a node folded up to 5; the log comes back with 2 records; a new
-    node starts from these and plans anew.
-    Cause: the old node waited for offset 5 as if nothing had happened.
+    """Guard against two owners of one key after the log service lost records.
+
+    A node folded 5 records, and the log returns with only 2. A new node starts
+    from these and plans different moves, so the first node must not continue to
+    wait for offset 5 and use its state.
     """
     replica = Replica()
     replica.load(ClusterState(next_offset=5))
--- a/comfreywharf/records/validation.py
+++ b/comfreywharf/records/validation.py
@@ -1,4 +1,4 @@
-"""What a service's declaration must satisfy before the fold takes it."""
+"""The rules that a service's declaration must satisfy for the fold to accept it."""
 
 import attrs
 
@@ -11,12 +11,12 @@
 MAX_BODY_BYTES = 1 << 40
 MAX_NAME_CHARS = 128
 MAX_SERVICES = 256
-"""How many services a configuration may hold."""
+"""How many services a configuration may have."""
 
 
 @attrs.frozen(kw_only=True)
 class ServiceFinding:
-    """One value of a declaration that isn't allowed."""
+    """A value in a declaration that isn't allowed."""
 
     service: str
     field: str
@@ -86,7 +86,10 @@
 
 
 def check_patch(services):
-    """Return the findings of a patch: ``services`` by name, ``None`` to remove."""
+    """Return the findings of a patch.
+
+    ``services`` maps names to declarations, or to ``None`` for a removal.
+    """
     findings = []
     for name, service in services.items():
         if service is None:
