--- a/comfreywharf/clock.py
+++ b/comfreywharf/clock.py
@@ -2,7 +2,7 @@
 
 import time
 
-__all__ = ["PROCESS_BEGAN_S", "boottime_s"]
+__all__ = ["PROCESS_START_S", "boottime_s"]
 
 
 def boottime_s():
@@ -17,6 +17,6 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-PROCESS_BEGAN_S = boottime_s()
+PROCESS_START_S = boottime_s()
 """The start of this process, provided that this module is imported first. Everything
 that an earlier process of the node granted or promised is older than this."""
--- a/comfreywharf/platform/main.py
+++ b/comfreywharf/platform/main.py
@@ -9,7 +9,7 @@
 from gevent.event import Event
 from returns.result import Failure
 
-from comfreywharf.clock import PROCESS_BEGAN_S
+from comfreywharf.clock import PROCESS_START_S
 from comfreywharf.daemon.node import Node
 from comfreywharf.platform.ports import PlatformPorts
 from comfreywharf.platform.settings import BOOT_VARIABLE, read_boot_file
@@ -32,7 +32,7 @@
     logging.set_verbosity(logging.INFO)
     settings = read.unwrap()
     ports = PlatformPorts(settings)
-    node = Node(settings.node, ports, PROCESS_BEGAN_S)
+    node = Node(settings.node, ports, PROCESS_START_S)
     try:
         node.start()
     except OSError as error:
