--- a/comfreywharf/daemon/requests/dispatch.py
+++ b/comfreywharf/daemon/requests/dispatch.py
@@ -19,7 +19,7 @@
     Reason,
     RetryBudget,
     RouteLimits,
-    Trail,
+    RouteProgress,
     after_hold,
     decide_route,
 )
@@ -118,48 +118,48 @@
         self._node.load.replied(request, call.body, reply)
         if not reply.reason or reply.outcome != Outcome.NOT_RUN:
             return reply, rest
-        trail = Trail(target=target, retries_left=request.retries_left)
-        return self._go_on(call, trail, reply, budget)
+        progress = RouteProgress(target=target, retries_left=request.retries_left)
+        return self._go_on(call, progress, reply, budget)
 
-    def _go_on(self, call, trail, reply, budget):
+    def _go_on(self, call, progress, reply, budget):
         """Follow the decisions after a first refusal until there is an answer."""
         rest = None
-        tried = {trail.target}
+        tried = {progress.target}
         while reply.reason:
-            step = self._decide(call, trail, reply, tried)
+            step = self._decide(call, progress, reply, tried)
             self._tell(step, call, reply)
             if isinstance(step, GiveUp):
                 break
-            trail = step.trail
+            progress = step.progress
             if isinstance(step, Hold):
                 if not self._hold(step, call):
                     break
-                trail = after_hold(trail, self._ownership(call.request))
+                progress = after_hold(progress, self._ownership(call.request))
             elif step.retry and not budget.take():
                 break
             if call.gone:
                 return refusal(Reason.CALLER_GONE_BEFORE_START), None
-            call.request.retries_left = trail.retries_left
-            tried.add(trail.target)
-            reply, rest = self._measure(trail.target, call)
+            call.request.retries_left = progress.retries_left
+            tried.add(progress.target)
+            reply, rest = self._measure(progress.target, call)
         if reply.outcome == Outcome.NOT_RUN and reply.status == 503:
             reply.retry_after_ms = reply.retry_after_ms or self._limits.retry_after_ms
         return reply, rest
 
     def _tell(self, step, call, reply):
         kind = {GiveUp: "given_up", Hold: "held"}.get(type(step), "sent_again")
-        target = "" if isinstance(step, GiveUp) else step.trail.target
+        target = "" if isinstance(step, GiveUp) else step.progress.target
         ownership = self._ownership(call.request) if call.request.key else None
         self._node.decisions.step(call, kind, reply, target, ownership)
 
-    def _decide(self, call, trail, reply, tried):
+    def _decide(self, call, progress, reply, tried):
         ownership, other_member = None, ""
         if call.request.key:
             ownership = self._ownership(call.request)
         else:
             other_member = self._node.load.members.choose(call.service.name, tried)
         return decide_route(
-            trail,
+            progress,
             reply,
             ownership=ownership,
             other_member=other_member,
--- a/comfreywharf/routing/route.py
+++ b/comfreywharf/routing/route.py
@@ -15,8 +15,8 @@
     "HoldBounds",
     "Ownership",
     "RouteLimits",
+    "RouteProgress",
     "Send",
-    "Trail",
     "after_hold",
     "decide_route",
 ]
@@ -102,7 +102,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Trail:
+class RouteProgress:
     """The progress of a request; ``asked`` are the nodes tried since the last hold."""
 
     target: str
@@ -116,9 +116,9 @@
 
 @attrs.frozen
 class Send:
-    """Send the request to the trail's target; ``retry`` if that counts as a retry."""
+    """Send the request to ``progress.target``; ``retry`` if that counts as a retry."""
 
-    trail: Trail
+    progress: RouteProgress
     retry: bool = False
 
 
@@ -126,7 +126,7 @@
 class Hold:
     """Wait until the fold changes or ``until_s``, then continue with `after_hold`."""
 
-    trail: Trail
+    progress: RouteProgress
     until_s: float
 
 
@@ -135,13 +135,13 @@
     """Return the refusal to the caller immediately."""
 
 
-def after_hold(trail, ownership):
-    """Return the trail to continue with after a hold."""
-    return attrs.evolve(trail, target=ownership.owner, asked=frozenset())
+def after_hold(progress, ownership):
+    """Return the progress to continue with after a hold."""
+    return attrs.evolve(progress, target=ownership.owner, asked=frozenset())
 
 
 def decide_route(
-    trail,
+    progress,
     reply,
     *,
     ownership,
@@ -165,59 +165,67 @@
         return GiveUp()
     reason = Reason(reply.reason)
     if ownership is not None:
-        if reason is Reason.REFUSED_BY_BACKEND and trail.resends < limits.resends:
+        if reason is Reason.REFUSED_BY_BACKEND and progress.resends < limits.resends:
             # No other server may serve the key. This server didn't receive
             # more requests than it has slots, so its refusal doesn't mean that
             # the next try will be refused as well.
-            return Send(attrs.evolve(trail, resends=trail.resends + 1), retry=True)
+            return Send(
+                attrs.evolve(progress, resends=progress.resends + 1), retry=True
+            )
         if reason not in _OWNERSHIP_GAP:
             return GiveUp()
-        trail = attrs.evolve(trail, asked=trail.asked | {trail.target})
-        target = _not_asked(trail, reply.owner_hint, ownership, limits)
+        progress = attrs.evolve(progress, asked=progress.asked | {progress.target})
+        target = _not_asked(progress, reply.owner_hint, ownership, limits)
         if target:
-            return Send(attrs.evolve(trail, target=target))
-        return _hold(trail, now_s, deadline_s, limits)
+            return Send(attrs.evolve(progress, target=target))
+        return _hold(progress, now_s, deadline_s, limits)
     if reason not in _OTHER_MEMBER_HELPS or not other_member:
         return GiveUp()
-    return _send_to_other(trail, reason, other_member, limits)
+    return _send_to_other(progress, reason, other_member, limits)
 
 
-def _send_to_other(trail, reason, other_member, limits):
-    trail = attrs.evolve(trail, target=other_member)
-    if reason in _NO_SERVER_ASKED and trail.unreached < limits.unreached:
-        return Send(attrs.evolve(trail, unreached=trail.unreached + 1))
-    if trail.retries_left <= 0:
+def _send_to_other(progress, reason, other_member, limits):
+    progress = attrs.evolve(progress, target=other_member)
+    if reason in _NO_SERVER_ASKED and progress.unreached < limits.unreached:
+        return Send(attrs.evolve(progress, unreached=progress.unreached + 1))
+    if progress.retries_left <= 0:
         return GiveUp()
-    return Send(attrs.evolve(trail, retries_left=trail.retries_left - 1), retry=True)
+    return Send(
+        attrs.evolve(progress, retries_left=progress.retries_left - 1), retry=True
+    )
 
 
-def _not_asked(trail, hint, ownership, limits):
+def _not_asked(progress, hint, ownership, limits):
     """Return a node that may serve and wasn't tried since the last hold, or ``""``."""
     # Two nodes that consider each other the owner would forward a request back
     # and forth. Each is therefore tried once; then the request is held until
     # the fold changes.
-    if len(trail.asked) >= limits.asked_between_holds:
+    if len(progress.asked) >= limits.asked_between_holds:
         return ""
     for node_id in (hint, *ownership.candidates()):
-        if node_id and node_id not in trail.asked:
+        if node_id and node_id not in progress.asked:
             return node_id
     return ""
 
 
-def _hold(trail, now_s, deadline_s, limits):
-    held_since_s = now_s if trail.held_since_s is None else trail.held_since_s
-    wait_s = min(limits.longest_hold_s, limits.first_hold_s * 2 ** min(trail.holds, 16))
+def _hold(progress, now_s, deadline_s, limits):
+    held_since_s = now_s if progress.held_since_s is None else progress.held_since_s
+    wait_s = min(
+        limits.longest_hold_s, limits.first_hold_s * 2 ** min(progress.holds, 16)
+    )
     until_s = now_s + wait_s
     # A hold beyond the deadline or the bound would only delay the refusal.
     # The caller gets it now, together with a time to retry after.
     if (
-        trail.holds >= limits.holds
+        progress.holds >= limits.holds
         or until_s >= deadline_s
         or until_s > held_since_s + limits.held_in_all_s
     ):
         return GiveUp()
-    trail = attrs.evolve(trail, holds=trail.holds + 1, held_since_s=held_since_s)
-    return Hold(trail, until_s)
+    progress = attrs.evolve(
+        progress, holds=progress.holds + 1, held_since_s=held_since_s
+    )
+    return Hold(progress, until_s)
 
 
 class HoldBounds:
--- a/comfreywharf/routing/tests/test_route.py
+++ b/comfreywharf/routing/tests/test_route.py
@@ -11,8 +11,8 @@
     Reason,
     RetryBudget,
     RouteLimits,
+    RouteProgress,
     Send,
-    Trail,
     after_hold,
     decide_route,
     status_of,
@@ -61,10 +61,10 @@
 )
 
 
-def decide(trail, reply, ownership, now_s=0.0, deadline_s=100.0, **facts):
+def decide(progress, reply, ownership, now_s=0.0, deadline_s=100.0, **facts):
     chosen = {"other_member": "", "replayable": True, **facts}
     return decide_route(
-        trail,
+        progress,
         reply,
         ownership=ownership,
         now_s=now_s,
@@ -83,20 +83,20 @@
     consider the other its owner, and a request would be forwarded between them
     until its deadline.
     """
-    trail = Trail(target=data.draw(nodes), retries_left=RETRIES)
+    progress = RouteProgress(target=data.draw(nodes), retries_left=RETRIES)
     now_s, sends = 0.0, 1
     while True:
         reply = data.draw(gap_replies if divided_by_key else replies)
         ownership = data.draw(ownerships) if divided_by_key else None
-        step = decide(trail, reply, ownership, now_s, other_member="other")
+        step = decide(progress, reply, ownership, now_s, other_member="other")
         if isinstance(step, GiveUp):
             break
         assert reply.outcome == Outcome.NOT_RUN
-        trail = step.trail
+        progress = step.progress
         if isinstance(step, Hold):
             assert now_s < step.until_s <= LIMITS.held_in_all_s
             now_s = step.until_s
-            trail = after_hold(trail, ownership)
+            progress = after_hold(progress, ownership)
         sends += 1
         assert sends <= MOST_SENDS
     assert now_s <= LIMITS.held_in_all_s
@@ -106,8 +106,8 @@
 @given(replies, st.one_of(st.none(), ownerships), st.booleans())
 def test_only_what_was_not_run_goes_on(reply, ownership, replayable):
     """A request of unknown outcome, or without its whole body, isn't sent again."""
-    trail = Trail(target="a", retries_left=RETRIES)
-    step = decide(trail, reply, ownership, other_member="b", replayable=replayable)
+    progress = RouteProgress(target="a", retries_left=RETRIES)
+    step = decide(progress, reply, ownership, other_member="b", replayable=replayable)
     if not isinstance(step, GiveUp):
         assert replayable and reply.outcome == Outcome.NOT_RUN
 
@@ -115,27 +115,27 @@
 def test_a_wrong_route_is_corrected_in_one_hop():
     """The owner hint of the refusing node is followed immediately."""
     step = decide(
-        Trail(target="a", retries_left=0),
+        RouteProgress(target="a", retries_left=0),
         refused(Reason.WRONG_OWNER, "b"),
         Ownership(owner="a"),
     )
-    assert isinstance(step, Send) and step.trail.target == "b"
+    assert isinstance(step, Send) and step.progress.target == "b"
 
 
 def test_a_lost_owners_standby_is_asked_without_the_fold():
     """While the log is unavailable, the fold keeps naming the lost owner."""
     step = decide(
-        Trail(target="a", retries_left=0),
+        RouteProgress(target="a", retries_left=0),
         refused(Reason.PEER_UNREACHABLE),
         Ownership(owner="a", standby="b"),
     )
-    assert isinstance(step, Send) and step.trail.target == "b"
+    assert isinstance(step, Send) and step.progress.target == "b"
 
 
 def test_a_refusal_is_not_held_back_until_the_deadline():
     """A request isn't held if the hold would end after its deadline."""
     step = decide(
-        Trail(target="a", retries_left=0),
+        RouteProgress(target="a", retries_left=0),
         refused(Reason.NOT_YET_OWNER),
         Ownership(owner="a"),
         deadline_s=LIMITS.first_hold_s,
@@ -165,21 +165,21 @@
     otherwise make half of them fail, although the next try may be served.
     """
     limits = RouteLimits(resends=2)
-    trail, sends = Trail(target="a", retries_left=0), 0
+    progress, sends = RouteProgress(target="a", retries_left=0), 0
     reply = refused(Reason.REFUSED_BY_BACKEND)
-    while isinstance(step := decide_here(trail, reply, limits), Send):
-        assert step.retry and step.trail.target == "a"
-        trail, sends = step.trail, sends + 1
+    while isinstance(step := decide_here(progress, reply, limits), Send):
+        assert step.retry and step.progress.target == "a"
+        progress, sends = step.progress, sends + 1
     assert isinstance(step, GiveUp) and sends == 2
     unknown = attrs.evolve(reply, outcome=Outcome.UNKNOWN)
     assert isinstance(
-        decide_here(Trail(target="a", retries_left=0), unknown, limits), GiveUp
+        decide_here(RouteProgress(target="a", retries_left=0), unknown, limits), GiveUp
     )
 
 
-def decide_here(trail, reply, limits):
+def decide_here(progress, reply, limits):
     return decide_route(
-        trail,
+        progress,
         reply,
         ownership=Ownership(owner="a", standby="b"),
         other_member="",
@@ -196,13 +196,13 @@
     If two of a service's three machines are lost, a third of the requests try
     both of them, and would be refused although the third server has capacity.
     """
-    trail = Trail(target="a", retries_left=0)
+    progress = RouteProgress(target="a", retries_left=0)
     gone = refused(Reason.PEER_UNREACHABLE)
     for number in range(LIMITS.unreached):
-        step = decide(trail, gone, None, other_member=f"m{number}")
+        step = decide(progress, gone, None, other_member=f"m{number}")
         assert isinstance(step, Send)
         assert not step.retry
-        trail = step.trail
-    assert isinstance(decide(trail, gone, None, other_member="m"), GiveUp)
+        progress = step.progress
+    assert isinstance(decide(progress, gone, None, other_member="m"), GiveUp)
     full = refused(Reason.OVERLOADED)
-    assert isinstance(decide(trail, full, None, other_member="m"), GiveUp)
+    assert isinstance(decide(progress, full, None, other_member="m"), GiveUp)
