--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -87,7 +87,7 @@
         by_speed=True,
     )
     route_limits = RouteLimits(
-        held_in_all_s=0.3,
+        total_hold_s=0.3,
         retry_after_ms=250,
         retry_burst=RETRY_BURST,
         resends=RESENDS,
--- a/comfreywharf/routing/route.py
+++ b/comfreywharf/routing/route.py
@@ -61,25 +61,25 @@
 class RouteLimits:
     """Bounds of the routing of one request.
 
-    At most ``asked_between_holds`` nodes are tried between two holds. The holds
+    At most ``nodes_between_holds`` nodes are tried between two holds. The holds
     grow from ``first_hold_s`` to ``longest_hold_s`` and last no longer than
-    ``held_in_all_s`` together; a fold that changes the owner ends a hold early.
+    ``total_hold_s`` together; a fold that changes the owner ends a hold early.
     ``retry_after_ms`` is sent to a caller whose key had no owner for all of that
     time; ``retry_burst`` bounds the burst of retries that one node may send after
     a period without any. A request that its owner's server refused is sent there
-    up to ``resends`` more times, within the retry budget. Up to ``unreached``
-    members may be unavailable before a further one counts as a retry.
+    up to ``resends`` more times, within the retry budget. Up to
+    ``unreached_members`` may be unavailable before a further one counts as a retry.
     """
 
     holds: int = 48
-    asked_between_holds: int = 4
+    nodes_between_holds: int = 4
     first_hold_s: float = 0.005
     longest_hold_s: float = 0.1
-    held_in_all_s: float = 3.0
+    total_hold_s: float = 3.0
     retry_after_ms: int = 1000
     retry_burst: float = 20.0
     resends: int = 0
-    unreached: int = 3
+    unreached_members: int = 3
 
 
 @attrs.frozen(kw_only=True)
@@ -111,7 +111,7 @@
     holds: int = 0
     held_since_s: float | None = None
     resends: int = 0
-    unreached: int = 0
+    unreached_members: int = 0
 
 
 @attrs.frozen
@@ -186,8 +186,13 @@
 
 def _send_to_other(progress, reason, other_member, limits):
     progress = attrs.evolve(progress, target=other_member)
-    if reason in _NO_SERVER_ASKED and progress.unreached < limits.unreached:
-        return Send(attrs.evolve(progress, unreached=progress.unreached + 1))
+    if (
+        reason in _NO_SERVER_ASKED
+        and progress.unreached_members < limits.unreached_members
+    ):
+        return Send(
+            attrs.evolve(progress, unreached_members=progress.unreached_members + 1)
+        )
     if progress.retries_left <= 0:
         return GiveUp()
     return Send(
@@ -200,7 +205,7 @@
     # Two nodes that consider each other the owner would forward a request back
     # and forth. Each is therefore tried once; then the request is held until
     # the fold changes.
-    if len(progress.asked) >= limits.asked_between_holds:
+    if len(progress.asked) >= limits.nodes_between_holds:
         return ""
     for node_id in (hint, *ownership.candidates()):
         if node_id and node_id not in progress.asked:
@@ -219,7 +224,7 @@
     if (
         progress.holds >= limits.holds
         or until_s >= deadline_s
-        or until_s > held_since_s + limits.held_in_all_s
+        or until_s > held_since_s + limits.total_hold_s
     ):
         return GiveUp()
     progress = attrs.evolve(
--- a/comfreywharf/routing/tests/test_route.py
+++ b/comfreywharf/routing/tests/test_route.py
@@ -21,7 +21,7 @@
 LIMITS = RouteLimits()
 RETRIES = 2
 MOST_SENDS = (
-    (LIMITS.holds + 1) * LIMITS.asked_between_holds + RETRIES + LIMITS.unreached
+    (LIMITS.holds + 1) * LIMITS.nodes_between_holds + RETRIES + LIMITS.unreached_members
 )
 
 nodes = st.sampled_from(["", "a", "b", "c", "d"])
@@ -94,12 +94,12 @@
         assert reply.outcome == Outcome.NOT_RUN
         progress = step.progress
         if isinstance(step, Hold):
-            assert now_s < step.until_s <= LIMITS.held_in_all_s
+            assert now_s < step.until_s <= LIMITS.total_hold_s
             now_s = step.until_s
             progress = after_hold(progress, ownership)
         sends += 1
         assert sends <= MOST_SENDS
-    assert now_s <= LIMITS.held_in_all_s
+    assert now_s <= LIMITS.total_hold_s
 
 
 @settings(derandomize=True, deadline=None)
@@ -198,7 +198,7 @@
     """
     progress = RouteProgress(target="a", retries_left=0)
     gone = refused(Reason.PEER_UNREACHABLE)
-    for number in range(LIMITS.unreached):
+    for number in range(LIMITS.unreached_members):
         step = decide(progress, gone, None, other_member=f"m{number}")
         assert isinstance(step, Send)
         assert not step.retry
