--- a/comfreywharf/daemon/requests/forwarder.py
+++ b/comfreywharf/daemon/requests/forwarder.py
@@ -12,9 +12,9 @@
 from comfreywharf.daemon.servers.backend import BackendError
 from comfreywharf.routing import (
     SAFE_METHODS,
+    BeginStatus,
     Outcome,
     Reason,
-    Recall,
     RequestKey,
 )
 from comfreywharf.transport.gen.ttypes import ForwardReply, Header
@@ -118,18 +118,18 @@
             vouched_since_s=right.vouched_since_s,
             now_s=now_s,
         )
-        if found.recall == Recall.FIRST:
+        if found.begin_status == BeginStatus.FIRST:
             return self._run_and_remember(request, body, right, deadline_s, key)
         node.leases.finish(right)
-        if found.recall == Recall.RUNNING:
+        if found.begin_status == BeginStatus.RUNNING:
             # The right isn't kept during the wait: it would hold up a move of
             # the key, although nothing was forwarded under it.
             if node.memory.wait(key, deadline_s - boottime_s()):
                 return None
             return StreamedReply(refusal(Reason.DEADLINE_PASSED))
-        if found.recall == Recall.KNOWN:
+        if found.begin_status == BeginStatus.KNOWN:
             return StreamedReply(remembered(found.answer))
-        if found.recall == Recall.REUSED:
+        if found.begin_status == BeginStatus.REUSED:
             return StreamedReply(refusal(Reason.REQUEST_ID_REUSED))
         return StreamedReply(refusal(Reason.NOT_VOUCHED))
 
--- a/comfreywharf/routing/memory.py
+++ b/comfreywharf/routing/memory.py
@@ -19,10 +19,10 @@
 __all__ = [
     "Answer",
     "AnswerMemory",
+    "BeginResult",
+    "BeginStatus",
     "KeptAnswer",
     "MemoryLimits",
-    "Recall",
-    "Recollection",
     "RequestKey",
     "fingerprint",
 ]
@@ -96,7 +96,7 @@
     size_bytes: int
 
 
-class Recall(Enum):
+class BeginStatus(Enum):
     """What the memory says about a request that arrives.
 
     ``FIRST``: it may run; ``RUNNING``: the same request is running; ``KNOWN``: its
@@ -112,17 +112,17 @@
 
 
 @attrs.frozen
-class Recollection:
-    """A `Recall`, and the answer if it is `Recall.KNOWN`."""
+class BeginResult:
+    """A `BeginStatus`, and the answer if it is `BeginStatus.KNOWN`."""
 
-    recall: Recall
+    begin_status: BeginStatus
     answer: Answer | None = None
 
 
-_FIRST = Recollection(Recall.FIRST)
-_RUNNING = Recollection(Recall.RUNNING)
-_NOT_VOUCHED = Recollection(Recall.NOT_VOUCHED)
-_REUSED = Recollection(Recall.REUSED)
+_FIRST = BeginResult(BeginStatus.FIRST)
+_RUNNING = BeginResult(BeginStatus.RUNNING)
+_NOT_VOUCHED = BeginResult(BeginStatus.NOT_VOUCHED)
+_REUSED = BeginResult(BeginStatus.REUSED)
 
 
 def fingerprint(method, path, body):
@@ -143,10 +143,10 @@
     >>> memory = AnswerMemory(MemoryLimits())
     >>> key = RequestKey("booking", 7, "a")
     >>> begin = dict(mark=1, first_sent_s=0.0, vouched_since_s=-1.0, now_s=0.0)
-    >>> memory.begin(key, **begin).recall
-    <Recall.FIRST: 1>
-    >>> memory.begin(key, **begin).recall
-    <Recall.RUNNING: 2>
+    >>> memory.begin(key, **begin).begin_status
+    <BeginStatus.FIRST: 1>
+    >>> memory.begin(key, **begin).begin_status
+    <BeginStatus.RUNNING: 2>
     """
 
     def __init__(self, limits):
@@ -188,7 +188,7 @@
         if entry is not None:
             if entry.fingerprint != mark:
                 return _REUSED
-            return Recollection(Recall.KNOWN, entry.answer)
+            return BeginResult(BeginStatus.KNOWN, entry.answer)
         if first_sent_s is not None:
             whole_since_s = self._whole_since_s.get(key.service, _ALWAYS)
             # A resend of a request that ran before entries were lost looks
--- a/comfreywharf/routing/tests/test_memory.py
+++ b/comfreywharf/routing/tests/test_memory.py
@@ -7,9 +7,9 @@
 from comfreywharf.routing import (
     Answer,
     AnswerMemory,
+    BeginStatus,
     MemoryLimits,
     Outcome,
-    Recall,
     RequestKey,
     fingerprint,
 )
@@ -61,13 +61,13 @@
             vouched_since_s=self.vouched_since_s,
             now_s=self.now_s,
         )
-        if found.recall == Recall.FIRST:
+        if found.begin_status == BeginStatus.FIRST:
             assert number not in self.may_have_run, "ran twice"
             self.running.add(number)
             self.may_have_run.add(number)
-        elif found.recall == Recall.KNOWN:
+        elif found.begin_status == BeginStatus.KNOWN:
             assert number in self.may_have_run
-        elif found.recall == Recall.RUNNING:
+        elif found.begin_status == BeginStatus.RUNNING:
             assert number in self.running
 
     @precondition(lambda self: self.running)
@@ -141,7 +141,7 @@
     begin(memory, key, first)
     memory.finish(key, answer(), 0.0)
     other = fingerprint("POST", "/book", b"tuesday")
-    assert begin(memory, key, other).recall == Recall.REUSED
+    assert begin(memory, key, other).begin_status == BeginStatus.REUSED
     assert begin(memory, key, first).answer.body == answer().body
 
 
