--- a/comfreywharf/routing/memory.py
+++ b/comfreywharf/routing/memory.py
@@ -155,7 +155,7 @@
         self._done = OrderedDict()
         self._buckets = {}
         self._size_bytes = 0
-        self._whole_since_s = {}
+        self._complete_since_s = {}
         self._snapshots = {}
 
     @property
@@ -181,20 +181,20 @@
         all requests for the key.
         """
         self._expire(now_s)
-        mark_running = self._running.get(key)
-        if mark_running is not None:
-            return _RUNNING if mark_running == mark else _REUSED
+        running_mark = self._running.get(key)
+        if running_mark is not None:
+            return _RUNNING if running_mark == mark else _REUSED
         entry = self._done.get(key)
         if entry is not None:
             if entry.fingerprint != mark:
                 return _REUSED
             return BeginResult(BeginStatus.KNOWN, entry.answer)
         if first_sent_s is not None:
-            whole_since_s = self._whole_since_s.get(key.service, _ALWAYS)
+            complete_since_s = self._complete_since_s.get(key.service, _ALWAYS)
             # A resend of a request that ran before entries were lost looks
             # like a new request. Running it again would cause two effects
             # under one request id, for instance two bookings.
-            if first_sent_s <= max(whole_since_s, vouched_since_s):
+            if first_sent_s <= max(complete_since_s, vouched_since_s):
                 return _NOT_VOUCHED
         self._running[key] = mark
         return _FIRST
@@ -240,7 +240,7 @@
         for kept in answers:
             finished_s = now_s - kept.age_s
             if not kept.request_id:
-                self._lose_until(service, finished_s)
+                self._mark_incomplete_until(service, finished_s)
                 continue
             key = RequestKey(service, kept.key_hash, kept.request_id)
             if key not in self._done:
@@ -249,13 +249,13 @@
 
     def _range(self, service, start, end, now_s):
         found = []
-        if service in self._whole_since_s:
-            age_s = now_s - self._whole_since_s[service]
-            found.append(KeptAnswer("", start, 0, _NOTHING, age_s))
+        if service in self._complete_since_s:
+            age_s = now_s - self._complete_since_s[service]
+            found.append(KeptAnswer("", start, 0, _NO_ANSWER, age_s))
         for bucket in range(start >> _BUCKET_SHIFT, ((end - 1) >> _BUCKET_SHIFT) + 1):
             for key, entry in self._buckets.get((service, bucket), {}).items():
                 if start <= key.key_hash < end:
-                    found.append(_kept(key, entry, now_s))
+                    found.append(_to_kept_answer(key, entry, now_s))
         return found
 
     def _keep(self, key, mark, answer, finished_s):
@@ -283,23 +283,23 @@
             key = next(iter(self._done))
             if self._done[key].finished_s >= oldest_s:
                 return
-            self._lose(key)
+            self._evict(key)
 
     def _shrink(self):
         limits = self._limits
         while len(self._done) > limits.entries or self._size_bytes > limits.total_bytes:
-            self._lose(next(iter(self._done)))
+            self._evict(next(iter(self._done)))
 
-    def _lose(self, key):
+    def _evict(self, key):
         # An evicted id can't be distinguished from a new one. The memory is
         # therefore no longer complete for requests of this service that may be
         # as old as the evicted one.
         entry = self._drop(key)
-        self._lose_until(key.service, entry.finished_s)
+        self._mark_incomplete_until(key.service, entry.finished_s)
 
-    def _lose_until(self, service, finished_s):
-        before_s = self._whole_since_s.get(service, finished_s)
-        self._whole_since_s[service] = max(before_s, finished_s)
+    def _mark_incomplete_until(self, service, finished_s):
+        before_s = self._complete_since_s.get(service, finished_s)
+        self._complete_since_s[service] = max(before_s, finished_s)
 
 
 def _size_bytes(answer):
@@ -310,10 +310,10 @@
     return key.service, key.key_hash >> _BUCKET_SHIFT
 
 
-_NOTHING = Answer(outcome=Outcome.UNKNOWN, status=0, headers=[], body=b"")
+_NO_ANSWER = Answer(outcome=Outcome.UNKNOWN, status=0, headers=[], body=b"")
 
 
-def _kept(key, entry, now_s):
+def _to_kept_answer(key, entry, now_s):
     return KeptAnswer(
         request_id=key.request_id,
         key_hash=key.key_hash,
--- a/comfreywharf/routing/route.py
+++ b/comfreywharf/routing/route.py
@@ -21,7 +21,7 @@
     "decide_route",
 ]
 
-_OWNERSHIP_GAP = frozenset(
+_NO_SERVING_OWNER = frozenset(
     {
         Reason.WRONG_OWNER,
         Reason.NOT_YET_OWNER,
@@ -36,7 +36,7 @@
 keys.
 """
 
-_OTHER_MEMBER_HELPS = frozenset(
+_OTHER_MEMBER_MAY_SERVE = frozenset(
     {
         Reason.OVERLOADED,
         Reason.DRAINING,
@@ -48,10 +48,10 @@
 """Refusals by one member after which another member of the service may serve, if the
 service isn't divided by key."""
 
-_NO_SERVER_ASKED = frozenset(
+_BACKEND_NOT_REACHED = frozenset(
     {Reason.PEER_UNREACHABLE, Reason.NO_BACKEND, Reason.DRAINING}
 )
-"""Refusals of `_OTHER_MEMBER_HELPS` that were made before a backend server received
+"""Refusals of `_OTHER_MEMBER_MAY_SERVE` made before a backend server received
 the request, so that the next send doesn't count as a retry. If it did, a third of the
 requests would be refused while two of three machines are lost, namely those that try
 both lost members first, although the third server has capacity."""
@@ -172,14 +172,14 @@
             return Send(
                 attrs.evolve(progress, resends=progress.resends + 1), retry=True
             )
-        if reason not in _OWNERSHIP_GAP:
+        if reason not in _NO_SERVING_OWNER:
             return GiveUp()
         progress = attrs.evolve(progress, asked=progress.asked | {progress.target})
-        target = _not_asked(progress, reply.owner_hint, ownership, limits)
+        target = _next_candidate(progress, reply.owner_hint, ownership, limits)
         if target:
             return Send(attrs.evolve(progress, target=target))
         return _hold(progress, now_s, deadline_s, limits)
-    if reason not in _OTHER_MEMBER_HELPS or not other_member:
+    if reason not in _OTHER_MEMBER_MAY_SERVE or not other_member:
         return GiveUp()
     return _send_to_other(progress, reason, other_member, limits)
 
@@ -187,7 +187,7 @@
 def _send_to_other(progress, reason, other_member, limits):
     progress = attrs.evolve(progress, target=other_member)
     if (
-        reason in _NO_SERVER_ASKED
+        reason in _BACKEND_NOT_REACHED
         and progress.unreached_members < limits.unreached_members
     ):
         return Send(
@@ -200,7 +200,7 @@
     )
 
 
-def _not_asked(progress, hint, ownership, limits):
+def _next_candidate(progress, hint, ownership, limits):
     """Return a node that may serve and wasn't tried since the last hold, or ``""``."""
     # Two nodes that consider each other the owner would forward a request back
     # and forth. Each is therefore tried once; then the request is held until
