--- a/comfreywharf/routing/tests/test_memory.py
+++ b/comfreywharf/routing/tests/test_memory.py
@@ -43,15 +43,15 @@
         self.running = set()
         self.may_have_run = set()
 
-    @rule(number=st.integers(0, 20), tells=st.booleans())
-    def send(self, number, tells):
+    @rule(number=st.integers(0, 20), reports_first_send=st.booleans())
+    def send(self, number, reports_first_send):
         """Send or resend a request as docs/interfaces-callers.md requires."""
         first_sent_s = None
         if number in self.first_sent_s:
             age_s = self.now_s - self.first_sent_s[number]
-            tells = tells or age_s > LIMITS.age_s
+            reports_first_send = reports_first_send or age_s > LIMITS.age_s
             first_sent_s = self.first_sent_s[number]
-        if not tells:
+        if not reports_first_send:
             first_sent_s = self.now_s - LIMITS.age_s
         self.first_sent_s.setdefault(number, self.now_s)
         found = self.memory.begin(
@@ -79,7 +79,7 @@
 
     @precondition(lambda self: self.running)
     @rule(data=st.data())
-    def proved_not_run(self, data):
+    def proven_not_run(self, data):
         number = data.draw(st.sampled_from(sorted(self.running)))
         self.running.discard(number)
         self.may_have_run.discard(number)
@@ -93,14 +93,14 @@
     @rule(passed_s=st.sampled_from([0.0, 12.0]))
     def move_to_another_owner(self, passed_s):
         """Transfer the memory page by page while its entries age."""
-        taker = AnswerMemory(LIMITS)
+        receiver = AnswerMemory(LIMITS)
         received, more = 0, True
         while more:
             page, more = self.memory.take_out(SERVICE, 0, 1 << 63, received, self.now_s)
             received += len(page)
-            taker.put_in(SERVICE, page, self.now_s)
+            receiver.put_in(SERVICE, page, self.now_s)
             self.now_s += passed_s
-        self.memory = taker
+        self.memory = receiver
 
     @rule()
     def lose_the_owner(self):
@@ -129,7 +129,7 @@
     )
 
 
-def test_an_id_that_comes_with_another_request_gets_no_answer():
+def test_a_reused_request_id_gets_no_remembered_answer():
     """Guard against a caller that gets the answer to another caller's request.
 
     Two callers choose the same request id for the same key, so that the id
--- a/comfreywharf/routing/tests/test_route.py
+++ b/comfreywharf/routing/tests/test_route.py
@@ -20,7 +20,7 @@
 
 LIMITS = RouteLimits()
 RETRIES = 2
-MOST_SENDS = (
+MAX_SENDS = (
     (LIMITS.holds + 1) * LIMITS.nodes_between_holds + RETRIES + LIMITS.unreached_members
 )
 
@@ -76,7 +76,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.data(), st.booleans())
-def test_every_way_ends(data, divided_by_key):
+def test_routing_always_terminates(data, divided_by_key):
     """The number of sends and the time are bounded for any replies and hints.
 
     Guards against following every hint: while a slice moves, two nodes may each
@@ -98,13 +98,13 @@
             now_s = step.until_s
             progress = after_hold(progress, ownership)
         sends += 1
-        assert sends <= MOST_SENDS
+        assert sends <= MAX_SENDS
     assert now_s <= LIMITS.total_hold_s
 
 
 @settings(derandomize=True, deadline=None)
 @given(replies, st.one_of(st.none(), ownerships), st.booleans())
-def test_only_what_was_not_run_goes_on(reply, ownership, replayable):
+def test_only_requests_that_did_not_run_are_sent_again(reply, ownership, replayable):
     """A request of unknown outcome, or without its whole body, isn't sent again."""
     progress = RouteProgress(target="a", retries_left=RETRIES)
     step = decide(progress, reply, ownership, other_member="b", replayable=replayable)
@@ -122,7 +122,7 @@
     assert isinstance(step, Send) and step.progress.target == "b"
 
 
-def test_a_lost_owners_standby_is_asked_without_the_fold():
+def test_a_request_goes_to_a_lost_owners_standby_before_the_fold_changes():
     """While the log is unavailable, the fold keeps naming the lost owner."""
     step = decide(
         RouteProgress(target="a", retries_left=0),
@@ -132,7 +132,7 @@
     assert isinstance(step, Send) and step.progress.target == "b"
 
 
-def test_a_refusal_is_not_held_back_until_the_deadline():
+def test_a_request_is_not_held_beyond_its_deadline():
     """A request isn't held if the hold would end after its deadline."""
     step = decide(
         RouteProgress(target="a", retries_left=0),
@@ -145,11 +145,11 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.booleans(), max_size=400), st.floats(0, 0.5))
-def test_retries_stay_under_their_fraction(wishes, fraction):
+def test_retries_stay_under_their_fraction(sends_are_retries, fraction):
     """Retries never exceed the declared fraction of the first sends."""
     budget = RetryBudget()
     firsts = retries = 0
-    for retry in wishes:
+    for retry in sends_are_retries:
         if retry:
             retries += budget.take()
         else:
@@ -167,17 +167,18 @@
     limits = RouteLimits(resends=2)
     progress, sends = RouteProgress(target="a", retries_left=0), 0
     reply = refused(Reason.REFUSED_BY_BACKEND)
-    while isinstance(step := decide_here(progress, reply, limits), Send):
+    while isinstance(step := decide_at_owner(progress, reply, limits), Send):
         assert step.retry and step.progress.target == "a"
         progress, sends = step.progress, sends + 1
     assert isinstance(step, GiveUp) and sends == 2
     unknown = attrs.evolve(reply, outcome=Outcome.UNKNOWN)
     assert isinstance(
-        decide_here(RouteProgress(target="a", retries_left=0), unknown, limits), GiveUp
+        decide_at_owner(RouteProgress(target="a", retries_left=0), unknown, limits),
+        GiveUp,
     )
 
 
-def decide_here(progress, reply, limits):
+def decide_at_owner(progress, reply, limits):
     return decide_route(
         progress,
         reply,
@@ -190,7 +191,7 @@
     )
 
 
-def test_members_that_are_gone_use_up_no_retry():
+def test_unavailable_members_use_up_no_retry():
     """Guard against spending the only retry where no server received the request.
 
     If two of a service's three machines are lost, a third of the requests try
