--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/belonging/gossip.py
@@ -15,7 +15,7 @@
     unpack_records,
 )
 from comfreywharf.daemon.recording.snapshots import encode_slowly
-from comfreywharf.membership.gossip import GossipPace, choose_partners, push_count
+from comfreywharf.membership.gossip import GossipInterval, choose_partners, push_count
 from comfreywharf.membership.relays import NewsAge
 from comfreywharf.records.snapshots import SnapshotAssembler
 from comfreywharf.transport import CallError, PeerClient
@@ -63,7 +63,7 @@
     def __init__(self, node, rng=None):
         self._node = node
         self._rng = rng or random.Random(node.settings.node_id)
-        self._pace = GossipPace()
+        self._pace = GossipInterval()
         self._news = Event()
         self._calls = Pool(MAX_CONCURRENT)
         self._encoding = BoundedSemaphore()
@@ -81,7 +81,7 @@
 
     def tell(self):
         """Have some peers told of news as soon as possible."""
-        self._pace.news()
+        self._pace.shorten()
         self._news.set()
 
     def push_to(self, node_ids):
@@ -236,14 +236,14 @@
         follower = self._node.follower
         before = follower.state.next_offset
         while self._exchange(client):
-            self._pace.news()
+            self._pace.shorten()
         if follower.reachable:
-            self._pace.no_news()
+            self._pace.lengthen()
             return
         # Without the log, peers are all that a node hears from, and others may
         # hear from it. With pulling alone, news that a single node of 640 has
         # would need more than half of the 8 s that a change may take.
-        self._pace.news()
+        self._pace.shorten()
         if follower.state.next_offset > before:
             self.tell()
 
--- a/comfreywharf/membership/__init__.py
+++ b/comfreywharf/membership/__init__.py
@@ -4,13 +4,13 @@
 """
 
 from comfreywharf.membership.charts import Chart, load_chart
-from comfreywharf.membership.gossip import GossipPace, choose_partners, push_count
+from comfreywharf.membership.gossip import GossipInterval, choose_partners, push_count
 from comfreywharf.membership.lifecycle import NodeFacts, NodeLife, Pauses
 from comfreywharf.membership.notices import Notice, NoticeBoard
 
 __all__ = [
     "Chart",
-    "GossipPace",
+    "GossipInterval",
     "NodeFacts",
     "NodeLife",
     "Notice",
--- a/comfreywharf/membership/gossip.py
+++ b/comfreywharf/membership/gossip.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-__all__ = ["GossipPace", "choose_partners", "push_count"]
+__all__ = ["GossipInterval", "choose_partners", "push_count"]
 
 BASE_INTERVAL_S = 0.5
 """The interval between two exchanges while there is new information."""
@@ -30,16 +30,16 @@
 
 
 @attrs.define
-class GossipPace:
+class GossipInterval:
     """The interval between a node's own exchanges."""
 
     interval_s: float = BASE_INTERVAL_S
 
-    def news(self):
+    def shorten(self):
         """Go back to the short interval."""
         self.interval_s = BASE_INTERVAL_S
 
-    def no_news(self):
+    def lengthen(self):
         """Lengthen the interval, up to its maximum."""
         self.interval_s = min(self.interval_s * GROWTH, MAX_INTERVAL_S)
 
