--- a/comfreywharf/daemon/servers/backend.py
+++ b/comfreywharf/daemon/servers/backend.py
@@ -10,7 +10,7 @@
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.connections.http import SingleSendClient, shut_down
-from comfreywharf.membership.lives import Life
+from comfreywharf.membership.incarnations import ServerIncarnation
 from comfreywharf.routing import Reason
 
 __all__ = ["Announcement", "Backend", "BackendError", "CancelReply"]
@@ -38,7 +38,7 @@
     @property
     def life(self):
         """Return the life of the server that says it."""
-        return Life(self.instance, self.born_ms)
+        return ServerIncarnation(self.instance, self.born_ms)
 
 
 @attrs.frozen(kw_only=True)
@@ -151,7 +151,7 @@
             # A server that was restarted at the same port knows nothing of what
             # the process before it ran. Its "not run" would have the request run
             # again, and one would see a booking twice under one request id.
-            if not self.announcement.life.is_named(document.get("instance")):
+            if not self.announcement.life.has_id(document.get("instance")):
                 return CancelReply()
             return CancelReply(
                 confirmed=response.status_code == 200
--- a/comfreywharf/daemon/servers/backend_life.py
+++ b/comfreywharf/daemon/servers/backend_life.py
@@ -41,7 +41,7 @@
             if leaving:
                 word = self._instances.leave(life)
             gevent.spawn(self._verify, announcement, sequence)
-        elif word is Word.RIVAL and self._instances.living.began_before(life):
+        elif word is Word.RIVAL and self._instances.living.started_before(life):
             # Nobody need be asked: it began after the living one, under its id.
             self._instances.begin(life, sequence, boottime_s())
             self._begin(announcement)
@@ -87,7 +87,7 @@
             found = self._node.ports.identify(self._node, announcement)
         finally:
             self._verifying.discard(life)
-        if life.is_named(found):
+        if life.has_id(found):
             if self._instances.living != life:
                 self._instances.begin(life, sequence, boottime_s())
                 self._begin(announcement)
--- a/comfreywharf/membership/instances.py
+++ b/comfreywharf/membership/instances.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from comfreywharf.membership.lives import Life
+from comfreywharf.membership.incarnations import ServerIncarnation
 
 __all__ = ["LATEST_REPORT_S", "Instances", "Word"]
 
@@ -46,21 +46,21 @@
     since starts are only compared with each other.
     """
 
-    living: Life | None = None
+    living: ServerIncarnation | None = None
     leaving: bool = False
     _sequence: int = -1
     _ended: set = attrs.Factory(set)
     _newest: dict = attrs.Factory(dict)
     _heard_s: float = float("-inf")
 
-    def hear(self, life, sequence, leaving, now_s):
+    def hear(self, incarnation, sequence, leaving, now_s):
         """Return the `Word` of a heartbeat that was received at ``now_s``."""
-        if life in self._ended or self._lies_behind(life, now_s):
+        if incarnation in self._ended or self._lies_behind(incarnation, now_s):
             return Word.STALE
         if self.living is None:
-            self.begin(life, sequence, now_s)
+            self.begin(incarnation, sequence, now_s)
             return Word.FIRST
-        if life != self.living:
+        if incarnation != self.living:
             return Word.RIVAL
         self._heard_s = now_s
         if sequence <= self._sequence:
@@ -68,34 +68,38 @@
         self._sequence = sequence
         if not leaving:
             return Word.SAME
-        return Word.LEAVING if self.leaving else self.leave(life)
+        return Word.LEAVING if self.leaving else self.leave(incarnation)
 
-    def _lies_behind(self, life, now_s):
-        newest = self._newest.get(life.instance)
+    def _lies_behind(self, incarnation, now_s):
+        newest = self._newest.get(incarnation.instance)
         if newest is None or now_s >= self._heard_s + LATEST_REPORT_S:
             return False
         # A report without a start is damaged if this server's reports have one.
-        damaged = life.born_ms is None and newest.born_ms is not None
-        return damaged or life.began_before(newest)
+        damaged = incarnation.started_ms is None and newest.started_ms is not None
+        return damaged or incarnation.started_before(newest)
 
-    def leave(self, life):
+    def leave(self, incarnation):
         """Record that an incarnation leaves.
 
         Return `Word.LEAVES` if that is the first such report of the current one,
         and `Word.STALE` otherwise.
         """
-        if self.living is None or not life.may_be(self.living) or self.leaving:
+        if (
+            self.living is None
+            or not incarnation.may_refer_to(self.living)
+            or self.leaving
+        ):
             return Word.STALE
         self.leaving = True
         return Word.LEAVES
 
-    def begin(self, life, sequence=-1, now_s=float("-inf")):
+    def begin(self, incarnation, sequence=-1, now_s=float("-inf")):
         """Make an incarnation the current one; the one before it has ended."""
         self.end()
-        self.living = life
+        self.living = incarnation
         self._sequence = sequence
         self._heard_s = now_s
-        self._newest[life.instance] = life
+        self._newest[incarnation.instance] = incarnation
 
     def end(self):
         """Record that the current incarnation has ended."""
--- a/comfreywharf/membership/tests/test_ids_alone.py
+++ b/comfreywharf/membership/tests/test_ids_alone.py
@@ -1,4 +1,4 @@
-"""Tests that only the module of `Life` compares backend servers by their ids."""
+"""Tests that only the module of `ServerIncarnation` compares servers by their ids."""
 
 import ast
 from pathlib import Path
@@ -6,7 +6,7 @@
 import comfreywharf
 
 ROOT = Path(comfreywharf.__file__).parent
-LIVES = ROOT / "membership" / "lives.py"
+INCARNATIONS_MODULE = ROOT / "membership" / "incarnations.py"
 NAMES = {"instance", "instance_id"}
 
 
@@ -31,10 +31,14 @@
     """Guard against attributing an earlier incarnation's report to the current one.
 
     This happens if a server crashes and restarts under the same id, and a module
-    compares the two incarnations by their ids instead of using `Life`.
+    compares the two incarnations by their ids instead of using `ServerIncarnation`.
     """
     modules = [path for path in ROOT.rglob("*.py") if "tests" not in path.parts]
-    modules = [path for path in modules if path != LIVES and "gen" not in path.parts]
+    modules = [
+        path
+        for path in modules
+        if path != INCARNATIONS_MODULE and "gen" not in path.parts
+    ]
     found = {
         str(path.relative_to(ROOT)): lines
         for path in modules
--- a/comfreywharf/membership/tests/test_instances.py
+++ b/comfreywharf/membership/tests/test_instances.py
@@ -2,11 +2,11 @@
 
 import pytest
 
+from comfreywharf.membership.incarnations import ServerIncarnation
 from comfreywharf.membership.instances import LATEST_REPORT_S, Instances, Word
-from comfreywharf.membership.lives import Life
 
 NOW_S = 100.0
-A, B = Life("a"), Life("b")
+A, B = ServerIncarnation("a"), ServerIncarnation("b")
 
 
 def test_a_life_from_first_word_to_leaving():
@@ -64,7 +64,7 @@
     assert instances.hear(B, 1, False, NOW_S) is Word.FIRST
 
 
-FIRST, SECOND = Life("a", 1_000), Life("a", 2_000)
+FIRST, SECOND = ServerIncarnation("a", 1_000), ServerIncarnation("a", 2_000)
 
 
 def second_life(sequence=1):
@@ -110,7 +110,7 @@
     """Without a start, it applies to the current incarnation with that id."""
     instances = second_life()
     assert instances.leave(FIRST) is Word.STALE
-    assert instances.leave(Life("a")) is Word.LEAVES
+    assert instances.leave(ServerIncarnation("a")) is Word.LEAVES
 
 
 def test_a_start_that_lies_behind_is_believed_once_no_report_can_be_that_late():
@@ -120,7 +120,7 @@
     that its start is before that of its earlier incarnation.
     """
     instances = second_life()
-    back = Life("a", 500)
+    back = ServerIncarnation("a", 500)
     assert instances.hear(back, 1, False, NOW_S + LATEST_REPORT_S) is Word.STALE
     late_s = NOW_S + 1 + LATEST_REPORT_S
     assert instances.hear(back, 2, False, late_s) is Word.RIVAL
@@ -129,12 +129,17 @@
 def test_equal_starts_are_one_life():
     """Its reports are ordered by their sequence numbers alone."""
     instances = second_life(sequence=10)
-    assert instances.hear(Life("a", 2_000), 10, False, NOW_S + 2) is Word.STALE
-    assert instances.hear(Life("a", 2_000), 11, False, NOW_S + 2) is Word.SAME
+    assert (
+        instances.hear(ServerIncarnation("a", 2_000), 10, False, NOW_S + 2)
+        is Word.STALE
+    )
+    assert (
+        instances.hear(ServerIncarnation("a", 2_000), 11, False, NOW_S + 2) is Word.SAME
+    )
 
 
 def test_a_report_without_the_start_that_its_life_gives_is_of_nobody():
     """Such a report is from another sender, or damaged."""
     instances = second_life()
-    assert instances.hear(Life("a"), 9, True, NOW_S + 2) is Word.STALE
+    assert instances.hear(ServerIncarnation("a"), 9, True, NOW_S + 2) is Word.STALE
     assert not instances.leaving
--- a/comfreywharf/platform/announcements.py
+++ b/comfreywharf/platform/announcements.py
@@ -7,7 +7,7 @@
 import orjson
 
 from comfreywharf.daemon.servers.backend import Announcement
-from comfreywharf.membership.lives import Life
+from comfreywharf.membership.incarnations import ServerIncarnation
 from comfreywharf.ownership.hold_lists import HeldRange, ReleasedRange
 from comfreywharf.platform.durations import duration_s
 from comfreywharf.records import NUMBER_KEYS
@@ -88,7 +88,7 @@
         connections=slots + SPARE_CONNECTIONS,
         checks_fences=True,
         instance=instance,
-        born_ms=life.born_ms,
+        born_ms=life.started_ms,
     )
     return Heartbeat(
         announcement=announcement,
@@ -136,7 +136,10 @@
 
 
 def read_deregistration(instance, body):
-    """Return the `Life` that leaves; raises `DamagedReport`. It may have no body."""
+    """Return the `ServerIncarnation` that leaves; raises `DamagedReport`.
+
+    It may have no body.
+    """
     return _life(instance, _fields(body) if body else {})
 
 
@@ -156,7 +159,7 @@
     born_ms = fields.get("born")
     if born_ms is not None:
         born_ms = _whole(fields, "born", LATEST_START_MS)
-    return Life(instance, born_ms)
+    return ServerIncarnation(instance, born_ms)
 
 
 def _address(value):
--- a/comfreywharf_dev/standins/platform_server.py
+++ b/comfreywharf_dev/standins/platform_server.py
@@ -10,7 +10,7 @@
 from gevent.pool import Pool
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.membership.lives import Life
+from comfreywharf.membership.incarnations import ServerIncarnation
 from comfreywharf.platform.durations import duration_s
 
 __all__ = ["HEARTBEAT_S", "PlatformServer", "Run", "Taken", "post"]
@@ -32,7 +32,7 @@
 class Taken:
     """One grant that a life of a server took."""
 
-    life: Life
+    life: ServerIncarnation
     first: int
     last: int
     fence: int
@@ -149,7 +149,7 @@
     @property
     def life(self):
         """Return what names its present life."""
-        return Life(self.instance, self.born_ms)
+        return ServerIncarnation(self.instance, self.born_ms)
 
     @property
     def works(self):
