--- a/comfreywharf/daemon/servers/backend_life.py
+++ b/comfreywharf/daemon/servers/backend_life.py
@@ -4,7 +4,7 @@
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.servers.draining import tell_draining
-from comfreywharf.membership.instances import Instances, Word
+from comfreywharf.membership.instances import HeartbeatKind, InstanceTracker
 
 __all__ = ["BackendLife"]
 
@@ -24,7 +24,7 @@
     def __init__(self, node, drain_s):
         self._node = node
         self._drain_s = drain_s
-        self._instances = Instances()
+        self._instances = InstanceTracker()
         self._announced = None
         self._verifying = set()
 
@@ -35,33 +35,35 @@
         living one holds, and its answer mustn't grant anything.
         """
         life = announcement.life
-        word = self._instances.hear(life, sequence, leaving, boottime_s())
-        if word is Word.FIRST:
+        word = self._instances.receive_heartbeat(life, sequence, leaving, boottime_s())
+        if word is HeartbeatKind.FIRST:
             self._begin(announcement)
             if leaving:
                 word = self._instances.leave(life)
             gevent.spawn(self._verify, announcement, sequence)
-        elif word is Word.RIVAL and self._instances.living.started_before(life):
+        elif word is HeartbeatKind.RIVAL and self._instances.current.started_before(
+            life
+        ):
             # Nobody need be asked: it began after the living one, under its id.
-            self._instances.begin(life, sequence, boottime_s())
+            self._instances.set_current(life, sequence, boottime_s())
             self._begin(announcement)
             if leaving:
                 word = self._instances.leave(life)
-        elif word is Word.RIVAL:
+        elif word is HeartbeatKind.RIVAL:
             gevent.spawn(self._verify, announcement, sequence)
-        elif word is Word.SAME and self._node.backend is None:
+        elif word is HeartbeatKind.SAME and self._node.backend is None:
             self._node.backend_speaks()
             gevent.spawn(self._verify, announcement, sequence)
-        elif word is Word.SAME:
+        elif word is HeartbeatKind.SAME:
             self._node.backend_announced(self._announced)
-        if word is Word.LEAVES:
+        if word is HeartbeatKind.LEAVES:
             self._leave()
-        speaks = self._instances.living == life and word is not Word.STALE
+        speaks = self._instances.current == life and word is not HeartbeatKind.STALE
         return speaks and self._node.backend is not None
 
     def leaves(self, life):
         """Take the word of a server that it leaves, or has left."""
-        if self._instances.leave(life) is Word.LEAVES:
+        if self._instances.leave(life) is HeartbeatKind.LEAVES:
             self._leave()
 
     def lost(self):
@@ -88,18 +90,18 @@
         finally:
             self._verifying.discard(life)
         if life.has_id(found):
-            if self._instances.living != life:
-                self._instances.begin(life, sequence, boottime_s())
+            if self._instances.current != life:
+                self._instances.set_current(life, sequence, boottime_s())
                 self._begin(announcement)
             elif self._node.backend is None and not self._instances.leaving:
                 # It was given up since its port refused, and it is there after all.
                 self._node.backend_announced(self._announced)
-        elif found and self._instances.living == life:
+        elif found and self._instances.current == life:
             self._node.backend_lost("another instance answers")
 
     def _leave(self):
-        self._node.backend_leaves(self._instances.living.instance)
-        gevent.spawn(self._drain, self._instances.living)
+        self._node.backend_leaves(self._instances.current.instance)
+        gevent.spawn(self._drain, self._instances.current)
 
     def _drain(self, life):
         """Have the log say that the server leaves; end its work in time anyway.
@@ -109,11 +111,11 @@
         """
         gevent.spawn(self._tell_leaving, life)
         gevent.sleep(self._drain_s - DRAIN_MARGIN_S)
-        if self._instances.living == life and self._instances.leaving:
+        if self._instances.current == life and self._instances.leaving:
             self._node.close_to_new_work()
 
     def _tell_leaving(self, life):
-        while self._instances.living == life and self._instances.leaving:
+        while self._instances.current == life and self._instances.leaving:
             if tell_draining(self._node, True):
                 return
             gevent.sleep(RETRY_S)
@@ -121,7 +123,7 @@
     def _return(self):
         """Have the log say that a new server takes work where one had left."""
         me = self._node.settings.node_id
-        while self._instances.living and not self._instances.leaving:
+        while self._instances.current and not self._instances.leaving:
             member = self._node.follower.state.members.get(me)
             if member is None or not member.draining:
                 return
--- a/comfreywharf/membership/instances.py
+++ b/comfreywharf/membership/instances.py
@@ -6,14 +6,14 @@
 
 from comfreywharf.membership.incarnations import ServerIncarnation
 
-__all__ = ["LATEST_REPORT_S", "Instances", "Word"]
+__all__ = ["MAX_REPORT_DELAY_S", "HeartbeatKind", "InstanceTracker"]
 
-LATEST_REPORT_S = 5.0
+MAX_REPORT_DELAY_S = 5.0
 """How long a heartbeat may be in transit, in seconds; specified by the platform. Until
 then, a report with a start before the newest one is considered late."""
 
 
-class Word(Enum):
+class HeartbeatKind(Enum):
     """What a heartbeat or a deregistration means for the current incarnation.
 
     ``FIRST``: there was no current incarnation before; ``RIVAL``: it is from another
@@ -32,7 +32,7 @@
 
 
 @attrs.define
-class Instances:
+class InstanceTracker:
     """The current incarnation, and those that ended.
 
     Heartbeats can arrive out of order: one that a partition delayed may arrive after
@@ -46,33 +46,33 @@
     since starts are only compared with each other.
     """
 
-    living: ServerIncarnation | None = None
+    current: ServerIncarnation | None = None
     leaving: bool = False
     _sequence: int = -1
     _ended: set = attrs.Factory(set)
     _newest: dict = attrs.Factory(dict)
-    _heard_s: float = float("-inf")
-
-    def hear(self, incarnation, sequence, leaving, now_s):
-        """Return the `Word` of a heartbeat that was received at ``now_s``."""
-        if incarnation in self._ended or self._lies_behind(incarnation, now_s):
-            return Word.STALE
-        if self.living is None:
-            self.begin(incarnation, sequence, now_s)
-            return Word.FIRST
-        if incarnation != self.living:
-            return Word.RIVAL
-        self._heard_s = now_s
+    _last_report_s: float = float("-inf")
+
+    def receive_heartbeat(self, incarnation, sequence, leaving, now_s):
+        """Return the `HeartbeatKind` of a heartbeat that was received at ``now_s``."""
+        if incarnation in self._ended or self._is_outdated(incarnation, now_s):
+            return HeartbeatKind.STALE
+        if self.current is None:
+            self.set_current(incarnation, sequence, now_s)
+            return HeartbeatKind.FIRST
+        if incarnation != self.current:
+            return HeartbeatKind.RIVAL
+        self._last_report_s = now_s
         if sequence <= self._sequence:
-            return Word.STALE
+            return HeartbeatKind.STALE
         self._sequence = sequence
         if not leaving:
-            return Word.SAME
-        return Word.LEAVING if self.leaving else self.leave(incarnation)
+            return HeartbeatKind.SAME
+        return HeartbeatKind.LEAVING if self.leaving else self.leave(incarnation)
 
-    def _lies_behind(self, incarnation, now_s):
+    def _is_outdated(self, incarnation, now_s):
         newest = self._newest.get(incarnation.instance)
-        if newest is None or now_s >= self._heard_s + LATEST_REPORT_S:
+        if newest is None or now_s >= self._last_report_s + MAX_REPORT_DELAY_S:
             return False
         # A report without a start is damaged if this server's reports have one.
         damaged = incarnation.started_ms is None and newest.started_ms is not None
@@ -81,29 +81,29 @@
     def leave(self, incarnation):
         """Record that an incarnation leaves.
 
-        Return `Word.LEAVES` if that is the first such report of the current one,
-        and `Word.STALE` otherwise.
+        Return `HeartbeatKind.LEAVES` if that is the first such report of the current
+        one, and `HeartbeatKind.STALE` otherwise.
         """
         if (
-            self.living is None
-            or not incarnation.may_refer_to(self.living)
+            self.current is None
+            or not incarnation.may_refer_to(self.current)
             or self.leaving
         ):
-            return Word.STALE
+            return HeartbeatKind.STALE
         self.leaving = True
-        return Word.LEAVES
+        return HeartbeatKind.LEAVES
 
-    def begin(self, incarnation, sequence=-1, now_s=float("-inf")):
+    def set_current(self, incarnation, sequence=-1, now_s=float("-inf")):
         """Make an incarnation the current one; the one before it has ended."""
         self.end()
-        self.living = incarnation
+        self.current = incarnation
         self._sequence = sequence
-        self._heard_s = now_s
+        self._last_report_s = now_s
         self._newest[incarnation.instance] = incarnation
 
     def end(self):
         """Record that the current incarnation has ended."""
-        if self.living is not None:
-            self._ended.add(self.living)
-        self.living = None
+        if self.current is not None:
+            self._ended.add(self.current)
+        self.current = None
         self.leaving = False
--- a/comfreywharf/membership/tests/test_instances.py
+++ b/comfreywharf/membership/tests/test_instances.py
@@ -3,7 +3,11 @@
 import pytest
 
 from comfreywharf.membership.incarnations import ServerIncarnation
-from comfreywharf.membership.instances import LATEST_REPORT_S, Instances, Word
+from comfreywharf.membership.instances import (
+    MAX_REPORT_DELAY_S,
+    HeartbeatKind,
+    InstanceTracker,
+)
 
 NOW_S = 100.0
 A, B = ServerIncarnation("a"), ServerIncarnation("b")
@@ -11,12 +15,12 @@
 
 def test_a_life_from_first_word_to_leaving():
     """Reports that arrive in order."""
-    instances = Instances()
-    assert instances.hear(A, 1, False, NOW_S) is Word.FIRST
-    assert instances.hear(A, 2, False, NOW_S) is Word.SAME
-    assert instances.hear(A, 3, True, NOW_S) is Word.LEAVES
-    assert instances.hear(A, 4, True, NOW_S) is Word.LEAVING
-    assert instances.hear(A, 4, True, NOW_S) is Word.STALE
+    instances = InstanceTracker()
+    assert instances.receive_heartbeat(A, 1, False, NOW_S) is HeartbeatKind.FIRST
+    assert instances.receive_heartbeat(A, 2, False, NOW_S) is HeartbeatKind.SAME
+    assert instances.receive_heartbeat(A, 3, True, NOW_S) is HeartbeatKind.LEAVES
+    assert instances.receive_heartbeat(A, 4, True, NOW_S) is HeartbeatKind.LEAVING
+    assert instances.receive_heartbeat(A, 4, True, NOW_S) is HeartbeatKind.STALE
 
 
 def test_a_late_heartbeat_doesnt_undo_a_leaving():
@@ -25,10 +29,10 @@
     A "ready" report is delayed and arrives after "draining", so that the last
     report to arrive isn't the newest one.
     """
-    instances = Instances()
-    instances.hear(A, 1, False, NOW_S)
-    instances.hear(A, 3, True, NOW_S)
-    assert instances.hear(A, 2, False, NOW_S) is Word.STALE
+    instances = InstanceTracker()
+    instances.receive_heartbeat(A, 1, False, NOW_S)
+    instances.receive_heartbeat(A, 3, True, NOW_S)
+    assert instances.receive_heartbeat(A, 2, False, NOW_S) is HeartbeatKind.STALE
     assert instances.leaving
 
 
@@ -38,41 +42,44 @@
     Server a crashes, b registers at its address, and then a late heartbeat of a
     arrives, so that the last server to report isn't the current one.
     """
-    instances = Instances()
-    instances.hear(A, 5, False, NOW_S)
-    assert instances.hear(B, 1, False, NOW_S) is Word.RIVAL
-    instances.begin(B, 1, NOW_S)
-    assert instances.hear(A, 6, False, NOW_S) is Word.STALE
-    assert instances.living == B
+    instances = InstanceTracker()
+    instances.receive_heartbeat(A, 5, False, NOW_S)
+    assert instances.receive_heartbeat(B, 1, False, NOW_S) is HeartbeatKind.RIVAL
+    instances.set_current(B, 1, NOW_S)
+    assert instances.receive_heartbeat(A, 6, False, NOW_S) is HeartbeatKind.STALE
+    assert instances.current == B
 
 
 def test_a_server_that_only_deregisters_leaves_as_well():
     """Some servers never report that they drain."""
-    instances = Instances()
-    instances.hear(A, 1, False, NOW_S)
-    assert instances.leave(A) is Word.LEAVES
-    assert instances.leave(A) is Word.STALE
-    assert instances.leave(B) is Word.STALE
+    instances = InstanceTracker()
+    instances.receive_heartbeat(A, 1, False, NOW_S)
+    assert instances.leave(A) is HeartbeatKind.LEAVES
+    assert instances.leave(A) is HeartbeatKind.STALE
+    assert instances.leave(B) is HeartbeatKind.STALE
 
 
 def test_after_its_end_an_instance_is_gone_for_good():
     """A heartbeat that was in transit when the server crashed changes nothing."""
-    instances = Instances()
-    instances.hear(A, 1, False, NOW_S)
+    instances = InstanceTracker()
+    instances.receive_heartbeat(A, 1, False, NOW_S)
     instances.end()
-    assert instances.hear(A, 2, False, NOW_S) is Word.STALE
-    assert instances.hear(B, 1, False, NOW_S) is Word.FIRST
+    assert instances.receive_heartbeat(A, 2, False, NOW_S) is HeartbeatKind.STALE
+    assert instances.receive_heartbeat(B, 1, False, NOW_S) is HeartbeatKind.FIRST
 
 
 FIRST, SECOND = ServerIncarnation("a", 1_000), ServerIncarnation("a", 2_000)
 
 
 def second_life(sequence=1):
-    """Return `Instances` that saw a server's first and second incarnation."""
-    instances = Instances()
-    instances.hear(FIRST, 900, False, NOW_S)
-    assert instances.hear(SECOND, sequence, False, NOW_S + 1) is Word.RIVAL
-    instances.begin(SECOND, sequence, NOW_S + 1)
+    """Return an `InstanceTracker` after a server's first and second incarnation."""
+    instances = InstanceTracker()
+    instances.receive_heartbeat(FIRST, 900, False, NOW_S)
+    assert (
+        instances.receive_heartbeat(SECOND, sequence, False, NOW_S + 1)
+        is HeartbeatKind.RIVAL
+    )
+    instances.set_current(SECOND, sequence, NOW_S + 1)
     return instances
 
 
@@ -84,7 +91,9 @@
     considered late ones of the first incarnation.
     """
     instances = second_life()
-    assert instances.hear(SECOND, 5, True, NOW_S + 2) is Word.LEAVES
+    assert (
+        instances.receive_heartbeat(SECOND, 5, True, NOW_S + 2) is HeartbeatKind.LEAVES
+    )
 
 
 @pytest.mark.parametrize("leaving", [False, True])
@@ -95,22 +104,27 @@
     report of the second one, and has a higher sequence number.
     """
     instances = second_life()
-    assert instances.hear(FIRST, 901, leaving, NOW_S + 2) is Word.STALE
-    assert (instances.living, instances.leaving) == (SECOND, False)
+    assert (
+        instances.receive_heartbeat(FIRST, 901, leaving, NOW_S + 2)
+        is HeartbeatKind.STALE
+    )
+    assert (instances.current, instances.leaving) == (SECOND, False)
 
 
 def test_a_late_report_of_a_life_that_was_never_heard_changes_nothing():
     """The node started after that incarnation had ended."""
-    instances = Instances()
-    instances.hear(SECOND, 1, False, NOW_S)
-    assert instances.hear(FIRST, 901, False, NOW_S + 1) is Word.STALE
+    instances = InstanceTracker()
+    instances.receive_heartbeat(SECOND, 1, False, NOW_S)
+    assert (
+        instances.receive_heartbeat(FIRST, 901, False, NOW_S + 1) is HeartbeatKind.STALE
+    )
 
 
 def test_a_late_deregistration_of_the_first_life_changes_nothing():
     """Without a start, it applies to the current incarnation with that id."""
     instances = second_life()
-    assert instances.leave(FIRST) is Word.STALE
-    assert instances.leave(ServerIncarnation("a")) is Word.LEAVES
+    assert instances.leave(FIRST) is HeartbeatKind.STALE
+    assert instances.leave(ServerIncarnation("a")) is HeartbeatKind.LEAVES
 
 
 def test_a_start_that_lies_behind_is_believed_once_no_report_can_be_that_late():
@@ -121,25 +135,32 @@
     """
     instances = second_life()
     back = ServerIncarnation("a", 500)
-    assert instances.hear(back, 1, False, NOW_S + LATEST_REPORT_S) is Word.STALE
-    late_s = NOW_S + 1 + LATEST_REPORT_S
-    assert instances.hear(back, 2, False, late_s) is Word.RIVAL
+    assert (
+        instances.receive_heartbeat(back, 1, False, NOW_S + MAX_REPORT_DELAY_S)
+        is HeartbeatKind.STALE
+    )
+    late_s = NOW_S + 1 + MAX_REPORT_DELAY_S
+    assert instances.receive_heartbeat(back, 2, False, late_s) is HeartbeatKind.RIVAL
 
 
 def test_equal_starts_are_one_life():
     """Its reports are ordered by their sequence numbers alone."""
     instances = second_life(sequence=10)
     assert (
-        instances.hear(ServerIncarnation("a", 2_000), 10, False, NOW_S + 2)
-        is Word.STALE
+        instances.receive_heartbeat(ServerIncarnation("a", 2_000), 10, False, NOW_S + 2)
+        is HeartbeatKind.STALE
     )
     assert (
-        instances.hear(ServerIncarnation("a", 2_000), 11, False, NOW_S + 2) is Word.SAME
+        instances.receive_heartbeat(ServerIncarnation("a", 2_000), 11, False, NOW_S + 2)
+        is HeartbeatKind.SAME
     )
 
 
 def test_a_report_without_the_start_that_its_life_gives_is_of_nobody():
     """Such a report is from another sender, or damaged."""
     instances = second_life()
-    assert instances.hear(ServerIncarnation("a"), 9, True, NOW_S + 2) is Word.STALE
+    assert (
+        instances.receive_heartbeat(ServerIncarnation("a"), 9, True, NOW_S + 2)
+        is HeartbeatKind.STALE
+    )
     assert not instances.leaving
