--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -33,7 +33,7 @@
 from comfreywharf.daemon.requests.routes import Routes
 from comfreywharf.daemon.stopping import stop_gracefully, stop_within
 from comfreywharf.events.ownership import OwnershipChanges
-from comfreywharf.membership import NodeFacts, NodeLife, Pauses
+from comfreywharf.membership import NodeFacts, NodeLifecycle, PauseDetector
 from comfreywharf.metrics import Metrics
 from comfreywharf.ownership import WITNESSES
 from comfreywharf.ownership.holds import NOTHING_HELD_S
@@ -61,7 +61,7 @@
         self.ports = ports or OwnPorts(settings)
         self.incarnation = time.time_ns() // 1_000_000
         self.begun = Event()
-        self.life = NodeLife()
+        self.life = NodeLifecycle()
         self.metrics = Metrics()
         self.reporter = Reporter(settings.node_id, self.incarnation, self.metrics)
         self.report = self.reporter.report
@@ -152,11 +152,11 @@
 
     def _live(self):
         """Follow this node's life cycle, and notice that it was frozen."""
-        pauses = Pauses(boottime_s(), LIFE_CHECK_S)
+        pauses = PauseDetector(boottime_s(), LIFE_CHECK_S)
         told_too_few = False
         while True:
             gevent.sleep(LIFE_CHECK_S)
-            paused_s = pauses.ran(boottime_s())
+            paused_s = pauses.record_run(boottime_s())
             if paused_s is not None:
                 self.report("node_was_paused", paused_s=round(paused_s, 3))
             moved = self.life.observe(self._facts())
--- a/comfreywharf/membership/__init__.py
+++ b/comfreywharf/membership/__init__.py
@@ -5,17 +5,17 @@
 
 from comfreywharf.membership.charts import Chart, load_chart
 from comfreywharf.membership.gossip import GossipInterval, choose_partners, push_count
-from comfreywharf.membership.lifecycle import NodeFacts, NodeLife, Pauses
+from comfreywharf.membership.lifecycle import NodeFacts, NodeLifecycle, PauseDetector
 from comfreywharf.membership.notices import Notice, NoticeBoard
 
 __all__ = [
     "Chart",
     "GossipInterval",
     "NodeFacts",
-    "NodeLife",
+    "NodeLifecycle",
     "Notice",
     "NoticeBoard",
-    "Pauses",
+    "PauseDetector",
     "choose_partners",
     "load_chart",
     "push_count",
--- a/comfreywharf/membership/lifecycle.py
+++ b/comfreywharf/membership/lifecycle.py
@@ -4,11 +4,11 @@
 
 from comfreywharf.membership.charts import Chart, load_chart
 
-__all__ = ["NodeFacts", "NodeLife", "Pauses"]
+__all__ = ["NodeFacts", "NodeLifecycle", "PauseDetector"]
 
 _CHART = load_chart(__package__, "node.toml")
 
-PAUSE_S = 0.5
+MIN_PAUSE_S = 0.5
 """The shortest delay of a loop, in seconds, that counts as a pause. It may be caused by
 the machine or by work of the process itself."""
 
@@ -23,14 +23,14 @@
     draining: bool
 
 
-class NodeLife:
+class NodeLifecycle:
     """Track a node's state, based on its conditions.
 
-    >>> life = NodeLife()
+    >>> lifecycle = NodeLifecycle()
     >>> facts = NodeFacts(
     ...     caught_up=True, lease_held=True, superseded=False, draining=False)
-    >>> life.observe(facts), life.observe(facts), life.observe(facts)
-    (('starting', 'joining'), ('joining', 'active'), None)
+    >>> [lifecycle.observe(facts) for _ in range(3)]
+    [('starting', 'joining'), ('joining', 'active'), None]
     """
 
     def __init__(self):
@@ -70,7 +70,7 @@
         return "lease_held" if facts.lease_held else "lease_lost"
 
 
-class Pauses:
+class PauseDetector:
     """Detect that this process was frozen, from the times at which it ran.
 
     A process can detect a freeze only afterwards. The resulting event shows an
@@ -78,11 +78,11 @@
     """
 
     def __init__(self, now_s, interval_s):
-        self._ran_s = now_s
+        self._last_run_s = now_s
         self._interval_s = interval_s
 
-    def ran(self, now_s):
+    def record_run(self, now_s):
         """Record a run; return the preceding pause in seconds, or ``None``."""
-        paused_s = now_s - self._ran_s - self._interval_s
-        self._ran_s = now_s
-        return paused_s if paused_s > PAUSE_S else None
+        paused_s = now_s - self._last_run_s - self._interval_s
+        self._last_run_s = now_s
+        return paused_s if paused_s > MIN_PAUSE_S else None
