--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/belonging/gossip.py
@@ -16,7 +16,7 @@
 )
 from comfreywharf.daemon.recording.snapshots import encode_slowly
 from comfreywharf.membership.gossip import GossipInterval, choose_partners, push_count
-from comfreywharf.membership.relays import NewsAge
+from comfreywharf.membership.relays import RelayedAge
 from comfreywharf.records.snapshots import SnapshotAssembler
 from comfreywharf.transport import CallError, PeerClient
 from comfreywharf.transport.gen.ttypes import (
@@ -251,12 +251,13 @@
         """Exchange with a peer that answers once it has news, or after a wait.
 
         Return how old this node's fold and routes are by what the peer says of its own,
-        as a `NewsAge`, or ``None`` where the peer knows that records are missing here.
+        as a `RelayedAge`, or ``None`` where the peer knows that records are missing
+        here.
         """
         reply, _ = self._ask(client, wait_s)
         if reply.log_age_ms < 0 or not self._node.follower.knows(reply.next_offset):
             return None
-        return NewsAge(reply.log_age_ms / 1000, _age_s(reply.routes_age_ms))
+        return RelayedAge(reply.log_age_ms / 1000, _age_s(reply.routes_age_ms))
 
     def _exchange(self, client):
         """Exchange once; return whether there is more to be had at once."""
--- a/comfreywharf/daemon/belonging/relaying.py
+++ b/comfreywharf/daemon/belonging/relaying.py
@@ -22,8 +22,8 @@
         self._node = node
         self._relays = Relays(
             node.settings.node_id,
-            most_age_s=read_wait_s + MOST_AGE_MARGIN_S,
-            most_routes_age_s=longest_relayed_age_s(node.ports.routes_apply_s),
+            max_age_s=read_wait_s + MOST_AGE_MARGIN_S,
+            max_routes_age_s=longest_relayed_age_s(node.ports.routes_apply_s),
         )
 
     def listen(self):
--- a/comfreywharf/membership/relays.py
+++ b/comfreywharf/membership/relays.py
@@ -11,13 +11,13 @@
 import attrs
 import xxhash
 
-__all__ = ["FANOUT", "NewsAge", "Relays"]
+__all__ = ["FANOUT", "RelayedAge", "Relays"]
 
 FANOUT = 16
 """How many nodes receive from the same relay. At 640 nodes each relay sends the log's
 records to 16 others, and a record passes two relays."""
 
-AVOIDED_S = 5.0
+AVOIDANCE_S = 5.0
 """How long a relay that didn't answer, or had stale data, isn't queried again, in
 seconds. A restart takes about as long; an earlier query would cost its timeout."""
 
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class NewsAge:
+class RelayedAge:
     """The maximum age of the data that a relay forwards: log records and routes."""
 
     records_s: float
@@ -41,48 +41,48 @@
 class Relays:
     """Choose the member from which a node receives the log's records.
 
-    ``most_age_s`` is the maximum age of the records of a node that reads the log
-    itself, ``most_routes_age_s`` that of the routes of any relay.
+    ``max_age_s`` is the maximum age of the records of a node that reads the log
+    itself, ``max_routes_age_s`` that of the routes of any relay.
 
-    >>> relays = Relays("a", most_age_s=1.5)
+    >>> relays = Relays("a", max_age_s=1.5)
     >>> relays.choose(["a"], now_s=0.0)
     ''
     """
 
     node_id: str
-    most_age_s: float
-    most_routes_age_s: float = float("inf")
-    _avoided: dict = attrs.Factory(dict)
+    max_age_s: float
+    max_routes_age_s: float = float("inf")
+    _avoided_until_s: dict = attrs.Factory(dict)
 
     def choose(self, members, now_s):
         """Return the member to query now, or ``""`` to read the log itself."""
-        for node_id, until_s in list(self._avoided.items()):
+        for node_id, until_s in list(self._avoided_until_s.items()):
             if now_s >= until_s:
-                del self._avoided[node_id]
-        for node_id in self._above(members):
-            if node_id not in self._avoided:
+                del self._avoided_until_s[node_id]
+        for node_id in self._possible_relays(members):
+            if node_id not in self._avoided_until_s:
                 return node_id
         return ""
 
     def failed(self, node_id, now_s):
         """Record that a relay didn't answer, or that its data was outdated."""
-        self._avoided[node_id] = now_s + AVOIDED_S
+        self._avoided_until_s[node_id] = now_s + AVOIDANCE_S
 
     def is_fresh(self, members, relay_id, age):
         """Return whether a relay's data is as recent as expected at its level.
 
-        ``age`` is its `NewsAge`. A relay that the log refuses keeps answering, and
+        ``age`` is its `RelayedAge`. A relay that the log refuses keeps answering, and
         nodes that receive from it would use an outdated configuration without
         noticing. Routes and records are read separately, so each may be outdated
         while the other is not.
         """
         order = self._order(members)
         level = _level(order.index(relay_id)) if relay_id in order else 0
-        if age.routes_s > self.most_routes_age_s:
+        if age.routes_s > self.max_routes_age_s:
             return False
-        return age.records_s <= self.most_age_s + level * LEVEL_AGE_S
+        return age.records_s <= self.max_age_s + level * LEVEL_AGE_S
 
-    def _above(self, members):
+    def _possible_relays(self, members):
         """Return the possible relays of this node, the preferred one first.
 
         Only members of a lower rank are possible, so that no two nodes receive
--- a/comfreywharf/membership/tests/test_relays.py
+++ b/comfreywharf/membership/tests/test_relays.py
@@ -3,18 +3,18 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from comfreywharf.membership.relays import FANOUT, NewsAge, Relays
+from comfreywharf.membership.relays import FANOUT, RelayedAge, Relays
 from comfreywharf.routes import longest_relayed_age_s
 
 NAMES = st.sets(st.integers(0, 2000), min_size=1, max_size=700).map(
     lambda numbers: [f"node-{number}" for number in numbers]
 )
-MOST_AGE_S = 1.5
+MAX_AGE_S = 1.5
 NOW_S = 50.0
 
 
 def relay_of(node_id, members):
-    return Relays(node_id, MOST_AGE_S).choose(members, NOW_S)
+    return Relays(node_id, MAX_AGE_S).choose(members, NOW_S)
 
 
 @given(NAMES)
@@ -39,7 +39,7 @@
     """
     relays = {}
     for name in members:
-        own = Relays(name, MOST_AGE_S)
+        own = Relays(name, MAX_AGE_S)
         while (chosen := own.choose(members, NOW_S)) and rng.random() < 0.5:
             own.failed(chosen, NOW_S)
         relays[name] = chosen
@@ -63,7 +63,7 @@
     members = ["a", "b", "c", "d"]
     order = sorted(members, key=lambda name: len(relay_of(name, members)))
     reader = next(name for name in members if not relay_of(name, members))
-    last = Relays(order[-1], MOST_AGE_S)
+    last = Relays(order[-1], MAX_AGE_S)
     assert last.choose(members, NOW_S) == reader
     last.failed(reader, NOW_S)
     second = last.choose(members, NOW_S + 1)
@@ -82,8 +82,8 @@
     """
     members = ["a", "b"]
     reader = next(name for name in members if not relay_of(name, members))
-    age = NewsAge(records_s=age_s, routes_s=0.0)
-    assert Relays("c", MOST_AGE_S).is_fresh(members, reader, age) is fresh
+    age = RelayedAge(records_s=age_s, routes_s=0.0)
+    assert Relays("c", MAX_AGE_S).is_fresh(members, reader, age) is fresh
 
 
 @pytest.mark.parametrize(("age_s", "fresh"), [(0.2, True), (1.7, True), (1.9, False)])
@@ -91,8 +91,8 @@
     """Guard against a relay that is considered fresh by its records alone."""
     members = ["a", "b"]
     reader = next(name for name in members if not relay_of(name, members))
-    relays = Relays("c", MOST_AGE_S, longest_relayed_age_s(apply_s=2.5))
-    age = NewsAge(records_s=0.0, routes_s=age_s)
+    relays = Relays("c", MAX_AGE_S, longest_relayed_age_s(apply_s=2.5))
+    age = RelayedAge(records_s=0.0, routes_s=age_s)
     assert relays.is_fresh(members, reader, age) is fresh
 
 
