--- a/comfreywharf/membership/notices.py
+++ b/comfreywharf/membership/notices.py
@@ -53,7 +53,7 @@
     def __init__(self, capacity=MAX_NOTICES):
         self._capacity = capacity
         self._notices = {}
-        self._ended = {}
+        self._expired_ids = {}
 
     def add(self, notice, now_s):
         """Add a notice; return whether it was new and is kept."""
@@ -63,7 +63,7 @@
         # A notice is sent with its remaining time, so that a copy at another
         # node expires a little later. Without the ids of expired notices, two
         # nodes would send such a copy back and forth and it would never expire.
-        if notice.notice_id in self._notices or notice.notice_id in self._ended:
+        if notice.notice_id in self._notices or notice.notice_id in self._expired_ids:
             return False
         if len(self._notices) >= self._capacity and not self._make_room(notice):
             return False
@@ -89,21 +89,23 @@
         soonest = min(self._notices.values(), key=lambda kept: kept.expires_s)
         if soonest.expires_s > notice.expires_s:
             return False
-        self._end(soonest)
+        self._remove(soonest)
         return True
 
     def _expire(self, now_s):
         for notice in list(self._notices.values()):
             if notice.expires_s <= now_s:
-                self._end(notice)
+                self._remove(notice)
         forgotten = [
-            notice_id for notice_id, until_s in self._ended.items() if until_s <= now_s
+            notice_id
+            for notice_id, until_s in self._expired_ids.items()
+            if until_s <= now_s
         ]
         for notice_id in forgotten:
-            del self._ended[notice_id]
+            del self._expired_ids[notice_id]
 
-    def _end(self, notice):
+    def _remove(self, notice):
         del self._notices[notice.notice_id]
-        self._ended[notice.notice_id] = notice.expires_s + ECHO_MARGIN_S
-        while len(self._ended) > self._capacity:
-            del self._ended[next(iter(self._ended))]
+        self._expired_ids[notice.notice_id] = notice.expires_s + ECHO_MARGIN_S
+        while len(self._expired_ids) > self._capacity:
+            del self._expired_ids[next(iter(self._expired_ids))]
--- a/comfreywharf/membership/tests/test_ids_alone.py
+++ b/comfreywharf/membership/tests/test_ids_alone.py
@@ -48,7 +48,7 @@
     assert found == {}
 
 
-def test_the_search_finds_what_it_looks_for():
+def test_the_search_finds_each_kind_of_comparison():
     """An id is found on either side, as a field or a name; ``is None`` is allowed."""
     assert found_in("if self.living.instance == life.instance: pass") == [1]
     assert found_in("ok = instance in known") == [1]
--- a/comfreywharf/membership/tests/test_instances.py
+++ b/comfreywharf/membership/tests/test_instances.py
@@ -13,7 +13,7 @@
 A, B = ServerIncarnation("a"), ServerIncarnation("b")
 
 
-def test_a_life_from_first_word_to_leaving():
+def test_reports_in_order_from_the_first_one_to_leaving():
     """Reports that arrive in order."""
     instances = InstanceTracker()
     assert instances.receive_heartbeat(A, 1, False, NOW_S) is HeartbeatKind.FIRST
@@ -23,7 +23,7 @@
     assert instances.receive_heartbeat(A, 4, True, NOW_S) is HeartbeatKind.STALE
 
 
-def test_a_late_heartbeat_doesnt_undo_a_leaving():
+def test_a_late_heartbeat_does_not_undo_leaving():
     """Guard against new work for a leaving server.
 
     A "ready" report is delayed and arrives after "draining", so that the last
@@ -36,7 +36,7 @@
     assert instances.leaving
 
 
-def test_an_earlier_life_isnt_revived():
+def test_an_earlier_incarnation_does_not_become_current_again():
     """Guard against answering each request with 421 for as long as the node runs.
 
     Server a crashes, b registers at its address, and then a late heartbeat of a
@@ -59,7 +59,7 @@
     assert instances.leave(B) is HeartbeatKind.STALE
 
 
-def test_after_its_end_an_instance_is_gone_for_good():
+def test_an_ended_incarnation_does_not_become_current_again():
     """A heartbeat that was in transit when the server crashed changes nothing."""
     instances = InstanceTracker()
     instances.receive_heartbeat(A, 1, False, NOW_S)
@@ -71,7 +71,7 @@
 FIRST, SECOND = ServerIncarnation("a", 1_000), ServerIncarnation("a", 2_000)
 
 
-def second_life(sequence=1):
+def tracker_after_restart(sequence=1):
     """Return an `InstanceTracker` after a server's first and second incarnation."""
     instances = InstanceTracker()
     instances.receive_heartbeat(FIRST, 900, False, NOW_S)
@@ -83,27 +83,27 @@
     return instances
 
 
-def test_a_second_life_under_one_id_is_heard_from_its_first_report_on():
+def test_reports_of_a_second_incarnation_count_from_the_first_one_on():
     """Guard against new work for a leaving server that had restarted.
 
     The second incarnation numbers its reports from 1 and reports with the fifth
     that it drains, while the first one had reached 900. Its reports must not be
     considered late ones of the first incarnation.
     """
-    instances = second_life()
+    instances = tracker_after_restart()
     assert (
         instances.receive_heartbeat(SECOND, 5, True, NOW_S + 2) is HeartbeatKind.LEAVES
     )
 
 
 @pytest.mark.parametrize("leaving", [False, True])
-def test_a_late_report_of_the_first_life_changes_nothing(leaving):
+def test_a_late_report_of_the_first_incarnation_changes_nothing(leaving):
     """Guard against taking a server that has just restarted out of service.
 
     The last report of its first incarnation is delayed, arrives after the first
     report of the second one, and has a higher sequence number.
     """
-    instances = second_life()
+    instances = tracker_after_restart()
     assert (
         instances.receive_heartbeat(FIRST, 901, leaving, NOW_S + 2)
         is HeartbeatKind.STALE
@@ -111,7 +111,7 @@
     assert (instances.current, instances.leaving) == (SECOND, False)
 
 
-def test_a_late_report_of_a_life_that_was_never_heard_changes_nothing():
+def test_a_late_report_of_an_unseen_earlier_incarnation_changes_nothing():
     """The node started after that incarnation had ended."""
     instances = InstanceTracker()
     instances.receive_heartbeat(SECOND, 1, False, NOW_S)
@@ -120,20 +120,20 @@
     )
 
 
-def test_a_late_deregistration_of_the_first_life_changes_nothing():
+def test_a_late_deregistration_of_the_first_incarnation_changes_nothing():
     """Without a start, it applies to the current incarnation with that id."""
-    instances = second_life()
+    instances = tracker_after_restart()
     assert instances.leave(FIRST) is HeartbeatKind.STALE
     assert instances.leave(ServerIncarnation("a")) is HeartbeatKind.LEAVES
 
 
-def test_a_start_that_lies_behind_is_believed_once_no_report_can_be_that_late():
+def test_an_earlier_start_is_accepted_once_no_report_can_be_that_late():
     """Guard against never using a server again whose clock was set back.
 
     The server restarts under its id after its machine's clock was set back, so
     that its start is before that of its earlier incarnation.
     """
-    instances = second_life()
+    instances = tracker_after_restart()
     back = ServerIncarnation("a", 500)
     assert (
         instances.receive_heartbeat(back, 1, False, NOW_S + MAX_REPORT_DELAY_S)
@@ -143,9 +143,9 @@
     assert instances.receive_heartbeat(back, 2, False, late_s) is HeartbeatKind.RIVAL
 
 
-def test_equal_starts_are_one_life():
+def test_equal_starts_are_one_incarnation():
     """Its reports are ordered by their sequence numbers alone."""
-    instances = second_life(sequence=10)
+    instances = tracker_after_restart(sequence=10)
     assert (
         instances.receive_heartbeat(ServerIncarnation("a", 2_000), 10, False, NOW_S + 2)
         is HeartbeatKind.STALE
@@ -156,9 +156,9 @@
     )
 
 
-def test_a_report_without_the_start_that_its_life_gives_is_of_nobody():
+def test_a_report_without_the_usual_start_is_ignored():
     """Such a report is from another sender, or damaged."""
-    instances = second_life()
+    instances = tracker_after_restart()
     assert (
         instances.receive_heartbeat(ServerIncarnation("a"), 9, True, NOW_S + 2)
         is HeartbeatKind.STALE
--- a/comfreywharf/membership/tests/test_lifecycle.py
+++ b/comfreywharf/membership/tests/test_lifecycle.py
@@ -20,7 +20,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(facts, max_size=12))
-def test_state_tells_what_the_node_may_do(history):
+def test_state_matches_what_the_node_may_do(history):
     """An active node holds its lease, and a replaced one stays replaced."""
     lifecycle = NodeLifecycle()
     for seen in history:
@@ -36,7 +36,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(facts, max_size=12))
-def test_a_node_that_is_well_ends_active(history):
+def test_a_healthy_node_becomes_active(history):
     """A caught-up node with its lease becomes active from any state but replaced."""
     lifecycle = NodeLifecycle()
     for seen in history:
@@ -46,7 +46,7 @@
     assert lifecycle.state in ("active", "replaced")
 
 
-def test_pause_is_noticed_afterwards():
+def test_a_pause_is_detected_afterwards():
     """A long gap between two runs of the loop is a pause, a short delay is not."""
     pauses = PauseDetector(10.0, 0.1)
     assert pauses.record_run(10.2) is None
--- a/comfreywharf/membership/tests/test_notices.py
+++ b/comfreywharf/membership/tests/test_notices.py
@@ -25,18 +25,18 @@
 @given(st.lists(adds, max_size=40))
 def test_board_keeps_its_bounds(steps):
     """No id is new twice within the margin, and number and lifetime are bounded."""
-    board, now_s, news = NoticeBoard(CAPACITY), 0.0, {}
+    board, now_s, new_until_s = NoticeBoard(CAPACITY), 0.0, {}
     for notice_id, ttl_s, pause_s in steps:
         now_s += pause_s
         if board.add(make_notice(notice_id, now_s + ttl_s), now_s):
-            assert now_s >= news.get(notice_id, now_s)
-            news[notice_id] = now_s + ttl_s
+            assert now_s >= new_until_s.get(notice_id, now_s)
+            new_until_s[notice_id] = now_s + ttl_s
         live = board.live(now_s)
         assert len(live) <= CAPACITY
         assert all(notice.expires_s > now_s for notice in live)
 
 
-def test_notice_that_ended_is_not_taken_back_from_a_peer():
+def test_an_expired_notice_is_not_accepted_again_from_a_peer():
     """Guard against a suspect that stays in quarantine forever.
 
     A notice expires at one node; a peer's copy expires a little later, because it
--- a/comfreywharf/membership/tests/test_relays.py
+++ b/comfreywharf/membership/tests/test_relays.py
@@ -18,7 +18,7 @@
 
 
 @given(NAMES)
-def test_one_member_reads_the_log_and_each_other_one_leads_to_it(members):
+def test_one_member_reads_the_log_and_relays_lead_to_it(members):
     """Each member receives the records through at most three relays."""
     relays = {name: relay_of(name, members) for name in members}
     assert list(relays.values()).count("") == 1
@@ -31,7 +31,7 @@
 
 
 @given(NAMES, st.randoms(use_true_random=False))
-def test_no_circle_forms_whichever_relays_fail(members, rng):
+def test_no_cycle_forms_when_relays_fail(members, rng):
     """Guard against two nodes that keep an outdated configuration forever.
 
     If relays are lost and nodes may choose members of any rank, two nodes can
@@ -51,14 +51,14 @@
             name = relays[name]
 
 
-def test_a_member_passes_news_on_to_few_others():
+def test_a_member_relays_to_few_others():
     """At 640 nodes no member relays to more than `FANOUT` others."""
     members = [f"node-{number}" for number in range(640)]
     relays = [relay_of(name, members) for name in members]
     assert max(relays.count(name) for name in members) <= FANOUT
 
 
-def test_a_relay_that_failed_is_left_alone_for_a_while():
+def test_a_failed_relay_is_not_queried_for_a_while():
     """Each query of a lost relay would cost its timeout."""
     members = ["a", "b", "c", "d"]
     order = sorted(members, key=lambda name: len(relay_of(name, members)))
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize(("age_s", "fresh"), [(0.2, True), (1.4, True), (1.7, False)])
-def test_news_of_a_reader_that_the_log_turned_away_is_not_relied_on(age_s, fresh):
+def test_data_of_a_reader_that_the_log_refuses_is_not_used(age_s, fresh):
     """Guard against a healthy node that uses outdated routes during an outage.
 
     If the store refuses the only reader but serves all others, the reader keeps
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(("age_s", "fresh"), [(0.2, True), (1.7, True), (1.9, False)])
-def test_old_routes_of_a_relay_with_new_records_are_not_relied_on(age_s, fresh):
+def test_old_routes_of_a_relay_with_new_records_are_not_used(age_s, fresh):
     """Guard against a relay that is considered fresh by its records alone."""
     members = ["a", "b"]
     reader = next(name for name in members if not relay_of(name, members))
