--- a/comfreywharf/daemon/belonging/relaying.py
+++ b/comfreywharf/daemon/belonging/relaying.py
@@ -2,7 +2,7 @@
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.membership.relays import Relays
-from comfreywharf.routes import longest_relayed_age_s
+from comfreywharf.routes import max_relayed_age_s
 from comfreywharf.transport import CallError
 
 __all__ = ["Relaying"]
@@ -23,7 +23,7 @@
         self._relays = Relays(
             node.settings.node_id,
             max_age_s=read_wait_s + MOST_AGE_MARGIN_S,
-            max_routes_age_s=longest_relayed_age_s(node.ports.routes_apply_s),
+            max_routes_age_s=max_relayed_age_s(node.ports.routes_apply_s),
         )
 
     def listen(self):
--- a/comfreywharf/membership/tests/test_relays.py
+++ b/comfreywharf/membership/tests/test_relays.py
@@ -4,7 +4,7 @@
 from hypothesis import given, strategies as st
 
 from comfreywharf.membership.relays import FANOUT, RelayedAge, Relays
-from comfreywharf.routes import longest_relayed_age_s
+from comfreywharf.routes import max_relayed_age_s
 
 NAMES = st.sets(st.integers(0, 2000), min_size=1, max_size=700).map(
     lambda numbers: [f"node-{number}" for number in numbers]
@@ -91,7 +91,7 @@
     """Guard against a relay that is considered fresh by its records alone."""
     members = ["a", "b"]
     reader = next(name for name in members if not relay_of(name, members))
-    relays = Relays("c", MAX_AGE_S, longest_relayed_age_s(apply_s=2.5))
+    relays = Relays("c", MAX_AGE_S, max_relayed_age_s(apply_s=2.5))
     age = RelayedAge(records_s=0.0, routes_s=age_s)
     assert relays.is_fresh(members, reader, age) is fresh
 
--- a/comfreywharf/routes/__init__.py
+++ b/comfreywharf/routes/__init__.py
@@ -15,7 +15,7 @@
     RouteTable,
 )
 from comfreywharf.routes.splits import Splitter
-from comfreywharf.routes.staleness import is_absence_certain, longest_relayed_age_s
+from comfreywharf.routes.staleness import is_absence_certain, max_relayed_age_s
 
 __all__ = [
     "CallerLimits",
@@ -29,5 +29,5 @@
     "decode_table",
     "encode_table",
     "is_absence_certain",
-    "longest_relayed_age_s",
+    "max_relayed_age_s",
 ]
--- a/comfreywharf/routes/model.py
+++ b/comfreywharf/routes/model.py
@@ -86,10 +86,10 @@
     routes: tuple[Route, ...] = ()
     services: tuple[RoutedService, ...] = ()
     limits: CallerLimits = attrs.Factory(CallerLimits)
-    _by_place: dict = attrs.field(init=False, eq=False, repr=False)
+    _by_prefix: dict = attrs.field(init=False, eq=False, repr=False)
     _by_name: dict = attrs.field(init=False, eq=False, repr=False)
 
-    @_by_place.default
+    @_by_prefix.default
     def _index_routes(self):
         return {(route.host, route.path_prefix): route for route in self.routes}
 
@@ -118,7 +118,7 @@
         """
         end = path.rfind("/") + 1
         while end > 0:
-            route = self._by_place.get((host, path[:end]))
+            route = self._by_prefix.get((host, path[:end]))
             if route is not None:
                 return route
             end = path.rfind("/", 0, end - 1) + 1
--- a/comfreywharf/routes/staleness.py
+++ b/comfreywharf/routes/staleness.py
@@ -6,9 +6,9 @@
 unknown route as absent. See docs/design/configuration.md.
 """
 
-__all__ = ["REACTION_S", "is_absence_certain", "longest_relayed_age_s"]
+__all__ = ["RELAY_DELAY_S", "is_absence_certain", "max_relayed_age_s"]
 
-REACTION_S = 0.7
+RELAY_DELAY_S = 0.7
 """The time in seconds until a node that receives from a relay has read the routes
 itself: the relay's next answer, and one read."""
 
@@ -25,10 +25,10 @@
     return age_s < apply_s
 
 
-def longest_relayed_age_s(apply_s):
+def max_relayed_age_s(apply_s):
     """Return the maximum age in seconds at which a relay's routes may be used.
 
-    >>> longest_relayed_age_s(2.5)
+    >>> max_relayed_age_s(2.5)
     1.8
     """
-    return max(0.0, apply_s - REACTION_S)
+    return max(0.0, apply_s - RELAY_DELAY_S)
--- a/comfreywharf/routes/tests/test_routes.py
+++ b/comfreywharf/routes/tests/test_routes.py
@@ -20,13 +20,13 @@
 
 
 @pytest.mark.parametrize(("host", "path"), [("y.example", "/a/"), ("x.example", "/a")])
-def test_what_no_route_covers_isnt_found(host, path):
+def test_requests_without_a_route_are_not_found(host, path):
     """Neither another host nor a path without the prefix's last slash matches."""
     assert make_table(routes=(make_route("r", prefix="/a/"),)).find(host, path) is None
 
 
 @given(st.lists(st.integers(1, 100), min_size=2, max_size=5))
-def test_each_part_gets_its_share_within_one_request(weights):
+def test_each_part_gets_exactly_its_weight_in_each_cycle(weights):
     """After as many requests as the sum of the weights, each part got its weight."""
     parts = tuple(Part(service=str(i), weight=w) for i, w in enumerate(weights))
     splitter = Splitter()
@@ -36,7 +36,7 @@
         assert given_to.count(part.service) == part.weight
 
 
-def test_an_older_version_never_replaces_a_newer_one():
+def test_an_older_version_does_not_replace_a_newer_one():
     """Guard against handling requests by routes that were already replaced.
 
     A peer sends version 7 before the store's slow answer with version 5 arrives.
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{", b'{"version":1}'])
-def test_a_table_that_cant_be_read_changes_nothing(data):
+def test_an_invalid_table_changes_nothing(data):
     """A peer that sends invalid data doesn't remove the routes."""
     with pytest.raises(RouteTableError):
         decode_table(data)
