--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/belonging/gossip.py
@@ -178,7 +178,7 @@
 
     def _records_for(self, next_offset):
         replica = self._node.follower.replica
-        news = replica.news_for(next_offset, MAX_REPLY_BYTES)
+        news = replica.records_for_peer(next_offset, MAX_REPLY_BYTES)
         if news is not None:
             return news
         return [(SNAPSHOT_OFFSET, data) for data in self._parts()]
--- a/comfreywharf/records/fold.py
+++ b/comfreywharf/records/fold.py
@@ -203,7 +203,7 @@
 
 
 def _apply_move(state, offset, move):
-    piece = _find(state, move.service, move.start)
+    piece = _find_slice(state, move.service, move.start)
     if piece is None or piece.epoch != move.base_epoch:
         return False
     if move.owner not in state.members:
@@ -218,7 +218,7 @@
     moved = attrs.evolve(
         piece, owner=move.owner, standby=move.standby, epoch=offset, previous=previous
     )
-    _put(state, offset, move.service, piece, moved)
+    _replace_slice(state, offset, move.service, piece, moved)
     return True
 
 
@@ -240,7 +240,7 @@
 
 
 def _apply_take(state, offset, record, take):
-    piece = _find(state, take.service, take.start)
+    piece = _find_slice(state, take.service, take.start)
     if piece is None or piece.epoch != take.base_epoch:
         return False
     if piece.owner != record.owner_id or piece.standby != record.taker_id:
@@ -252,7 +252,7 @@
         epoch=offset,
         previous=_awaited_after_take(piece, record.taker_id),
     )
-    _put(state, offset, take.service, piece, taken)
+    _replace_slice(state, offset, take.service, piece, taken)
     return True
 
 
@@ -268,7 +268,7 @@
 
 @_apply.register
 def _(record: messages.MoveCompleted, state, offset):
-    piece = _find(state, record.service, record.start)
+    piece = _find_slice(state, record.service, record.start)
     if piece is None:
         return _refuse(Refusal.UNKNOWN_SLICE)
     if piece.epoch != record.epoch or not piece.previous:
@@ -276,13 +276,13 @@
     # The epoch stays the same, and so does the fence, since the owner already
     # serves under it.
     done = attrs.evolve(piece, previous="")
-    _put(state, offset, record.service, piece, done)
+    _replace_slice(state, offset, record.service, piece, done)
     return FoldResult(accepted=True, changed=((record.service, record.start),))
 
 
 @_apply.register
 def _(record: messages.SliceSplit, state, offset):
-    piece = _find(state, record.service, record.start)
+    piece = _find_slice(state, record.service, record.start)
     if piece is None:
         return _refuse(Refusal.UNKNOWN_SLICE)
     if piece.epoch != record.base_epoch:
@@ -290,7 +290,7 @@
     if piece.previous or not piece.start < record.at < piece.end:
         return _refuse(Refusal.NOT_ALLOWED)
     state.slices[record.service].split(record.start, record.at, offset)
-    _touch(state, offset, piece)
+    _set_portfolio_epochs(state, offset, piece)
     return FoldResult(
         accepted=True,
         changed=((record.service, record.start), (record.service, record.at)),
@@ -299,7 +299,7 @@
 
 @_apply.register
 def _(record: messages.SlicesMerged, state, offset):
-    piece = _find(state, record.service, record.start)
+    piece = _find_slice(state, record.service, record.start)
     if piece is None or piece.end == KEY_SPACE:
         return _refuse(Refusal.UNKNOWN_SLICE)
     right = state.slices[record.service].next_after(record.start)
@@ -310,7 +310,7 @@
     if piece.previous or right.previous:
         return _refuse(Refusal.NOT_ALLOWED)
     state.slices[record.service].merge(record.start, offset)
-    _touch(state, offset, piece)
+    _set_portfolio_epochs(state, offset, piece)
     return FoldResult(accepted=True, changed=((record.service, record.start),))
 
 
@@ -358,18 +358,18 @@
     return _ACCEPTED
 
 
-def _find(state, service, start):
+def _find_slice(state, service, start):
     pieces = state.slices.get(service)
     return pieces.at_start(start) if pieces else None
 
 
-def _put(state, offset, service, earlier, later):
+def _replace_slice(state, offset, service, earlier, later):
     state.slices[service].replace(later)
-    _touch(state, offset, earlier)
-    _touch(state, offset, later)
+    _set_portfolio_epochs(state, offset, earlier)
+    _set_portfolio_epochs(state, offset, later)
 
 
-def _touch(state, offset, piece):
+def _set_portfolio_epochs(state, offset, piece):
     """Set the portfolio epoch of a slice's owner, standby and previous owner."""
     for node_id in {piece.owner, piece.standby, piece.previous}:
         member = state.members.get(node_id)
--- a/comfreywharf/records/replica.py
+++ b/comfreywharf/records/replica.py
@@ -14,11 +14,11 @@
 from comfreywharf.records.recent import RecentRecords
 from comfreywharf.records.state import ClusterState
 
-__all__ = ["Folded", "Replica"]
+__all__ = ["FoldedRecord", "Replica"]
 
 
 @attrs.frozen(kw_only=True)
-class Folded:
+class FoldedRecord:
     """A folded record with its offset and result."""
 
     offset: int
@@ -41,7 +41,7 @@
         self.state = ClusterState()
         self.recent = RecentRecords()
         self._log_first = 0
-        self._log_next_lost = False
+        self._log_lost_records = False
         self._caught_up = False
 
     @property
@@ -61,7 +61,7 @@
         Either the log starts after the state's offset, or it ends before it. In
         both cases other nodes may have agreed on records that this node can't get.
         """
-        return self._log_first > self.state.next_offset or self._log_next_lost
+        return self._log_first > self.state.next_offset or self._log_lost_records
 
     @property
     def log_first(self):
@@ -69,7 +69,7 @@
         return self._log_first
 
     def take(self, offset, data):
-        """Fold a record if it is the next one; return `Folded` or ``None``."""
+        """Fold a record if it is the next one; return `FoldedRecord` or ``None``."""
         if offset != self.state.next_offset:
             return None
         decoded = decode_record(data)
@@ -79,7 +79,7 @@
             record = decoded.unwrap()
         result = fold(self.state, offset, record)
         self.recent.add(offset, data)
-        return Folded(offset=offset, record=record, result=result)
+        return FoldedRecord(offset=offset, record=record, result=result)
 
     def load(self, state):
         """Load a snapshot's state if it is newer; return whether it was."""
@@ -97,7 +97,7 @@
         # A log that ends before the folded records has lost acknowledged ones,
         # or is another log. Its further records would be folded at other
         # offsets than on the other nodes, so the state is left unchanged.
-        self._log_next_lost = log_next < start
+        self._log_lost_records = log_next < start
 
     def truncated(self, first):
         """Record that the log no longer keeps records below ``first``."""
@@ -110,7 +110,7 @@
             return True
         return False
 
-    def news_for(self, next_offset, max_bytes):
+    def records_for_peer(self, next_offset, max_bytes):
         """Return ``[(offset, data)]`` for a peer whose state is at ``next_offset``.
 
         The list is empty if the peer has all records of this node. ``None`` means
--- a/comfreywharf/records/snapshots.py
+++ b/comfreywharf/records/snapshots.py
@@ -41,7 +41,7 @@
 
 MAX_PARTS = 256
 MAX_DOCUMENT_BYTES = 256 << 20
-MAX_OPEN = 16
+MAX_INCOMPLETE = 16
 """How many incomplete snapshots are kept while their parts arrive."""
 
 
@@ -133,7 +133,7 @@
 
     def __init__(self):
         self.newest = None
-        self._open = OrderedDict()
+        self._incomplete = OrderedDict()
 
     def add(self, data):
         """Add an encoded part; bytes that aren't a valid part are ignored."""
@@ -147,13 +147,13 @@
         # crashed, restarted and wrote other contents under the same id aren't
         # mixed with its earlier ones.
         name = (part.snapshot_id, part.offset, part.parts, part.digest)
-        parts = self._open.setdefault(name, {})
+        parts = self._incomplete.setdefault(name, {})
         parts[part.part] = part.data
         if len(parts) == part.parts:
-            del self._open[name]
+            del self._incomplete[name]
             self._finish(part, parts)
-        while len(self._open) > MAX_OPEN:
-            self._open.popitem(last=False)
+        while len(self._incomplete) > MAX_INCOMPLETE:
+            self._incomplete.popitem(last=False)
 
     def _finish(self, part, parts):
         blob = b"".join(parts[number] for number in range(part.parts))
--- a/comfreywharf/records/tests/test_replica.py
+++ b/comfreywharf/records/tests/test_replica.py
@@ -133,7 +133,7 @@
     def _exchange(self, node_id, rng):
         """Request the records that the node lacks from a peer."""
         replica, peer = self.replicas[node_id], self.replicas[rng.choice(NODES)]
-        news = peer.news_for(replica.state.next_offset, max_bytes=600)
+        news = peer.records_for_peer(replica.state.next_offset, max_bytes=600)
         if news is None:
             replica.load(peer.state.copy())
         for offset, data in news or ():
@@ -241,9 +241,12 @@
     replica = Replica()
     for offset, record in enumerate(opening()):
         replica.take(offset, encode_record(record))
-    assert [offset for offset, _ in replica.news_for(4, max_bytes=9999)] == [4, 5]
+    assert [offset for offset, _ in replica.records_for_peer(4, max_bytes=9999)] == [
+        4,
+        5,
+    ]
     replica.load(ClusterState(next_offset=20))
-    assert replica.news_for(4, max_bytes=9999) is None
+    assert replica.records_for_peer(4, max_bytes=9999) is None
 
 
 def test_shorter_log_is_a_gap():
