--- a/comfreywharf/records/tests/builders.py
+++ b/comfreywharf/records/tests/builders.py
@@ -25,7 +25,7 @@
     UnknownRecord,
 )
 
-__all__ = ["NODES", "make_member", "make_record", "make_service", "opening"]
+__all__ = ["NODES", "initial_records", "make_member", "make_record", "make_service"]
 
 NODES = ("a", "b", "c")
 SERVICES = ("booking", "files")
@@ -57,7 +57,7 @@
     return builder(rng, state, record_id)
 
 
-def opening():
+def initial_records():
     """Return the first records of a small deployment that has started."""
     state = ClusterState()
     rng = random.Random(0)
@@ -84,7 +84,7 @@
     return [*announced, patch, term, moves]
 
 
-def _nearly(rng, number):
+def _maybe_stale(rng, number):
     """Return a number or sometimes, as a stale one, the number before it."""
     return number - rng.choice([0, 0, 0, 0, 1])
 
@@ -104,7 +104,7 @@
 
 def _incarnation(rng, state, node_id):
     member = state.members.get(node_id)
-    return _nearly(rng, member.incarnation if member else 1)
+    return _maybe_stale(rng, member.incarnation if member else 1)
 
 
 def _patch(rng, state, record_id):
@@ -112,7 +112,7 @@
     service = make_service(name, slices=rng.randint(0, 3))
     return ConfigPatched(
         record_id=record_id,
-        base_version=_nearly(rng, state.config.version),
+        base_version=_maybe_stale(rng, state.config.version),
         services={name: rng.choice([service, service, None])},
         author="operator",
     )
@@ -139,7 +139,7 @@
         record_id=record_id,
         node_id=node_id,
         incarnation=_incarnation(rng, state, node_id),
-        base_lease_epoch=_nearly(rng, member.lease_epoch if member else -1),
+        base_lease_epoch=_maybe_stale(rng, member.lease_epoch if member else -1),
         witnesses=NODES,
     )
 
@@ -149,11 +149,11 @@
     move = SliceMove(
         service=service,
         start=piece.start if piece else 0,
-        base_epoch=_nearly(rng, piece.epoch if piece else 0),
+        base_epoch=_maybe_stale(rng, piece.epoch if piece else 0),
         owner=_node(rng),
         standby=_node(rng),
     )
-    term = _nearly(rng, state.planner_term)
+    term = _maybe_stale(rng, state.planner_term)
     return SlicesMoved(record_id=record_id, term=term, moves=(move,))
 
 
@@ -164,12 +164,12 @@
     take = SliceTake(
         service=service,
         start=piece.start if piece else 0,
-        base_epoch=_nearly(rng, piece.epoch if piece else 0),
+        base_epoch=_maybe_stale(rng, piece.epoch if piece else 0),
     )
     return SlicesTaken(
         record_id=record_id,
         owner_id=owner,
-        lease_epoch=_nearly(rng, member.lease_epoch if member else -1),
+        lease_epoch=_maybe_stale(rng, member.lease_epoch if member else -1),
         taker_id=piece.standby if piece else "b",
         taker_incarnation=1,
         slices=(take,),
@@ -182,7 +182,7 @@
         record_id=record_id,
         service=service,
         start=piece.start if piece else 0,
-        epoch=_nearly(rng, piece.epoch if piece else 0),
+        epoch=_maybe_stale(rng, piece.epoch if piece else 0),
     )
 
 
@@ -192,7 +192,7 @@
         record_id=record_id,
         service=service,
         start=piece.start if piece else 0,
-        base_epoch=_nearly(rng, piece.epoch if piece else 0),
+        base_epoch=_maybe_stale(rng, piece.epoch if piece else 0),
         at=rng.randint(0, KEY_SPACE),
     )
 
@@ -204,7 +204,7 @@
         record_id=record_id,
         service=service,
         start=piece.start if piece else 0,
-        base_epoch=_nearly(rng, piece.epoch if piece else 0),
+        base_epoch=_maybe_stale(rng, piece.epoch if piece else 0),
         next_base_epoch=right.epoch if right else 0,
     )
 
@@ -231,7 +231,7 @@
     return PlannerTermStarted(
         record_id=record_id,
         node_id=_node(rng),
-        base_term=_nearly(rng, state.planner_term),
+        base_term=_maybe_stale(rng, state.planner_term),
     )
 
 
--- a/comfreywharf/records/tests/test_appends.py
+++ b/comfreywharf/records/tests/test_appends.py
@@ -36,10 +36,10 @@
 
     def __init__(self):
         self.tokens, self.now_s = LOG_APPENDS_PER_S, 0.0
-        self.asked_s = []
+        self.request_times_s = []
 
-    def takes(self, now_s):
-        self.asked_s.append(now_s)
+    def accepts(self, now_s):
+        self.request_times_s.append(now_s)
         earned = (now_s - self.now_s) * LOG_APPENDS_PER_S
         self.tokens = min(LOG_APPENDS_PER_S, self.tokens + earned)
         self.now_s = now_s
@@ -62,7 +62,7 @@
         now_s, number, index, writer = heapq.heappop(queue)
         wait_s = writer.budget.take(writer.priority, NODES, False, now_s)
         if not wait_s:
-            if log.takes(now_s):
+            if log.accepts(now_s):
                 done_s[writer.priority].append(now_s)
                 continue
             writer.budget.refused(now_s, RETRY_AFTER_S)
@@ -71,7 +71,7 @@
     return log, done_s
 
 
-def test_fleet_does_not_drown_the_log_after_an_outage():
+def test_nodes_do_not_overload_the_log_after_an_outage():
     """Guard against takeovers that are delayed for minutes after a log outage.
 
     After the outage, 640 nodes append a takeover, a lease start and an
@@ -83,9 +83,11 @@
     records = 3 * NODES
     fastest_s = (2 * NODES - LOG_APPENDS_PER_S) / LOG_APPENDS_PER_S
     assert len(done_s[urgent]) == 2 * NODES
-    assert len(log.asked_s) <= 2 * records
+    assert len(log.request_times_s) <= 2 * records
     # The retries of the refused appends are spread out.
-    assert max(Counter(round(s, 1) for s in log.asked_s if s > 0).values()) < NODES
+    assert (
+        max(Counter(round(s, 1) for s in log.request_times_s if s > 0).values()) < NODES
+    )
     assert max(done_s[urgent]) <= 4 * fastest_s
     mean_s = {p: sum(times) / len(times) for p, times in done_s.items()}
     assert mean_s[urgent] < 0.6 * mean_s[low]
@@ -103,7 +105,7 @@
     assert min(share, 2000) - 1 <= granted <= share + BURST + 1
 
 
-def test_reserve_is_kept_for_what_is_urgent():
+def test_tokens_are_reserved_for_urgent_records():
     """Announcements leave tokens for plans, and both leave tokens for takeovers."""
     budget = AppendBudget(now_s=0.0)
     granted = {}
--- a/comfreywharf/records/tests/test_config.py
+++ b/comfreywharf/records/tests/test_config.py
@@ -22,7 +22,7 @@
     return fold(state, state.next_offset, record)
 
 
-def test_one_of_two_racing_operators_wins():
+def test_only_one_of_two_conflicting_patches_is_accepted():
     """Guard against two conflicting patches that are both reported as accepted.
 
     Both are based on version 0, and the first one is appended again since its
@@ -41,16 +41,16 @@
     assert (state.config.version, state.config.author) == (1, "ilze")
 
 
-def test_stale_patch_is_told_what_changed_since():
+def test_a_stale_patch_gets_the_changes_since_its_base():
     state = ClusterState()
     submit(state, "p1", 0, booking=make_service(), files=make_service("files"))
     submit(state, "p2", 1, "dace", booking=make_service(queue_length=7), files=None)
-    told = changes_since(state, 1)
-    assert (told.known, told.version) == (True, 2)
-    assert [change.name for change in told.changes] == ["booking", "files"]
-    assert told.changes[0].fields() == {"queue_length": (256, 7)}
-    assert told.changes[1].after is None
-    assert [note.author for note in told.versions] == ["dace"]
+    difference = changes_since(state, 1)
+    assert (difference.known, difference.version) == (True, 2)
+    assert [change.name for change in difference.changes] == ["booking", "files"]
+    assert difference.changes[0].fields() == {"queue_length": (256, 7)}
+    assert difference.changes[1].after is None
+    assert [note.author for note in difference.versions] == ["dace"]
     assert not changes_since(state, 7).known
 
 
@@ -96,12 +96,12 @@
     ],
     ids=range(7),
 )
-def test_bytes_that_are_no_record(data):
+def test_invalid_bytes_are_a_failure(data):
     """Any invalid bytes are decoded as a `Failure` instead of raising an error."""
     assert not decode_record(data).value_or(None)
 
 
-def test_records_come_back_as_they_were():
+def test_records_are_unchanged_by_encoding_and_decoding():
     record = ConfigPatched(
         record_id="p1",
         base_version=3,
--- a/comfreywharf/records/tests/test_fences.py
+++ b/comfreywharf/records/tests/test_fences.py
@@ -26,7 +26,7 @@
     assert before < after
 
 
-def test_a_takeover_lies_between_the_owner_and_any_later_record():
+def test_a_takeover_fence_is_between_the_owners_and_any_later_records():
     """The fence is above the owner's, and below that of any later record."""
     owners = 2 * 7
     assert owners < takeover_fence(owner_lease=7, standby_lease=-1) < 2 * 8
--- a/comfreywharf/records/tests/test_replica.py
+++ b/comfreywharf/records/tests/test_replica.py
@@ -16,7 +16,7 @@
     decode_part,
     encode_snapshot,
 )
-from comfreywharf.records.tests.builders import NODES, make_record, opening
+from comfreywharf.records.tests.builders import NODES, initial_records, make_record
 
 PART_BYTES = 300
 """Small enough that each snapshot has several parts."""
@@ -47,7 +47,7 @@
         self.unanswered = []
         self.acknowledged = {}
         self.written = 0
-        for record in opening():
+        for record in initial_records():
             self._append(record)
 
     def _append(self, record):
@@ -158,7 +158,7 @@
         self.nodes_agree()
         self.configuration_never_goes_back()
         self.acknowledged_records_stay()
-        self.gap_owns_nothing()
+        self.nodes_with_a_gap_own_nothing()
 
     def nodes_agree(self):
         """Check that each node has the true state at its offset."""
@@ -178,7 +178,7 @@
                 known = replica.state.outcomes.get(record_id, outcome)
                 assert known == outcome
 
-    def gap_owns_nothing(self):
+    def nodes_with_a_gap_own_nothing(self):
         for replica in self.replicas.values():
             missing = replica.state.next_offset < replica.log_first
             assert not (missing and replica.usable)
@@ -208,7 +208,7 @@
     return assembler.newest
 
 
-def test_part_with_foreign_contents_is_no_snapshot():
+def test_a_part_with_wrong_contents_is_not_loaded():
     """Guard against a node that starts with a state that no other node has.
 
     The stream has a part whose contents don't match its digest, so that the
@@ -223,7 +223,7 @@
     assert assemble([*old, *new]).next_offset == 9
 
 
-def test_writer_that_restarts_under_one_id_spoils_no_snapshot():
+def test_a_writer_that_restarts_under_one_id_does_not_break_snapshots():
     """Guard against a complete snapshot in the stream that isn't found.
 
     A writer crashes in the middle of a snapshot and writes another one under the
@@ -237,9 +237,9 @@
     assert assemble(mixed[:-1]).next_offset == 9
 
 
-def test_peer_behind_a_loaded_snapshot_is_sent_the_snapshot():
+def test_a_peer_behind_a_loaded_snapshot_needs_the_snapshot():
     replica = Replica()
-    for offset, record in enumerate(opening()):
+    for offset, record in enumerate(initial_records()):
         replica.take(offset, encode_record(record))
     assert [offset for offset, _ in replica.records_for_peer(4, max_bytes=9999)] == [
         4,
