--- a/comfreywharf/records/replica.py
+++ b/comfreywharf/records/replica.py
@@ -104,7 +104,7 @@
         self._log_first = max(self._log_first, first)
 
     def reached(self, log_next):
-        """Return whether the state includes all records below ``log_next``."""
+        """Return whether the state has all records below ``log_next`` and no gap."""
         if not self.gap and self.state.next_offset >= log_next:
             self._caught_up = True
             return True
