--- a/comfreywharf/records/tests/test_replica.py
+++ b/comfreywharf/records/tests/test_replica.py
@@ -133,10 +133,10 @@
     def _exchange(self, node_id, rng):
         """Request the records that the node lacks from a peer."""
         replica, peer = self.replicas[node_id], self.replicas[rng.choice(NODES)]
-        news = peer.records_for_peer(replica.state.next_offset, max_bytes=600)
-        if news is None:
+        records = peer.records_for_peer(replica.state.next_offset, max_bytes=600)
+        if records is None:
             replica.load(peer.state.copy())
-        for offset, data in news or ():
+        for offset, data in records or ():
             replica.take(offset, data)
 
     def _deliver_late(self, node_id, rng):
