--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/belonging/gossip.py
@@ -15,8 +15,8 @@
     unpack_records,
 )
 from comfreywharf.daemon.recording.snapshots import encode_slowly
-from comfreywharf.membership.gossip import GossipPace, choose_partners, push_count
-from comfreywharf.membership.relays import NewsAge
+from comfreywharf.membership.gossip import GossipInterval, choose_partners, push_count
+from comfreywharf.membership.relays import RelayedAge
 from comfreywharf.records.snapshots import SnapshotAssembler
 from comfreywharf.transport import CallError, PeerClient
 from comfreywharf.transport.gen.ttypes import (
@@ -63,7 +63,7 @@
     def __init__(self, node, rng=None):
         self._node = node
         self._rng = rng or random.Random(node.settings.node_id)
-        self._pace = GossipPace()
+        self._pace = GossipInterval()
         self._news = Event()
         self._calls = Pool(MAX_CONCURRENT)
         self._encoding = BoundedSemaphore()
@@ -81,7 +81,7 @@
 
     def tell(self):
         """Have some peers told of news as soon as possible."""
-        self._pace.news()
+        self._pace.shorten()
         self._news.set()
 
     def push_to(self, node_ids):
@@ -178,7 +178,7 @@
 
     def _records_for(self, next_offset):
         replica = self._node.follower.replica
-        news = replica.news_for(next_offset, MAX_REPLY_BYTES)
+        news = replica.records_for_peer(next_offset, MAX_REPLY_BYTES)
         if news is not None:
             return news
         return [(SNAPSHOT_OFFSET, data) for data in self._parts()]
@@ -236,14 +236,14 @@
         follower = self._node.follower
         before = follower.state.next_offset
         while self._exchange(client):
-            self._pace.news()
+            self._pace.shorten()
         if follower.reachable:
-            self._pace.no_news()
+            self._pace.lengthen()
             return
         # Without the log, peers are all that a node hears from, and others may
         # hear from it. With pulling alone, news that a single node of 640 has
         # would need more than half of the 8 s that a change may take.
-        self._pace.news()
+        self._pace.shorten()
         if follower.state.next_offset > before:
             self.tell()
 
@@ -251,12 +251,13 @@
         """Exchange with a peer that answers once it has news, or after a wait.
 
         Return how old this node's fold and routes are by what the peer says of its own,
-        as a `NewsAge`, or ``None`` where the peer knows that records are missing here.
+        as a `RelayedAge`, or ``None`` where the peer knows that records are missing
+        here.
         """
         reply, _ = self._ask(client, wait_s)
         if reply.log_age_ms < 0 or not self._node.follower.knows(reply.next_offset):
             return None
-        return NewsAge(reply.log_age_ms / 1000, _age_s(reply.routes_age_ms))
+        return RelayedAge(reply.log_age_ms / 1000, _age_s(reply.routes_age_ms))
 
     def _exchange(self, client):
         """Exchange once; return whether there is more to be had at once."""
--- a/comfreywharf/membership/__init__.py
+++ b/comfreywharf/membership/__init__.py
@@ -1,21 +1,21 @@
-"""The life cycles of nodes and backend servers, and the news that nodes share.
+"""The life cycles of nodes and backend servers, and the gossip between nodes.
 
-Life cycles are state charts in files that the code interprets.
+The life cycle of a node is a state chart in a file that the code interprets.
 """
 
 from comfreywharf.membership.charts import Chart, load_chart
-from comfreywharf.membership.gossip import GossipPace, choose_partners, push_count
-from comfreywharf.membership.lifecycle import NodeFacts, NodeLife, Pauses
+from comfreywharf.membership.gossip import GossipInterval, choose_partners, push_count
+from comfreywharf.membership.lifecycle import NodeFacts, NodeLifecycle, PauseDetector
 from comfreywharf.membership.notices import Notice, NoticeBoard
 
 __all__ = [
     "Chart",
-    "GossipPace",
+    "GossipInterval",
     "NodeFacts",
-    "NodeLife",
+    "NodeLifecycle",
     "Notice",
     "NoticeBoard",
-    "Pauses",
+    "PauseDetector",
     "choose_partners",
     "load_chart",
     "push_count",
--- a/comfreywharf/membership/lifecycle.py
+++ b/comfreywharf/membership/lifecycle.py
@@ -1,20 +1,21 @@
-"""The life of a node, by the chart in `node.toml`."""
+"""The life cycle of a node, as defined by the chart in `node.toml`."""
 
 import attrs
 
 from comfreywharf.membership.charts import Chart, load_chart
 
-__all__ = ["NodeFacts", "NodeLife", "Pauses"]
+__all__ = ["NodeFacts", "NodeLifecycle", "PauseDetector"]
 
 _CHART = load_chart(__package__, "node.toml")
 
-PAUSE_S = 0.5
-"""A loop that didn't run for this long was paused, by the machine or by work."""
+MIN_PAUSE_S = 0.5
+"""The shortest delay of a loop, in seconds, that counts as a pause. It may be caused by
+the machine or by work of the process itself."""
 
 
 @attrs.frozen(kw_only=True)
 class NodeFacts:
-    """What a node knows of itself at a moment."""
+    """The conditions of a node that determine its state."""
 
     caught_up: bool
     lease_held: bool
@@ -22,14 +23,14 @@
     draining: bool
 
 
-class NodeLife:
-    """Move the chart by what the node knows of itself.
+class NodeLifecycle:
+    """Track a node's state, based on its conditions.
 
-    >>> life = NodeLife()
+    >>> lifecycle = NodeLifecycle()
     >>> facts = NodeFacts(
     ...     caught_up=True, lease_held=True, superseded=False, draining=False)
-    >>> life.observe(facts), life.observe(facts), life.observe(facts)
-    (('starting', 'joining'), ('joining', 'active'), None)
+    >>> [lifecycle.observe(facts) for _ in range(3)]
+    [('starting', 'joining'), ('joining', 'active'), None]
     """
 
     def __init__(self):
@@ -37,11 +38,14 @@
 
     @property
     def state(self):
-        """Return the chart's state."""
+        """Return the current state."""
         return self._chart.state
 
     def observe(self, facts):
-        """Fire the trigger that the facts call for; return what it changed."""
+        """Fire the trigger that the facts require.
+
+        Return the states before and after, or ``None`` without a transition.
+        """
         trigger = self._trigger(facts)
         before = self.state
         if trigger is None or not self._chart.fire(trigger):
@@ -49,7 +53,7 @@
         return before, self.state
 
     def stop(self):
-        """Take note of the end of the process."""
+        """Record that the process stops; return the states before and after."""
         before = self.state
         self._chart.fire("stop")
         return before, self.state
@@ -66,19 +70,19 @@
         return "lease_held" if facts.lease_held else "lease_lost"
 
 
-class Pauses:
-    """Notice that this process was frozen, from the times at which it ran.
+class PauseDetector:
+    """Detect that this process was frozen, from the times at which it ran.
 
-    A frozen process can't notice it while it lasts. Afterwards the event tells
-    an operator why a lease lapsed although nothing else had failed.
+    A process can detect a freeze only afterwards. The resulting event shows an
+    operator why a lease expired although nothing else had failed.
     """
 
     def __init__(self, now_s, interval_s):
-        self._ran_s = now_s
+        self._last_run_s = now_s
         self._interval_s = interval_s
 
-    def ran(self, now_s):
-        """Return how long the process was paused, or ``None``."""
-        paused_s = now_s - self._ran_s - self._interval_s
-        self._ran_s = now_s
-        return paused_s if paused_s > PAUSE_S else None
+    def record_run(self, now_s):
+        """Record a run; return the preceding pause in seconds, or ``None``."""
+        paused_s = now_s - self._last_run_s - self._interval_s
+        self._last_run_s = now_s
+        return paused_s if paused_s > MIN_PAUSE_S else None
--- a/comfreywharf/membership/tests/test_lifecycle.py
+++ b/comfreywharf/membership/tests/test_lifecycle.py
@@ -1,8 +1,8 @@
-"""The life of a node follows its chart, whatever happens in which order."""
+"""Tests of a node's life cycle with conditions that change in any order."""
 
 from hypothesis import given, settings, strategies as st
 
-from comfreywharf.membership import NodeFacts, NodeLife, Pauses
+from comfreywharf.membership import NodeFacts, NodeLifecycle, PauseDetector
 
 facts = st.builds(
     NodeFacts,
@@ -13,41 +13,41 @@
 )
 
 
-def settle(life, seen):
+def settle(lifecycle, seen):
     for _ in range(4):
-        life.observe(seen)
+        lifecycle.observe(seen)
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(facts, max_size=12))
-def test_state_tells_what_the_node_may_do(history):
-    """Active means a held lease, and nothing leads back from replaced."""
-    life = NodeLife()
+def test_state_matches_what_the_node_may_do(history):
+    """An active node holds its lease, and a replaced one stays replaced."""
+    lifecycle = NodeLifecycle()
     for seen in history:
-        was_replaced = life.state == "replaced"
-        settle(life, seen)
+        was_replaced = lifecycle.state == "replaced"
+        settle(lifecycle, seen)
         if was_replaced or seen.superseded:
-            assert life.state == "replaced"
-        elif life.state == "active":
+            assert lifecycle.state == "replaced"
+        elif lifecycle.state == "active":
             assert seen.lease_held and not seen.draining
-        elif life.state == "suspended":
+        elif lifecycle.state == "suspended":
             assert not seen.lease_held
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(facts, max_size=12))
-def test_a_node_that_is_well_ends_active(history):
-    """From any state but replaced, a caught-up node with its lease is active."""
-    life = NodeLife()
+def test_a_healthy_node_becomes_active(history):
+    """A caught-up node with its lease becomes active from any state but replaced."""
+    lifecycle = NodeLifecycle()
     for seen in history:
-        settle(life, seen)
+        settle(lifecycle, seen)
     well = NodeFacts(caught_up=True, lease_held=True, superseded=False, draining=False)
-    settle(life, well)
-    assert life.state in ("active", "replaced")
+    settle(lifecycle, well)
+    assert lifecycle.state in ("active", "replaced")
 
 
-def test_pause_is_noticed_afterwards():
-    """A gap between two runs of the loop is a pause, a late run is none."""
-    pauses = Pauses(10.0, 0.1)
-    assert pauses.ran(10.2) is None
-    assert round(pauses.ran(12.3), 3) == 2.0
+def test_a_pause_is_detected_afterwards():
+    """A long gap between two runs of the loop is a pause, a short delay is not."""
+    pauses = PauseDetector(10.0, 0.1)
+    assert pauses.record_run(10.2) is None
+    assert round(pauses.record_run(12.3), 3) == 2.0
--- a/comfreywharf/membership/tests/test_relays.py
+++ b/comfreywharf/membership/tests/test_relays.py
@@ -1,25 +1,25 @@
-"""Who reads the log, and through whom the others hear of it."""
+"""Tests of which member reads the log and which relays the others choose."""
 
 import pytest
 from hypothesis import given, strategies as st
 
-from comfreywharf.membership.relays import FANOUT, NewsAge, Relays
-from comfreywharf.routes import longest_relayed_age_s
+from comfreywharf.membership.relays import FANOUT, RelayedAge, Relays
+from comfreywharf.routes import max_relayed_age_s
 
 NAMES = st.sets(st.integers(0, 2000), min_size=1, max_size=700).map(
     lambda numbers: [f"node-{number}" for number in numbers]
 )
-MOST_AGE_S = 1.5
+MAX_AGE_S = 1.5
 NOW_S = 50.0
 
 
 def relay_of(node_id, members):
-    return Relays(node_id, MOST_AGE_S).choose(members, NOW_S)
+    return Relays(node_id, MAX_AGE_S).choose(members, NOW_S)
 
 
 @given(NAMES)
-def test_one_member_reads_the_log_and_each_other_one_leads_to_it(members):
-    """No two members hear from each other and from nobody else."""
+def test_one_member_reads_the_log_and_relays_lead_to_it(members):
+    """Each member receives the records through at most three relays."""
     relays = {name: relay_of(name, members) for name in members}
     assert list(relays.values()).count("") == 1
     for name in members:
@@ -31,13 +31,15 @@
 
 
 @given(NAMES, st.randoms(use_true_random=False))
-def test_no_circle_forms_whichever_relays_fail(members, rng):
-    """Symptom: two nodes go by an old configuration for good.
-    Sequence: relays are lost; two nodes choose each other instead.
-    Cause: a node asked members of any rank."""
+def test_no_cycle_forms_when_relays_fail(members, rng):
+    """Guard against two nodes that keep an outdated configuration forever.
+
+    If relays are lost and nodes may choose members of any rank, two nodes can
+    choose each other.
+    """
     relays = {}
     for name in members:
-        own = Relays(name, MOST_AGE_S)
+        own = Relays(name, MAX_AGE_S)
         while (chosen := own.choose(members, NOW_S)) and rng.random() < 0.5:
             own.failed(chosen, NOW_S)
         relays[name] = chosen
@@ -49,19 +51,19 @@
             name = relays[name]
 
 
-def test_a_member_passes_news_on_to_few_others():
-    """At 640 nodes no node answers more than a bounded number."""
+def test_a_member_relays_to_few_others():
+    """At 640 nodes no member relays to more than `FANOUT` others."""
     members = [f"node-{number}" for number in range(640)]
     relays = [relay_of(name, members) for name in members]
     assert max(relays.count(name) for name in members) <= FANOUT
 
 
-def test_a_relay_that_failed_is_left_alone_for_a_while():
-    """Asked each time, a lost relay would cost each time its time-out."""
+def test_a_failed_relay_is_not_queried_for_a_while():
+    """Each query of a lost relay would cost its timeout."""
     members = ["a", "b", "c", "d"]
     order = sorted(members, key=lambda name: len(relay_of(name, members)))
     reader = next(name for name in members if not relay_of(name, members))
-    last = Relays(order[-1], MOST_AGE_S)
+    last = Relays(order[-1], MAX_AGE_S)
     assert last.choose(members, NOW_S) == reader
     last.failed(reader, NOW_S)
     second = last.choose(members, NOW_S + 1)
@@ -72,26 +74,28 @@
 
 
 @pytest.mark.parametrize(("age_s", "fresh"), [(0.2, True), (1.4, True), (1.7, False)])
-def test_news_of_a_reader_that_the_log_turned_away_is_not_relied_on(age_s, fresh):
-    """Symptom: a healthy node goes by old routes for as long as an outage lasts.
-    Sequence: the store turns the one reader away and serves all others.
-    Cause: the reader's answers were taken for news, however old they were."""
+def test_data_of_a_reader_that_the_log_refuses_is_not_used(age_s, fresh):
+    """Guard against a healthy node that uses outdated routes during an outage.
+
+    If the store refuses the only reader but serves all others, the reader keeps
+    answering with data that gets older and older.
+    """
     members = ["a", "b"]
     reader = next(name for name in members if not relay_of(name, members))
-    age = NewsAge(records_s=age_s, routes_s=0.0)
-    assert Relays("c", MOST_AGE_S).is_fresh(members, reader, age) is fresh
+    age = RelayedAge(records_s=age_s, routes_s=0.0)
+    assert Relays("c", MAX_AGE_S).is_fresh(members, reader, age) is fresh
 
 
 @pytest.mark.parametrize(("age_s", "fresh"), [(0.2, True), (1.7, True), (1.9, False)])
-def test_old_routes_of_a_relay_with_new_records_are_not_relied_on(age_s, fresh):
-    """Guards against a relay that counts as fresh by its records alone."""
+def test_old_routes_of_a_relay_with_new_records_are_not_used(age_s, fresh):
+    """Guard against a relay that is considered fresh by its records alone."""
     members = ["a", "b"]
     reader = next(name for name in members if not relay_of(name, members))
-    relays = Relays("c", MOST_AGE_S, longest_relayed_age_s(apply_s=2.5))
-    age = NewsAge(records_s=0.0, routes_s=age_s)
+    relays = Relays("c", MAX_AGE_S, max_relayed_age_s(apply_s=2.5))
+    age = RelayedAge(records_s=0.0, routes_s=age_s)
     assert relays.is_fresh(members, reader, age) is fresh
 
 
 def test_a_node_that_is_no_member_reads_the_log_itself():
-    """It can't be told where it stands before the log names it."""
+    """Its rank is unknown until the log names it as a member."""
     assert relay_of("new", ["a", "b"]) == ""
--- a/comfreywharf/routes/__init__.py
+++ b/comfreywharf/routes/__init__.py
@@ -1,8 +1,8 @@
-"""Which service a caller's request goes to, and on which terms.
+"""The routes that map callers' requests to services, with their limits.
 
-A `RouteTable` is one numbered version of an operator's routes. It comes from
-outside the log of records, for instance from the platform's store, and nodes pass
-it on to each other.
+A `RouteTable` is one numbered version of an operator's routes. It is not part of
+the log of records but comes from elsewhere, for instance from the platform's store,
+and nodes forward it to each other.
 """
 
 from comfreywharf.routes.codec import RouteTableError, decode_table, encode_table
@@ -15,7 +15,7 @@
     RouteTable,
 )
 from comfreywharf.routes.splits import Splitter
-from comfreywharf.routes.staleness import is_absence_certain, longest_relayed_age_s
+from comfreywharf.routes.staleness import is_absence_certain, max_relayed_age_s
 
 __all__ = [
     "CallerLimits",
@@ -29,5 +29,5 @@
     "decode_table",
     "encode_table",
     "is_absence_certain",
-    "longest_relayed_age_s",
+    "max_relayed_age_s",
 ]
--- a/comfreywharf/routing/__init__.py
+++ b/comfreywharf/routing/__init__.py
@@ -1,13 +1,13 @@
-"""Decisions about requests: outcomes, routes, retries, what is remembered."""
+"""Decisions about requests: outcomes, routes, retries and remembered answers."""
 
 from comfreywharf.routing.budget import RetryBudget
 from comfreywharf.routing.memory import (
     Answer,
     AnswerMemory,
+    BeginResult,
+    BeginStatus,
     KeptAnswer,
     MemoryLimits,
-    Recall,
-    Recollection,
     RequestKey,
     fingerprint,
 )
@@ -18,8 +18,8 @@
     HoldBounds,
     Ownership,
     RouteLimits,
+    RouteProgress,
     Send,
-    Trail,
     after_hold,
     decide_route,
 )
@@ -28,6 +28,8 @@
     "SAFE_METHODS",
     "Answer",
     "AnswerMemory",
+    "BeginResult",
+    "BeginStatus",
     "GiveUp",
     "Hold",
     "HoldBounds",
@@ -36,13 +38,11 @@
     "Outcome",
     "Ownership",
     "Reason",
-    "Recall",
-    "Recollection",
     "RequestKey",
     "RetryBudget",
     "RouteLimits",
+    "RouteProgress",
     "Send",
-    "Trail",
     "after_hold",
     "decide_route",
     "fingerprint",
--- a/comfreywharf/routing/memory.py
+++ b/comfreywharf/routing/memory.py
@@ -1,10 +1,10 @@
-"""What the owner of a key remembers of requests, so that a resend runs nothing.
+"""The answers that a key's owner remembers, so that a resend isn't run again.
 
-A request is known by its service, the hash of its key and its request id. While
-it runs, a resend has to wait; afterwards a resend gets the remembered answer.
-The memory is bounded in entries, bytes and age. It knows since when it is whole:
-a request that may have been sent before that time, under an id that isn't
-remembered, can't be vouched for.
+A request is identified by its service, the hash of its key and its request id.
+While it runs, a resend has to wait; afterwards a resend gets the remembered
+answer. The memory is bounded in entries, bytes and age. It records since when
+it is complete: if a request may have been sent before that time and its id isn't
+remembered, it can't be ruled out that the request ran already.
 """
 
 import itertools
@@ -19,27 +19,31 @@
 __all__ = [
     "Answer",
     "AnswerMemory",
+    "BeginResult",
+    "BeginStatus",
     "KeptAnswer",
     "MemoryLimits",
-    "Recall",
-    "Recollection",
     "RequestKey",
     "fingerprint",
 ]
 
 ENTRY_BYTES = 400
 HEADER_BYTES = 200
-"""What an entry and each header of its answer cost beside the body, about."""
+"""Approximate memory in bytes of an entry and of each header, without the body."""
 
 _ALWAYS = float("-inf")
 
 _BUCKET_SHIFT = 53
-"""Hashes of 63 bits fall into 1,024 buckets, so that a slice is found quickly."""
+"""Divides the 63-bit hashes into 1,024 buckets, so that the entries of a slice are
+found without a scan of the whole memory."""
 
 
 @attrs.frozen(kw_only=True)
 class MemoryLimits:
-    """Bounds of an `AnswerMemory`; ``age_s`` is how late a resend may come."""
+    """Bounds of an `AnswerMemory`.
+
+    ``age_s`` is for how long after its completion a request can be resent.
+    """
 
     entries: int = 100_000
     total_bytes: int = 48 << 20
@@ -50,7 +54,7 @@
 
 @attrs.frozen(cache_hash=True)
 class RequestKey:
-    """What makes a request recognisable."""
+    """The identity of a request, which a resend shares."""
 
     service: str
     key_hash: int
@@ -59,7 +63,7 @@
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """What became of a request; ``headers`` are the IDL's, in their order."""
+    """The result of a request; ``headers`` are those of the IDL, in their order."""
 
     outcome: Outcome
     status: int
@@ -71,10 +75,10 @@
 
 @attrs.frozen
 class KeptAnswer:
-    """A remembered request on its way to another owner of its key.
+    """A remembered request, as it is transferred to another owner of its key.
 
-    An empty ``request_id`` bounds the list: the sender's memory is whole only
-    since ``age_s`` ago.
+    An entry with an empty ``request_id`` describes the list itself: the sender's
+    memory is complete only for the last ``age_s`` seconds.
     """
 
     request_id: str
@@ -92,8 +96,13 @@
     size_bytes: int
 
 
-class Recall(Enum):
-    """What the memory says of a request that comes in."""
+class BeginStatus(Enum):
+    """What the memory says about a request that arrives.
+
+    ``FIRST``: it may run; ``RUNNING``: the same request is running; ``KNOWN``: its
+    answer is remembered; ``NOT_VOUCHED``: it may have run before the memory was
+    complete; ``REUSED``: another request has the same id.
+    """
 
     FIRST = auto()
     RUNNING = auto()
@@ -103,24 +112,24 @@
 
 
 @attrs.frozen
-class Recollection:
-    """A `Recall`, and the answer where it is `Recall.KNOWN`."""
+class BeginResult:
+    """A `BeginStatus`, and the answer if it is `BeginStatus.KNOWN`."""
 
-    recall: Recall
+    begin_status: BeginStatus
     answer: Answer | None = None
 
 
-_FIRST = Recollection(Recall.FIRST)
-_RUNNING = Recollection(Recall.RUNNING)
-_NOT_VOUCHED = Recollection(Recall.NOT_VOUCHED)
-_REUSED = Recollection(Recall.REUSED)
+_FIRST = BeginResult(BeginStatus.FIRST)
+_RUNNING = BeginResult(BeginStatus.RUNNING)
+_NOT_VOUCHED = BeginResult(BeginStatus.NOT_VOUCHED)
+_REUSED = BeginResult(BeginStatus.REUSED)
 
 
 def fingerprint(method, path, body):
-    """Return a 63-bit digest of what a request asks for.
+    """Return a 63-bit digest of a request's method, path and body.
 
-    A request id that comes with another fingerprint is a mistake of a caller,
-    and the remembered answer isn't the answer to it. ``body`` is empty for a
+    A request id that is used with another fingerprint is a caller's mistake, and
+    the remembered answer doesn't belong to that request. ``body`` is empty for a
     streamed body.
     """
     digest = xxhash.xxh3_64(f"{method} {path}\n".encode("latin-1"))
@@ -134,10 +143,10 @@
     >>> memory = AnswerMemory(MemoryLimits())
     >>> key = RequestKey("booking", 7, "a")
     >>> begin = dict(mark=1, first_sent_s=0.0, vouched_since_s=-1.0, now_s=0.0)
-    >>> memory.begin(key, **begin).recall
-    <Recall.FIRST: 1>
-    >>> memory.begin(key, **begin).recall
-    <Recall.RUNNING: 2>
+    >>> memory.begin(key, **begin).begin_status
+    <BeginStatus.FIRST: 1>
+    >>> memory.begin(key, **begin).begin_status
+    <BeginStatus.RUNNING: 2>
     """
 
     def __init__(self, limits):
@@ -146,7 +155,7 @@
         self._done = OrderedDict()
         self._buckets = {}
         self._size_bytes = 0
-        self._whole_since_s = {}
+        self._complete_since_s = {}
         self._snapshots = {}
 
     @property
@@ -159,54 +168,56 @@
 
     @property
     def size_bytes(self):
-        """Return what the finished entries take, about."""
+        """Return the approximate size of the finished entries in bytes."""
         return self._size_bytes
 
     def begin(self, key, *, mark, first_sent_s, vouched_since_s, now_s):
-        """Say whether a request may run, and take note of it if so.
+        """Return whether a request may run, and record it as running if so.
 
         ``mark`` is its `fingerprint`. ``first_sent_s`` is the earliest time at
-        which its caller may have sent it first; ``None`` where this send is the
-        first, so that nothing can have run. ``vouched_since_s`` says since when
-        this node's ownership vouches for the memory.
+        which its caller may have sent it for the first time, or ``None`` if this
+        is the first send, so that nothing can have run. ``vouched_since_s`` is
+        the time since when this node, as the key's owner, is known to remember
+        all requests for the key.
         """
         self._expire(now_s)
-        mark_running = self._running.get(key)
-        if mark_running is not None:
-            return _RUNNING if mark_running == mark else _REUSED
+        running_mark = self._running.get(key)
+        if running_mark is not None:
+            return _RUNNING if running_mark == mark else _REUSED
         entry = self._done.get(key)
         if entry is not None:
             if entry.fingerprint != mark:
                 return _REUSED
-            return Recollection(Recall.KNOWN, entry.answer)
+            return BeginResult(BeginStatus.KNOWN, entry.answer)
         if first_sent_s is not None:
-            whole_since_s = self._whole_since_s.get(key.service, _ALWAYS)
-            # A resend of a request that ran before the loss looks like a new
-            # one here. Run again, it would book twice; one would see two
-            # effects under one request id.
-            if first_sent_s <= max(whole_since_s, vouched_since_s):
+            complete_since_s = self._complete_since_s.get(key.service, _ALWAYS)
+            # A resend of a request that ran before entries were lost looks
+            # like a new request. Running it again would cause two effects
+            # under one request id, for instance two bookings.
+            if first_sent_s <= max(complete_since_s, vouched_since_s):
                 return _NOT_VOUCHED
         self._running[key] = mark
         return _FIRST
 
     def finish(self, key, answer, now_s):
-        """Remember what became of a request that began."""
+        """Remember the answer of a running request."""
         mark = self._running.pop(key, None)
         if mark is not None:
             self._keep(key, mark, answer, now_s)
             self._shrink()
 
     def forget(self, key):
-        """Drop a request of which it is proved that it didn't and won't run."""
+        """Remove a request that is proven not to have run and not to run later."""
         self._running.pop(key, None)
         if key in self._done:
             self._drop(key)
 
     def take_out(self, service, start, end, skip, now_s):
-        """Return ``(answers, more)``: a page of what is known of a range of hashes.
+        """Return ``(answers, more)``: one page of the answers in a range of hashes.
 
-        The first page (``skip`` of zero) fixes the list, so that later pages
-        neither miss nor repeat an entry while others expire.
+        ``skip`` is how many answers earlier pages had; ``more`` is whether others
+        follow. The first page (``skip`` of zero) fixes the list, so that later
+        pages neither miss nor repeat an entry while others expire.
         """
         self._expire(now_s)
         if skip == 0:
@@ -225,11 +236,11 @@
         return page, more
 
     def put_in(self, service, answers, now_s):
-        """Take over what another owner remembered."""
+        """Add the answers that another owner remembered."""
         for kept in answers:
             finished_s = now_s - kept.age_s
             if not kept.request_id:
-                self._lose_until(service, finished_s)
+                self._mark_incomplete_until(service, finished_s)
                 continue
             key = RequestKey(service, kept.key_hash, kept.request_id)
             if key not in self._done:
@@ -238,13 +249,13 @@
 
     def _range(self, service, start, end, now_s):
         found = []
-        if service in self._whole_since_s:
-            age_s = now_s - self._whole_since_s[service]
-            found.append(KeptAnswer("", start, 0, _NOTHING, age_s))
+        if service in self._complete_since_s:
+            age_s = now_s - self._complete_since_s[service]
+            found.append(KeptAnswer("", start, 0, _NO_ANSWER, age_s))
         for bucket in range(start >> _BUCKET_SHIFT, ((end - 1) >> _BUCKET_SHIFT) + 1):
             for key, entry in self._buckets.get((service, bucket), {}).items():
                 if start <= key.key_hash < end:
-                    found.append(_kept(key, entry, now_s))
+                    found.append(_to_kept_answer(key, entry, now_s))
         return found
 
     def _keep(self, key, mark, answer, finished_s):
@@ -272,22 +283,23 @@
             key = next(iter(self._done))
             if self._done[key].finished_s >= oldest_s:
                 return
-            self._lose(key)
+            self._evict(key)
 
     def _shrink(self):
         limits = self._limits
         while len(self._done) > limits.entries or self._size_bytes > limits.total_bytes:
-            self._lose(next(iter(self._done)))
+            self._evict(next(iter(self._done)))
 
-    def _lose(self, key):
-        # An id that fell out can't be told from a new one. Every id of its
-        # service that may be as old is therefore no longer vouched for.
+    def _evict(self, key):
+        # An evicted id can't be distinguished from a new one. The memory is
+        # therefore no longer complete for requests of this service that may be
+        # as old as the evicted one.
         entry = self._drop(key)
-        self._lose_until(key.service, entry.finished_s)
+        self._mark_incomplete_until(key.service, entry.finished_s)
 
-    def _lose_until(self, service, finished_s):
-        before_s = self._whole_since_s.get(service, finished_s)
-        self._whole_since_s[service] = max(before_s, finished_s)
+    def _mark_incomplete_until(self, service, finished_s):
+        before_s = self._complete_since_s.get(service, finished_s)
+        self._complete_since_s[service] = max(before_s, finished_s)
 
 
 def _size_bytes(answer):
@@ -298,10 +310,10 @@
     return key.service, key.key_hash >> _BUCKET_SHIFT
 
 
-_NOTHING = Answer(outcome=Outcome.UNKNOWN, status=0, headers=[], body=b"")
+_NO_ANSWER = Answer(outcome=Outcome.UNKNOWN, status=0, headers=[], body=b"")
 
 
-def _kept(key, entry, now_s):
+def _to_kept_answer(key, entry, now_s):
     return KeptAnswer(
         request_id=key.request_id,
         key_hash=key.key_hash,
--- a/comfreywharf/routing/route.py
+++ b/comfreywharf/routing/route.py
@@ -1,8 +1,8 @@
-"""Where a request goes next: to whom, when to wait, when to give up.
+"""Decide the next step of a refused request: send it, hold it or give up.
 
-`decide_route` is asked after each refusal that proves that the request didn't
-run. Each step uses up a hint, a wait or a retry, and all of these are bounded,
-so that a request can't travel for ever between nodes that disagree.
+`decide_route` is called after each reply that carries a reason. Each step uses
+up a hint, a hold or a retry, and all of these are bounded, so that a request
+can't circulate forever between nodes that disagree about the owner.
 """
 
 import attrs
@@ -15,13 +15,13 @@
     "HoldBounds",
     "Ownership",
     "RouteLimits",
+    "RouteProgress",
     "Send",
-    "Trail",
     "after_hold",
     "decide_route",
 ]
 
-_OWNERSHIP_GAP = frozenset(
+_NO_SERVING_OWNER = frozenset(
     {
         Reason.WRONG_OWNER,
         Reason.NOT_YET_OWNER,
@@ -30,12 +30,13 @@
         Reason.PEER_UNREACHABLE,
     }
 )
-"""Refusals that end by themselves when the key has a serving owner again.
+"""Refusals that cease as soon as the key has a serving owner again.
 
-A node whose backend server is gone gives its keys up, so that this is a gap too.
+``NO_BACKEND`` is one of them, since a node that lost its backend server gives up its
+keys.
 """
 
-_OTHER_MEMBER_HELPS = frozenset(
+_OTHER_MEMBER_MAY_SERVE = frozenset(
     {
         Reason.OVERLOADED,
         Reason.DRAINING,
@@ -44,46 +45,50 @@
         Reason.PEER_UNREACHABLE,
     }
 )
-"""Refusals by one member of a service whose other members may serve as well."""
+"""Refusals by one member after which another member of the service may serve, if the
+service isn't divided by key."""
 
-_NO_SERVER_ASKED = frozenset(
+_BACKEND_NOT_REACHED = frozenset(
     {Reason.PEER_UNREACHABLE, Reason.NO_BACKEND, Reason.DRAINING}
 )
-"""Of these, the ones that come before any backend server heard of the request: the
-next member isn't a retry. While two of three machines were gone, a third of the
-requests met both of them, and was refused beside a server with room."""
+"""Refusals of `_OTHER_MEMBER_MAY_SERVE` made before a backend server received
+the request, so that the next send doesn't count as a retry. If it did, a third of the
+requests would be refused while two of three machines are lost, namely those that try
+both lost members first, although the third server has capacity."""
 
 
 @attrs.frozen(kw_only=True)
 class RouteLimits:
-    """Bounds of one request's way.
-
-    The waits grow from ``first_hold_s`` to ``longest_hold_s``; a fold that names
-    another owner ends a wait early. ``retry_after_ms`` is told to a caller whose
-    key had no owner for all of that time; ``retry_burst`` bounds the retries that
-    one node may send at once after a calm time. A request whose owner's server
-    refused it is sent there ``resends`` times more, within the retry budget. Up to
-    ``unreached`` members may be gone before one counts as a retry.
+    """Bounds of the routing of one request.
+
+    At most ``nodes_between_holds`` nodes are tried between two holds. The holds
+    grow from ``first_hold_s`` to ``longest_hold_s`` and last no longer than
+    ``total_hold_s`` together; a fold that changes the owner ends a hold early.
+    ``retry_after_ms`` is sent to a caller whose key had no owner for all of that
+    time; ``retry_burst`` bounds the burst of retries that one node may send after
+    a period without any. A request that its owner's server refused is sent there
+    up to ``resends`` more times, within the retry budget. Up to
+    ``unreached_members`` may be unavailable before a further one counts as a retry.
     """
 
     holds: int = 48
-    asked_between_holds: int = 4
+    nodes_between_holds: int = 4
     first_hold_s: float = 0.005
     longest_hold_s: float = 0.1
-    held_in_all_s: float = 3.0
+    total_hold_s: float = 3.0
     retry_after_ms: int = 1000
     retry_burst: float = 20.0
     resends: int = 0
-    unreached: int = 3
+    unreached_members: int = 3
 
 
 @attrs.frozen(kw_only=True)
 class Ownership:
-    """Who may serve a key, as this node folded it last; empty: nobody.
+    """The nodes that may serve a key, by this node's latest fold; empty: none.
 
-    While the log is down the fold goes on naming an owner that is lost; the
-    standby that serves in its place is known all the same. During a move the
-    earlier owner serves until the new one has its release.
+    While the log is unavailable, the fold keeps naming a lost owner; the standby
+    that serves in its place is known nevertheless. During a move the earlier
+    owner serves until the new one has received its release.
     """
 
     owner: str = ""
@@ -91,14 +96,14 @@
     previous: str = ""
 
     def candidates(self):
-        """Return the nodes that may serve, the likeliest first."""
+        """Return the nodes that may serve, the most likely one first."""
         named = (self.owner, self.standby, self.previous)
         return [node_id for node_id in dict.fromkeys(named) if node_id]
 
 
 @attrs.frozen(kw_only=True)
-class Trail:
-    """The way of a request so far; ``asked`` since the last wait."""
+class RouteProgress:
+    """The progress of a request; ``asked`` are the nodes tried since the last hold."""
 
     target: str
     retries_left: int
@@ -106,37 +111,37 @@
     holds: int = 0
     held_since_s: float | None = None
     resends: int = 0
-    unreached: int = 0
+    unreached_members: int = 0
 
 
 @attrs.frozen
 class Send:
-    """Send the request to a trail's target; ``retry`` if it is a new try."""
+    """Send the request to ``progress.target``; ``retry`` if that counts as a retry."""
 
-    trail: Trail
+    progress: RouteProgress
     retry: bool = False
 
 
 @attrs.frozen
 class Hold:
-    """Wait, until the fold changes or a time, then ask `after_hold`."""
+    """Wait until the fold changes or ``until_s``, then continue with `after_hold`."""
 
-    trail: Trail
+    progress: RouteProgress
     until_s: float
 
 
 @attrs.frozen
 class GiveUp:
-    """Give the caller the refusal, at once."""
+    """Return the refusal to the caller immediately."""
 
 
-def after_hold(trail, ownership):
-    """Return the trail to go on with after a wait."""
-    return attrs.evolve(trail, target=ownership.owner, asked=frozenset())
+def after_hold(progress, ownership):
+    """Return the progress to continue with after a hold."""
+    return attrs.evolve(progress, target=ownership.owner, asked=frozenset())
 
 
 def decide_route(
-    trail,
+    progress,
     reply,
     *,
     ownership,
@@ -150,74 +155,89 @@
 
     ``ownership`` is ``None`` for a service that isn't divided by key;
     ``other_member`` is then a member that wasn't tried yet. ``replayable`` is
-    false where a part of the body is gone.
+    false if a part of the body is no longer available.
 
-    Only a refusal that proves that nothing ran leads to another send: after an
-    unknown outcome the request may have taken effect, and a second send may
+    Only a refusal that proves that nothing ran leads to another send. After an
+    unknown outcome the request may have taken effect, and a second send could
     apply it twice.
     """
     if reply.outcome != Outcome.NOT_RUN or not replayable or now_s >= deadline_s:
         return GiveUp()
     reason = Reason(reply.reason)
     if ownership is not None:
-        if reason is Reason.REFUSED_BY_BACKEND and trail.resends < limits.resends:
-            # No other server may serve the key, and this one was given no more
-            # than its slots: that it refused says little about the next try.
-            return Send(attrs.evolve(trail, resends=trail.resends + 1), retry=True)
-        if reason not in _OWNERSHIP_GAP:
+        if reason is Reason.REFUSED_BY_BACKEND and progress.resends < limits.resends:
+            # No other server may serve the key. This server didn't receive
+            # more requests than it has slots, so its refusal doesn't mean that
+            # the next try will be refused as well.
+            return Send(
+                attrs.evolve(progress, resends=progress.resends + 1), retry=True
+            )
+        if reason not in _NO_SERVING_OWNER:
             return GiveUp()
-        trail = attrs.evolve(trail, asked=trail.asked | {trail.target})
-        target = _not_asked(trail, reply.owner_hint, ownership, limits)
+        progress = attrs.evolve(progress, asked=progress.asked | {progress.target})
+        target = _next_candidate(progress, reply.owner_hint, ownership, limits)
         if target:
-            return Send(attrs.evolve(trail, target=target))
-        return _hold(trail, now_s, deadline_s, limits)
-    if reason not in _OTHER_MEMBER_HELPS or not other_member:
+            return Send(attrs.evolve(progress, target=target))
+        return _hold(progress, now_s, deadline_s, limits)
+    if reason not in _OTHER_MEMBER_MAY_SERVE or not other_member:
         return GiveUp()
-    return _send_to_other(trail, reason, other_member, limits)
+    return _send_to_other(progress, reason, other_member, limits)
 
 
-def _send_to_other(trail, reason, other_member, limits):
-    trail = attrs.evolve(trail, target=other_member)
-    if reason in _NO_SERVER_ASKED and trail.unreached < limits.unreached:
-        return Send(attrs.evolve(trail, unreached=trail.unreached + 1))
-    if trail.retries_left <= 0:
+def _send_to_other(progress, reason, other_member, limits):
+    progress = attrs.evolve(progress, target=other_member)
+    if (
+        reason in _BACKEND_NOT_REACHED
+        and progress.unreached_members < limits.unreached_members
+    ):
+        return Send(
+            attrs.evolve(progress, unreached_members=progress.unreached_members + 1)
+        )
+    if progress.retries_left <= 0:
         return GiveUp()
-    return Send(attrs.evolve(trail, retries_left=trail.retries_left - 1), retry=True)
+    return Send(
+        attrs.evolve(progress, retries_left=progress.retries_left - 1), retry=True
+    )
 
 
-def _not_asked(trail, hint, ownership, limits):
-    """Return a node that may serve and wasn't asked since the last wait."""
-    # Two nodes that each take the other for the owner would send a request to
-    # and fro; each is asked once, and then the fold is waited for.
-    if len(trail.asked) >= limits.asked_between_holds:
+def _next_candidate(progress, hint, ownership, limits):
+    """Return a node that may serve and wasn't tried since the last hold, or ``""``."""
+    # Two nodes that consider each other the owner would forward a request back
+    # and forth. Each is therefore tried once; then the request is held until
+    # the fold changes.
+    if len(progress.asked) >= limits.nodes_between_holds:
         return ""
     for node_id in (hint, *ownership.candidates()):
-        if node_id and node_id not in trail.asked:
+        if node_id and node_id not in progress.asked:
             return node_id
     return ""
 
 
-def _hold(trail, now_s, deadline_s, limits):
-    held_since_s = now_s if trail.held_since_s is None else trail.held_since_s
-    wait_s = min(limits.longest_hold_s, limits.first_hold_s * 2 ** min(trail.holds, 16))
+def _hold(progress, now_s, deadline_s, limits):
+    held_since_s = now_s if progress.held_since_s is None else progress.held_since_s
+    wait_s = min(
+        limits.longest_hold_s, limits.first_hold_s * 2 ** min(progress.holds, 16)
+    )
     until_s = now_s + wait_s
-    # A wait that would outlive the request, or the bound, only delays its
-    # refusal: the caller is told now, and told when to come back.
+    # A hold beyond the deadline or the bound would only delay the refusal.
+    # The caller gets it now, together with a time to retry after.
     if (
-        trail.holds >= limits.holds
+        progress.holds >= limits.holds
         or until_s >= deadline_s
-        or until_s > held_since_s + limits.held_in_all_s
+        or until_s > held_since_s + limits.total_hold_s
     ):
         return GiveUp()
-    trail = attrs.evolve(trail, holds=trail.holds + 1, held_since_s=held_since_s)
-    return Hold(trail, until_s)
+    progress = attrs.evolve(
+        progress, holds=progress.holds + 1, held_since_s=held_since_s
+    )
+    return Hold(progress, until_s)
 
 
 class HoldBounds:
-    """How many requests a node holds at once, and their bytes.
+    """Bound the requests that a node holds at once, in number and bytes.
 
     Without a bound, the loss of one owner would fill every ingress node with
-    requests that wait for it, and requests for other keys would starve.
+    requests that wait for it, and no resources would be left for other keys.
 
     >>> bounds = HoldBounds(requests=1, size_bytes=100)
     >>> bounds.enter(10), bounds.enter(10)
@@ -232,7 +252,7 @@
         self._bytes_left = size_bytes
 
     def enter(self, size_bytes):
-        """Return whether one more request may be held, and count it if so."""
+        """Return whether another request may be held, and count it if so."""
         if not self._requests_left or size_bytes > self._bytes_left:
             return False
         self._requests_left -= 1
@@ -240,6 +260,6 @@
         return True
 
     def leave(self, size_bytes):
-        """Count a request that is held no longer."""
+        """Remove a request that is no longer held from the count."""
         self._requests_left += 1
         self._bytes_left += size_bytes
--- a/comfreywharf/routing/tests/test_memory.py
+++ b/comfreywharf/routing/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""The memory of answers: nothing runs twice, through resend, eviction and moves."""
+"""Tests that no request runs twice, despite resends, evictions and moves."""
 
 import attrs
 from hypothesis import settings, strategies as st
@@ -7,9 +7,9 @@
 from comfreywharf.routing import (
     Answer,
     AnswerMemory,
+    BeginStatus,
     MemoryLimits,
     Outcome,
-    Recall,
     RequestKey,
     fingerprint,
 )
@@ -32,7 +32,7 @@
 
 
 class AtMostOnce(RuleBasedStateMachine):
-    """Callers send and resend; the owner's memory is used, moved and lost."""
+    """Callers that send and resend while the owner's memory is moved and lost."""
 
     def __init__(self):
         super().__init__()
@@ -43,15 +43,15 @@
         self.running = set()
         self.may_have_run = set()
 
-    @rule(number=st.integers(0, 20), tells=st.booleans())
-    def send(self, number, tells):
-        """Send a request, or send it again, as docs/interfaces-callers.md asks."""
+    @rule(number=st.integers(0, 20), reports_first_send=st.booleans())
+    def send(self, number, reports_first_send):
+        """Send or resend a request as docs/interfaces-callers.md requires."""
         first_sent_s = None
         if number in self.first_sent_s:
             age_s = self.now_s - self.first_sent_s[number]
-            tells = tells or age_s > LIMITS.age_s
+            reports_first_send = reports_first_send or age_s > LIMITS.age_s
             first_sent_s = self.first_sent_s[number]
-        if not tells:
+        if not reports_first_send:
             first_sent_s = self.now_s - LIMITS.age_s
         self.first_sent_s.setdefault(number, self.now_s)
         found = self.memory.begin(
@@ -61,13 +61,13 @@
             vouched_since_s=self.vouched_since_s,
             now_s=self.now_s,
         )
-        if found.recall == Recall.FIRST:
+        if found.begin_status == BeginStatus.FIRST:
             assert number not in self.may_have_run, "ran twice"
             self.running.add(number)
             self.may_have_run.add(number)
-        elif found.recall == Recall.KNOWN:
+        elif found.begin_status == BeginStatus.KNOWN:
             assert number in self.may_have_run
-        elif found.recall == Recall.RUNNING:
+        elif found.begin_status == BeginStatus.RUNNING:
             assert number in self.running
 
     @precondition(lambda self: self.running)
@@ -79,7 +79,7 @@
 
     @precondition(lambda self: self.running)
     @rule(data=st.data())
-    def proved_not_run(self, data):
+    def proven_not_run(self, data):
         number = data.draw(st.sampled_from(sorted(self.running)))
         self.running.discard(number)
         self.may_have_run.discard(number)
@@ -92,15 +92,15 @@
     @precondition(lambda self: not self.running)
     @rule(passed_s=st.sampled_from([0.0, 12.0]))
     def move_to_another_owner(self, passed_s):
-        """Hand the memory over page by page, while entries grow old."""
-        taker = AnswerMemory(LIMITS)
+        """Transfer the memory page by page while its entries age."""
+        receiver = AnswerMemory(LIMITS)
         received, more = 0, True
         while more:
             page, more = self.memory.take_out(SERVICE, 0, 1 << 63, received, self.now_s)
             received += len(page)
-            taker.put_in(SERVICE, page, self.now_s)
+            receiver.put_in(SERVICE, page, self.now_s)
             self.now_s += passed_s
-        self.memory = taker
+        self.memory = receiver
 
     @rule()
     def lose_the_owner(self):
@@ -129,11 +129,11 @@
     )
 
 
-def test_an_id_that_comes_with_another_request_gets_no_answer():
-    """Symptom: a caller gets the answer to a request that it never made.
+def test_a_reused_request_id_gets_no_remembered_answer():
+    """Guard against a caller that gets the answer to another caller's request.
 
-    Sequence: two callers choose the same request id for the same key.
-    Cause: the id alone was taken for the request.
+    Two callers choose the same request id for the same key, so that the id
+    alone doesn't identify a request.
     """
     memory = AnswerMemory(LIMITS)
     key = request_key(1)
@@ -141,12 +141,12 @@
     begin(memory, key, first)
     memory.finish(key, answer(), 0.0)
     other = fingerprint("POST", "/book", b"tuesday")
-    assert begin(memory, key, other).recall == Recall.REUSED
+    assert begin(memory, key, other).begin_status == BeginStatus.REUSED
     assert begin(memory, key, first).answer.body == answer().body
 
 
 def test_a_long_answer_is_remembered_without_its_body():
-    """A resend learns that the request ran, though not with what answer."""
+    """A resend is told that the request ran, but doesn't get the answer's body."""
     memory = AnswerMemory(LIMITS)
     begin(memory, request_key(1))
     memory.finish(request_key(1), answer(LIMITS.body_bytes + 1), 0.0)
@@ -155,7 +155,7 @@
 
 
 def test_a_page_holds_only_the_slice_that_moves():
-    """Answers of a neighbouring slice stay with their owner."""
+    """Answers of adjacent slices stay with their owner."""
     memory = AnswerMemory(LIMITS)
     for key_hash in (1, 2, 3):
         key = RequestKey(SERVICE, key_hash, "id")
--- a/comfreywharf/routing/tests/test_route.py
+++ b/comfreywharf/routing/tests/test_route.py
@@ -1,4 +1,4 @@
-"""The way of a request: it ends, and only what didn't run is sent again."""
+"""Tests that routing terminates and resends only requests that didn't run."""
 
 import attrs
 from hypothesis import given, settings, strategies as st
@@ -11,8 +11,8 @@
     Reason,
     RetryBudget,
     RouteLimits,
+    RouteProgress,
     Send,
-    Trail,
     after_hold,
     decide_route,
     status_of,
@@ -20,8 +20,8 @@
 
 LIMITS = RouteLimits()
 RETRIES = 2
-MOST_SENDS = (
-    (LIMITS.holds + 1) * LIMITS.asked_between_holds + RETRIES + LIMITS.unreached
+MAX_SENDS = (
+    (LIMITS.holds + 1) * LIMITS.nodes_between_holds + RETRIES + LIMITS.unreached_members
 )
 
 nodes = st.sampled_from(["", "a", "b", "c", "d"])
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class Refused:
-    """What `decide_route` reads of a reply."""
+    """The fields of a reply that `decide_route` reads."""
 
     reason: str
     outcome: Outcome
@@ -61,10 +61,10 @@
 )
 
 
-def decide(trail, reply, ownership, now_s=0.0, deadline_s=100.0, **facts):
+def decide(progress, reply, ownership, now_s=0.0, deadline_s=100.0, **facts):
     chosen = {"other_member": "", "replayable": True, **facts}
     return decide_route(
-        trail,
+        progress,
         reply,
         ownership=ownership,
         now_s=now_s,
@@ -76,66 +76,66 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.data(), st.booleans())
-def test_every_way_ends(data, divided_by_key):
-    """Whatever nodes answer and hint, the sends are bounded, and so is the time.
+def test_routing_always_terminates(data, divided_by_key):
+    """The number of sends and the time are bounded for any replies and hints.
 
-    Symptom: a request travels between two nodes until its deadline. Sequence: a
-    slice moves; each of two nodes takes the other for its owner. Cause: each
-    hint was followed.
+    Guards against following every hint: while a slice moves, two nodes may each
+    consider the other its owner, and a request would be forwarded between them
+    until its deadline.
     """
-    trail = Trail(target=data.draw(nodes), retries_left=RETRIES)
+    progress = RouteProgress(target=data.draw(nodes), retries_left=RETRIES)
     now_s, sends = 0.0, 1
     while True:
         reply = data.draw(gap_replies if divided_by_key else replies)
         ownership = data.draw(ownerships) if divided_by_key else None
-        step = decide(trail, reply, ownership, now_s, other_member="other")
+        step = decide(progress, reply, ownership, now_s, other_member="other")
         if isinstance(step, GiveUp):
             break
         assert reply.outcome == Outcome.NOT_RUN
-        trail = step.trail
+        progress = step.progress
         if isinstance(step, Hold):
-            assert now_s < step.until_s <= LIMITS.held_in_all_s
+            assert now_s < step.until_s <= LIMITS.total_hold_s
             now_s = step.until_s
-            trail = after_hold(trail, ownership)
+            progress = after_hold(progress, ownership)
         sends += 1
-        assert sends <= MOST_SENDS
-    assert now_s <= LIMITS.held_in_all_s
+        assert sends <= MAX_SENDS
+    assert now_s <= LIMITS.total_hold_s
 
 
 @settings(derandomize=True, deadline=None)
 @given(replies, st.one_of(st.none(), ownerships), st.booleans())
-def test_only_what_was_not_run_goes_on(reply, ownership, replayable):
-    """An unknown outcome, or a body that is gone, is never sent again."""
-    trail = Trail(target="a", retries_left=RETRIES)
-    step = decide(trail, reply, ownership, other_member="b", replayable=replayable)
+def test_only_requests_that_did_not_run_are_sent_again(reply, ownership, replayable):
+    """A request of unknown outcome, or without its whole body, isn't sent again."""
+    progress = RouteProgress(target="a", retries_left=RETRIES)
+    step = decide(progress, reply, ownership, other_member="b", replayable=replayable)
     if not isinstance(step, GiveUp):
         assert replayable and reply.outcome == Outcome.NOT_RUN
 
 
 def test_a_wrong_route_is_corrected_in_one_hop():
-    """The hint of the node that was asked is followed at once."""
+    """The owner hint of the refusing node is followed immediately."""
     step = decide(
-        Trail(target="a", retries_left=0),
+        RouteProgress(target="a", retries_left=0),
         refused(Reason.WRONG_OWNER, "b"),
         Ownership(owner="a"),
     )
-    assert isinstance(step, Send) and step.trail.target == "b"
+    assert isinstance(step, Send) and step.progress.target == "b"
 
 
-def test_a_lost_owners_standby_is_asked_without_the_fold():
-    """While the log is down, the fold goes on naming the lost owner."""
+def test_a_request_goes_to_a_lost_owners_standby_before_the_fold_changes():
+    """While the log is unavailable, the fold keeps naming the lost owner."""
     step = decide(
-        Trail(target="a", retries_left=0),
+        RouteProgress(target="a", retries_left=0),
         refused(Reason.PEER_UNREACHABLE),
         Ownership(owner="a", standby="b"),
     )
-    assert isinstance(step, Send) and step.trail.target == "b"
+    assert isinstance(step, Send) and step.progress.target == "b"
 
 
-def test_a_refusal_is_not_held_back_until_the_deadline():
-    """A wait that would outlive the request isn't begun."""
+def test_a_request_is_not_held_beyond_its_deadline():
+    """A request isn't held if the hold would end after its deadline."""
     step = decide(
-        Trail(target="a", retries_left=0),
+        RouteProgress(target="a", retries_left=0),
         refused(Reason.NOT_YET_OWNER),
         Ownership(owner="a"),
         deadline_s=LIMITS.first_hold_s,
@@ -145,11 +145,11 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.booleans(), max_size=400), st.floats(0, 0.5))
-def test_retries_stay_under_their_fraction(wishes, fraction):
+def test_retries_stay_under_their_fraction(sends_are_retries, fraction):
     """Retries never exceed the declared fraction of the first sends."""
     budget = RetryBudget()
     firsts = retries = 0
-    for retry in wishes:
+    for retry in sends_are_retries:
         if retry:
             retries += budget.take()
         else:
@@ -159,26 +159,28 @@
 
 
 def test_a_request_that_its_owners_server_refused_is_sent_there_again():
-    """Symptom: half of the requests fail while servers refuse half of them.
-    Sequence: the only server that may serve a key refuses a request that it has a
-    slot for; the next try would have been served.
-    Cause: there is no other server to send it to, so it was given up."""
+    """Guard against giving up because no other server may serve the key.
+
+    A server that refuses half of the requests for which it has slots would
+    otherwise make half of them fail, although the next try may be served.
+    """
     limits = RouteLimits(resends=2)
-    trail, sends = Trail(target="a", retries_left=0), 0
+    progress, sends = RouteProgress(target="a", retries_left=0), 0
     reply = refused(Reason.REFUSED_BY_BACKEND)
-    while isinstance(step := decide_here(trail, reply, limits), Send):
-        assert step.retry and step.trail.target == "a"
-        trail, sends = step.trail, sends + 1
+    while isinstance(step := decide_at_owner(progress, reply, limits), Send):
+        assert step.retry and step.progress.target == "a"
+        progress, sends = step.progress, sends + 1
     assert isinstance(step, GiveUp) and sends == 2
     unknown = attrs.evolve(reply, outcome=Outcome.UNKNOWN)
     assert isinstance(
-        decide_here(Trail(target="a", retries_left=0), unknown, limits), GiveUp
+        decide_at_owner(RouteProgress(target="a", retries_left=0), unknown, limits),
+        GiveUp,
     )
 
 
-def decide_here(trail, reply, limits):
+def decide_at_owner(progress, reply, limits):
     return decide_route(
-        trail,
+        progress,
         reply,
         ownership=Ownership(owner="a", standby="b"),
         other_member="",
@@ -189,17 +191,19 @@
     )
 
 
-def test_members_that_are_gone_use_up_no_retry():
-    """Symptom: a third of the requests is refused beside a server with room.
-    Sequence: two of a service's three machines are lost; a request meets both.
-    Cause: the one retry was used up where no server had heard of the request."""
-    trail = Trail(target="a", retries_left=0)
+def test_unavailable_members_use_up_no_retry():
+    """Guard against spending the only retry where no server received the request.
+
+    If two of a service's three machines are lost, a third of the requests try
+    both of them, and would be refused although the third server has capacity.
+    """
+    progress = RouteProgress(target="a", retries_left=0)
     gone = refused(Reason.PEER_UNREACHABLE)
-    for number in range(LIMITS.unreached):
-        step = decide(trail, gone, None, other_member=f"m{number}")
+    for number in range(LIMITS.unreached_members):
+        step = decide(progress, gone, None, other_member=f"m{number}")
         assert isinstance(step, Send)
         assert not step.retry
-        trail = step.trail
-    assert isinstance(decide(trail, gone, None, other_member="m"), GiveUp)
+        progress = step.progress
+    assert isinstance(decide(progress, gone, None, other_member="m"), GiveUp)
     full = refused(Reason.OVERLOADED)
-    assert isinstance(decide(trail, full, None, other_member="m"), GiveUp)
+    assert isinstance(decide(progress, full, None, other_member="m"), GiveUp)
