--- a/comfreywharf/daemon/connections/__init__.py
+++ b/comfreywharf/daemon/connections/__init__.py
@@ -1,5 +1,5 @@
-"""HTTP as it is spoken here: clients that send once, servers that send at once.
+"""HTTP clients that send each request at most once, and servers without Nagle delay.
 
-The others use `SingleSendClient`, `BoundClient` and `NodelayHandler`, and the ways to
-end a connection.
+Other packages use `SingleSendClient`, `BoundClient` and `NodelayHandler`, and the
+functions that reset or shut down a connection.
 """
--- a/comfreywharf/daemon/connections/bound_pool.py
+++ b/comfreywharf/daemon/connections/bound_pool.py
@@ -1,4 +1,4 @@
-"""Connections to a backend server that are known to lead to one process of it."""
+"""A client whose pooled connections all lead to one process of a backend server."""
 
 from collections import deque
 
@@ -13,25 +13,28 @@
 __all__ = ["BoundClient"]
 
 REFILL_PAUSE_S = 0.2
-"""A server that is full accepts connections and resets them. Without a pause, eight
-that are wanted were 3,300 attempts within 0.4 s on one machine, at the very server
-that has no room."""
+"""Pause between refills. A server at its connection limit accepts connections and
+resets them. Without a pause, filling a pool of eight took 3,300 attempts within 0.4 s
+on one machine, all of them at the overloaded server."""
 
 VOUCH_TIMEOUT_S = 1.0
-"""A question waits for one of the server's slots, most often for 0.1 s."""
+"""Timeout of the probe request. It waits for one of the server's slots, usually for
+0.1 s."""
 
 
 class BoundClient(SingleSendClient):
-    """An HTTP client whose requests reach one process, and never the next at its place.
-
-    `reach` says which process that is; `borrow` gives a connection to it, on which
-    `exchange` sends, so that the answer can vouch for others.
-
-    The process is lost from sight with the last known connection, and orders may use
-    up one connection after the other: half of them get no answer at times. So the last
-    one carries none, but a question that any process answers, with which it vouches
-    for new ones; ``question()`` returns its target. Only where a refill has shown that
-    the server has room for no other does it carry orders as well.
+    """An HTTP client whose requests never reach a later process at the same address.
+
+    `reach` returns the number of the process; `borrow` returns a connection to it, and
+    `exchange` sends a request on that connection. Each answer confirms that other
+    connections lead to the same process.
+
+    The process can no longer be identified once its last confirmed connection is
+    closed. Orders may use up one connection after the other, since at times half of
+    them get no answer. The last confirmed connection is therefore reserved for a probe
+    request that any process answers, and whose answer confirms new connections;
+    ``question()`` returns the request target of this probe. The last connection
+    carries orders only after a refill has shown that the server accepts no other.
     """
 
     def __init__(self, host, port, *, question, **settings):
@@ -42,32 +45,32 @@
 
     @property
     def pool_type(self):
-        """Return the pool that follows the process."""
+        """Return the class of the pool, which tracks the process."""
         return _BoundPool
 
     def reach(self):
-        """Return the number of the process at the address, whoever that is.
+        """Return the number of the process that listens at the address.
 
-        Connects where no process is known. Raises `ConnectionRefusedError` where
-        nothing listens, `OSError` where no connection comes about.
+        Opens a connection if no process is known. Raises `ConnectionRefusedError` if
+        nothing listens, and `OSError` if the connection fails for another reason.
         """
         process = self._pool.reach()
         if self._wants_refill():
-            # Due later, it still has to come without another call: the order that
-            # this one is for may wait for it.
+            # The refill is scheduled now even if it is due later: the order that
+            # this call serves may wait for it, and no further call may follow.
             wait_s = max(0.0, self._refill_not_before_s - boottime_s())
             self._refilling = gevent.spawn_later(wait_s, self._refill)
         return process
 
     def borrow(self, process):
-        """Return a connection to a process; ``None`` once that isn't known any more.
+        """Return an idle connection to a process, and wait for one if necessary.
 
-        Waits for one that is idle.
+        Return ``None`` once the process is no longer known.
         """
         return self._pool.borrow(process)
 
     def exchange(self, sock, method, target, header_lines, body):
-        """Send on a connection and return the answer, which vouches for others."""
+        """Send on a connection and return the answer, which confirms others."""
         asked = self._pool.bond.asked()
 
         def vouch():
@@ -78,7 +81,7 @@
 
     @property
     def awaits(self):
-        """Return whether an answer is awaited on a connection that is open."""
+        """Return whether an answer is pending on an open connection."""
         return self._pool.in_use > 0
 
     def _wants_refill(self):
@@ -97,12 +100,12 @@
                 if sock is not None:
                     self.exchange(sock, "GET", self._question(), "", b"")
         except (gevent.Timeout, OSError, RuntimeError, HTTPParseError):
-            # The next refill asks again, or finds that the process is gone.
+            # The next refill sends another probe, or finds that the process is gone.
             return
 
 
 class _BoundPool(NodelayPool):
-    """The connections of a `BoundClient`."""
+    """The connection pool of a `BoundClient`."""
 
     def __init__(self, *address, **settings):
         super().__init__(*address, **settings)
@@ -116,12 +119,12 @@
 
     @property
     def in_use(self):
-        """Return how many connections are lent."""
+        """Return how many connections are in use."""
         return len(self._open) - len(self._idle)
 
     @property
     def missing(self):
-        """Return how many connections are still to be opened."""
+        """Return how many connections the pool lacks, without those being opened."""
         if self._closed:
             return 0
         return max(0, self.size - len(self._open) - self._opening)
@@ -134,10 +137,10 @@
         return self.bond.process
 
     def _open_first(self):
-        """Open a connection to whoever is there; who comes meanwhile waits for it.
+        """Open the first connection; concurrent callers wait for the same one.
 
-        Each request that lacks a grant comes here. With a connection of its own for
-        each, 40 of them had 47 open at a server that was to have 8.
+        Each request that lacks a grant calls this. When each opened a connection of
+        its own, 40 requests had 47 connections open to a server that was to have 8.
         """
         if self._first is not None:
             self._first.get()
@@ -163,21 +166,22 @@
         return None
 
     def _leads_to(self, process):
-        # What has ended is noticed first: noticed between this look and the wait, it
-        # would wake nobody.
+        # Closed connections are dropped before the check. Dropped between the check
+        # and the wait, they would wake no waiter.
         self._drop_ended()
         return bool(process) and self.bond.process == process and not self._closed
 
     def answered(self, sock, asked):
-        """Take note of an answer; who waits may have a connection now."""
+        """Record an answer, and notify waiters that connections may be available."""
         self.bond.answered(sock, asked)
         self.tell()
 
     def refill(self, vouch):
-        """Open what is missing, and call `vouch` if something waits for that.
+        """Open missing connections, and call ``vouch()`` if any needs confirmation.
 
-        This also finds out how many connections the server has room for. Those that
-        it resets are open for a moment; those that orders lose meanwhile had room.
+        This also determines how many connections the server accepts. Those that it
+        resets are open briefly and don't count; those that were open before and that
+        orders lose in the meantime do count.
         """
         before = len(self._open)
         self._room = self.size
@@ -193,7 +197,7 @@
         gevent.joinall(opening)
 
     def return_socket(self, sock):
-        """Take back a connection that may be used again."""
+        """Return a reusable connection to the pool."""
         if self._closed or sock not in self._open:
             self.release_socket(sock)
             return
@@ -208,26 +212,26 @@
         self.tell()
 
     def close(self):
-        """Close what is idle, now, and what is in use once it is given back."""
+        """Close idle connections now, and those in use once they are returned."""
         super().close()
         self._drop(list(self._idle))
         self.tell()
 
     def tell(self):
-        """Have those who wait for a connection look again."""
+        """Wake the greenlets that wait for a connection, so that they check again."""
         self._changed.set()
         self._changed.clear()
 
     def _take_idle(self, to_vouch):
-        """Return the known connection that was idle for longest, or ``None``.
+        """Return the confirmed connection that was idle for longest, or ``None``.
 
-        Taken in turn, none of them is closed by the server for being idle.
+        Using them in turn keeps the server from closing any of them for being idle.
         """
         known = [sock for sock in self._idle if self.bond.knows(sock)]
-        # An order that waits while others get no answer would take the last one when
-        # those are closed, get no answer itself, and put the process out of sight. It
-        # goes out on the last one only once a refill has shown that the server has
-        # room for no other; until then that one is kept to vouch for new ones.
+        # Orders that get no answer have their connections closed. A waiting order
+        # that then took the last confirmed one, and got no answer either, would make
+        # the process impossible to identify. The last one is therefore kept to confirm
+        # new ones, until a refill has shown that the server accepts no other.
         last_is_kept = self._room > 1 and not to_vouch
         if not known or (len(known) == 1 and last_is_kept):
             return None
@@ -246,7 +250,7 @@
         try:
             self._open_one()
         except OSError:
-            # The next refill tries again, and `reach` says why it is in vain.
+            # The next refill tries again, and `reach` raises the error to its caller.
             return
 
     def _open_one(self):
@@ -256,8 +260,8 @@
         finally:
             self._opening -= 1
         if not self.bond.process:
-            # Nothing can vouch for older connections any more. How much room there is
-            # for new ones hasn't been seen yet.
+            # No confirmed connection is left that could confirm older ones. How many
+            # connections the new process accepts isn't known yet.
             self._drop(list(self._idle))
             self._room = self.size
         self._open.add(sock)
--- a/comfreywharf/daemon/connections/http.py
+++ b/comfreywharf/daemon/connections/http.py
@@ -1,4 +1,4 @@
-"""What the HTTP libraries need to be told before they can be used here."""
+"""Adaptations of the HTTP libraries: pool, WSGI handler, response and client."""
 
 import socket as std_socket
 import struct
@@ -23,12 +23,12 @@
 NO_LINGER = struct.pack("ii", 1, 0)
 
 LONG_BODY_BYTES = 4096
-"""From which length on a server may refuse a request before it has its body: a
-shorter one comes with the headers, in the first segments of a connection."""
+"""Body length from which a server may refuse a request before it has read the body. A
+shorter body arrives with the headers, in the first segments of a connection."""
 
 
 class NodelayPool(ConnectionPool):
-    """A pool whose connections send at once, to an IP number.
+    """A connection pool to an IP address, with Nagle's algorithm disabled.
 
     Nagle's algorithm and delayed acknowledgements otherwise add 40 ms stalls to
     small requests. ``lent`` counts the connections that are in use.
@@ -45,7 +45,7 @@
 
     @property
     def lends_open(self):
-        """Return whether a connection is in use that its other end keeps open."""
+        """Return whether a connection is in use that the peer hasn't closed."""
         return any(not has_ended(sock) for sock in self._lent)
 
     def get_socket(self):
@@ -55,7 +55,7 @@
         return sock
 
     def return_socket(self, sock):
-        """Take back a connection that may be used again."""
+        """Return a reusable connection to the pool."""
         self._lent.discard(sock)
         super().return_socket(sock)
 
@@ -65,36 +65,37 @@
         super().release_socket(sock)
 
     def after_connect(self, sock):
-        """Switch Nagle's algorithm off on a new connection."""
+        """Disable Nagle's algorithm on a new connection."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def _resolve(self):
-        # The library looks each connection's address up in a thread, also
-        # where it is an IP number.
+        # The library resolves the address of each connection in a thread, even if
+        # it is an IP address.
         address = (self._connection_host, self._connection_port)
         return [(socket.AF_INET, socket.SOCK_STREAM, 0, "", address)]
 
     def _is_socket_alive(self, sock):
-        # The library uses select(), which fails for file numbers over 1,023:
-        # a node with many callers would then open a connection a request.
+        # The library uses select(), which fails for file descriptors over 1,023. A
+        # node with many callers would then open a new connection for each request.
         return is_quiet(sock)
 
 
 class NodelayHandler(pywsgi.WSGIHandler):
-    """A WSGI handler that sends at once and gives the socket to the request."""
+    """A WSGI handler without Nagle delay that passes the socket to the application."""
 
     def __init__(self, sock, address, server, rfile=None):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         super().__init__(sock, address, server, rfile)
 
     def log_request(self):
-        """Do nothing: the library writes an access line also where nobody reads it."""
+        """Do nothing; the library formats an access log line even without a log."""
 
     def get_environ(self):
         """Return the WSGI environment, with the caller's socket in it.
 
-        ``PATH_INFO`` is unquoted, and a quoted space or line end in it would
-        break the request to the backend server; the target is passed as sent.
+        ``PATH_INFO`` is percent-decoded, and an encoded space or line end in it would
+        break the request to the backend server. The request target is therefore
+        passed as the caller sent it.
         """
         environ = super().get_environ()
         environ["comfreywharf.socket"] = self.socket
@@ -103,10 +104,10 @@
 
 
 def cut_connection(sock):
-    """Reset a connection, so that its other end can't take a part for the whole.
+    """Have a connection reset on close, so that a truncated answer isn't accepted.
 
-    An answer to a caller that speaks HTTP/1.0 ends where the connection ends; a
-    cut one would look whole if the connection were closed in the usual way.
+    An answer to an HTTP/1.0 caller ends where the connection ends. A truncated one
+    would look complete if the connection were closed in the usual way.
     """
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
@@ -115,16 +116,16 @@
 
 
 class BackendResponse(HTTPResponse):
-    """A response that is read from a connection, which it then gives back.
+    """A response that is read from a pooled connection, which it then returns.
 
-    The library's own response gives its connection back in the middle of the
-    bytes that it parses. Bytes behind the end of an answer then either replace
-    its status and add to its body, or stay in the connection for the next
-    request. Here the connection is given back only after the bytes were parsed,
-    and only if none was left over.
+    The library's own response returns its connection to the pool while it is still
+    parsing received bytes. Bytes after the end of an answer then either replace its
+    status and extend its body, or remain in the connection for the next request.
+    This class returns the connection only after all received bytes were parsed, and
+    only if none is left over.
 
-    Where ``unframed`` answers are allowed, one without a length is whole when its
-    connection is closed in the usual way, and cut when that is reset.
+    If ``unframed`` answers are allowed, an answer without a length is complete when
+    its connection is closed in the usual way, and truncated when it is reset.
     """
 
     def __init__(self, method, sock, pool, unframed=False, long_body=False):
@@ -138,12 +139,12 @@
 
     @property
     def whole(self):
-        """Return whether the answer's end was read."""
+        """Return whether the answer was read to its end."""
         return self._whole
 
     @property
     def buffered_bytes(self):
-        """Return how much of the body was read and not yet taken."""
+        """Return how many bytes of the body were received but not returned yet."""
         return len(self._body_buffer)
 
     def _on_message_begin(self):
@@ -165,12 +166,12 @@
         )
 
     def read_head(self):
-        """Read until the headers of the final response are there."""
+        """Read until the headers of the final (not 1xx) response are complete."""
         while not self.headers_complete or self.get_code() < 200:
             self._receive()
         if not self._unframed and not self._has_length():
-            # Such an answer ends where the connection ends, and a cut one
-            # would be passed on as a short success.
+            # Such an answer ends where the connection ends. A truncated one would
+            # be forwarded as a shorter, successful answer.
             raise HTTPParseError("an answer without a length")
         if self._whole:
             self.release()
@@ -178,7 +179,7 @@
     def read(self, length=sys.maxsize):
         """Return up to ``length`` bytes of the body; none only at its end.
 
-        Raises `OSError` or `HTTPParseError` where the answer is cut.
+        Raises `OSError` or `HTTPParseError` if the answer is truncated.
         """
         while not self._whole and len(self._body_buffer) < length:
             self._receive()
@@ -200,20 +201,20 @@
         try:
             self.feed(data)
         except HTTPParseError:
-            # Bytes behind the answer: it is whole, and its parser has failed, so
-            # that `release` closes the connection.
+            # Bytes follow the complete answer. Its parser has failed, so that
+            # `release` closes the connection.
             if not self._whole:
                 raise
 
     def abort(self):
-        """End the connection; a greenlet that waits for it gets an error."""
+        """Shut the connection down; a greenlet that reads from it gets an error."""
         if self._sock is not None:
             shut_down(self._sock)
 
     def release(self):
-        """Give the connection back, or close it if an answer may still come.
+        """Return the connection to the pool, or close it if bytes may still arrive.
 
-        While the response is ``held`` it keeps the connection.
+        Do nothing while the response is ``held``: it then keeps the connection.
         """
         if self.held:
             return
@@ -226,18 +227,18 @@
             self._pool.return_socket(sock)
 
     def _body_may_be_unread(self):
-        """Return whether the server may have refused the request halfway.
+        """Return whether the server may have refused the request before its body.
 
-        It then reads on before it looks at the next request. That one waits for up
-        to a second without an answer, most often past its deadline, and reaches the
-        server long after its caller has left.
+        The server then reads the rest of the body before the next request on the
+        connection. That request waits for up to a second without an answer, usually
+        past its deadline, and runs long after its caller has disconnected.
         """
         return self._long_body and self.get_code() >= 400
 
     def following(self):
-        """Return the response behind this one on the connection.
+        """Return the response that follows this one on the connection.
 
-        Raises `HTTPParseError` where this one's end can't be told from its start.
+        Raises `HTTPParseError` if this one isn't complete or closes the connection.
         """
         if not self._whole or self.should_close():
             raise HTTPParseError("nothing can follow this answer")
@@ -252,7 +253,7 @@
 
 
 def shut_down(sock):
-    """End a connection in both directions, also under a greenlet that waits."""
+    """Shut a connection down in both directions, even while a greenlet reads it."""
     try:
         sock.shutdown(std_socket.SHUT_RDWR)
     except OSError:
@@ -264,9 +265,9 @@
 
     The library's own client sends a request with an idempotent method again, up
     to the pool's size plus one times, when the connection closed. A GET that
-    crashes the backend server would crash it again each time, and nobody would
-    have decided so. Only `routing` decides on a retry. Of the library, its pool
-    of connections and its parser are used.
+    crashes the backend server would crash it again each time, without any retry
+    decision by the router. Only the package `routing` decides on retries. Of the
+    library, the connection pool and the parser are used.
     """
 
     pool_type = NodelayPool
@@ -286,30 +287,30 @@
 
     @property
     def awaits(self):
-        """Return whether an answer is awaited on a connection that is open.
+        """Return whether an answer is pending on an open connection.
 
-        While a slow caller is waited for nobody reads there, so that the end of the
-        stream is looked for.
+        While the router waits for a slow caller, no greenlet reads the connection. A
+        close by the server is therefore checked for explicitly.
         """
         return self._pool.lends_open
 
     def connect(self):
-        """Return a connection: an idle one, or a new one.
+        """Return an idle connection, or a new one.
 
-        Waits while as many as allowed are in use. Raises `OSError`, or
+        Wait while the maximum number of connections is in use. Raises `OSError`, or
         `RuntimeError` after `close`.
         """
         return self._pool.get_socket()
 
     def give_back(self, sock):
-        """Return a connection that nothing was sent on."""
+        """Return a connection to the pool that nothing was sent on."""
         self._pool.return_socket(sock)
 
     def request(self, method, target, body=b"", header_lines=""):
-        """Send on a connection of the pool; return the response, its head read.
+        """Send on a pooled connection; return the response with its headers read.
 
         Raises `OSError`, `RuntimeError` or the library's `HTTPParseError`; a
-        `gevent.Timeout` passes through. In each case the connection is closed.
+        `gevent.Timeout` propagates. In each case the connection is closed.
         """
         response = self.send(self.connect(), method, target, header_lines, body)
         try:
@@ -320,12 +321,12 @@
         return response
 
     def send(self, sock, method, target, header_lines, body):
-        """Send the request and return the response, nothing of it read yet.
+        """Send the request and return the response, of which nothing is read yet.
 
         ``body`` is bytes, or an iterator of bytes that is sent chunked.
-        ``header_lines`` is text, each line with its end. In case of an error
-        the connection is closed: a request that was sent in part is answered
-        with an error, if at all; that answer must not meet the next request.
+        ``header_lines`` is text, each line with its line end. In case of an error
+        the connection is closed: a partially sent request is answered with an error
+        at most, and that answer must not be taken for that to the next request.
         """
         try:
             head = f"{method} {target} HTTP/1.1\r\n{self.host_line}{header_lines}"
@@ -345,10 +346,10 @@
         return BackendResponse(method, sock, self._pool, self.unframed, long_body)
 
     def exchange(self, sock, method, target, header_lines, body, *, answered=None):
-        """Send as `send` does; return the answer, its body read to its end and dropped.
+        """Send as `send` does; read the answer to its end, drop its body, return it.
 
-        ``answered`` is called while the connection still counts as open: one that the
-        server closes with its answer could vouch for no other afterwards.
+        ``answered()`` is called while the connection still counts as open. One that
+        the server closes with its answer couldn't confirm others afterwards.
         """
         response = self.send(sock, method, target, header_lines, body)
         response.held = True
