--- a/comfreywharf/daemon/connections/bound_pool.py
+++ b/comfreywharf/daemon/connections/bound_pool.py
@@ -80,7 +80,7 @@
         return super().exchange(sock, *request, answered=vouch)
 
     @property
-    def awaits(self):
+    def awaits_answer(self):
         """Return whether an answer is pending on an open connection."""
         return self._pool.in_use > 0
 
--- a/comfreywharf/daemon/connections/http.py
+++ b/comfreywharf/daemon/connections/http.py
@@ -31,37 +31,37 @@
     """A connection pool to an IP address, with Nagle's algorithm disabled.
 
     Nagle's algorithm and delayed acknowledgements otherwise add 40 ms stalls to
-    small requests. ``lent`` counts the connections that are in use.
+    small requests. ``in_use_count`` counts the connections that are in use.
     """
 
     def __init__(self, *address, **settings):
         super().__init__(*address, **settings)
-        self._lent = set()
+        self._in_use = set()
 
     @property
-    def lent(self):
+    def in_use_count(self):
         """Return how many connections are in use."""
-        return len(self._lent)
+        return len(self._in_use)
 
     @property
-    def lends_open(self):
+    def has_open_in_use(self):
         """Return whether a connection is in use that the peer hasn't closed."""
-        return any(not has_ended(sock) for sock in self._lent)
+        return any(not has_ended(sock) for sock in self._in_use)
 
     def get_socket(self):
         """Return an idle connection, or a new one."""
         sock = super().get_socket()
-        self._lent.add(sock)
+        self._in_use.add(sock)
         return sock
 
     def return_socket(self, sock):
         """Return a reusable connection to the pool."""
-        self._lent.discard(sock)
+        self._in_use.discard(sock)
         super().return_socket(sock)
 
     def release_socket(self, sock):
         """Close a connection."""
-        self._lent.discard(sock)
+        self._in_use.discard(sock)
         super().release_socket(sock)
 
     def after_connect(self, sock):
@@ -286,13 +286,13 @@
         )
 
     @property
-    def awaits(self):
+    def awaits_answer(self):
         """Return whether an answer is pending on an open connection.
 
         While the router waits for a slow caller, no greenlet reads the connection. A
         close by the server is therefore checked for explicitly.
         """
-        return self._pool.lends_open
+        return self._pool.has_open_in_use
 
     def connect(self):
         """Return an idle connection, or a new one.
--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -302,7 +302,7 @@
         it back, if it answers by then. While an answer is awaited it may have closed
         its port only, and the next grant that is due looks again.
         """
-        if backend is not self.backend or (backend.awaits and not self._leaving):
+        if backend is not self.backend or (backend.awaits_answer and not self._leaving):
             return
         self._refused = True
         self._let_go("refused")
@@ -361,7 +361,7 @@
         with what it has. Taken for dead, it would work on keys that the next owner's
         server was granted. A process that crashes ends all of its connections.
         """
-        return not self._leaving and not backend.awaits
+        return not self._leaving and not backend.awaits_answer
 
     def _announce(self):
         """Tell the log of this node and of the backend server beside it."""
--- a/comfreywharf/daemon/servers/backend.py
+++ b/comfreywharf/daemon/servers/backend.py
@@ -189,9 +189,9 @@
                 response.release()
 
     @property
-    def awaits(self):
+    def awaits_answer(self):
         """Return whether an answer of the server is awaited on an open connection."""
-        return self._client.awaits or self._cancel_client.awaits
+        return self._client.awaits_answer or self._cancel_client.awaits_answer
 
     def refuses(self):
         """Return whether nothing listens at the backend server's port."""
--- a/comfreywharf/daemon/tests/test_backend_lost.py
+++ b/comfreywharf/daemon/tests/test_backend_lost.py
@@ -69,7 +69,7 @@
     node.backend_announced(announcement("i-1"))
     backend = node.backend
     ours, servers = socket.socketpair()
-    backend._client._pool._lent.add(ours)
+    backend._client._pool._in_use.add(ours)
     node.backend_refused(backend)
     assert node.backend is backend
     servers.close()
--- a/comfreywharf/daemon/tests/test_proofs_of_death.py
+++ b/comfreywharf/daemon/tests/test_proofs_of_death.py
@@ -52,7 +52,7 @@
         while not server.requests:
             gevent.sleep(0.01)
         assert not granting.ready()
-        assert backend.awaits
+        assert backend.awaits_answer
         granting.kill()
         backend.close()
 
@@ -68,7 +68,7 @@
         client = backend_for(server)._client
         response = client.request("GET", "/look")
         gevent.sleep(MOMENT_S)
-        assert not client.awaits
+        assert not client.awaits_answer
         with pytest.raises(HTTPParseError):
             response.read()
 
--- a/comfreywharf/platform/backends.py
+++ b/comfreywharf/platform/backends.py
@@ -117,9 +117,9 @@
         return answer.get("x-handover", "") if answer.status_code == 200 else None
 
     @property
-    def awaits(self):
+    def awaits_answer(self):
         """Return whether the answer to a grant or a release is awaited."""
-        return self._grants.awaits or self._releases.awaits
+        return self._grants.awaits_answer or self._releases.awaits_answer
 
     def close(self):
         """Close idle connections."""
@@ -155,9 +155,9 @@
         self.orders = PlatformOrders(announcement.host, announcement.port, health_path)
 
     @property
-    def awaits(self):
+    def awaits_answer(self):
         """Return whether an answer of the server is awaited on an open connection."""
-        return super().awaits or self.orders.awaits
+        return super().awaits_answer or self.orders.awaits_answer
 
     def _make_client(self, connections):
         client = super()._make_client(connections)
