--- a/comfreywharf/daemon/connections/bound_pool.py
+++ b/comfreywharf/daemon/connections/bound_pool.py
@@ -131,7 +131,7 @@
 
     def reach(self):
         """Return the number of the process at the address; see `BoundClient`."""
-        self._drop_ended()
+        self._drop_closed()
         if not self.bond.process and not self._closed:
             self._open_first()
         return self.bond.process
@@ -168,13 +168,13 @@
     def _leads_to(self, process):
         # Closed connections are dropped before the check. Dropped between the check
         # and the wait, they would wake no waiter.
-        self._drop_ended()
+        self._drop_closed()
         return bool(process) and self.bond.process == process and not self._closed
 
     def answered(self, sock, asked):
         """Record an answer, and notify waiters that connections may be available."""
         self.bond.answered(sock, asked)
-        self.tell()
+        self.notify_waiters()
 
     def refill(self, vouch):
         """Open missing connections, and call ``vouch()`` if any needs confirmation.
@@ -188,9 +188,9 @@
         self._open_missing()
         if self.bond.waits:
             vouch()
-        self._drop_ended()
+        self._drop_closed()
         self._room = max(before, len(self._open))
-        self.tell()
+        self.notify_waiters()
 
     def _open_missing(self):
         opening = [gevent.spawn(self._open_another) for _ in range(self.missing)]
@@ -202,22 +202,22 @@
             self.release_socket(sock)
             return
         self._idle.append(sock)
-        self.tell()
+        self.notify_waiters()
 
     def release_socket(self, sock):
         """Close a connection."""
         self._open.discard(sock)
         self.bond.closed(sock)
         sock.close()
-        self.tell()
+        self.notify_waiters()
 
     def close(self):
         """Close idle connections now, and those in use once they are returned."""
         super().close()
         self._drop(list(self._idle))
-        self.tell()
+        self.notify_waiters()
 
-    def tell(self):
+    def notify_waiters(self):
         """Wake the greenlets that wait for a connection, so that they check again."""
         self._changed.set()
         self._changed.clear()
@@ -238,7 +238,7 @@
         self._idle.remove(known[0])
         return known[0]
 
-    def _drop_ended(self):
+    def _drop_closed(self):
         self._drop([sock for sock in self._idle if not self._is_socket_alive(sock)])
 
     def _drop(self, socks):
--- a/comfreywharf/daemon/connections/http.py
+++ b/comfreywharf/daemon/connections/http.py
@@ -235,7 +235,7 @@
         """
         return self._long_body and self.get_code() >= 400
 
-    def following(self):
+    def next_response(self):
         """Return the response that follows this one on the connection.
 
         Raises `HTTPParseError` if this one isn't complete or closes the connection.
@@ -332,7 +332,9 @@
             head = f"{method} {target} HTTP/1.1\r\n{self.host_line}{header_lines}"
             if isinstance(body, bytes):
                 length = (
-                    f"Content-Length: {len(body)}\r\n" if _sized(method, body) else ""
+                    f"Content-Length: {len(body)}\r\n"
+                    if _needs_length(method, body)
+                    else ""
                 )
                 sock.sendall(f"{head}{length}\r\n".encode("latin-1") + body)
             else:
@@ -369,7 +371,7 @@
         self._pool.close()
 
 
-def _sized(method, body):
+def _needs_length(method, body):
     return body or method not in ("GET", "HEAD", "DELETE", "OPTIONS")
 
 
--- a/comfreywharf/platform/backends.py
+++ b/comfreywharf/platform/backends.py
@@ -181,7 +181,7 @@
                 break
             while not response.whole:
                 response.read(MAX_ANSWER_BYTES)
-            response = response.following()
+            response = response.next_response()
         response.held = False
         if response.whole:
             response.release()
