--- a/comfreywharf/daemon/connections/bound_pool.py
+++ b/comfreywharf/daemon/connections/bound_pool.py
@@ -17,7 +17,7 @@
 resets them. Without a pause, filling a pool of eight took 3,300 attempts within 0.4 s
 on one machine, all of them at the overloaded server."""
 
-VOUCH_TIMEOUT_S = 1.0
+PROBE_TIMEOUT_S = 1.0
 """Timeout of the probe request. It waits for one of the server's slots, usually for
 0.1 s."""
 
@@ -33,13 +33,13 @@
     closed. Orders may use up one connection after the other, since at times half of
     them get no answer. The last confirmed connection is therefore reserved for a probe
     request that any process answers, and whose answer confirms new connections;
-    ``question()`` returns the request target of this probe. The last connection
+    ``probe_target()`` returns the request target of this probe. The last connection
     carries orders only after a refill has shown that the server accepts no other.
     """
 
-    def __init__(self, host, port, *, question, **settings):
+    def __init__(self, host, port, *, probe_target, **settings):
         super().__init__(host, port, **settings)
-        self._question = question
+        self._probe_target = probe_target
         self._refilling = None
         self._refill_not_before_s = float("-inf")
 
@@ -71,13 +71,13 @@
 
     def exchange(self, sock, method, target, header_lines, body):
         """Send on a connection and return the answer, which confirms others."""
-        asked = self._pool.bond.asked()
+        asked = self._pool.tracker.asked()
 
-        def vouch():
+        def confirm_connections():
             self._pool.answered(sock, asked)
 
         request = (method, target, header_lines, body)
-        return super().exchange(sock, *request, answered=vouch)
+        return super().exchange(sock, *request, answered=confirm_connections)
 
     @property
     def awaits_answer(self):
@@ -87,18 +87,18 @@
     def _wants_refill(self):
         if self._refilling is not None and not self._refilling.ready():
             return False
-        return self._pool.missing or self._pool.bond.waits
+        return self._pool.missing or self._pool.tracker.waits
 
     def _refill(self):
         self._refill_not_before_s = boottime_s() + REFILL_PAUSE_S
-        self._pool.refill(self._vouch)
+        self._pool.refill(self._send_probe)
 
-    def _vouch(self):
+    def _send_probe(self):
         try:
-            with gevent.Timeout(VOUCH_TIMEOUT_S):
-                sock = self._pool.borrow(self._pool.bond.process, to_vouch=True)
+            with gevent.Timeout(PROBE_TIMEOUT_S):
+                sock = self._pool.borrow(self._pool.tracker.process, for_probe=True)
                 if sock is not None:
-                    self.exchange(sock, "GET", self._question(), "", b"")
+                    self.exchange(sock, "GET", self._probe_target(), "", b"")
         except (gevent.Timeout, OSError, RuntimeError, HTTPParseError):
             # The next refill sends another probe, or finds that the process is gone.
             return
@@ -109,13 +109,13 @@
 
     def __init__(self, *address, **settings):
         super().__init__(*address, **settings)
-        self.bond = ProcessBond()
+        self.tracker = ProcessBond()
         self._idle = deque()
         self._open = set()
         self._opening = 0
         self._first = None
         self._changed = Event()
-        self._room = self.size
+        self._max_open = self.size
 
     @property
     def in_use(self):
@@ -132,9 +132,9 @@
     def reach(self):
         """Return the number of the process at the address; see `BoundClient`."""
         self._drop_closed()
-        if not self.bond.process and not self._closed:
+        if not self.tracker.process and not self._closed:
             self._open_first()
-        return self.bond.process
+        return self.tracker.process
 
     def _open_first(self):
         """Open the first connection; concurrent callers wait for the same one.
@@ -151,15 +151,15 @@
             first.set()
         except OSError as error:
             first.set_exception(error)
-            if not self.bond.process:
+            if not self.tracker.process:
                 raise
         finally:
             self._first = None
 
-    def borrow(self, process, *, to_vouch=False):
+    def borrow(self, process, *, for_probe=False):
         """Return an idle connection to a process; see `BoundClient`."""
         while self._leads_to(process):
-            sock = self._take_idle(to_vouch)
+            sock = self._take_idle(for_probe)
             if sock is not None:
                 return sock
             self._changed.wait()
@@ -169,27 +169,27 @@
         # Closed connections are dropped before the check. Dropped between the check
         # and the wait, they would wake no waiter.
         self._drop_closed()
-        return bool(process) and self.bond.process == process and not self._closed
+        return bool(process) and self.tracker.process == process and not self._closed
 
     def answered(self, sock, asked):
         """Record an answer, and notify waiters that connections may be available."""
-        self.bond.answered(sock, asked)
+        self.tracker.answered(sock, asked)
         self.notify_waiters()
 
-    def refill(self, vouch):
-        """Open missing connections, and call ``vouch()`` if any needs confirmation.
+    def refill(self, send_probe):
+        """Open missing connections, and call ``send_probe()`` if any is unconfirmed.
 
         This also determines how many connections the server accepts. Those that it
         resets are open briefly and don't count; those that were open before and that
         orders lose in the meantime do count.
         """
         before = len(self._open)
-        self._room = self.size
+        self._max_open = self.size
         self._open_missing()
-        if self.bond.waits:
-            vouch()
+        if self.tracker.waits:
+            send_probe()
         self._drop_closed()
-        self._room = max(before, len(self._open))
+        self._max_open = max(before, len(self._open))
         self.notify_waiters()
 
     def _open_missing(self):
@@ -207,7 +207,7 @@
     def release_socket(self, sock):
         """Close a connection."""
         self._open.discard(sock)
-        self.bond.closed(sock)
+        self.tracker.closed(sock)
         sock.close()
         self.notify_waiters()
 
@@ -222,17 +222,17 @@
         self._changed.set()
         self._changed.clear()
 
-    def _take_idle(self, to_vouch):
+    def _take_idle(self, for_probe):
         """Return the confirmed connection that was idle for longest, or ``None``.
 
         Using them in turn keeps the server from closing any of them for being idle.
         """
-        known = [sock for sock in self._idle if self.bond.knows(sock)]
+        known = [sock for sock in self._idle if self.tracker.knows(sock)]
         # Orders that get no answer have their connections closed. A waiting order
         # that then took the last confirmed one, and got no answer either, would make
         # the process impossible to identify. The last one is therefore kept to confirm
         # new ones, until a refill has shown that the server accepts no other.
-        last_is_kept = self._room > 1 and not to_vouch
+        last_is_kept = self._max_open > 1 and not for_probe
         if not known or (len(known) == 1 and last_is_kept):
             return None
         self._idle.remove(known[0])
@@ -259,11 +259,11 @@
             sock = self._create_socket()
         finally:
             self._opening -= 1
-        if not self.bond.process:
+        if not self.tracker.process:
             # No confirmed connection is left that could confirm older ones. How many
             # connections the new process accepts isn't known yet.
             self._drop(list(self._idle))
-            self._room = self.size
+            self._max_open = self.size
         self._open.add(sock)
-        self.bond.opened(sock)
+        self.tracker.opened(sock)
         self.return_socket(sock)
--- a/comfreywharf/daemon/tests/test_bound_pool.py
+++ b/comfreywharf/daemon/tests/test_bound_pool.py
@@ -69,7 +69,7 @@
     client = BoundClient(
         "127.0.0.1",
         place.port,
-        question=lambda: "/",
+        probe_target=lambda: "/",
         concurrency=3,
         connect_timeout_s=WAIT_S,
     )
@@ -116,7 +116,7 @@
     between. Cause: only the first connection counted as the process's own."""
     process = client.reach()
     for _ in range(10):
-        wait_until(lambda: client.reach() and client._pool.bond.known_count == 3)
+        wait_until(lambda: client.reach() and client._pool.tracker.known_count == 3)
         assert order(client, process)
         client._pool.release_socket(client.borrow(process))
         assert client.reach() == process
@@ -125,7 +125,7 @@
 def test_a_waiting_order_is_told_that_its_process_is_gone(client, place):
     """It waits for a connection that will not come back to the pool as it was."""
     process = client.reach()
-    wait_until(lambda: client.reach() and client._pool.bond.known_count == 3)
+    wait_until(lambda: client.reach() and client._pool.tracker.known_count == 3)
     taken = [client.borrow(process) for _ in range(2)]
     waiting = gevent.spawn(client.borrow, process)
     gevent.idle()
@@ -142,7 +142,7 @@
     is given up as well. Cause: the only connection that was open passed for the only
     one that the server has room for, though no other had been tried."""
     process = client.reach()
-    wait_until(lambda: client.reach() and client._pool.bond.known_count == 3)
+    wait_until(lambda: client.reach() and client._pool.tracker.known_count == 3)
     lost = [client.borrow(process) for _ in range(2)]
     waiting = gevent.spawn(client.borrow, process)
     gevent.idle()
@@ -161,14 +161,14 @@
     opened is reset. Cause: what was left passed for all that the server has room for,
     though it had room for one more when the refill began."""
     process = client.reach()
-    wait_until(lambda: client.reach() and client._pool.bond.known_count == 3)
+    wait_until(lambda: client.reach() and client._pool.tracker.known_count == 3)
     in_use = [client.borrow(process) for _ in range(2)]
 
-    def question():
+    def probe_target():
         client._pool.release_socket(in_use.pop())
         return "/"
 
-    client._question = question
+    client._probe_target = probe_target
     place.room = 0
     client._pool.release_socket(in_use.pop())
     wait_until(lambda: client.reach() and not client._refilling.ready())
@@ -192,12 +192,12 @@
     Cause: connections that had ended unnoticed counted as room."""
     process = client.reach()
 
-    def question():
+    def probe_target():
         for sock in client._pool._idle:
             sock.shutdown(SHUT_RDWR)
         return "/"
 
-    client._question = question
+    client._probe_target = probe_target
     client._refilling.join(timeout=WAIT_S)
     assert len(client._pool._open) == 1
     assert order(client, process)
@@ -228,7 +228,7 @@
     client._pool.release_socket(client.borrow(be_full(client, place)))
     waiting = gevent.spawn(client.borrow, client.reach())
     gevent.idle()
-    assert client._pool.bond.known_count > 1 or not waiting.ready()
+    assert client._pool.tracker.known_count > 1 or not waiting.ready()
     waiting.kill()
 
 
--- a/comfreywharf/platform/backends.py
+++ b/comfreywharf/platform/backends.py
@@ -70,7 +70,7 @@
         self._grants = BoundClient(
             host,
             port,
-            question=question,
+            probe_target=question,
             concurrency=GRANT_CONNECTIONS,
             connect_timeout_s=CONNECT_TIMEOUT_S,
         )
