--- a/comfreywharf/daemon/requests/__init__.py
+++ b/comfreywharf/daemon/requests/__init__.py
@@ -1,5 +1,5 @@
-"""Requests on their way: from the caller's connection to the backend server and back.
+"""The path of a request: from the caller's connection to the backend server and back.
 
-The others use `Ingress` and `CallerServer` where requests come in, `Forwarder` where
-they are passed on, and `Load`, `Routes` and `NodeMemory`, which they ask.
+Other packages use `Ingress` and `CallerServer` to accept requests, `Forwarder` to
+forward them, and `Load`, `Routes` and `NodeMemory` to query the state they depend on.
 """
--- a/comfreywharf/daemon/requests/admission.py
+++ b/comfreywharf/daemon/requests/admission.py
@@ -1,4 +1,4 @@
-"""The shell around admission: greenlets that wait for their slot, and are woken."""
+"""The I/O shell around admission: greenlets wait for a slot and are woken here."""
 
 import gevent
 from gevent.event import Event
@@ -24,15 +24,15 @@
 __all__ = ["Admission", "Slot"]
 
 TICK_S = 0.05
-"""How often the deadlines of those who wait are looked at."""
+"""Interval at which the deadlines of waiting requests are checked."""
 
 
 class Slot:
-    """One request at admission, and after it at the backend server.
+    """One request in admission, and afterwards at the backend server.
 
-    ``refused`` is the reply to a request that isn't forwarded; ``verdict`` is
-    an `Event` while it waits; ``result`` is what the request path found out until
-    the request ended.
+    ``refused`` is the reply to a request that isn't forwarded. ``verdict`` is an
+    `Event` that is set once a waiting request is admitted or refused. ``result`` is
+    the outcome as far as the request path knows it.
     """
 
     def __init__(self, request, body):
@@ -45,19 +45,20 @@
         self.result = Result.FAILED
         self._fingerprint = ""
         if not isinstance(body, bytes):
-            # Once the body is on its way its first part is gone.
+            # The fingerprint needs the first part of the body, which is no longer
+            # available once the body is being sent.
             self._fingerprint = request_fingerprint(request, body)
 
     @property
     def fingerprint(self):
-        """Return the request's fingerprint, which is computed when it is needed."""
+        """Return the request's fingerprint, computed on first use."""
         if not self._fingerprint:
             self._fingerprint = request_fingerprint(self.request, self.body)
         return self._fingerprint
 
 
 class Admission:
-    """Admission before one instance of the backend server."""
+    """Admission to one instance of the backend server."""
 
     def __init__(self, state):
         self.state = state
@@ -66,13 +67,14 @@
 
     @property
     def busy_fraction(self):
-        """Return the part of the slots that is in use."""
+        """Return the fraction of the slots that is in use."""
         return len(self.state.in_flight) / max(self.state.limit.slots, 1)
 
     def refuse_before_body(self, request, deadline_s, ahead, now_s):
-        """Return the refusal of a request whose body isn't worth sending, or ``None``.
+        """Return the refusal of a request that should be shed before its body is sent.
 
-        ``ahead`` others wait for their bodies to be sent.
+        Return ``None`` if its body should be sent. ``ahead`` is the number of requests
+        that wait for their bodies to be sent before this one.
         """
         ticket = _ticket(request, None, deadline_s, False, now_s)
         shed = shed_before_body(self.state, ticket, ahead, now_s)
@@ -81,7 +83,7 @@
         return refusal(shed.reason, retry_after_ms=int(shed.retry_after_s * 1000))
 
     def enter(self, slot, flow, deadline_s, alone, now_s):
-        """Ask for a slot; if there is none yet, the slot's ``verdict`` is set later."""
+        """Request admission; if the request has to wait, create ``slot.verdict``."""
         slot.admission = self
         slot.ticket = ticket = _ticket(slot.request, flow, deadline_s, alone, now_s)
         self._waiting[ticket] = slot
@@ -93,12 +95,12 @@
             self._ticker = gevent.spawn(self._tick)
 
     def finish(self, slot):
-        """Give the slot back."""
+        """Release the slot."""
         event = Finished(slot.ticket, slot.result)
         self._carry_out(decide(self.state, event, boottime_s()))
 
     def give_up(self, slot):
-        """End the wait of a request whose caller hung up."""
+        """End the wait of a request whose caller disconnected."""
         if slot.ticket not in self._waiting:
             return
         actions = decide(self.state, GaveUp(slot.ticket), boottime_s())
@@ -106,7 +108,7 @@
         self._carry_out(actions)
 
     def close(self):
-        """Refuse all who wait: this instance of the backend server is gone."""
+        """Refuse all waiting requests: this backend server instance is gone."""
         for ticket in list(self._waiting):
             self._refuse(ticket, Reason.NO_BACKEND, 1.0)
 
@@ -127,7 +129,7 @@
                 self._refuse(action.ticket, action.reason, action.retry_after_s)
 
     def _begun_after_close(self, ticket):
-        # Its caller was refused when the instance went; the slot is free again.
+        # The request was refused when the instance was lost. Its slot is released.
         event = Finished(ticket, Result.UNUSED)
         self._carry_out(decide(self.state, event, boottime_s()))
 
@@ -150,8 +152,8 @@
         target_s=target_s,
     )
     if request.target_ms == TARGET_PASSED_MS:
-        # It came back after a refusal, and is late already. It gets what
-        # slots the others leave, which costs them nothing.
+        # The request was refused before, and its latency target has passed. It gets
+        # only slots that other requests leave unused, so that it delays none of them.
         ticket.make_late()
     return ticket
 
--- a/comfreywharf/daemon/requests/bodies.py
+++ b/comfreywharf/daemon/requests/bodies.py
@@ -1,4 +1,4 @@
-"""Large bodies: read in parts, held between two hops, with bounded memory."""
+"""Large bodies, read in parts and buffered between two hops in bounded memory."""
 
 import itertools
 
@@ -19,13 +19,13 @@
 
 PART_BYTES = 64 * 1024
 WHOLE_BODY_BYTES = 256 * 1024
-"""A body up to this length is kept whole; of a longer one, a part at a time."""
+"""A body up to this length is kept in memory as a whole; a longer one is streamed."""
 
 IDLE_LIMIT_S = 30.0
 
 
 class BodyError(Exception):
-    """A body that can't be had whole; ``reason`` says why."""
+    """A body that can't be read completely; ``reason`` is the `Reason` for it."""
 
     def __init__(self, reason):
         super().__init__(reason.value)
@@ -33,11 +33,11 @@
 
 
 class CallerBody:
-    """A caller's body in parts, which can be sent again until a part was taken.
+    """A caller's body in parts, which can be sent again until a part was consumed.
 
-    ``length`` is -1 for a chunked body. Iterating raises `BodyError` where the
-    body is cut, or longer than the service allows. ``reading`` is true while the
-    caller is waited for; `CallerWatch` sets ``too_slow`` before it ends the wait.
+    ``length`` is -1 for a chunked body. Iterating raises `BodyError` if the body is
+    truncated, or longer than the service allows. ``reading`` is true while a read
+    waits for the caller; `CallerWatch` sets ``too_slow`` before it ends that read.
     """
 
     def __init__(self, stream, length, limit_bytes):
@@ -52,11 +52,11 @@
 
     @property
     def replayable(self):
-        """Return whether nobody took a part of it yet."""
+        """Return whether no part was consumed yet."""
         return not self._given
 
     def push_back(self, part):
-        """Take back a part that nobody used."""
+        """Put back a part that was taken but not used."""
         self._pushed_back.insert(0, part)
         self._given -= 1
 
@@ -69,7 +69,7 @@
             yield part
 
     def first_part(self):
-        """Return the first part without taking it; nothing of an empty body."""
+        """Return the first part without consuming it; ``b""`` for an empty body."""
         if not self._pushed_back:
             part = self._read()
             if not part:
@@ -78,7 +78,7 @@
         return self._pushed_back[0]
 
     def read_up_to(self, size_bytes):
-        """Return the whole body if it isn't longer than this, or ``None``."""
+        """Return the whole body, or ``None`` if it is longer than ``size_bytes``."""
         parts = []
         kept_bytes = 0
         while kept_bytes <= size_bytes:
@@ -110,11 +110,11 @@
 
 
 class Upload:
-    """A body on its way from the ingress node to the backend server.
+    """A body in transit from the ingress node to the backend server.
 
-    A part is taken from the ingress node only when there is room for it, and
-    there is room for one: this is the backpressure. None is sent before the first
-    one is asked for.
+    Its queue holds one part. The ingress node can send the next part only once the
+    previous one was consumed, which provides backpressure. It sends none before the
+    first part is requested.
     """
 
     def __init__(self):
@@ -124,12 +124,12 @@
         self.finished = gevent.event.AsyncResult()
 
     def await_demand(self):
-        """Wait until the body is wanted; false if it was decided on without it."""
+        """Wait until the body is wanted; return false if the reply came without it."""
         self._asked_or_finished.wait()
         return not self.finished.ready()
 
     def put(self, part):
-        """Pass on a part, or the end (``None``); false if no more is wanted."""
+        """Queue a part, or ``None`` for the end; return false if no more is wanted."""
         if self.finished.ready():
             return False
         try:
@@ -139,14 +139,14 @@
         return True
 
     def finish(self, served):
-        """Set the result and let go of a part that is waiting to be taken."""
+        """Set the result, and discard a queued part so that `put` doesn't block."""
         self.finished.set(served)
         self._asked_or_finished.set()
         while not self._parts.empty():
             self._parts.get_nowait()
 
     def first_part(self):
-        """Return the first part without taking it; nothing of an empty body."""
+        """Return the first part without consuming it; ``b""`` for an empty body."""
         if not self._first:
             self._first.append(self._next())
         return self._first[0] or b""
@@ -156,7 +156,7 @@
             yield part
 
     def read_whole(self, size_bytes):
-        """Return a body of a known length; `BodyError` if it isn't that long."""
+        """Return a body of known length; raises `BodyError` if its length differs."""
         data = b"".join(self)
         if len(data) != size_bytes:
             raise BodyError(Reason.CALLER_GONE)
@@ -174,22 +174,22 @@
 
 
 class Streams:
-    """What is kept between the calls that move one large body, by number."""
+    """A table of the state kept between the calls that transfer one large body."""
 
     def __init__(self):
         self._numbers = itertools.count(1)
         self._kept = {}
 
     def add(self, thing):
-        """Keep a thing and return its number."""
+        """Store an item and return its stream id."""
         number = next(self._numbers)
         self._kept[number] = thing
         return number
 
     def get(self, number):
-        """Return the thing, or ``None`` if it is unknown."""
+        """Return the item with a stream id, or ``None`` if there is none."""
         return self._kept.get(number)
 
     def remove(self, number):
-        """Forget a thing and return it, or ``None``."""
+        """Remove the item with a stream id and return it, or ``None``."""
         return self._kept.pop(number, None)
--- a/comfreywharf/daemon/requests/caller_requests.py
+++ b/comfreywharf/daemon/requests/caller_requests.py
@@ -1,4 +1,4 @@
-"""Read a caller's HTTP request into a typed message, or refuse it with a reason."""
+"""Parse a caller's HTTP request into a typed message, or refuse it with a reason."""
 
 import os
 import re
@@ -24,7 +24,8 @@
 RETRIES = 2
 
 TARGET_PASSED_MS = 1
-"""What ``ForwardRequest.target_ms`` holds once an answer is late; 0 means never."""
+"""Value of ``ForwardRequest.target_ms`` once the latency target has passed. A value of
+0 means that there is no target."""
 
 FIRST_SEND = 0
 FIRST_SEND_UNKNOWN = -1
@@ -37,7 +38,7 @@
 
 
 def target_left_ms(left_ms):
-    """Return how long an answer is still worth most, as a message carries it.
+    """Return the time left until the latency target, as a message carries it, in ms.
 
     >>> target_left_ms(120.7), target_left_ms(-3)
     (120, 1)
@@ -47,14 +48,14 @@
 
 @attrs.frozen
 class CallerRequest:
-    """The request for the owner, its body left out, and its service."""
+    """The message to the owner without its body, and the requested service."""
 
     request: ForwardRequest
     service: ServiceConfig
 
 
 def parse_request(environ, services) -> Result[CallerRequest, Reason]:
-    """Return the request for the owner, its body left out.
+    """Return the message to the owner without its body.
 
     The path is ``/SERVICE/REST``; the key comes in the header
     ``Comfreywharf-Key``. See docs/interfaces-callers.md.
@@ -103,10 +104,11 @@
 
 
 def _identity(environ):
-    """Return the request id and how long ago it was first sent, in ms.
+    """Return the request id, and how long ago the request was first sent, in ms.
 
-    Either is ``None`` where it can't be read. An id that the caller made may be
-    one that it sent before, unless it says otherwise; an id made here is new.
+    Both are ``None`` if either is malformed. A request with the caller's own id may
+    be a resend, unless the caller states when it was first sent. An id that is
+    generated here is new.
     """
     request_id = environ.get("HTTP_COMFREYWHARF_REQUEST_ID")
     if request_id is None:
--- a/comfreywharf/daemon/requests/caller_stream.py
+++ b/comfreywharf/daemon/requests/caller_stream.py
@@ -1,9 +1,9 @@
-"""Callers' requests as they come on one connection, each one's bytes kept apart.
+"""Separate the pipelined requests on one caller's connection.
 
-Callers send further requests before the first is answered. Where one request ends and
-the next begins is found here and nowhere else: a head ends with the first empty line, a
-body after the length that its head names. The parser gets the bytes of one request
-only, so that it can't take the bytes behind them for a part of it.
+Callers may send further requests before the first is answered. Only this module decides
+where one request ends and the next begins: a head ends with the first empty line, and a
+body after the length that its head states. The parser receives the bytes of one request
+only, so that it can't read following bytes as a part of it.
 """
 
 import attrs
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class FrontLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits of header size, header time and idle time on a caller's connection."""
 
     header_bytes: int
     header_timeout_s: float
@@ -35,10 +35,11 @@
 
 @attrs.define(kw_only=True)
 class Head:
-    """The first part of a request: all but its body.
+    """The request line and the headers of a request.
 
-    ``length`` is -1 for a chunked body. ``headers`` are pairs as they came, names
-    in lower case.
+    ``length`` is that of the body, or -1 for a chunked one. ``headers`` are pairs of
+    name and value in their original order, with names in lower case. ``keeps`` tells
+    whether the connection is kept open after the answer.
     """
 
     method: str
@@ -48,7 +49,7 @@
     keeps: bool
 
     def get(self, name, default=None):
-        """Return the only value of a header; ``default`` if it isn't there."""
+        """Return the first value of a header; ``default`` if the header is missing."""
         for known, value in self.headers:
             if known == name:
                 return value
@@ -56,7 +57,7 @@
 
 
 class BadRequest(Exception):
-    """A request that can't be read; ``status`` is the answer to it."""
+    """A request that can't be parsed; ``status`` is the HTTP status to answer with."""
 
     def __init__(self, status):
         super().__init__(str(status))
@@ -68,7 +69,7 @@
 
 
 class _Parse:
-    """Collects what httptools tells of one request."""
+    """Collect what httptools reports while it parses one request."""
 
     def __init__(self):
         self.url = b""
@@ -81,10 +82,9 @@
         self.keeps = False
 
     def on_message_begin(self):
-        # Bytes behind the end of a chunked body, or of a head that ended otherwise
-        # than looked for. Taken for a request of their own they could have been put
-        # there by somebody else; the connection is closed after this answer, and
-        # their sender sends again.
+        # Bytes follow the end of a chunked body, or of a head that ended elsewhere
+        # than expected. Served as a separate request, they could be a smuggled one.
+        # The connection is closed after this answer, and the caller sends them again.
         if self.done:
             self.extra = True
 
@@ -97,11 +97,12 @@
             self.headers.append((name.decode("latin-1").lower(), _text(value)))
 
     def on_headers_complete(self):
-        # Once the request's end is parsed as well, the parser answers for the next
-        # request: a caller that asked for it never saw its connection closed.
+        # `should_keep_alive` has to be read here. Once the end of the request is
+        # parsed, it refers to the next request, and the connection of a caller that
+        # requested its end would never be closed.
         if self.parser is not None:
             self.keeps = self.parser.should_keep_alive()
-        # Kept, the two would hold each other until the garbage collection.
+        # Break the reference cycle, which would last until the garbage collection.
         self.parser = None
         self.head_done = True
 
@@ -118,7 +119,7 @@
 
 
 class CallerStream:
-    """The bytes of one caller's connection, divided into requests."""
+    """The byte stream of one caller's connection, split into requests."""
 
     def __init__(self, sock, limits):
         self.sock = sock
@@ -151,7 +152,7 @@
         return Arrived(self, parse, _head(parse, parser), parser)
 
     def _take_head_piece(self):
-        """Return the bytes up to the next empty line, which mostly ends the head."""
+        """Return the bytes up to the next empty line, which usually ends the head."""
         while True:
             end = self._buffer.find(HEAD_END)
             if end >= 0:
@@ -161,12 +162,12 @@
             self._buffer += self._receive()
 
     def take(self, size):
-        """Return up to so many bytes that were received already."""
+        """Return up to ``size`` bytes that were already received."""
         data, self._buffer = self._buffer[:size], self._buffer[size:]
         return data
 
     def receive_up_to(self, size):
-        """Return at least one of the next ``size`` bytes; raises `CallerGone`."""
+        """Return between one and ``size`` of the next bytes; raises `CallerGone`."""
         self.await_bytes()
         return self.take(size)
 
@@ -181,7 +182,7 @@
 
 
 def feed(parser, parse, data):
-    """Give bytes of a request to its parser; raises `BadRequest`."""
+    """Feed bytes of a request to its parser; raises `BadRequest`."""
     try:
         parser.feed_data(data)
     except httptools.HttpParserUpgrade as error:
@@ -218,10 +219,10 @@
 
 
 class Arrived:
-    """One request: its head, and its body as far as it was read.
+    """One request that was received: its head, and its body as far as it was read.
 
-    ``turn`` is waited for before the caller is asked to go on with a body, since that
-    word would stand among the answers to the requests before.
+    ``100 Continue`` is sent only after ``turn``, since it would otherwise appear among
+    the answers to earlier requests on the connection.
     """
 
     def __init__(self, stream, parse, head, parser):
@@ -238,7 +239,7 @@
 
     @property
     def whole(self):
-        """Return whether the request was read to its end, and no further."""
+        """Return whether the request was read to its end, without extra bytes."""
         return self._parse.done and not self._parse.extra
 
     @property
@@ -254,10 +255,10 @@
         self._feed(self._stream.receive_up_to(self._wanted_bytes))
 
     def read(self, size):
-        """Return the next part of the body, nothing at its end.
+        """Return the next part of the body, or ``b""`` at its end.
 
-        Raises `OSError` where the body is cut or can't be read. ``size`` only
-        bounds what is wanted; a part is what one read of the socket gave.
+        Raises `OSError` if the body is truncated or malformed. ``size`` isn't a
+        limit: a part is what one read of the socket returned.
         """
         if self._continues and not self._parse.parts:
             self._continues = False
--- a/comfreywharf/daemon/requests/caller_watch.py
+++ b/comfreywharf/daemon/requests/caller_watch.py
@@ -1,7 +1,7 @@
-"""Watch callers that wait for an answer: one that hung up needs none.
+"""Detect callers that disconnect while they wait for an answer.
 
-One greenlet looks at all of them a few times a second. Nearly all requests are
-answered before it comes round, and so cost nothing.
+One greenlet polls all of them a few times per second. Nearly all requests are answered
+before the first poll, and so add no cost.
 """
 
 import select
@@ -24,9 +24,11 @@
 
 @attrs.define(eq=False)
 class Call:
-    """A caller's request while it is served; ``target`` is who has it now.
+    """A caller's request while it is served.
 
-    An answer after ``worth_until_s`` is worth less; ``None`` means never.
+    ``target`` is the node that currently has the request. ``worth_until_s`` is the
+    time of the latency target, ``None`` if there is none; an answer after it is worth
+    less.
     """
 
     request: ForwardRequest
@@ -41,10 +43,10 @@
 
 
 class CallerWatch:
-    """Tell of callers that hung up, and end the wait for those that stall.
+    """Report callers that disconnected, and stop reading from those that stall.
 
-    ``on_gone(call)`` is called once for a call whose caller is gone. A caller
-    that closes only its sending side counts as gone.
+    ``on_gone(call)`` is called once for a call whose caller disconnected. A caller
+    that closes only its sending side counts as disconnected.
     """
 
     def __init__(self, on_gone):
@@ -55,15 +57,15 @@
         return len(self._calls)
 
     def enter(self, call):
-        """Begin to watch a call."""
+        """Start watching a call."""
         self._calls.add(call)
 
     def leave(self, call):
-        """Watch a call no longer."""
+        """Stop watching a call."""
         self._calls.discard(call)
 
     def run(self):
-        """Look round until the greenlet is killed."""
+        """Poll the callers until the greenlet is killed."""
         while True:
             gevent.sleep(WATCH_INTERVAL_S)
             self._look(boottime_s())
@@ -90,9 +92,9 @@
 
 
 def _end_reading(call):
-    # A caller that sends a byte now and then would hold its greenlet, and its
-    # share of the backend server's connections, for as long as it likes. The
-    # sending side stays open: the caller is told.
+    # A caller that sends a byte now and then could occupy its greenlet and a
+    # connection to the backend server without limit. The sending side stays open,
+    # so that the caller still receives the refusal.
     call.body.too_slow = True
     try:
         call.sock.shutdown(socket.SHUT_RD)
--- a/comfreywharf/daemon/requests/collecting.py
+++ b/comfreywharf/daemon/requests/collecting.py
@@ -1,8 +1,8 @@
-"""Collect the bodies that follow their requests before a slot is asked for.
+"""Collect bodies that are sent after their requests, before a slot is requested.
 
-A slot that is held while a body is on its way serves nobody meanwhile. If each body
-were sent as soon as its request comes, they would fill the link, though many of the
-requests are refused in the end; hence a few at a time.
+A slot that is occupied while a body is in transit does no work. If each body were sent
+as soon as its request arrives, bodies would fill the link, although many of the
+requests are refused in the end. Only a few bodies are therefore collected at a time.
 """
 
 import contextlib
@@ -17,20 +17,20 @@
 __all__ = ["BODIES_AHEAD", "Collecting", "collect", "is_collected"]
 
 BODIES_AHEAD = 3
-"""How many bodies of a node may be on their way or wait with their request for a slot.
-Two keep a link busy; with each further one, all else that comes over it is later."""
+"""How many bodies of a node may be in transit, or wait with their request for a slot.
+Two keep a link busy; each further one delays all other traffic on the link."""
 
 
 def is_collected(body, size_bytes):
-    """Return whether a body that follows its request is collected before it is used.
+    """Return whether a body is collected as a whole before its request is forwarded.
 
-    A longer one, or one of unknown length, is passed on as it comes.
+    A longer body, or one of unknown length, is streamed.
     """
     return isinstance(body, Upload) and 0 <= size_bytes <= WHOLE_BODY_BYTES
 
 
 class Collecting:
-    """Let a few bodies be sent at a time; ``waiting`` requests wait for their turn."""
+    """Limit how many bodies are collected at a time; ``waiting`` requests wait."""
 
     def __init__(self, most=BODIES_AHEAD):
         self._room = BoundedSemaphore(most)
@@ -38,9 +38,9 @@
 
     @contextlib.contextmanager
     def room(self, deadline_s):
-        """Wait for the room of one body, and have it until the context is left.
+        """Acquire a permit to collect one body, and release it when the context exits.
 
-        Raises `BodyError` where there is none by the deadline.
+        Raises `BodyError` if none is available by the deadline.
         """
         self.waiting += 1
         try:
@@ -56,7 +56,7 @@
 
 
 def collect(body, size_bytes, deadline_s):
-    """Return a body whole; `BodyError` where it can't be had by the deadline."""
+    """Return a whole body; raises `BodyError` if it doesn't arrive by the deadline."""
     late = BodyError(Reason.DEADLINE_BEFORE_START)
     with gevent.Timeout(_left_s(deadline_s), late):
         return body.read_whole(size_bytes)
--- a/comfreywharf/daemon/requests/dispatch.py
+++ b/comfreywharf/daemon/requests/dispatch.py
@@ -1,4 +1,4 @@
-"""The ingress side: bring a request to its owner, here or at another node."""
+"""The ingress side: send a request to its owner, on this node or on another one."""
 
 import gevent
 from gevent.event import Event
@@ -28,23 +28,23 @@
 __all__ = ["AnswerCut", "Dispatcher", "LocalRest", "RemoteRest"]
 
 HOP_MARGIN_S = 0.05
-"""How much longer than the request's own time a call waits for its answer."""
+"""How much longer than the request's remaining time a call waits for its answer."""
 
 CANCEL_TIMEOUT_S = 0.5
 
 
 class AnswerCut(Exception):
-    """The rest of a streamed answer can't be had."""
+    """The rest of a streamed answer can't be read."""
 
 
 class LocalRest:
-    """The rest of an answer that this node's backend server sends."""
+    """The rest of an answer that is streamed from this node's backend server."""
 
     def __init__(self, stream):
         self._stream = stream
 
     def parts(self, first):
-        """Yield the body; `AnswerCut` on the way cuts the caller's connection."""
+        """Yield the body; raises `AnswerCut`, which resets the caller's connection."""
         try:
             yield first
             while part := self._stream.read(PART_BYTES):
@@ -56,7 +56,7 @@
 
 
 class RemoteRest:
-    """The rest of an answer that comes by way of another node."""
+    """The rest of an answer that is streamed through another node."""
 
     def __init__(self, client, stream_id, deadline_s, cancel):
         self._client = client
@@ -65,7 +65,7 @@
         self._cancel = cancel
 
     def parts(self, first):
-        """Yield the body; `AnswerCut` on the way cuts the caller's connection."""
+        """Yield the body; raises `AnswerCut`, which resets the caller's connection."""
         whole = False
         try:
             yield first
@@ -91,7 +91,7 @@
 
 
 class Dispatcher:
-    """Send requests to the node that should serve them."""
+    """Send requests to the nodes that serve them, with retries and holds."""
 
     def __init__(self, node, limits=None):
         self._node = node
@@ -102,7 +102,7 @@
         node.follower.subscribe(self._on_folded)
 
     def dispatch(self, call):
-        """Return ``(reply, rest)``; ``rest`` is ``None`` where the body is whole."""
+        """Return ``(reply, rest)``; ``rest`` is ``None`` if the body is complete."""
         budget = self._budgets.get(call.service.name)
         if budget is None:
             budget = self._budgets[call.service.name] = RetryBudget(
@@ -122,7 +122,7 @@
         return self._go_on(call, trail, reply, budget)
 
     def _go_on(self, call, trail, reply, budget):
-        """Follow the decisions after a first refusal until there is an answer."""
+        """Apply routing decisions after a first refusal, until one ends the request."""
         rest = None
         tried = {trail.target}
         while reply.reason:
@@ -185,7 +185,7 @@
         )
 
     def _hold(self, step, call):
-        """Wait as decided; false if too many requests wait already."""
+        """Wait as decided; return false if too many requests are held already."""
         size_bytes = len(call.body) if isinstance(call.body, bytes) else PART_BYTES
         if not self._holding.enter(size_bytes):
             return False
@@ -265,13 +265,13 @@
         return refusal(Reason.PEER_LOST)
 
     def _body_failed(self, call, error):
-        """Return the refusal of a body that broke off while it was passed on."""
+        """Return the refusal of a request whose body broke off while it was sent."""
         self.cancel(call)
         outcome = Outcome.NOT_RUN if call.body.replayable else Outcome.UNKNOWN
         return refusal(error.reason, outcome=outcome), None
 
     def cancel(self, call):
-        """Tell whoever has a request that nobody waits for its answer."""
+        """Cancel a request at the node that has it: its answer is no longer needed."""
         request = call.request
         if call.target == self._node.settings.node_id:
             value = key_hash(request.key) if request.key else 0
@@ -292,5 +292,5 @@
                 timeout_s=CANCEL_TIMEOUT_S,
             )
         except CallError:
-            # The owner's own deadline for the request ends it all the same.
+            # The request still ends at its deadline, which the owner enforces.
             return
--- a/comfreywharf/daemon/requests/forward_calls.py
+++ b/comfreywharf/daemon/requests/forward_calls.py
@@ -1,4 +1,4 @@
-"""The calls between nodes that carry requests and large bodies."""
+"""Handlers of the calls between nodes that carry requests and large bodies."""
 
 import gevent
 from absl import logging
@@ -16,17 +16,17 @@
 __all__ = ["ForwardCalls"]
 
 STREAM_MARGIN_S = 1.0
-"""How long after its deadline a stream is still known by its number."""
+"""How long a stream id stays valid after the stream's deadline."""
 
 TRANSIT_MARGIN_S = 0.1
-"""How long a message may take without any of its request's time being taken off: what a
-busy node needs to send and to read it."""
+"""Transit time of a message that isn't subtracted from its request's time. A busy node
+needs this long to send and to read a message."""
 
 LONGEST_PART_BYTES = PART_BYTES * 4
 
 
 class ForwardCalls:
-    """Each method is one call of the thrift interface ``Node``."""
+    """Implement the request and body calls of the thrift interface ``Node``."""
 
     def __init__(self, node):
         self._node = node
@@ -43,7 +43,7 @@
         return self._reply(served)
 
     def open_upload(self, request):
-        """Begin a request whose body follows once it is wanted."""
+        """Start a request whose body is sent once it is wanted."""
         upload = Upload()
         self._take_off_transit(request)
         if request.remaining_ms <= 0:
@@ -56,10 +56,9 @@
         return UploadOpened(stream_id=number, wanted=upload.await_demand())
 
     def _take_off_transit(self, request):
-        """Take the time that a request spent in queues on its way off its own.
+        """Subtract the time that a request spent in queues from its remaining time.
 
-        Where none is left, its caller has gone, and the cancellation may be on its way
-        behind it.
+        If none is left, the caller has disconnected, and a cancellation may follow.
         """
         if not request.sent_ms:
             return
@@ -75,12 +74,12 @@
             upload.finish(StreamedReply(refusal(Reason.INTERNAL)))
 
     def write_upload(self, stream_id, data):
-        """Take a part; false if no more is wanted."""
+        """Accept a part of a body; return false if no more is wanted."""
         upload = self._uploads.get(stream_id)
         return upload is not None and upload.put(data)
 
     def finish_upload(self, stream_id):
-        """End the body and return the reply."""
+        """Mark the end of the body, and return the reply."""
         upload = self._uploads.remove(stream_id)
         if upload is None:
             return refusal(Reason.INTERNAL)
--- a/comfreywharf/daemon/requests/forwarder.py
+++ b/comfreywharf/daemon/requests/forwarder.py
@@ -1,4 +1,4 @@
-"""The owner's side: hand a request to the backend server beside this node."""
+"""The owner's side: forward a request to the backend server beside this node."""
 
 import gevent
 from geventhttpclient.response import HTTPParseError
@@ -22,11 +22,11 @@
 __all__ = ["AnswerStream", "Forwarder", "StreamedReply"]
 
 RESEND_MARGIN_S = 1.0
-"""How long a request may have been on its way before its age was counted."""
+"""Time that a request may have been in transit before its age was measured."""
 
 
 class StreamedReply:
-    """A reply, and the `AnswerStream` that the rest of its body is read from."""
+    """A reply, and the `AnswerStream` for the rest of its body, or ``None``."""
 
     def __init__(self, reply, stream=None):
         self.reply = reply
@@ -34,7 +34,7 @@
 
 
 class AnswerStream:
-    """The rest of an answer; the request ends with it."""
+    """The rest of an answer. The request ends when it is closed."""
 
     def __init__(self, response, deadline_s, close):
         self._response = response
@@ -42,7 +42,7 @@
         self._close = close
 
     def read(self, size_bytes):
-        """Return the next part, nothing at the end; raises `BackendError`."""
+        """Return the next part, or ``b""`` at the end; raises `BackendError`."""
         try:
             with gevent.Timeout(self.deadline_s - boottime_s()):
                 part = self._response.read(size_bytes)
@@ -54,7 +54,7 @@
         return part
 
     def close(self):
-        """End the request; if its answer wasn't read to the end, cancel it."""
+        """End the request, and cancel it unless its answer was read to the end."""
         close, self._close = self._close, None
         if close is not None:
             self._response.release()
@@ -69,7 +69,7 @@
         self._running = RunningRequests(node)
 
     def serve(self, request, body, now_s):
-        """Forward to the backend server and return a `StreamedReply`.
+        """Forward a request to the backend server and return a `StreamedReply`.
 
         ``body`` is bytes or an iterator of bytes.
         """
@@ -101,13 +101,14 @@
         return len(self._running)
 
     def cancel(self, service, key_hash, request_id):
-        """Cancel a request whose caller is gone, if it still runs."""
+        """Cancel a request whose caller disconnected, if it still runs."""
         self._running.cancel(RequestKey(service, key_hash, request_id))
 
     def _serve_once(self, request, body, right, now_s, deadline_s):
-        """Run a request unless it ran before; ``None`` if it has to be asked again.
+        """Run a request unless it ran before; return a `StreamedReply`.
 
-        That is the case after a wait for the same request's first send.
+        Return ``None`` if the caller has to try again, which is the case after a wait
+        for the first send of the same request.
         """
         node = self._node
         key = RequestKey(request.service_name, right.key_hash, request.request_id)
@@ -122,8 +123,8 @@
             return self._run_and_remember(request, body, right, deadline_s, key)
         node.leases.finish(right)
         if found.recall == Recall.RUNNING:
-            # The right isn't kept during the wait: it would hold up a move of
-            # the key, although nothing was forwarded under it.
+            # The right to serve is released during the wait. It would delay a move
+            # of the key, although nothing was forwarded under it.
             if node.memory.wait(key, deadline_s - boottime_s()):
                 return None
             return StreamedReply(refusal(Reason.DEADLINE_PASSED))
@@ -161,8 +162,8 @@
         node = self._node
         backend = node.backend
         deadline_s = min(deadline_s, right.deadline_s)
-        # An address may be given to a server of another service. A node that
-        # hasn't folded this yet sends its requests here all the same.
+        # An address may be reassigned to a server of another service. A node that
+        # hasn't folded this record yet still sends its requests here.
         strange = backend and backend.announcement.service != request.service_name
         if backend is None or strange or boottime_s() >= deadline_s:
             node.leases.finish(right)
@@ -180,12 +181,12 @@
         try:
             return exchange.run(request, running.slot.body)
         except BaseException:
-            # Whatever went wrong, the request may have been sent.
+            # Whatever the error was, the request may have been sent.
             exchange.give_up()
             raise
 
     def _admit(self, request, body, running):
-        """Wait for a slot of the backend server; return a refusal instead of one."""
+        """Wait for a slot of the backend server; return a refusal, or ``None``."""
         reply = None
         asked_s = boottime_s()
         try:
@@ -206,7 +207,7 @@
 
 
 class _Exchange:
-    """One try of a request at the backend server."""
+    """One attempt of a request at the backend server."""
 
     def __init__(self, node, all_running, running, backend, key):
         self._node = node
@@ -243,7 +244,7 @@
             return StreamedReply(reply)
 
     def give_up(self):
-        """End the request later: it may still take effect."""
+        """Stop waiting for the request, which may still take effect and ends later."""
         if not self._ended:
             self._ended = True
             self._all_running.unsettled(self._running, self._backend, self._forget)
@@ -281,9 +282,9 @@
                 return self._refuse(refused)
             if not self._dialect.belongs(response, self._running.key.request_id):
                 raise BackendError(Reason.ANSWER_MIXED, "an answer to another request")
-            # A node resumed after a long pause still believes in its lease.
-            # One would see two owners answer for one key within a lease's
-            # length; what comes this late is told as unknown.
+            # A node that resumes after a long pause still considers its lease valid.
+            # Callers would get answers of two owners for one key within the length
+            # of a lease. The outcome of such a late answer is reported as unknown.
             if not self._node.leases.still_held(self._running.right, boottime_s()):
                 raise BackendError(Reason.LEASE_LAPSED, "the answer came too late")
         except BaseException:
--- a/comfreywharf/daemon/requests/front.py
+++ b/comfreywharf/daemon/requests/front.py
@@ -1,10 +1,10 @@
-"""An HTTP/1.1 server for callers that keep connections and leave early.
+"""An HTTP/1.1 server for callers that keep connections open and disconnect early.
 
-gevent's own WSGI server can't tell a caller that its connection will be closed
-before it closes it, bounds neither idle nor header time, serves one request of a
-connection at a time, and has no place where a stopping process can tell an idle
-connection from one that a request is on. Those decide whether a planned stop cuts a
-request; hence this server, on gevent's `StreamServer` and the parser of httptools.
+gevent's own WSGI server can't announce to a caller that its connection will be closed,
+limits neither idle nor header time, serves one request of a connection at a time, and
+doesn't let a stopping process distinguish idle connections from busy ones. Without
+these, a planned stop would interrupt requests. This server therefore uses gevent's
+`StreamServer` and the parser of httptools.
 """
 
 import contextlib
@@ -30,24 +30,25 @@
 BACKLOG = 1024
 
 MOST_AT_ONCE = 16
-"""How many requests of one connection are served at a time. Further ones stay unread,
-so that a caller's row takes no more memory than this and the socket's buffer."""
+"""How many pipelined requests of one connection are served at a time. Further ones stay
+unread, so that one caller's memory use is limited to these and the socket's buffer."""
 
 MAX_LEFT_BYTES = 256 * 1024
-"""How much of a body that nobody wanted is read so that its connection can go on."""
+"""How many unread bytes of a caller are read and dropped before its connection is
+closed."""
 
 LEFT_TIMEOUT_S = 0.5
 WRITE_TIMEOUT_S = 10.0
-"""A caller that takes nothing for this long holds its greenlet for nothing."""
+"""A caller that accepts no data for this long is given up, to free its greenlet."""
 
 _BODILESS = frozenset({204, 304})
 
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """What a caller is sent. ``parts`` replace ``body`` where they are given.
+    """The answer to send to a caller. ``parts``, if given, replace ``body``.
 
-    ``length`` is that of the parts, or -1 where it isn't known.
+    ``length`` is the total length of the parts, or -1 if it is unknown.
     """
 
     status: int
@@ -58,22 +59,22 @@
 
 
 class _Turn:
-    """A request's place among those of its connection: its answer's turn to be sent."""
+    """The position of a request in the order of answers on its connection."""
 
     def __init__(self, before):
         self.before = before
         self.done = Event()
 
     def wait(self):
-        """Wait until the answers before were sent."""
+        """Wait until all earlier answers were sent."""
         if self.before is not None:
             self.before.done.wait()
-            # Kept, each request would hold all those before it.
+            # Drop the reference, which would keep all earlier requests in memory.
             self.before = None
 
 
 class _Connection:
-    """One caller's connection, and the requests of it that are being served."""
+    """One caller's connection, and those of its requests that are being served."""
 
     def __init__(self, sock, limits):
         self.sock = sock
@@ -90,14 +91,14 @@
 
     @property
     def idle(self):
-        """Return whether no request is on the connection."""
+        """Return whether no request is being read or served on the connection."""
         return not self.running and not self.reading
 
     def read_request(self, may_begin):
         """Return the next request; raises `CallerGone` or `BadRequest`.
 
-        ``may_begin()`` is asked once its first byte is there; nothing more of it is
-        read where it says no.
+        ``may_begin()`` is called once the first byte has arrived; if it returns false,
+        no more of the request is read.
         """
         self._reader_waits = True
         try:
@@ -122,20 +123,20 @@
                     raise CallerGone from error
 
     def await_room(self, most):
-        """Wait until fewer than so many requests are being served."""
+        """Wait until fewer than ``most`` requests are being served."""
         while len(self.running) >= most and not self.closing:
             self.changed.clear()
             self.changed.wait()
 
     def begin(self):
-        """Return the `_Turn` of a further request, behind those before it."""
+        """Return the `_Turn` of a new request, after all earlier ones."""
         turn = _Turn(self.last)
         self.last = turn
         self.running.add(turn)
         return turn
 
     def end(self, turn):
-        """Let the next answer be sent."""
+        """Mark an answer as done, so that the next one can be sent."""
         self.running.discard(turn)
         turn.done.set()
         self.changed.set()
@@ -177,7 +178,7 @@
             self.sock.sendall(b"0\r\n\r\n")
 
     def cut(self):
-        """Reset the connection, so that a part can't be taken for the whole."""
+        """Reset the connection, so that a partial answer doesn't look complete."""
         self.was_cut = True
         cut_connection(self.sock)
         self.close()
@@ -190,10 +191,10 @@
             gevent.kill(self._reader, CallerGone())
 
     def linger(self):
-        """End the sending side, and read what the caller sent in the meantime.
+        """Shut the sending side down, then read and drop what the caller still sends.
 
-        Closed with bytes unread, the connection would be reset, and the caller
-        might never see the answer that it was sent.
+        Closing the connection with unread bytes would reset it, and the caller might
+        never receive the answer.
         """
         self.sock.shutdown(socket.SHUT_WR)
         read_bytes = 0
@@ -206,13 +207,13 @@
 
 
 class CallerServer:
-    """Serve callers by an application: ``answer(head, request) -> Answer``.
+    """Serve callers with an application: ``application(head, request) -> Answer``.
 
-    Requests that come behind one another are served at the same time, and answered in
-    their order. One for which ``waits_for_others(head)`` is true is begun only once all
-    before it are answered. ``limits()`` returns the `FrontLimits` in force. After
-    `retire` the connections are closed behind the last answer; after `refuse_new` no
-    request is served.
+    Pipelined requests are served concurrently and answered in their order. A request
+    for which ``waits_for_others(head)`` is true starts only once all earlier ones on
+    its connection are answered. ``limits()`` returns the current `FrontLimits`. After
+    `retire`, each connection is closed with its last answer; after `refuse_new`, no
+    new request is served.
     """
 
     def __init__(self, host, port, application, limits, waits_for_others=None):
@@ -225,39 +226,39 @@
         self._server = StreamServer((host, port), self._serve, backlog=BACKLOG)
 
     def start(self):
-        """Listen; raises `OSError` if the address is taken."""
+        """Start listening; raises `OSError` if the address is in use."""
         self._server.start()
 
     @property
     def port(self):
-        """Return the port it listens on."""
+        """Return the port that the server listens on."""
         return self._server.server_port
 
     @property
     def busy(self):
-        """Return how many connections have a request on them."""
+        """Return how many connections have a request in progress."""
         return sum(not connection.idle for connection in self._connections)
 
     def retire(self):
         """Close each connection with its last answer, and read no further request.
 
-        A caller sends again what stands behind the answer that closes. Were such a
-        request passed on all the same, it would run twice.
+        A caller sends requests after a closing answer again. If such a request were
+        forwarded here as well, it would run twice.
         """
         self._retiring = True
 
     def refuse_new(self):
-        """Listen no more, and refuse each further request.
+        """Stop listening, and refuse each further request.
 
-        A request that began now might not be answered before the process ends,
-        and nobody would know whether it ran.
+        A request that started now might not be answered before the process exits,
+        and its outcome would be unknown.
         """
         self._refusing = True
         self._server.stop_accepting()
         self._server.socket.close()
 
     def stop(self):
-        """Stop listening and end the connections."""
+        """Stop the server, without waiting for its connections."""
         self._server.stop(timeout=0)
 
     def _serve(self, sock, address):
@@ -279,7 +280,7 @@
             sock.close()
 
     def _read_one(self, connection):
-        """Read one request and begin it; return whether to read on."""
+        """Read one request and start serving it; return whether to read the next."""
         try:
             request = connection.read_request(lambda: self._may_begin(connection))
         except CallerGone:
@@ -296,14 +297,15 @@
         if request.whole and request.head.keeps:
             gevent.spawn(self._answer, connection, request, turn)
             return True
-        # The rest of its body, or nothing, follows on the connection.
+        # The rest of the body follows, or this is the connection's last request. No
+        # other request can be read in the meantime.
         self._answer(connection, request, turn)
         return True
 
     def _may_begin(self, connection):
         """Return whether a further request may be served.
 
-        Behind an answer that closes the connection it may not: its caller sends it
+        It may not after an answer that closes the connection: its caller sends it
         again, and it would run twice.
         """
         retires = self._retiring and connection.running
@@ -323,7 +325,7 @@
             try:
                 answer = ask()
             finally:
-                # Whatever comes of this one, those before it are answered first.
+                # Even if this request fails, earlier ones are answered first.
                 turn.wait()
             if not connection.closing:
                 self._send(connection, request, answer, turn)
@@ -337,10 +339,10 @@
             connection.end(turn)
 
     def _send(self, connection, request, answer, turn):
-        """Send an answer; it closes the connection if no other request stands behind.
+        """Send an answer, and close the connection if no further request may follow.
 
-        A body that wasn't read to its end is answered at once all the same, and its
-        connection is closed behind the answer.
+        If the request's body wasn't read to its end, the answer is sent anyway, and
+        the connection is closed after it.
         """
         ends = request is None or not request.head.keeps or not request.whole
         close = ends or (self._retiring and connection.last is turn)
--- a/comfreywharf/daemon/requests/ingress.py
+++ b/comfreywharf/daemon/requests/ingress.py
@@ -1,4 +1,4 @@
-"""The callers' port: find the owner of a key and pass the request on."""
+"""The callers' port: accept requests, dispatch them and return their answers."""
 
 from http.client import responses
 
@@ -32,7 +32,7 @@
 
 @attrs.frozen(kw_only=True)
 class BodySource:
-    """Where a caller's body is read from, and how long it says it is."""
+    """The stream of a caller's body, with its declared length and transfer coding."""
 
     coding: str | None
     length: int
@@ -59,13 +59,13 @@
         return len(self.watch) + self._streaming
 
     def make_server(self, host, port):
-        """Return the server; it isn't started yet."""
+        """Return the server, not yet started."""
         return pywsgi.WSGIServer(
             (host, port), self, log=None, handler_class=NodelayHandler, backlog=1024
         )
 
     def __call__(self, environ, start_response):
-        """Answer one caller."""
+        """Answer one request."""
         now_s = boottime_s()
         parsed = parse_request(environ, self._node.follower.state.config.services)
         if isinstance(parsed, Failure):
@@ -83,7 +83,7 @@
         return _respond(start_response, environ, reply, request_id, parts)
 
     def refuse(self, reason, now_s, request_id=""):
-        """Return the reply to a request that isn't one."""
+        """Return the reply to a request that is refused before it is dispatched."""
         reply = refusal(reason)
         self._node.meter.refused_at_once(reply, now_s)
         self._node.decisions.turned_away(request_id, reply, now_s)
@@ -92,8 +92,8 @@
     def serve(self, parsed, source, sock, now_s):
         """Return ``(reply, parts)`` for a `CallerRequest`.
 
-        ``parts`` yields the body where that isn't in the reply; it is ``None``
-        otherwise.
+        ``parts`` yields the body of a streamed answer; it is ``None`` if the whole
+        body is in the reply.
         """
         call = self._call(parsed, sock, now_s)
         self.watch.enter(call)
@@ -104,7 +104,7 @@
             else:
                 reply, rest = self._dispatcher.dispatch(call)
         except Exception:
-            # What failed here may have happened after the request was sent.
+            # The error may have occurred after the request was sent.
             logging.exception("a request failed in the router")
             reply, rest = refusal(Reason.INTERNAL), None
         finally:
@@ -116,7 +116,7 @@
         return reply, self._passed_on(rest.parts(reply.body), call.sock)
 
     def _passed_on(self, parts, sock):
-        """Yield the parts of an answer; cut the caller's connection at an error."""
+        """Yield the parts of an answer; reset the caller's connection on an error."""
         self._streaming += 1
         try:
             yield from parts
@@ -142,7 +142,7 @@
         )
 
     def _read_body(self, source, call):
-        """Read a short body, prepare a long one; return a `Reason` to refuse it."""
+        """Read a short body, or set up a long one; return a `Reason` to refuse it."""
         limit_bytes = call.service.max_body_bytes
         length = source.length
         if source.coding is None:
--- a/comfreywharf/daemon/requests/load.py
+++ b/comfreywharf/daemon/requests/load.py
@@ -1,4 +1,4 @@
-"""The node's load: who may run now, where the rest goes, what must not run."""
+"""Load management of a node: admission, choice of members, and quarantine."""
 
 import contextlib
 import random
@@ -28,24 +28,25 @@
     Reason.CALLER_GONE_BEFORE_START: Result.UNUSED,
     Reason.DEADLINE_BEFORE_START: Result.UNUSED,
 }
-"""What a refusal teaches admission; any other one counts as a failure."""
+"""The admission result for each refusal; any other refusal counts as a failure."""
 
 SHED_REPORT_S = 5.0
-"""How far apart the events about refused requests are."""
+"""Minimum time between two events about shed requests."""
 
 SUSPECT_HEADER = "Comfreywharf-Suspect"
-"""Set by an ingress node on a request that has to run alone. Callers can't set
-it, since headers of this prefix aren't passed on."""
+"""Set by an ingress node on a request that has to run alone. Callers can't set it,
+since their headers with this prefix are dropped."""
 
 _SHED = frozenset({Reason.OVERLOADED.value, Reason.DEADLINE_BEFORE_START.value})
 _LOST = frozenset({Reason.BACKEND_LOST, Reason.ANSWER_CUT})
 
 
 class Load:
-    """What the request path asks about load; see docs/design/load.md.
+    """The interface of the request path to load management; see docs/design/load.md.
 
-    At the owner each request passes `enter`, which may wait or refuse, and is
-    ended by one `finish`. In between, `refused` or `answered` says how it went.
+    At the owner, `enter` is called for each request, and may wait or refuse it. One
+    call of `finish` ends the request. In between, `refused`, `answered` or `cut_off`
+    records its result.
     """
 
     def __init__(self, node):
@@ -63,12 +64,12 @@
     # The backend server beside this node.
 
     def backend_announced(self):
-        """Begin anew with an instance that has just announced itself."""
+        """Start a new admission for an instance that has just announced itself."""
         self.quarantine.confirm()
         self._begin_admission()
 
     def backend_died(self):
-        """Refuse those who wait for an instance that is gone."""
+        """Refuse the requests that wait for an instance that is gone."""
         self._begin_admission()
 
     def _begin_admission(self):
@@ -93,15 +94,15 @@
     # At the owner.
 
     def count(self, right):
-        """Count a request for the report of hot keys."""
+        """Count a request for the hot-key report."""
         if right.key_hash:
             self._hot.count(right.service, right.key_hash, boottime_s())
 
     def enter(self, request, body, running):
-        """Return the request's `Slot`; wait for it, or refuse at once.
+        """Return the request's `Slot` once the request is admitted or refused.
 
-        The right to serve isn't kept during the wait: nothing was forwarded
-        under it, and a move of the key would have to wait for the queue.
+        The right to serve is released during the wait: nothing was forwarded under
+        it, and a move of the key would otherwise have to wait for the queue.
         """
         slot = Slot(request, body)
         standing = self._standing(slot)
@@ -134,9 +135,9 @@
         return slot
 
     def _collect(self, slot, running, admission, stack):
-        """Have the slot's body sent, unless its request is refused without it.
+        """Collect the body of the slot's request, unless the request is refused first.
 
-        There is room for the next body once the stack is left.
+        The permit for the body is released when the stack exits.
         """
         ahead = self._collecting.waiting
         slot.refused = _refusal_before_body(slot, running, admission, ahead)
@@ -165,7 +166,7 @@
         self._shed_told_s = now_s
 
     def _lay_down(self, running):
-        """Give back the right to serve for as long as the request waits."""
+        """Release the right to serve for as long as the request waits."""
         self._node.leases.finish(running.right)
         running.right = attrs.evolve(running.right, ticket=0)
 
@@ -176,7 +177,7 @@
         running.abort = None
 
     def _take_up(self, slot, running, right):
-        """Ask again for the right that was laid down; refuse if it has changed."""
+        """Acquire the released right again; refuse the request if it has changed."""
         now_s = boottime_s()
         request = slot.request
         again = self._node.leases.acquire(
@@ -187,8 +188,8 @@
             running.right = again
             running.deadline_s = min(running.deadline_s, again.deadline_s)
             return
-        # The key may have been elsewhere in the meantime: its requests may have
-        # run there, and the memory of answers that was asked is stale.
+        # The key may have had another owner in the meantime. Its requests may have
+        # run there, so that the earlier lookup in the memory of answers is stale.
         self._node.leases.finish(again)
         reason = Reason.DRAINING if leaves and not request.key else again.reason
         slot.refused = refusal(
@@ -198,26 +199,26 @@
         slot.admission.finish(slot)
 
     def answered(self, slot):
-        """Note an answer of the backend server."""
+        """Record an answer of the backend server."""
         slot.result = Result.ANSWERED
 
     def refused(self, slot, reason, backend):
-        """Note a request without an answer, and why."""
+        """Record a request without an answer, and the reason."""
         slot.result = _RESULTS.get(reason, Result.FAILED)
         if reason in _LOST:
             self.quarantine.lost(slot, backend)
 
     def cut_off(self, slot, backend):
-        """Note that an answer broke off, or that its caller did.
+        """Record that a streamed answer broke off, or that its caller disconnected.
 
-        Nobody waits for an answer any more, and the request is to be cancelled
+        No caller waits for the answer any more, so that the request can be cancelled
         without delay.
         """
         slot.result = Result.FAILED
         self.quarantine.lost(slot, backend, wait_s=0)
 
     def finish(self, slot):
-        """End a request that was begun; it no longer occupies the server."""
+        """End an admitted request; it no longer occupies the server."""
         if slot is None or slot.refused is not None:
             return
         self.quarantine.ended(slot, slot.result is Result.ANSWERED)
@@ -226,10 +227,10 @@
     # At the ingress.
 
     def refuse_condemned(self, request, body):
-        """Return the final reply to a request that isn't run, or ``None``.
+        """Return the reply to a condemned request, or ``None`` if it isn't condemned.
 
-        A suspect is marked, so that its owner guards it although it may not have
-        heard of the crash.
+        A suspect is marked, so that its owner runs it alone even if the owner hasn't
+        been notified of the crash.
         """
         if self.quarantine.is_empty():
             return None
@@ -242,10 +243,10 @@
         return None
 
     def replied(self, request, body, reply):
-        """Take the reply that an ingress node got for a request.
+        """Update the quarantine with the reply that an ingress node got for a request.
 
-        Of a body in parts the first one is gone by now, so that the request
-        can't be recognised here.
+        The first part of a streamed body is no longer available, so that such a
+        request has no fingerprint here and is ignored.
         """
         if not isinstance(body, bytes):
             return
@@ -260,8 +261,8 @@
         if not self.quarantine.is_empty():
             name = request_fingerprint(request, body)
             if self.quarantine.standing(name, boottime_s()) is Standing.SUSPECT:
-                # Sent to any member, the copies of a suspect would run at
-                # several servers at a time, and crash them all.
+                # If copies of a suspect were sent to any member, they could run
+                # at several servers at a time, and crash all of them.
                 return self.members.designated(request.service_name, name)
         idempotent = request.method in SAFE_METHODS
         return self.members.choose(request.service_name, (), idempotent)
@@ -276,12 +277,12 @@
         ]
 
     def busy_fraction(self):
-        """Return the part of the backend server's slots that is in use."""
+        """Return the fraction of the backend server's slots that is in use."""
         return self._admission.busy_fraction if self._admission else 0.0
 
     @property
     def admission_state(self):
-        """Return the `AdmissionState` of the backend server there is, or ``None``."""
+        """Return the `AdmissionState` of the current backend server, or ``None``."""
         return self._admission.state if self._admission else None
 
     def service_ms(self):
@@ -308,7 +309,7 @@
 
 
 def _refusal_before_body(slot, running, admission, ahead):
-    """Return why a request's body isn't sent for, with so many ahead, or ``None``."""
+    """Return the refusal of a request whose body shouldn't be sent, or ``None``."""
     if running.cancelled:
         return refusal(Reason.CALLER_GONE_BEFORE_START)
     return admission.refuse_before_body(
--- a/comfreywharf/daemon/requests/members.py
+++ b/comfreywharf/daemon/requests/members.py
@@ -1,4 +1,4 @@
-"""The shell around the choice among backend servers that aren't divided by key."""
+"""The I/O shell around the choice of a member for services not divided by key."""
 
 import random
 
@@ -11,11 +11,11 @@
 __all__ = ["Members", "Sent"]
 
 LIST_AGE_S = 0.1
-"""How old the list of a service's members may be. Going through all members for
-each request would cost more than the request where there are hundreds."""
+"""Maximum age of the list of a service's members. With hundreds of members, listing
+them for each request would cost more than the request itself."""
 
 _ABSENT = frozenset({Reason.NO_BACKEND, Reason.PEER_UNREACHABLE, Reason.DRAINING})
-"""Refusals of a member that isn't there, or whose server isn't."""
+"""Refusals that show that a member or its backend server is absent."""
 
 _FAILURES = frozenset(
     {
@@ -26,12 +26,12 @@
         Reason.DEADLINE_PASSED,
     }
 )
-"""Refusals that speak against the backend server or the node beside it."""
+"""Refusals that count as failures of the backend server or the node beside it."""
 
 
 @attrs.frozen
 class Sent:
-    """A request on its way to a member; ``probe`` if the member was out."""
+    """A request in flight to a member; ``probe`` is true if the member was ejected."""
 
     service: str
     member: MemberLoad
@@ -40,9 +40,9 @@
 
 
 class _Service:
-    """The members of one service, as this node measured them.
+    """The members of one service, with this node's measurements.
 
-    ``present`` are those that take new work, as of ``listed_s``.
+    ``present`` are those that accept new work, as of ``listed_s``.
     """
 
     def __init__(self, chooser):
@@ -55,7 +55,7 @@
 
 
 class Members:
-    """Measure the members of each service, and choose among them."""
+    """Measure the members of each service, and choose one for each request."""
 
     def __init__(self, node):
         self._node = node
@@ -63,7 +63,7 @@
         self._chance = random.Random(f"{node.settings.node_id} {node.incarnation}")
 
     def choose(self, service, excluded=(), idempotent=True):
-        """Return the node id of a member, or nothing if there is none."""
+        """Return the node id of a member, or an empty text if there is none."""
         now_s = boottime_s()
         known = self._listed(service, now_s)
         present = known.present
@@ -76,7 +76,7 @@
         return known.chooser.choose(usable, self._chance).node_id
 
     def designated(self, service, name):
-        """Return the one member that runs a suspect, the same at all nodes."""
+        """Return the member that runs a suspect, which is the same on all nodes."""
         known = self._listed(service, boottime_s())
         return min(
             (m.node_id for m in known.present),
@@ -85,7 +85,7 @@
         )
 
     def sent(self, service, node_id):
-        """Note that a request is sent; end it with `ended`."""
+        """Record that a request is sent, and return it; pass it to `ended` later."""
         known = self._services.get(service)
         member = known.members.get(node_id) if known else None
         if member is None:
@@ -98,7 +98,7 @@
         return sent
 
     def ended(self, sent, reply):
-        """Weigh the outcome of a request; ``reply`` is ``None`` if it broke off."""
+        """Record the outcome of a request; ``reply`` is ``None`` after an exception."""
         if sent is None:
             return
         known = self._services[sent.service]
@@ -180,11 +180,11 @@
 
 
 def _latest_at_address(members):
-    """Return the member at each address: the one that announced itself last.
+    """Return the member that announced itself last at each address.
 
-    An address may be given to another machine before the lost one is forgotten. For
-    ten seconds half of the requests then went to a node beside a server of another
-    service, which could only refuse them.
+    An address may be reassigned to another machine before the lost one is removed. If
+    both were used, half of the requests would for ten seconds go to a node beside a
+    server of another service, which can only refuse them.
     """
     latest = {}
     for entry in members:
@@ -195,7 +195,7 @@
 
 
 def _failed(reply):
-    """Return whether a reply speaks against its member; ``None`` if for neither."""
+    """Return whether a reply is a failure of its member; ``None`` if it isn't known."""
     if reply is None:
         return None
     if reply.outcome == Outcome.ANSWERED and not reply.reason:
--- a/comfreywharf/daemon/requests/memory.py
+++ b/comfreywharf/daemon/requests/memory.py
@@ -1,4 +1,4 @@
-"""The memory of answers as the calls between nodes carry it."""
+"""The node's memory of answers, with conversion to and from messages."""
 
 from gevent.event import Event
 
@@ -15,10 +15,10 @@
 
 
 def resend_mark(request, body):
-    """Return what sends under one request id are compared by.
+    """Return the fingerprint by which sends under one request id are compared.
 
-    ``body`` is that of a `ForwardRequest`, whole or in parts. Where it follows its
-    request, the ingress node has made the mark.
+    ``body`` is that of a `ForwardRequest`, whole or in parts. If it is sent after its
+    request, the ingress node has set the mark.
     """
     if request.body_mark:
         return request.body_mark
@@ -27,23 +27,23 @@
 
 
 class NodeMemory:
-    """A node's `AnswerMemory`, with pages as messages, and waits for answers."""
+    """A node's `AnswerMemory`; transfers it as messages, and waits for answers."""
 
     def __init__(self, limits):
         self.answers = AnswerMemory(limits)
         self._waiters = {}
 
     def begin(self, key, **facts):
-        """Say whether a request may run; see `AnswerMemory.begin`."""
+        """Return whether a request may run; see `AnswerMemory.begin`."""
         return self.answers.begin(key, **facts)
 
     def finish(self, key, answer, now_s):
-        """Remember an answer and wake who waits for it."""
+        """Remember an answer, and wake the requests that wait for it."""
         self.answers.finish(key, answer, now_s)
         self._wake(key)
 
     def forget(self, key):
-        """Drop a request that didn't run and wake who waits for it."""
+        """Drop a request that didn't run, and wake the requests that wait for it."""
         self.answers.forget(key)
         self._wake(key)
 
@@ -60,15 +60,15 @@
             waiter.set()
 
     def take_out(self, service, start, end, skip, now_s):
-        """Return a page of `RememberedAnswer` and whether more follow.
+        """Return a page of `RememberedAnswer` and whether more pages follow.
 
-        The next page is asked for with ``skip`` grown by the length of this one.
+        To get the next page, increase ``skip`` by the length of this one.
         """
         page, more = self.answers.take_out(service, start, end, skip, now_s)
         return [_message(kept) for kept in page], more
 
     def put_in(self, service, answers, now_s):
-        """Take over a page of `RememberedAnswer` from an earlier owner."""
+        """Import a page of `RememberedAnswer` from an earlier owner."""
         self.answers.put_in(service, [_kept(each) for each in answers], now_s)
 
 
--- a/comfreywharf/daemon/requests/quarantine.py
+++ b/comfreywharf/daemon/requests/quarantine.py
@@ -1,4 +1,4 @@
-"""The shell around the quarantine: crashes of the backend server, notices."""
+"""The I/O shell around the quarantine: detected crashes, and notices to peers."""
 
 import itertools
 
@@ -12,21 +12,23 @@
 __all__ = ["QuarantineShell", "request_fingerprint"]
 
 PROBE_WAIT_S = 0.1
-"""How long a lost request's answer waits until the server was tried, and peers
-were told."""
+"""How long the reply to a lost request is delayed while the server's port is probed and
+peers are notified."""
 
 PROBE_PAUSES_S = (0.002, 0.01, 0.03, 0.1)
-"""Between tries of a port: a dying process may close its listening socket last."""
+"""Pauses between probes of a port. A crashing process may close its listening socket
+last."""
 
 TOLD_DIRECTLY = 64
-"""How many members of the service are told of a crash by the node itself."""
+"""How many members of the service the node itself notifies of a crash."""
 
 
 def request_fingerprint(request, body):
     """Return the fingerprint of a `ForwardRequest`.
 
-    Where the body follows its request, the ingress node has made it. Of another
-    body in parts the first one is waited for; `BodyError` if it can't be had.
+    If the body is sent after its request, the ingress node has set the fingerprint.
+    For another streamed body, wait for its first part; raises `BodyError` if that
+    can't be read.
     """
     if request.fingerprint:
         return request.fingerprint
@@ -37,7 +39,7 @@
 
 
 class QuarantineShell:
-    """Suspects and condemned requests, as this node and its peers know them."""
+    """Suspect and condemned requests that this node or its peers know of."""
 
     def __init__(self, node):
         self._node = node
@@ -50,7 +52,7 @@
         node.follower.subscribe(self._on_folded)
 
     def is_empty(self):
-        """Return whether no request is under suspicion, so that none need be tried."""
+        """Return whether no request is suspect or condemned."""
         return not len(self._known)
 
     def standing(self, name, now_s):
@@ -58,15 +60,15 @@
         return self._known.standing(name, now_s)
 
     def retry_after_ms(self, name, now_s):
-        """Return when a condemned request may come back."""
+        """Return after how many ms a condemned request may be sent again."""
         return int(self._known.retry_after_s(name, now_s) * 1000)
 
     def list(self, now_s):
-        """Return a `QuarantineEntry` for each request under suspicion."""
+        """Return a `QuarantineEntry` for each suspect or condemned request."""
         return self._known.list(now_s)
 
     def lift(self, name):
-        """Let a request run again, at all nodes; false if it isn't known."""
+        """Let a request run again on all nodes; return false if it is unknown."""
         notices = self._known.lift(name, boottime_s())
         if notices:
             self._node.report("quarantine_lifted", fingerprint=name)
@@ -74,28 +76,28 @@
         return bool(notices)
 
     def suspect(self, name, service):
-        """Guard a request whose server was lost, before a crash is confirmed."""
+        """Mark a request as suspect before the crash of its server is confirmed."""
         self._known.suspect(name, service, boottime_s())
 
     def cleared(self, name):
-        """Take the answer to a suspect that another node ran alone."""
+        """Clear a suspect that another node ran alone and got an answer to."""
         self._known.answered(name, boottime_s())
 
     def begun(self, slot):
-        """Note a request that is about to be forwarded."""
+        """Record a request that is about to be forwarded."""
         self._watch.begun(slot, slot.ticket.alone)
 
     def ended(self, slot, answered):
-        """Note the end of a request; a suspect that was answered is cleared."""
+        """Record the end of a request; a suspect that was answered is cleared."""
         self._watch.ended(slot)
         if answered and slot.ticket.alone:
             self._publish(self._known.answered(slot.fingerprint, boottime_s()))
 
     def lost(self, slot, backend, wait_s=PROBE_WAIT_S):
-        """Take a lost connection; find out whether the backend server died.
+        """Record a lost connection, and probe whether the backend server crashed.
 
-        The caller may send its request again as soon as it has its answer. The
-        answer therefore waits for a moment, so that the peers are told first.
+        The caller may send its request again as soon as it has a reply. The reply is
+        therefore delayed by up to ``wait_s``, so that the peers are notified first.
         """
         if self._watch.lost(slot, boottime_s()):
             gevent.spawn(self._probe, backend).join(wait_s)
@@ -108,7 +110,7 @@
             gevent.sleep(pause_s)
 
     def confirm(self):
-        """Take the word that the backend server died or was started anew."""
+        """Handle the confirmation that the backend server crashed or was restarted."""
         now_s = boottime_s()
         loss = self._watch.confirmed(now_s)
         if loss is None or not loss.runs:
@@ -132,11 +134,11 @@
         self._tell_directly(service)
 
     def _tell_directly(self, service):
-        """Tell the servers that may get a suspect next, before its caller can.
+        """Notify the nodes that may get a suspect next, before its caller resends it.
 
-        Gossip reaches a node within seconds, and most at once. Where the next
-        server of a suspect is among the others, it runs it beside all else: one
-        would see a crash more for each node that wasn't told.
+        Gossip reaches most nodes at once, and the others within seconds. A node that
+        hasn't been notified runs a suspect beside other requests, so that each such
+        node can cost another crash.
         """
         node = self._node
         others = [
@@ -147,7 +149,7 @@
         gevent.joinall(node.gossip.push_to(others[:TOLD_DIRECTLY]), PROBE_WAIT_S)
 
     def _on_folded(self, record, result):
-        """Tell a newcomer of this node's crash: it wasn't there to be told."""
+        """Notify a node that joined after this node's notices of a crash."""
         if boottime_s() - self._crashed_s > CONDEMNED_S:
             return
         if isinstance(record, NodeAnnounced) and result.accepted:
--- a/comfreywharf/daemon/requests/replies.py
+++ b/comfreywharf/daemon/requests/replies.py
@@ -1,4 +1,4 @@
-"""Replies that a node gives by itself, without a backend server's answer."""
+"""Replies that a node creates itself, without an answer of the backend server."""
 
 from comfreywharf.routing import Answer, Outcome, Reason, status_of
 from comfreywharf.transport.gen.ttypes import ForwardReply, Header
@@ -6,13 +6,13 @@
 __all__ = ["FIRST_STATUS_HEADER", "answer_of", "refusal", "remembered"]
 
 FIRST_STATUS_HEADER = "Comfreywharf-First-Status"
-"""The status of an answer that is known, but whose body wasn't kept."""
+"""Carries the status of an earlier answer whose body wasn't kept."""
 
 
 def refusal(reason, *, retry_after_ms=0, owner_hint="", outcome=None):
-    """Return the reply for a request that has no answer, for a `Reason`.
+    """Return the reply to a request without an answer, for a `Reason`.
 
-    ``outcome`` replaces the one that the reason usually means.
+    ``outcome`` overrides the default outcome of the reason.
     """
     verdict = status_of(reason)
     return ForwardReply(
@@ -30,7 +30,7 @@
 
 
 def answer_of(reply, body_kept):
-    """Return what is remembered of a reply."""
+    """Return the `Answer` to remember of a reply."""
     return Answer(
         outcome=Outcome(reply.outcome),
         status=reply.status,
@@ -42,7 +42,7 @@
 
 
 def remembered(answer):
-    """Return the reply to a resend, from what is remembered."""
+    """Return the reply to a resend from the remembered answer."""
     if answer.outcome == Outcome.ANSWERED and not answer.body_kept:
         reply = refusal(Reason.ANSWER_NOT_KEPT)
         reply.headers = [Header(name=FIRST_STATUS_HEADER, value=str(answer.status))]
--- a/comfreywharf/daemon/requests/routes.py
+++ b/comfreywharf/daemon/requests/routes.py
@@ -1,4 +1,4 @@
-"""The routes in force at this node; they only ever become newer."""
+"""The routes in force at this node, which are only replaced by newer versions."""
 
 from absl import logging
 
@@ -15,10 +15,10 @@
 
 
 class Routes:
-    """Keep the newest `RouteTable` that this node heard of, from whomever.
+    """Keep the newest `RouteTable` that this node received from the store or a peer.
 
-    A version that isn't above the one in force is dropped: a read of the store
-    that was overtaken by a peer's news would otherwise take the node back.
+    A version that isn't higher than the one in force is dropped. Otherwise a slow read
+    of the store could replace a newer table that a peer sent in the meantime.
     """
 
     def __init__(self, retry_fraction=DEFAULT_RETRY_FRACTION):
@@ -36,11 +36,11 @@
         return self.table.version
 
     def confirm(self, then_s):
-        """Take note that these routes were the operator's newest at a time."""
+        """Record that these routes were the operator's newest at ``then_s``."""
         self._confirmed_s = max(self._confirmed_s, then_s)
 
     def age_s(self, now_s):
-        """Return for how long these routes may have been out of date."""
+        """Return for how long these routes may have been outdated."""
         return max(0.0, now_s - self._confirmed_s)
 
     def subscribe(self, listener):
@@ -48,11 +48,11 @@
         self._listeners.append(listener)
 
     def document_after(self, version):
-        """Return the table as bytes for a peer with an older one, else nothing."""
+        """Return the table as bytes if it is newer than ``version``, else ``b""``."""
         return self._document if self.version > version else b""
 
     def take(self, document):
-        """Take a peer's table; return whether it was newer."""
+        """Decode and apply a peer's table; return whether it was newer."""
         try:
             table = decode_table(document)
         except RouteTableError as error:
@@ -81,7 +81,7 @@
         return True
 
     def service(self, name):
-        """Return the `ServiceConfig` of a service that routes lead to, or ``None``."""
+        """Return the `ServiceConfig` of a service in the table, or ``None``."""
         return self._services.get(name)
 
     @property
--- a/comfreywharf/daemon/requests/running.py
+++ b/comfreywharf/daemon/requests/running.py
@@ -1,10 +1,9 @@
-"""Requests that were forwarded: their cancellation, and the end of their rights.
+"""Requests that were forwarded: their cancellation, and the release of their rights.
 
-A right to serve ends only when nothing forwarded under it can take effect any
-more. A request that was answered, or proved not to have run, ends at once. One
-that was given up on ends when the backend server confirms its cancellation, or
-when its deadline passes: until then the server may still take it out of a
-socket's buffer and run it.
+A right to serve is released only once nothing forwarded under it can take effect any
+more. A request that was answered, or proved not to have run, ends at once. One that was
+given up on ends when the backend server confirms its cancellation, or when its deadline
+passes: until then the server may still read it from a socket's buffer and run it.
 """
 
 import itertools
@@ -17,7 +16,8 @@
 __all__ = ["Running", "RunningRequests"]
 
 DEADLINE_MARGIN_S = 0.03
-"""A backend server checks a deadline just before the effect, not with it."""
+"""Wait after a deadline. A backend server checks the deadline just before the effect,
+not atomically with it."""
 
 CANCEL_PAUSE_S = 0.05
 
@@ -25,8 +25,8 @@
 class Running:
     """One request at the backend server.
 
-    ``abort`` interrupts whatever the request waits for; it is replaced as the
-    request goes on.
+    ``abort`` is a function that interrupts the current wait of the request, or
+    ``None``; it is replaced as the request proceeds.
     """
 
     def __init__(self, key, attempt_id, right, deadline_s):
@@ -39,7 +39,7 @@
         self.abort = None
 
     def cancel(self):
-        """End the wait for the answer: nobody wants it any more."""
+        """Interrupt the wait for the answer, which is no longer needed."""
         self.cancelled = True
         if self.abort is not None:
             self.abort()
@@ -57,7 +57,7 @@
         return len(self._by_key)
 
     def enter(self, request, right, deadline_s):
-        """Take note of a request that is about to be forwarded."""
+        """Register a request that is about to be forwarded."""
         settings = self._node.settings
         number = next(self._numbers)
         attempt_id = f"{settings.node_id}.{self._node.incarnation:x}.{number:x}"
@@ -78,7 +78,7 @@
         self._end(running)
 
     def unsettled(self, running, backend, on_not_run=None):
-        """End a request later: it was given up on and may still take effect.
+        """End a request later that was given up on and may still take effect.
 
         ``on_not_run`` is called if the backend server proves that it never ran
         and never will.
@@ -91,11 +91,11 @@
             del self._by_key[running.key]
 
     def _settle(self, running, backend, on_not_run):
-        """Wait for the confirmed cancellation or the deadline; then end it."""
-        # A server that froze with the request in its socket runs it when it
-        # thaws. Were the right ended with the wait for the answer, the key
-        # could have its next owner by then: one would see two owners in the
-        # ledger. Its deadline is what bounds the wait where nobody confirms.
+        """Wait for the confirmed cancellation or the deadline, then end the request."""
+        # A server that froze with the request in its socket runs it when it resumes.
+        # If the right were released when the wait for the answer ends, the key could
+        # have its next owner by then, and the ledger would show two owners. The
+        # deadline bounds the wait if the server never confirms.
         end_s = running.deadline_s + DEADLINE_MARGIN_S
         try:
             while True:
--- a/comfreywharf/daemon/requests/uploads.py
+++ b/comfreywharf/daemon/requests/uploads.py
@@ -1,9 +1,9 @@
-"""The ingress side of an upload: the request first, its body once that is wanted.
+"""The ingress side of an upload: send the request first, and its body once wanted.
 
-A body that travels with its request crosses the link to the owner's node before
-admission there has decided on it, and again to the next node after a refusal. Under
-overload a link then carries little else, and what keeps the node up to date, such as
-renewals and news of the log, waits behind it.
+A body that is sent with its request crosses the link to the owner's node before
+admission there has decided on the request, and again to the next node after a refusal.
+Under overload, a link would then carry little else, and messages that keep the node up
+to date, such as renewals and records of the log, would queue behind the bodies.
 """
 
 from comfreywharf.daemon.requests.bodies import PART_BYTES
@@ -14,21 +14,21 @@
 __all__ = ["INLINE_BODY_BYTES", "is_inline", "send_upload"]
 
 INLINE_BODY_BYTES = 8 * 1024
-"""A body up to this length travels with its request: to ask for it first would cost
-more than to send it."""
+"""A body up to this length is sent with its request. Requesting it separately would
+cost more than sending it."""
 
 UNKNOWN_LENGTH = -1
 
 
 def is_inline(body):
-    """Return whether a body travels in the same message as its request."""
+    """Return whether a body is sent in the same message as its request."""
     return isinstance(body, bytes) and len(body) <= INLINE_BODY_BYTES
 
 
 def send_upload(client, call, timeout_s):
     """Send a request, and its body if that is wanted; return the `ForwardReply`.
 
-    Raises `CallError`, and `BodyError` where the caller's body can't be had whole.
+    Raises `CallError`, and `BodyError` if the caller's body can't be read completely.
     """
     request = call.request
     request.fingerprint = request_fingerprint(request, call.body)
@@ -38,12 +38,12 @@
     request.body_bytes = len(call.body) if known else UNKNOWN_LENGTH
     opened = client.call("open_upload", request, timeout_s=timeout_s)
     try:
-        # A body of unknown length that isn't begun would pass for an empty one.
+        # If a body of unknown length weren't sent at all, it would look empty.
         if opened.wanted and not (known and call.gone):
             _send_body(client, opened.stream_id, call.body, timeout_s)
         return client.call("finish_upload", opened.stream_id, timeout_s=timeout_s)
     except CallError as error:
-        # The upload was opened: from then on it may have run.
+        # Once the upload was opened, the request may have run.
         raise CallError(str(error), sent=True) from error
 
 
--- a/comfreywharf/daemon/requests/wire.py
+++ b/comfreywharf/daemon/requests/wire.py
@@ -1,4 +1,4 @@
-"""Header fields on their way: from callers to backend servers and back."""
+"""Header fields of requests to backend servers, and of their answers to callers."""
 
 from abc import ABC, abstractmethod
 from functools import lru_cache
@@ -34,12 +34,12 @@
         "upgrade",
     }
 )
-"""Headers of one hop only (RFC 9110, 7.6.1), and those that each hop sets."""
+"""Hop-by-hop headers (RFC 9110, 7.6.1), and headers that each hop sets itself."""
 
 
 @lru_cache(maxsize=1024)
 def _passed_name(variable):
-    """Return a header's name from its WSGI variable, or ``None`` to drop it."""
+    """Return the header name for a WSGI variable, or ``None`` to drop the header."""
     if variable == "CONTENT_TYPE":
         return "Content-Type"
     if not variable.startswith("HTTP_"):
@@ -52,7 +52,7 @@
 
 
 def caller_headers(environ):
-    """Return the headers that go to the backend server, and their length."""
+    """Return the headers to send to the backend server, and their length in bytes."""
     headers = []
     size_bytes = 0
     for variable, value in environ.items():
@@ -78,10 +78,10 @@
 
 
 def join_lines(lines):
-    """Return header lines as one text, or ``None`` for one with a line end in it.
+    """Return header lines as one text, or ``None`` if one contains a line end.
 
-    A caller could otherwise write header lines that only the router may write, a
-    fence among them.
+    A caller could otherwise inject header lines that only the router may set, such as
+    a fence.
     """
     text = "\r\n".join(lines)
     ends = len(lines) - 1
@@ -97,7 +97,7 @@
 
 
 def answer_headers(response):
-    """Return the headers of a backend server's answer that go to the caller."""
+    """Return the headers of a backend server's answer to send to the caller."""
     headers = []
     for name, value in response.items():
         if not _returned(name):
@@ -108,23 +108,23 @@
 
 
 class Dialect(ABC):
-    """How requests and answers look at a backend server."""
+    """The HTTP conventions of requests to, and answers of, a backend server."""
 
     @abstractmethod
     def request_lines(self, request, running, instance):
         """Return the header lines of a request as one text, or ``None``.
 
-        ``None`` stands for a value with a line end in it. ``instance`` is the
-        `Announcement.instance` that the request is meant for.
+        ``None`` means that a value contains a line end. ``instance`` is the
+        `Announcement.instance` that the request is for.
         """
 
     @abstractmethod
     def refused(self, response):
-        """Return the `Reason` where an answer proves "not run", else ``None``."""
+        """Return the `Reason` if an answer proves "not run", else ``None``."""
 
     @abstractmethod
     def belongs(self, response, request_id):
-        """Return whether an answer may be passed on as that of a request."""
+        """Return whether an answer may be forwarded as the answer to a request."""
 
 
 class OwnDialect(Dialect):
@@ -135,13 +135,13 @@
         return request_lines(request, running)
 
     def refused(self, response):
-        """Take the server's word that it didn't run a request."""
+        """Return the reason if the server states that it didn't run the request."""
         if response.status_code < 400 or response.get("comfreywharf-not-run") != "1":
             return None
         return Reason.REFUSED_BY_BACKEND
 
     def belongs(self, response, request_id):
-        """Refuse an answer that names another request.
+        """Return false for an answer that names another request.
 
         It was sent on the wrong connection, or for an earlier request on this one.
         """
