--- a/comfreywharf/daemon/requests/front.py
+++ b/comfreywharf/daemon/requests/caller_server.py
@@ -211,9 +211,9 @@
 
     Pipelined requests are served concurrently and answered in their order. A request
     for which ``waits_for_others(head)`` is true starts only once all earlier ones on
-    its connection are answered. ``limits()`` returns the current `FrontLimits`. After
-    `retire`, each connection is closed with its last answer; after `refuse_new`, no
-    new request is served.
+    its connection are answered. ``limits()`` returns the current
+    `CallerConnectionLimits`. After `retire`, each connection is closed with its last
+    answer; after `refuse_new`, no new request is served.
     """
 
     def __init__(self, host, port, application, limits, waits_for_others=None):
--- a/comfreywharf/daemon/requests/caller_stream.py
+++ b/comfreywharf/daemon/requests/caller_stream.py
@@ -14,9 +14,9 @@
     "BLOCK_BYTES",
     "Arrived",
     "BadRequest",
+    "CallerConnectionLimits",
     "CallerGone",
     "CallerStream",
-    "FrontLimits",
     "Head",
 ]
 
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class FrontLimits:
+class CallerConnectionLimits:
     """Limits of header size, header time and idle time on a caller's connection."""
 
     header_bytes: int
--- a/comfreywharf/daemon/tests/test_front.py
+++ b/comfreywharf/daemon/tests/test_caller_server.py
@@ -6,8 +6,8 @@
 import pytest
 from gevent import socket
 
-from comfreywharf.daemon.requests.caller_stream import FrontLimits
-from comfreywharf.daemon.requests.front import Answer, CallerServer
+from comfreywharf.daemon.requests.caller_server import Answer, CallerServer
+from comfreywharf.daemon.requests.caller_stream import CallerConnectionLimits
 
 
 class Application:
@@ -38,7 +38,9 @@
 
 @pytest.fixture
 def server(application):
-    limits = FrontLimits(header_bytes=1000, header_timeout_s=0.3, idle_timeout_s=0.6)
+    limits = CallerConnectionLimits(
+        header_bytes=1000, header_timeout_s=0.3, idle_timeout_s=0.6
+    )
     started = CallerServer("127.0.0.1", 0, application, lambda: limits)
     started.start()
     yield started
--- a/comfreywharf/daemon/tests/test_rows.py
+++ b/comfreywharf/daemon/tests/test_pipelining.py
@@ -9,10 +9,16 @@
 from gevent.event import Event
 from hypothesis import HealthCheck, given, settings, strategies as st
 
-from comfreywharf.daemon.requests.caller_stream import FrontLimits
-from comfreywharf.daemon.requests.front import MOST_AT_ONCE, Answer, CallerServer
+from comfreywharf.daemon.requests.caller_server import (
+    MOST_AT_ONCE,
+    Answer,
+    CallerServer,
+)
+from comfreywharf.daemon.requests.caller_stream import CallerConnectionLimits
 
-LIMITS = FrontLimits(header_bytes=2000, header_timeout_s=1.0, idle_timeout_s=1.0)
+LIMITS = CallerConnectionLimits(
+    header_bytes=2000, header_timeout_s=1.0, idle_timeout_s=1.0
+)
 
 
 class Desk:
--- a/comfreywharf/platform/callers.py
+++ b/comfreywharf/platform/callers.py
@@ -6,8 +6,8 @@
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.requests.caller_requests import CallerRequest, target_left_ms
-from comfreywharf.daemon.requests.caller_stream import FrontLimits
-from comfreywharf.daemon.requests.front import Answer
+from comfreywharf.daemon.requests.caller_server import Answer
+from comfreywharf.daemon.requests.caller_stream import CallerConnectionLimits
 from comfreywharf.daemon.requests.ingress import BodySource
 from comfreywharf.records import NUMBER_KEYS, number_key
 from comfreywharf.routes import is_absence_certain
@@ -62,9 +62,9 @@
         self._most_left_ms = {}
 
     def limits(self):
-        """Return the `FrontLimits` in force."""
+        """Return the `CallerConnectionLimits` in force."""
         limits = self._node.routes.table.limits
-        return FrontLimits(
+        return CallerConnectionLimits(
             header_bytes=limits.header_bytes,
             header_timeout_s=limits.header_timeout_ms / 1000,
             idle_timeout_s=limits.idle_timeout_ms / 1000,
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -14,7 +14,7 @@
 from comfreywharf.daemon.owning.range_grants import RangeGrants
 from comfreywharf.daemon.ports import Ports
 from comfreywharf.daemon.recording.follower import ReadPace
-from comfreywharf.daemon.requests.front import CallerServer
+from comfreywharf.daemon.requests.caller_server import CallerServer
 from comfreywharf.daemon.servers.backend_life import BackendLife
 from comfreywharf.load import ConcurrencyLimit, NearFirst
 from comfreywharf.load.admission import RetryAfter
