--- a/comfreywharf/daemon/requests/caller_server.py
+++ b/comfreywharf/daemon/requests/caller_server.py
@@ -29,15 +29,15 @@
 
 BACKLOG = 1024
 
-MOST_AT_ONCE = 16
+MAX_PIPELINED_REQUESTS = 16
 """How many pipelined requests of one connection are served at a time. Further ones stay
 unread, so that one caller's memory use is limited to these and the socket's buffer."""
 
-MAX_LEFT_BYTES = 256 * 1024
+MAX_LINGER_BYTES = 256 * 1024
 """How many unread bytes of a caller are read and dropped before its connection is
 closed."""
 
-LEFT_TIMEOUT_S = 0.5
+LINGER_TIMEOUT_S = 0.5
 WRITE_TIMEOUT_S = 10.0
 """A caller that accepts no data for this long is given up, to free its greenlet."""
 
@@ -103,7 +103,7 @@
         self._reader_waits = True
         try:
             self._await_request()
-            self.await_room(MOST_AT_ONCE)
+            self.await_fewer_than(MAX_PIPELINED_REQUESTS)
             if not may_begin():
                 raise CallerGone
             self.reading = True
@@ -122,9 +122,9 @@
                 if not self.running:
                     raise CallerGone from error
 
-    def await_room(self, most):
-        """Wait until fewer than ``most`` requests are being served."""
-        while len(self.running) >= most and not self.closing:
+    def await_fewer_than(self, limit):
+        """Wait until fewer than ``limit`` requests are being served."""
+        while len(self.running) >= limit and not self.closing:
             self.changed.clear()
             self.changed.wait()
 
@@ -198,8 +198,8 @@
         """
         self.sock.shutdown(socket.SHUT_WR)
         read_bytes = 0
-        with gevent.Timeout(LEFT_TIMEOUT_S, False):
-            while read_bytes < MAX_LEFT_BYTES:
+        with gevent.Timeout(LINGER_TIMEOUT_S, False):
+            while read_bytes < MAX_LINGER_BYTES:
                 data = self.sock.recv(BLOCK_BYTES)
                 if not data:
                     return
@@ -290,11 +290,11 @@
             self._answer_in_turn(connection, None, lambda: bad, connection.begin())
             return False
         if connection.running and self._waits_for_others(request.head):
-            connection.await_room(1)
+            connection.await_fewer_than(1)
         if not self._may_begin(connection):
             return False
         turn = request.turn = connection.begin()
-        if request.whole and request.head.keeps:
+        if request.whole and request.head.keep_alive:
             gevent.spawn(self._answer, connection, request, turn)
             return True
         # The rest of the body follows, or this is the connection's last request. No
@@ -312,18 +312,18 @@
         return not connection.closing and not retires
 
     def _answer(self, connection, request, turn):
-        def ask():
+        def make_answer():
             if self._refusing:
                 headers = (("Retry-After", "0"),)
                 return Answer(status=503, headers=headers, body=b"stopping\n")
             return self._application(request.head, request)
 
-        self._answer_in_turn(connection, request, ask, turn)
+        self._answer_in_turn(connection, request, make_answer, turn)
 
-    def _answer_in_turn(self, connection, request, ask, turn):
+    def _answer_in_turn(self, connection, request, make_answer, turn):
         try:
             try:
-                answer = ask()
+                answer = make_answer()
             finally:
                 # Even if this request fails, earlier ones are answered first.
                 turn.wait()
@@ -344,8 +344,8 @@
         If the request's body wasn't read to its end, the answer is sent anyway, and
         the connection is closed after it.
         """
-        ends = request is None or not request.head.keeps or not request.whole
-        close = ends or (self._retiring and connection.last is turn)
+        is_last = request is None or not request.head.keep_alive or not request.whole
+        close = is_last or (self._retiring and connection.last is turn)
         if close:
             connection.close()
         method = request.head.method if request else "GET"
--- a/comfreywharf/daemon/requests/caller_stream.py
+++ b/comfreywharf/daemon/requests/caller_stream.py
@@ -12,12 +12,12 @@
 
 __all__ = [
     "BLOCK_BYTES",
-    "Arrived",
     "BadRequest",
     "CallerConnectionLimits",
     "CallerGone",
     "CallerStream",
     "Head",
+    "IncomingRequest",
 ]
 
 BLOCK_BYTES = 64 * 1024
@@ -38,15 +38,15 @@
     """The request line and the headers of a request.
 
     ``length`` is that of the body, or -1 for a chunked one. ``headers`` are pairs of
-    name and value in their original order, with names in lower case. ``keeps`` tells
-    whether the connection is kept open after the answer.
+    name and value in their original order, with names in lower case. ``keep_alive``
+    tells whether the connection is kept open after the answer.
     """
 
     method: str
     target: str
     headers: list
     length: int
-    keeps: bool
+    keep_alive: bool
 
     def get(self, name, default=None):
         """Return the first value of a header; ``default`` if the header is missing."""
@@ -68,7 +68,7 @@
     """The caller has closed its connection."""
 
 
-class _Parse:
+class _ParserCallbacks:
     """Collect what httptools reports while it parses one request."""
 
     def __init__(self):
@@ -77,23 +77,23 @@
         self.head_done = False
         self.parts = []
         self.done = False
-        self.extra = False
+        self.has_extra_bytes = False
         self.parser = None
-        self.keeps = False
+        self.keep_alive = False
 
     def on_message_begin(self):
         # Bytes follow the end of a chunked body, or of a head that ended elsewhere
         # than expected. Served as a separate request, they could be a smuggled one.
         # The connection is closed after this answer, and the caller sends them again.
         if self.done:
-            self.extra = True
+            self.has_extra_bytes = True
 
     def on_url(self, url):
-        if not self.extra:
+        if not self.has_extra_bytes:
             self.url += url
 
     def on_header(self, name, value):
-        if not self.extra:
+        if not self.has_extra_bytes:
             self.headers.append((name.decode("latin-1").lower(), _text(value)))
 
     def on_headers_complete(self):
@@ -101,13 +101,13 @@
         # parsed, it refers to the next request, and the connection of a caller that
         # requested its end would never be closed.
         if self.parser is not None:
-            self.keeps = self.parser.should_keep_alive()
+            self.keep_alive = self.parser.should_keep_alive()
         # Break the reference cycle, which would last until the garbage collection.
         self.parser = None
         self.head_done = True
 
     def on_body(self, data):
-        if not self.extra:
+        if not self.has_extra_bytes:
             self.parts.append(data)
 
     def on_message_complete(self):
@@ -137,19 +137,19 @@
             self._buffer = self._receive()
 
     def read_request(self):
-        """Return the next `Arrived` request; raises `BadRequest` or `CallerGone`."""
-        parse = _Parse()
-        parser = httptools.HttpRequestParser(parse)
-        parse.parser = parser
+        """Return the next request; raises `BadRequest` or `CallerGone`."""
+        callbacks = _ParserCallbacks()
+        parser = httptools.HttpRequestParser(callbacks)
+        callbacks.parser = parser
         read_bytes = 0
         with gevent.Timeout(self._limits().header_timeout_s, BadRequest(408)):
-            while not parse.head_done:
+            while not callbacks.head_done:
                 piece = self._take_head_piece()
                 read_bytes += len(piece)
                 if read_bytes > self._limits().header_bytes:
                     raise BadRequest(431)
-                feed(parser, parse, piece)
-        return Arrived(self, parse, _head(parse, parser), parser)
+                feed(parser, callbacks, piece)
+        return IncomingRequest(self, callbacks, _head(callbacks, parser), parser)
 
     def _take_head_piece(self):
         """Return the bytes up to the next empty line, which usually ends the head."""
@@ -181,29 +181,29 @@
         return data
 
 
-def feed(parser, parse, data):
+def feed(parser, callbacks, data):
     """Feed bytes of a request to its parser; raises `BadRequest`."""
     try:
         parser.feed_data(data)
     except httptools.HttpParserUpgrade as error:
         raise BadRequest(400) from error
     except httptools.HttpParserError as error:
-        if not parse.done:
+        if not callbacks.done:
             raise BadRequest(400) from error
-        parse.extra = True
+        callbacks.has_extra_bytes = True
 
 
-def _head(parse, parser):
-    names = [name for name, _ in parse.headers]
+def _head(callbacks, parser):
+    names = [name for name, _ in callbacks.headers]
     for once in ("host", "content-length", "transfer-encoding"):
         if names.count(once) > 1:
             raise BadRequest(400)
     head = Head(
         method=parser.get_method().decode("ascii"),
-        target=parse.url.decode("latin-1"),
-        headers=parse.headers,
+        target=callbacks.url.decode("latin-1"),
+        headers=callbacks.headers,
         length=0,
-        keeps=parse.keeps,
+        keep_alive=callbacks.keep_alive,
     )
     coding = head.get("transfer-encoding")
     if coding is not None:
@@ -218,38 +218,38 @@
     return head
 
 
-class Arrived:
+class IncomingRequest:
     """One request that was received: its head, and its body as far as it was read.
 
     ``100 Continue`` is sent only after ``turn``, since it would otherwise appear among
     the answers to earlier requests on the connection.
     """
 
-    def __init__(self, stream, parse, head, parser):
+    def __init__(self, stream, callbacks, head, parser):
         self.head = head
         self.sock = stream.sock
         self.turn = None
         self._stream = stream
-        self._parse = parse
+        self._callbacks = callbacks
         self._parser = parser
-        self._left = head.length
-        self._continues = head.get("expect") is not None
+        self._body_left = head.length
+        self._expects_continue = head.get("expect") is not None
         if not self.whole and stream.has_bytes:
             self._feed(stream.take(self._wanted_bytes))
 
     @property
     def whole(self):
         """Return whether the request was read to its end, without extra bytes."""
-        return self._parse.done and not self._parse.extra
+        return self._callbacks.done and not self._callbacks.has_extra_bytes
 
     @property
     def _wanted_bytes(self):
-        return BLOCK_BYTES if self._left < 0 else min(self._left, BLOCK_BYTES)
+        return BLOCK_BYTES if self._body_left < 0 else min(self._body_left, BLOCK_BYTES)
 
     def _feed(self, data):
-        if self._left > 0:
-            self._left -= len(data)
-        feed(self._parser, self._parse, data)
+        if self._body_left > 0:
+            self._body_left -= len(data)
+        feed(self._parser, self._callbacks, data)
 
     def _receive(self):
         self._feed(self._stream.receive_up_to(self._wanted_bytes))
@@ -260,16 +260,16 @@
         Raises `OSError` if the body is truncated or malformed. ``size`` isn't a
         limit: a part is what one read of the socket returned.
         """
-        if self._continues and not self._parse.parts:
-            self._continues = False
+        if self._expects_continue and not self._callbacks.parts:
+            self._expects_continue = False
             if self.turn is not None:
                 self.turn.wait()
             self.sock.sendall(b"HTTP/1.1 100 Continue\r\n\r\n")
-        while not self._parse.parts and not self._parse.done:
+        while not self._callbacks.parts and not self._callbacks.done:
             try:
                 self._receive()
             except (CallerGone, BadRequest) as error:
                 raise OSError("the body is cut") from error
-        if not self._parse.parts:
+        if not self._callbacks.parts:
             return b""
-        return self._parse.parts.pop(0)
+        return self._callbacks.parts.pop(0)
--- a/comfreywharf/daemon/tests/test_pipelining.py
+++ b/comfreywharf/daemon/tests/test_pipelining.py
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, given, settings, strategies as st
 
 from comfreywharf.daemon.requests.caller_server import (
-    MOST_AT_ONCE,
+    MAX_PIPELINED_REQUESTS,
     Answer,
     CallerServer,
 )
@@ -111,9 +111,9 @@
     desk.gates = {f"/{n}": Event() for n in range(50)}
     with connected(server) as sock:
         sock.sendall(b"".join(get(f"/{n}") for n in range(50)))
-        wait_for(lambda: len(desk.begun) == MOST_AT_ONCE)
+        wait_for(lambda: len(desk.begun) == MAX_PIPELINED_REQUESTS)
         gevent.sleep(0.05)
-        assert len(desk.begun) == MOST_AT_ONCE
+        assert len(desk.begun) == MAX_PIPELINED_REQUESTS
         for gate in desk.gates.values():
             gate.set()
         wait_for(lambda: len(desk.begun) == 50)
