--- a/comfreywharf/daemon/requests/collecting.py
+++ b/comfreywharf/daemon/requests/collecting.py
@@ -14,9 +14,9 @@
 from comfreywharf.daemon.requests.bodies import WHOLE_BODY_BYTES, BodyError, Upload
 from comfreywharf.routing import Reason
 
-__all__ = ["BODIES_AHEAD", "Collecting", "collect", "is_collected"]
+__all__ = ["MAX_COLLECTED_BODIES", "BodyCollectionLimiter", "collect", "is_collected"]
 
-BODIES_AHEAD = 3
+MAX_COLLECTED_BODIES = 3
 """How many bodies of a node may be in transit, or wait with their request for a slot.
 Two keep a link busy; each further one delays all other traffic on the link."""
 
@@ -29,22 +29,22 @@
     return isinstance(body, Upload) and 0 <= size_bytes <= WHOLE_BODY_BYTES
 
 
-class Collecting:
+class BodyCollectionLimiter:
     """Limit how many bodies are collected at a time; ``waiting`` requests wait."""
 
-    def __init__(self, most=BODIES_AHEAD):
-        self._room = BoundedSemaphore(most)
+    def __init__(self, limit=MAX_COLLECTED_BODIES):
+        self._permits = BoundedSemaphore(limit)
         self.waiting = 0
 
     @contextlib.contextmanager
-    def room(self, deadline_s):
+    def permit(self, deadline_s):
         """Acquire a permit to collect one body, and release it when the context exits.
 
         Raises `BodyError` if none is available by the deadline.
         """
         self.waiting += 1
         try:
-            entered = self._room.acquire(timeout=_left_s(deadline_s))
+            entered = self._permits.acquire(timeout=_left_s(deadline_s))
         finally:
             self.waiting -= 1
         if not entered:
@@ -52,7 +52,7 @@
         try:
             yield
         finally:
-            self._room.release()
+            self._permits.release()
 
 
 def collect(body, size_bytes, deadline_s):
--- a/comfreywharf/daemon/requests/load.py
+++ b/comfreywharf/daemon/requests/load.py
@@ -8,7 +8,11 @@
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.requests.admission import Admission, Slot
-from comfreywharf.daemon.requests.collecting import Collecting, collect, is_collected
+from comfreywharf.daemon.requests.collecting import (
+    BodyCollectionLimiter,
+    collect,
+    is_collected,
+)
 from comfreywharf.daemon.requests.members import Members
 from comfreywharf.daemon.requests.quarantine import QuarantineShell, request_fingerprint
 from comfreywharf.daemon.requests.replies import refusal
@@ -58,7 +62,7 @@
         self._shed_count = 0
         self._shed_told_s = float("-inf")
         self.quarantine = QuarantineShell(node)
-        self._collecting = Collecting()
+        self._collection_limiter = BodyCollectionLimiter()
         self.members = Members(node)
 
     # The backend server beside this node.
@@ -139,12 +143,12 @@
 
         The permit for the body is released when the stack exits.
         """
-        ahead = self._collecting.waiting
+        ahead = self._collection_limiter.waiting
         slot.refused = _refusal_before_body(slot, running, admission, ahead)
         if slot.refused is not None:
             return
         self._lay_down(running)
-        stack.enter_context(self._collecting.room(running.deadline_s))
+        stack.enter_context(self._collection_limiter.permit(running.deadline_s))
         slot.refused = _refusal_before_body(slot, running, admission, 0)
         if slot.refused is not None:
             return
@@ -292,7 +296,7 @@
     def waiting(self):
         """Return how many requests wait for a slot."""
         queued = self._admission.state.waiting if self._admission else 0
-        return queued + self._collecting.waiting
+        return queued + self._collection_limiter.waiting
 
     def _standing(self, slot):
         if self.quarantine.is_empty():
--- a/comfreywharf/daemon/tests/test_collecting.py
+++ b/comfreywharf/daemon/tests/test_collecting.py
@@ -7,39 +7,39 @@
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.requests.bodies import BodyError, Upload
-from comfreywharf.daemon.requests.collecting import Collecting, collect
+from comfreywharf.daemon.requests.collecting import BodyCollectionLimiter, collect
 
 BODY = b"garment"
 PATIENCE_S = 20.0
 
 
-def enter(collecting):
+def enter(limiter):
     """Return the stack that has the room of one body."""
     stack = contextlib.ExitStack()
-    stack.enter_context(collecting.room(boottime_s() + PATIENCE_S))
+    stack.enter_context(limiter.permit(boottime_s() + PATIENCE_S))
     return stack
 
 
 def test_room_is_had_by_so_many_at_a_time_and_given_on():
     """Guards against room that is lost with a request that was refused."""
-    collecting = Collecting(most=2)
-    first, second = enter(collecting), enter(collecting)
-    third = gevent.spawn(enter, collecting)
+    limiter = BodyCollectionLimiter(limit=2)
+    first, second = enter(limiter), enter(limiter)
+    third = gevent.spawn(enter, limiter)
     gevent.sleep(0)
-    assert collecting.waiting == 1
+    assert limiter.waiting == 1
     first.close()
     third.get(timeout=PATIENCE_S)
-    assert not collecting.waiting
+    assert not limiter.waiting
     second.close()
 
 
 def test_a_request_without_room_by_its_deadline_has_not_run():
     """Guards against requests that wait for room beyond their deadline."""
-    collecting = Collecting(most=1)
-    with enter(collecting), pytest.raises(BodyError):
-        with collecting.room(boottime_s()):
+    limiter = BodyCollectionLimiter(limit=1)
+    with enter(limiter), pytest.raises(BodyError):
+        with limiter.permit(boottime_s()):
             pass
-    assert not collecting.waiting
+    assert not limiter.waiting
 
 
 def test_a_body_is_asked_for_when_it_is_collected_and_not_before():
--- a/comfreywharf/platform/tests/test_uploads.py
+++ b/comfreywharf/platform/tests/test_uploads.py
@@ -5,13 +5,13 @@
 import gevent
 
 from comfreywharf.daemon.requests.caller_watch import WATCH_INTERVAL_S
-from comfreywharf.daemon.requests.collecting import BODIES_AHEAD
+from comfreywharf.daemon.requests.collecting import MAX_COLLECTED_BODIES
 from comfreywharf.platform.tests.builders import LONG_MS, wait_for
 from comfreywharf.transport.sockets import SocketTransport
 
 BODY = b"x" * 60_000
 UPLOADS = 60
-AHEAD_BYTES = BODIES_AHEAD * len(BODY)
+AHEAD_BYTES = MAX_COLLECTED_BODIES * len(BODY)
 HEAD_BYTES = 2_000
 """What the messages on one request may take beside its body."""
 
