--- a/comfreywharf/daemon/requests/caller_watch.py
+++ b/comfreywharf/daemon/requests/caller_watch.py
@@ -19,16 +19,15 @@
 
 WATCH_INTERVAL_S = 0.1
 
-_HUNG_UP = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_DISCONNECTED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 @attrs.define(eq=False)
 class Call:
     """A caller's request while it is served.
 
-    ``target`` is the node that currently has the request. ``worth_until_s`` is the
-    time of the latency target, ``None`` if there is none; an answer after it is worth
-    less.
+    ``target`` is the node that currently has the request. ``target_deadline_s`` is the
+    time by which an answer meets the latency target, ``None`` if there is no target.
     """
 
     request: ForwardRequest
@@ -37,7 +36,7 @@
     sock: object
     began_s: float
     deadline_s: float
-    worth_until_s: float | None = None
+    target_deadline_s: float | None = None
     target: str = ""
     gone: bool = False
 
@@ -45,12 +44,12 @@
 class CallerWatch:
     """Report callers that disconnected, and stop reading from those that stall.
 
-    ``on_gone(call)`` is called once for a call whose caller disconnected. A caller
-    that closes only its sending side counts as disconnected.
+    ``on_disconnect(call)`` is called once for a call whose caller disconnected. A
+    caller that closes only its sending side counts as disconnected.
     """
 
-    def __init__(self, on_gone):
-        self._on_gone = on_gone
+    def __init__(self, on_disconnect):
+        self._on_disconnect = on_disconnect
         self._calls = set()
 
     def __len__(self):
@@ -68,9 +67,9 @@
         """Poll the callers until the greenlet is killed."""
         while True:
             gevent.sleep(WATCH_INTERVAL_S)
-            self._look(boottime_s())
+            self._poll_callers(boottime_s())
 
-    def _look(self, now_s):
+    def _poll_callers(self, now_s):
         poll = select.poll()
         waiting = {}
         for call in list(self._calls):
@@ -79,19 +78,19 @@
             body = call.body
             if isinstance(body, CallerBody) and body.reading:
                 if now_s > call.deadline_s:
-                    _end_reading(call)
+                    _stop_reading(call)
             elif (number := call.sock.fileno()) >= 0:
                 waiting.setdefault(number, []).append(call)
-                poll.register(number, _HUNG_UP)
+                poll.register(number, _DISCONNECTED)
         if not waiting:
             return
         for number, _ in poll.poll(0):
             for call in waiting[number]:
                 call.gone = True
-                self._on_gone(call)
+                self._on_disconnect(call)
 
 
-def _end_reading(call):
+def _stop_reading(call):
     # A caller that sends a byte now and then could occupy its greenlet and a
     # connection to the backend server without limit. The sending side stays open,
     # so that the caller still receives the refusal.
--- a/comfreywharf/daemon/requests/dispatch.py
+++ b/comfreywharf/daemon/requests/dispatch.py
@@ -25,7 +25,7 @@
 )
 from comfreywharf.transport import CallError
 
-__all__ = ["AnswerCut", "Dispatcher", "LocalRest", "RemoteRest"]
+__all__ = ["AnswerCut", "Dispatcher", "LocalAnswerBody", "RemoteAnswerBody"]
 
 HOP_MARGIN_S = 0.05
 """How much longer than the request's remaining time a call waits for its answer."""
@@ -37,7 +37,7 @@
     """The rest of a streamed answer can't be read."""
 
 
-class LocalRest:
+class LocalAnswerBody:
     """The rest of an answer that is streamed from this node's backend server."""
 
     def __init__(self, stream):
@@ -55,7 +55,7 @@
             self._stream.close()
 
 
-class RemoteRest:
+class RemoteAnswerBody:
     """The rest of an answer that is streamed through another node."""
 
     def __init__(self, client, stream_id, deadline_s, cancel):
@@ -97,12 +97,12 @@
         self._node = node
         self._limits = limits or RouteLimits()
         self._budgets = {}
-        self._holding = HoldBounds()
+        self._hold_bounds = HoldBounds()
         self._fold_changed = Event()
         node.follower.subscribe(self._on_folded)
 
     def dispatch(self, call):
-        """Return ``(reply, rest)``; ``rest`` is ``None`` if the body is complete."""
+        """Return ``(reply, body_stream)``, the latter ``None`` for a whole body."""
         budget = self._budgets.get(call.service.name)
         if budget is None:
             budget = self._budgets[call.service.name] = RetryBudget(
@@ -114,20 +114,20 @@
         if refused is not None:
             return refused, None
         target = self._first_target(call)
-        reply, rest = self._measure(target, call)
+        reply, body_stream = self._send_measured(target, call)
         self._node.load.replied(request, call.body, reply)
         if not reply.reason or reply.outcome != Outcome.NOT_RUN:
-            return reply, rest
+            return reply, body_stream
         trail = Trail(target=target, retries_left=request.retries_left)
-        return self._go_on(call, trail, reply, budget)
+        return self._follow_decisions(call, trail, reply, budget)
 
-    def _go_on(self, call, trail, reply, budget):
+    def _follow_decisions(self, call, trail, reply, budget):
         """Apply routing decisions after a first refusal, until one ends the request."""
-        rest = None
+        body_stream = None
         tried = {trail.target}
         while reply.reason:
             step = self._decide(call, trail, reply, tried)
-            self._tell(step, call, reply)
+            self._report_step(step, call, reply)
             if isinstance(step, GiveUp):
                 break
             trail = step.trail
@@ -141,12 +141,12 @@
                 return refusal(Reason.CALLER_GONE_BEFORE_START), None
             call.request.retries_left = trail.retries_left
             tried.add(trail.target)
-            reply, rest = self._measure(trail.target, call)
+            reply, body_stream = self._send_measured(trail.target, call)
         if reply.outcome == Outcome.NOT_RUN and reply.status == 503:
             reply.retry_after_ms = reply.retry_after_ms or self._limits.retry_after_ms
-        return reply, rest
+        return reply, body_stream
 
-    def _tell(self, step, call, reply):
+    def _report_step(self, step, call, reply):
         kind = {GiveUp: "given_up", Hold: "held"}.get(type(step), "sent_again")
         target = "" if isinstance(step, GiveUp) else step.trail.target
         ownership = self._ownership(call.request) if call.request.key else None
@@ -177,22 +177,24 @@
 
     def _ownership(self, request):
         state = self._node.follower.state
-        piece = state.owner_of(request.service_name, key_hash(request.key))
-        if piece is None:
+        owned_slice = state.owner_of(request.service_name, key_hash(request.key))
+        if owned_slice is None:
             return Ownership()
         return Ownership(
-            owner=piece.owner, standby=piece.standby, previous=piece.previous
+            owner=owned_slice.owner,
+            standby=owned_slice.standby,
+            previous=owned_slice.previous,
         )
 
     def _hold(self, step, call):
         """Wait as decided; return false if too many requests are held already."""
         size_bytes = len(call.body) if isinstance(call.body, bytes) else PART_BYTES
-        if not self._holding.enter(size_bytes):
+        if not self._hold_bounds.enter(size_bytes):
             return False
         try:
             self._fold_changed.wait(step.until_s - boottime_s())
         finally:
-            self._holding.leave(size_bytes)
+            self._hold_bounds.leave(size_bytes)
         return True
 
     def _on_folded(self, record, result):
@@ -200,15 +202,15 @@
             changed, self._fold_changed = self._fold_changed, Event()
             changed.set()
 
-    def _measure(self, target, call):
+    def _send_measured(self, target, call):
         if call.request.key:
             return self._send(target, call)
         members = self._node.load.members
         sent = members.sent(call.service.name, target)
         reply = None
         try:
-            reply, rest = self._send(target, call)
-            return reply, rest
+            reply, body_stream = self._send(target, call)
+            return reply, body_stream
         finally:
             members.ended(sent, reply)
 
@@ -216,8 +218,8 @@
         now_s = boottime_s()
         request = call.request
         request.remaining_ms = int((call.deadline_s - now_s) * 1000)
-        if call.worth_until_s is not None:
-            request.target_ms = target_left_ms((call.worth_until_s - now_s) * 1000)
+        if call.target_deadline_s is not None:
+            request.target_ms = target_left_ms((call.target_deadline_s - now_s) * 1000)
         if request.remaining_ms <= 0:
             return refusal(Reason.DEADLINE_BEFORE_START), None
         call.target = target
@@ -225,7 +227,7 @@
             return refusal(Reason.NO_OWNER), None
         try:
             if target == self._node.settings.node_id:
-                return self._serve_here(request, call.body, now_s)
+                return self._serve_locally(request, call.body, now_s)
             client = self._node.peers.client(target)
             if client is None:
                 return refusal(Reason.NO_OWNER), None
@@ -233,10 +235,10 @@
         except BodyError as error:
             return self._body_failed(call, error)
 
-    def _serve_here(self, request, body, now_s):
+    def _serve_locally(self, request, body, now_s):
         served = self._node.forwarder.serve(request, body, now_s)
-        rest = LocalRest(served.stream) if served.stream else None
-        return served.reply, rest
+        body_stream = LocalAnswerBody(served.stream) if served.stream else None
+        return served.reply, body_stream
 
     def _call(self, client, call):
         timeout_s = call.request.remaining_ms / 1000 + HOP_MARGIN_S
@@ -250,10 +252,10 @@
         except CallError as error:
             return self._call_failed(call, error), None
         if reply.stream_id:
-            rest = RemoteRest(
+            body_stream = RemoteAnswerBody(
                 client, reply.stream_id, call.deadline_s, lambda: self.cancel(call)
             )
-            return reply, rest
+            return reply, body_stream
         return reply, None
 
     def _call_failed(self, call, error):
--- a/comfreywharf/daemon/requests/ingress.py
+++ b/comfreywharf/daemon/requests/ingress.py
@@ -100,22 +100,22 @@
         try:
             refused = self._read_body(source, call)
             if refused is not None:
-                reply, rest = refusal(refused), None
+                reply, body_stream = refusal(refused), None
             else:
-                reply, rest = self._dispatcher.dispatch(call)
+                reply, body_stream = self._dispatcher.dispatch(call)
         except Exception:
             # The error may have occurred after the request was sent.
             logging.exception("a request failed in the router")
-            reply, rest = refusal(Reason.INTERNAL), None
+            reply, body_stream = refusal(Reason.INTERNAL), None
         finally:
             self.watch.leave(call)
         self._node.meter.request_ended(call, reply)
         self._node.decisions.ended(call, reply, boottime_s())
-        if rest is None:
+        if body_stream is None:
             return reply, None
-        return reply, self._passed_on(rest.parts(reply.body), call.sock)
+        return reply, self._stream_to_caller(body_stream.parts(reply.body), call.sock)
 
-    def _passed_on(self, parts, sock):
+    def _stream_to_caller(self, parts, sock):
         """Yield the parts of an answer; reset the caller's connection on an error."""
         self._streaming += 1
         try:
@@ -136,7 +136,7 @@
             sock=sock,
             began_s=now_s,
             deadline_s=now_s + request.remaining_ms / 1000,
-            worth_until_s=now_s + request.target_ms / 1000
+            target_deadline_s=now_s + request.target_ms / 1000
             if request.target_ms
             else None,
         )
