--- a/comfreywharf/daemon/requests/forwarder.py
+++ b/comfreywharf/daemon/requests/forwarder.py
@@ -87,8 +87,8 @@
                 return StreamedReply(refusal(right.reason, owner_hint=hint))
             self._node.load_reports.count(right)
             self._node.load.count(right)
-            once = request.key and request.method not in SAFE_METHODS
-            if not once or not self._node.ports.remembers:
+            must_run_once = request.key and request.method not in SAFE_METHODS
+            if not must_run_once or not self._node.ports.remembers:
                 return self._forward(request, body, right, deadline_s, None)
             served = self._serve_once(request, body, right, now_s, deadline_s)
             if served is not None:
@@ -164,10 +164,12 @@
         deadline_s = min(deadline_s, right.deadline_s)
         # An address may be reassigned to a server of another service. A node that
         # hasn't folded this record yet still sends its requests here.
-        strange = backend and backend.announcement.service != request.service_name
-        if backend is None or strange or boottime_s() >= deadline_s:
+        is_other_service = (
+            backend and backend.announcement.service != request.service_name
+        )
+        if backend is None or is_other_service or boottime_s() >= deadline_s:
             node.leases.finish(right)
-            if backend is None or strange:
+            if backend is None or is_other_service:
                 reply = refusal(Reason.NO_BACKEND, retry_after_ms=1000)
             else:
                 reply = refusal(Reason.DEADLINE_BEFORE_START)
@@ -188,7 +190,7 @@
     def _admit(self, request, body, running):
         """Wait for a slot of the backend server; return a refusal, or ``None``."""
         reply = None
-        asked_s = boottime_s()
+        queued_since_s = boottime_s()
         try:
             running.slot = self._node.load.enter(request, body, running)
             reply = running.slot.refused
@@ -196,9 +198,9 @@
             reply = refusal(error.reason, outcome=Outcome.NOT_RUN)
         finally:
             if running.slot is None or reply is not None:
-                self._running.settled(running)
+                self._running.complete(running)
         metrics, service = self._node.metrics, request.service_name
-        metrics.stage_ended(service, "queue", boottime_s() - asked_s)
+        metrics.stage_ended(service, "queue", boottime_s() - queued_since_s)
         if reply is not None:
             metrics.not_admitted(service, reply.reason)
             state = self._node.load.admission_state
@@ -228,7 +230,7 @@
             self._node.load.refused(
                 self._running.slot, Reason.BAD_REQUEST, self._backend
             )
-            self._settle()
+            self._complete()
             return StreamedReply(refusal(Reason.BAD_REQUEST))
         sent_s = boottime_s()
         try:
@@ -247,12 +249,12 @@
         """Stop waiting for the request, which may still take effect and ends later."""
         if not self._ended:
             self._ended = True
-            self._all_running.unsettled(self._running, self._backend, self._forget)
+            self._all_running.complete_later(self._running, self._backend, self._forget)
 
-    def _settle(self):
+    def _complete(self):
         if not self._ended:
             self._ended = True
-            self._all_running.settled(self._running)
+            self._all_running.complete(self._running)
 
     def _forget(self):
         if self._key is not None:
@@ -269,7 +271,7 @@
         reply = refusal(reason)
         if reply.outcome == Outcome.NOT_RUN:
             reply.retry_after_ms = self._node.ports.refused_retry_after_ms
-            self._settle()
+            self._complete()
         else:
             self.give_up()
         return StreamedReply(reply)
@@ -291,9 +293,9 @@
             response.release()
             raise
         self._node.load.answered(self._running.slot)
-        reply = _answered(response, body)
+        reply = _forward_reply(response, body)
         if response.whole and not response.buffered_bytes:
-            self._settle()
+            self._complete()
             return StreamedReply(reply)
         stream = AnswerStream(response, self._running.deadline_s, self._close_stream)
         self._running.abort = stream.close
@@ -314,13 +316,13 @@
 
     def _close_stream(self, whole):
         if whole:
-            self._settle()
+            self._complete()
         else:
             self._node.load.cut_off(self._running.slot, self._backend)
             self.give_up()
 
 
-def _answered(response, body):
+def _forward_reply(response, body):
     headers = answer_headers(response)
     length = response.get("content-length")
     if length and (response.method == "HEAD" or not response.whole):
--- a/comfreywharf/daemon/requests/running.py
+++ b/comfreywharf/daemon/requests/running.py
@@ -13,7 +13,7 @@
 from comfreywharf.clock import boottime_s
 from comfreywharf.routing import RequestKey
 
-__all__ = ["Running", "RunningRequests"]
+__all__ = ["RunningRequest", "RunningRequests"]
 
 DEADLINE_MARGIN_S = 0.03
 """Wait after a deadline. A backend server checks the deadline just before the effect,
@@ -22,7 +22,7 @@
 CANCEL_PAUSE_S = 0.05
 
 
-class Running:
+class RunningRequest:
     """One request at the backend server.
 
     ``abort`` is a function that interrupts the current wait of the request, or
@@ -62,7 +62,7 @@
         number = next(self._numbers)
         attempt_id = f"{settings.node_id}.{self._node.incarnation:x}.{number:x}"
         key = RequestKey(request.service_name, right.key_hash, request.request_id)
-        running = Running(key, attempt_id, right, deadline_s)
+        running = RunningRequest(key, attempt_id, right, deadline_s)
         self._by_key[key] = running
         return running
 
@@ -72,25 +72,25 @@
         if running is not None:
             running.cancel()
 
-    def settled(self, running):
+    def complete(self, running):
         """End a request that was answered or didn't run."""
-        self._leave(running)
-        self._end(running)
+        self._unregister(running)
+        self._release(running)
 
-    def unsettled(self, running, backend, on_not_run=None):
+    def complete_later(self, running, backend, on_proved_not_run=None):
         """End a request later that was given up on and may still take effect.
 
-        ``on_not_run`` is called if the backend server proves that it never ran
+        ``on_proved_not_run`` is called if the backend server proves that it never ran
         and never will.
         """
-        self._leave(running)
-        gevent.spawn(self._settle, running, backend, on_not_run)
+        self._unregister(running)
+        gevent.spawn(self._await_end, running, backend, on_proved_not_run)
 
-    def _leave(self, running):
+    def _unregister(self, running):
         if self._by_key.get(running.key) is running:
             del self._by_key[running.key]
 
-    def _settle(self, running, backend, on_not_run):
+    def _await_end(self, running, backend, on_proved_not_run):
         """Wait for the confirmed cancellation or the deadline, then end the request."""
         # A server that froze with the request in its socket runs it when it resumes.
         # If the right were released when the wait for the answer ends, the key could
@@ -101,16 +101,16 @@
             while True:
                 reply = backend.cancel(running.attempt_id, running.key.request_id)
                 if reply.confirmed:
-                    if reply.not_run and on_not_run is not None:
-                        on_not_run()
+                    if reply.not_run and on_proved_not_run is not None:
+                        on_proved_not_run()
                     return
                 left_s = end_s - boottime_s()
                 if left_s <= 0:
                     return
                 gevent.sleep(min(CANCEL_PAUSE_S, left_s))
         finally:
-            self._end(running)
+            self._release(running)
 
-    def _end(self, running):
+    def _release(self, running):
         self._node.leases.finish(running.right)
         self._node.load.finish(running.slot)
--- a/comfreywharf/daemon/tests/builders.py
+++ b/comfreywharf/daemon/tests/builders.py
@@ -6,7 +6,7 @@
 from gevent.server import StreamServer
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.requests.running import Running
+from comfreywharf.daemon.requests.running import RunningRequest
 from comfreywharf.daemon.servers.backend import Announcement, Backend
 from comfreywharf.ownership import Right
 from comfreywharf.routing import RequestKey
@@ -133,7 +133,7 @@
     """Return a request as the forwarder keeps it while it runs."""
     deadline_s = boottime_s() + timeout_s
     key = RequestKey("booking", 1, request_id)
-    return Running(key, "attempt", Right(deadline_s=deadline_s), deadline_s)
+    return RunningRequest(key, "attempt", Right(deadline_s=deadline_s), deadline_s)
 
 
 def request(method="GET", path="/look"):
