--- a/comfreywharf/daemon/requests/caller_requests.py
+++ b/comfreywharf/daemon/requests/caller_requests.py
@@ -29,7 +29,7 @@
 
 FIRST_SEND = 0
 FIRST_SEND_UNKNOWN = -1
-_LONGEST_AGO_MS = 1 << 30
+_MAX_FIRST_SENT_AGO_MS = 1 << 30
 
 _REQUEST_ID = re.compile(r"[A-Za-z0-9._:-]{1,64}")
 _METHOD = re.compile(r"[A-Z]{1,20}")
@@ -79,7 +79,7 @@
     headers, header_bytes = caller_headers(environ)
     if header_bytes > MAX_HEADER_BYTES:
         return Failure(Reason.HEADERS_TOO_LARGE)
-    request_id, first_sent_ago_ms = _identity(environ)
+    request_id, first_sent_ago_ms = _request_identity(environ)
     remaining_ms = _timeout_ms(environ, service)
     if request_id is None or first_sent_ago_ms is None or remaining_ms is None:
         return Failure(Reason.BAD_REQUEST)
@@ -103,7 +103,7 @@
     return Success(CallerRequest(request, service))
 
 
-def _identity(environ):
+def _request_identity(environ):
     """Return the request id, and how long ago the request was first sent, in ms.
 
     Both are ``None`` if either is malformed. A request with the caller's own id may
@@ -120,7 +120,7 @@
         return request_id, FIRST_SEND_UNKNOWN
     if not _NUMBER.fullmatch(text):
         return None, None
-    return request_id, min(int(text), _LONGEST_AGO_MS)
+    return request_id, min(int(text), _MAX_FIRST_SENT_AGO_MS)
 
 
 def _timeout_ms(environ, service):
--- a/comfreywharf/daemon/requests/forward_calls.py
+++ b/comfreywharf/daemon/requests/forward_calls.py
@@ -22,7 +22,7 @@
 """Transit time of a message that isn't subtracted from its request's time. A busy node
 needs this long to send and to read a message."""
 
-LONGEST_PART_BYTES = PART_BYTES * 4
+MAX_PART_BYTES = PART_BYTES * 4
 
 
 class ForwardCalls:
@@ -32,11 +32,11 @@
         self._node = node
         self._uploads = Streams()
         self._downloads = Streams()
-        self._transits = {}
+        self._transit_times = {}
 
     def forward(self, request):
         """Serve a request whose key this node owns."""
-        self._take_off_transit(request)
+        self._subtract_transit_time(request)
         if request.remaining_ms <= 0:
             return refusal(Reason.DEADLINE_BEFORE_START)
         served = self._node.forwarder.serve(request, request.body, boottime_s())
@@ -45,7 +45,7 @@
     def open_upload(self, request):
         """Start a request whose body is sent once it is wanted."""
         upload = Upload()
-        self._take_off_transit(request)
+        self._subtract_transit_time(request)
         if request.remaining_ms <= 0:
             upload.finish(StreamedReply(refusal(Reason.DEADLINE_BEFORE_START)))
         else:
@@ -55,14 +55,16 @@
         gevent.spawn_later(kept_s, self._uploads.remove, number)
         return UploadOpened(stream_id=number, wanted=upload.await_demand())
 
-    def _take_off_transit(self, request):
+    def _subtract_transit_time(self, request):
         """Subtract the time that a request spent in queues from its remaining time.
 
         If none is left, the caller has disconnected, and a cancellation may follow.
         """
         if not request.sent_ms:
             return
-        transits = self._transits.setdefault(request.ingress_node_id, TransitTimes())
+        transits = self._transit_times.setdefault(
+            request.ingress_node_id, TransitTimes()
+        )
         queued_s = transits.queued_s(request.sent_ms / 1000, boottime_s())
         request.remaining_ms -= max(0, int((queued_s - TRANSIT_MARGIN_S) * 1000))
 
@@ -105,7 +107,7 @@
         if stream is None:
             return BodyChunk(data=b"", last=True, failed=True)
         try:
-            data = stream.read(max(1, min(max_bytes, LONGEST_PART_BYTES)))
+            data = stream.read(max(1, min(max_bytes, MAX_PART_BYTES)))
         except BackendError:
             self._downloads.remove(stream_id)
             return BodyChunk(data=b"", last=True, failed=True)
--- a/comfreywharf/daemon/requests/forwarder.py
+++ b/comfreywharf/daemon/requests/forwarder.py
@@ -6,7 +6,11 @@
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.requests.bodies import WHOLE_BODY_BYTES, BodyError
 from comfreywharf.daemon.requests.memory import resend_mark
-from comfreywharf.daemon.requests.replies import answer_of, refusal, remembered
+from comfreywharf.daemon.requests.replies import (
+    answer_to_remember,
+    refusal,
+    reply_from_answer,
+)
 from comfreywharf.daemon.requests.running import RunningRequests
 from comfreywharf.daemon.requests.wire import answer_headers
 from comfreywharf.daemon.servers.backend import BackendError
@@ -129,7 +133,7 @@
                 return None
             return StreamedReply(refusal(Reason.DEADLINE_PASSED))
         if found.recall == Recall.KNOWN:
-            return StreamedReply(remembered(found.answer))
+            return StreamedReply(reply_from_answer(found.answer))
         if found.recall == Recall.REUSED:
             return StreamedReply(refusal(Reason.REQUEST_ID_REUSED))
         return StreamedReply(refusal(Reason.NOT_VOUCHED))
@@ -151,11 +155,11 @@
         finally:
             if served is None:
                 reply = refusal(Reason.INTERNAL)
-                memory.finish(key, answer_of(reply, True), boottime_s())
+                memory.finish(key, answer_to_remember(reply, True), boottime_s())
             elif served.reply.outcome == Outcome.NOT_RUN:
                 memory.forget(key)
             else:
-                answer = answer_of(served.reply, served.stream is None)
+                answer = answer_to_remember(served.reply, served.stream is None)
                 memory.finish(key, answer, boottime_s())
 
     def _forward(self, request, body, right, deadline_s, key):
@@ -282,7 +286,9 @@
             refused = self._dialect.refused(response)
             if refused is not None:
                 return self._refuse(refused)
-            if not self._dialect.belongs(response, self._running.key.request_id):
+            if not self._dialect.answers_request(
+                response, self._running.key.request_id
+            ):
                 raise BackendError(Reason.ANSWER_MIXED, "an answer to another request")
             # A node that resumes after a long pause still considers its lease valid.
             # Callers would get answers of two owners for one key within the length
--- a/comfreywharf/daemon/requests/memory.py
+++ b/comfreywharf/daemon/requests/memory.py
@@ -22,8 +22,8 @@
     """
     if request.body_mark:
         return request.body_mark
-    known = body if isinstance(body, bytes) else b""
-    return fingerprint(request.method, request.path, known)
+    known_part = body if isinstance(body, bytes) else b""
+    return fingerprint(request.method, request.path, known_part)
 
 
 class NodeMemory:
@@ -65,14 +65,14 @@
         To get the next page, increase ``skip`` by the length of this one.
         """
         page, more = self.answers.take_out(service, start, end, skip, now_s)
-        return [_message(kept) for kept in page], more
+        return [_to_message(kept) for kept in page], more
 
     def put_in(self, service, answers, now_s):
         """Import a page of `RememberedAnswer` from an earlier owner."""
-        self.answers.put_in(service, [_kept(each) for each in answers], now_s)
+        self.answers.put_in(service, [_from_message(each) for each in answers], now_s)
 
 
-def _message(kept):
+def _to_message(kept):
     answer = kept.answer
     return RememberedAnswer(
         request_id=kept.request_id,
@@ -88,7 +88,7 @@
     )
 
 
-def _kept(message):
+def _from_message(message):
     return KeptAnswer(
         request_id=message.request_id,
         key_hash=message.key_hash,
--- a/comfreywharf/daemon/requests/quarantine.py
+++ b/comfreywharf/daemon/requests/quarantine.py
@@ -32,9 +32,9 @@
     """
     if request.fingerprint:
         return request.fingerprint
-    known = body if isinstance(body, bytes) else body.first_part()
+    known_part = body if isinstance(body, bytes) else body.first_part()
     return fingerprint(
-        request.service_name, request.key, request.method, request.path, known
+        request.service_name, request.key, request.method, request.path, known_part
     )
 
 
--- a/comfreywharf/daemon/requests/replies.py
+++ b/comfreywharf/daemon/requests/replies.py
@@ -3,7 +3,7 @@
 from comfreywharf.routing import Answer, Outcome, Reason, status_of
 from comfreywharf.transport.gen.ttypes import ForwardReply, Header
 
-__all__ = ["FIRST_STATUS_HEADER", "answer_of", "refusal", "remembered"]
+__all__ = ["FIRST_STATUS_HEADER", "answer_to_remember", "refusal", "reply_from_answer"]
 
 FIRST_STATUS_HEADER = "Comfreywharf-First-Status"
 """Carries the status of an earlier answer whose body wasn't kept."""
@@ -29,7 +29,7 @@
     )
 
 
-def answer_of(reply, body_kept):
+def answer_to_remember(reply, body_kept):
     """Return the `Answer` to remember of a reply."""
     return Answer(
         outcome=Outcome(reply.outcome),
@@ -41,7 +41,7 @@
     )
 
 
-def remembered(answer):
+def reply_from_answer(answer):
     """Return the reply to a resend from the remembered answer."""
     if answer.outcome == Outcome.ANSWERED and not answer.body_kept:
         reply = refusal(Reason.ANSWER_NOT_KEPT)
--- a/comfreywharf/daemon/requests/uploads.py
+++ b/comfreywharf/daemon/requests/uploads.py
@@ -34,12 +34,12 @@
     request.fingerprint = request_fingerprint(request, call.body)
     request.body_mark = resend_mark(request, call.body)
     request.body = b""
-    known = isinstance(call.body, bytes)
-    request.body_bytes = len(call.body) if known else UNKNOWN_LENGTH
+    is_whole = isinstance(call.body, bytes)
+    request.body_bytes = len(call.body) if is_whole else UNKNOWN_LENGTH
     opened = client.call("open_upload", request, timeout_s=timeout_s)
     try:
         # If a body of unknown length weren't sent at all, it would look empty.
-        if opened.wanted and not (known and call.gone):
+        if opened.wanted and not (is_whole and call.gone):
             _send_body(client, opened.stream_id, call.body, timeout_s)
         return client.call("finish_upload", opened.stream_id, timeout_s=timeout_s)
     except CallError as error:
--- a/comfreywharf/daemon/requests/wire.py
+++ b/comfreywharf/daemon/requests/wire.py
@@ -38,7 +38,7 @@
 
 
 @lru_cache(maxsize=1024)
-def _passed_name(variable):
+def _forwarded_name(variable):
     """Return the header name for a WSGI variable, or ``None`` to drop the header."""
     if variable == "CONTENT_TYPE":
         return "Content-Type"
@@ -56,7 +56,7 @@
     headers = []
     size_bytes = 0
     for variable, value in environ.items():
-        name = _passed_name(variable)
+        name = _forwarded_name(variable)
         if name is not None:
             headers.append(Header(name=name, value=value))
             size_bytes += len(name) + len(value)
@@ -91,7 +91,7 @@
 
 
 @lru_cache(maxsize=1024)
-def _returned(name):
+def _is_returned(name):
     lower = name.lower()
     return lower not in _HOP_HEADERS and not lower.startswith(OWN_PREFIX)
 
@@ -100,7 +100,7 @@
     """Return the headers of a backend server's answer to send to the caller."""
     headers = []
     for name, value in response.items():
-        if not _returned(name):
+        if not _is_returned(name):
             continue
         for item in value if isinstance(value, list) else (value,):
             headers.append(Header(name=name, value=item))
@@ -123,7 +123,7 @@
         """Return the `Reason` if an answer proves "not run", else ``None``."""
 
     @abstractmethod
-    def belongs(self, response, request_id):
+    def answers_request(self, response, request_id):
         """Return whether an answer may be forwarded as the answer to a request."""
 
 
@@ -140,7 +140,7 @@
             return None
         return Reason.REFUSED_BY_BACKEND
 
-    def belongs(self, response, request_id):
+    def answers_request(self, response, request_id):
         """Return false for an answer that names another request.
 
         It was sent on the wrong connection, or for an earlier request on this one.
--- a/comfreywharf/platform/backends.py
+++ b/comfreywharf/platform/backends.py
@@ -56,7 +56,7 @@
             return Reason.REFUSED_BY_BACKEND
         return None
 
-    def belongs(self, response, request_id):
+    def answers_request(self, response, request_id):
         """Refuse an answer to another request, and a success without its stamp."""
         if response.get("x-attempt-id") != request_id:
             return False
--- a/comfreywharf/platform/tests/test_backends.py
+++ b/comfreywharf/platform/tests/test_backends.py
@@ -32,8 +32,8 @@
     backend = make_backend(server)
     response = backend.exchange(request("POST"), "Host: a\r\n", b"", running())
     body = response.read(1000)
-    belongs = PlatformDialect().belongs(response, "id")
-    return response.status_code, body, belongs, backend
+    answers_request = PlatformDialect().answers_request(response, "id")
+    return response.status_code, body, answers_request, backend
 
 
 def test_an_answer_to_an_earlier_request_is_passed_over():
