--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -343,7 +343,7 @@
         backend, self.backend = self.backend, None
         self.report("backend_lost", name=backend.announcement.name, reason=reason)
         backend.close()
-        self.load.backend_died()
+        self.load.reset_admission()
         if reason == "refused" and self._has_ended(backend):
             self.grants.backend_ended()
             held_until_s = NOTHING_HELD_S
--- a/comfreywharf/daemon/requests/dispatch.py
+++ b/comfreywharf/daemon/requests/dispatch.py
@@ -115,7 +115,7 @@
             return refused, None
         target = self._first_target(call)
         reply, body_stream = self._send_measured(target, call)
-        self._node.load.replied(request, call.body, reply)
+        self._node.load.record_reply(request, call.body, reply)
         if not reply.reason or reply.outcome != Outcome.NOT_RUN:
             return reply, body_stream
         trail = Trail(target=target, retries_left=request.retries_left)
--- a/comfreywharf/daemon/requests/forwarder.py
+++ b/comfreywharf/daemon/requests/forwarder.py
@@ -324,7 +324,7 @@
         if whole:
             self._complete()
         else:
-            self._node.load.cut_off(self._running.slot, self._backend)
+            self._node.load.answer_interrupted(self._running.slot, self._backend)
             self.give_up()
 
 
--- a/comfreywharf/daemon/requests/load.py
+++ b/comfreywharf/daemon/requests/load.py
@@ -49,18 +49,18 @@
     """The interface of the request path to load management; see docs/design/load.md.
 
     At the owner, `enter` is called for each request, and may wait or refuse it. One
-    call of `finish` ends the request. In between, `refused`, `answered` or `cut_off`
-    records its result.
+    call of `finish` ends the request. In between, `refused`, `answered` or
+    `answer_interrupted` records its result.
     """
 
     def __init__(self, node):
         self._node = node
-        self._chance = random.Random(f"load {node.settings.node_id} {node.incarnation}")
+        self._random = random.Random(f"load {node.settings.node_id} {node.incarnation}")
         self._admission = None
         window_s = node.ports.placement.hot_window_s
         self._hot = HotKeys(boottime_s(), window_s)
         self._shed_count = 0
-        self._shed_told_s = float("-inf")
+        self._shed_reported_s = float("-inf")
         self.quarantine = QuarantineShell(node)
         self._collection_limiter = BodyCollectionLimiter()
         self.members = Members(node)
@@ -72,7 +72,7 @@
         self.quarantine.confirm()
         self._begin_admission()
 
-    def backend_died(self):
+    def reset_admission(self):
         """Refuse the requests that wait for an instance that is gone."""
         self._begin_admission()
 
@@ -89,7 +89,7 @@
             state = AdmissionState(
                 limit,
                 length,
-                self._chance,
+                self._random,
                 queue=queue,
                 retry_after=self._node.ports.retry_after,
             )
@@ -111,7 +111,7 @@
         slot = Slot(request, body)
         standing = self._standing(slot)
         if standing is Standing.CONDEMNED:
-            slot.refused = self._quarantined(slot.fingerprint)
+            slot.refused = self._quarantine_refusal(slot.fingerprint)
             return slot
         admission = self._admission
         if admission is None:
@@ -131,9 +131,9 @@
             if slot.verdict is not None:
                 self._wait(slot, running)
         if slot.refused is None and running.right is not right:
-            self._take_up(slot, running, right)
+            self._reacquire_right(slot, running, right)
         if slot.refused is None:
-            self.quarantine.begun(slot)
+            self.quarantine.record_start(slot)
         elif slot.refused.reason in _SHED:
             self._count_shed(request.service_name)
         return slot
@@ -147,7 +147,7 @@
         slot.refused = _refusal_before_body(slot, running, admission, ahead)
         if slot.refused is not None:
             return
-        self._lay_down(running)
+        self._release_right(running)
         stack.enter_context(self._collection_limiter.permit(running.deadline_s))
         slot.refused = _refusal_before_body(slot, running, admission, 0)
         if slot.refused is not None:
@@ -158,7 +158,7 @@
     def _count_shed(self, service):
         self._shed_count += 1
         now_s = boottime_s()
-        if now_s - self._shed_told_s < SHED_REPORT_S:
+        if now_s - self._shed_reported_s < SHED_REPORT_S:
             return
         self._node.report(
             "requests_shed",
@@ -167,20 +167,20 @@
             waiting=self.waiting(),
         )
         self._shed_count = 0
-        self._shed_told_s = now_s
+        self._shed_reported_s = now_s
 
-    def _lay_down(self, running):
+    def _release_right(self, running):
         """Release the right to serve for as long as the request waits."""
         self._node.leases.finish(running.right)
         running.right = attrs.evolve(running.right, ticket=0)
 
     def _wait(self, slot, running):
-        self._lay_down(running)
+        self._release_right(running)
         running.abort = partial(slot.admission.give_up, slot)
         slot.verdict.wait()
         running.abort = None
 
-    def _take_up(self, slot, running, right):
+    def _reacquire_right(self, slot, running, right):
         """Acquire the released right again; refuse the request if it has changed."""
         now_s = boottime_s()
         request = slot.request
@@ -212,7 +212,7 @@
         if reason in _LOST:
             self.quarantine.lost(slot, backend)
 
-    def cut_off(self, slot, backend):
+    def answer_interrupted(self, slot, backend):
         """Record that a streamed answer broke off, or that its caller disconnected.
 
         No caller waits for the answer any more, so that the request can be cancelled
@@ -225,7 +225,7 @@
         """End an admitted request; it no longer occupies the server."""
         if slot is None or slot.refused is not None:
             return
-        self.quarantine.ended(slot, slot.result is Result.ANSWERED)
+        self.quarantine.record_end(slot, slot.result is Result.ANSWERED)
         slot.admission.finish(slot)
 
     # At the ingress.
@@ -241,12 +241,12 @@
         name = request_fingerprint(request, body)
         standing = self.quarantine.standing(name, boottime_s())
         if standing is Standing.CONDEMNED:
-            return self._quarantined(name)
+            return self._quarantine_refusal(name)
         if standing is Standing.SUSPECT:
             request.headers.append(Header(name=SUSPECT_HEADER, value="1"))
         return None
 
-    def replied(self, request, body, reply):
+    def record_reply(self, request, body, reply):
         """Update the quarantine with the reply that an ingress node got for a request.
 
         The first part of a streamed body is no longer available, so that such a
@@ -258,7 +258,7 @@
             name = request_fingerprint(request, body)
             self.quarantine.suspect(name, request.service_name)
         elif not reply.reason and _is_marked(request):
-            self.quarantine.cleared(request_fingerprint(request, body))
+            self.quarantine.clear_suspect(request_fingerprint(request, body))
 
     def choose(self, request, body):
         """Return the member that a request without a key goes to first."""
@@ -303,7 +303,7 @@
             return Standing.TRUSTED
         return self.quarantine.standing(slot.fingerprint, boottime_s())
 
-    def _quarantined(self, name):
+    def _quarantine_refusal(self, name):
         wait_ms = self.quarantine.retry_after_ms(name, boottime_s())
         return refusal(Reason.QUARANTINED, retry_after_ms=wait_ms)
 
--- a/comfreywharf/daemon/requests/members.py
+++ b/comfreywharf/daemon/requests/members.py
@@ -60,7 +60,7 @@
     def __init__(self, node):
         self._node = node
         self._services = {}
-        self._chance = random.Random(f"{node.settings.node_id} {node.incarnation}")
+        self._random = random.Random(f"{node.settings.node_id} {node.incarnation}")
 
     def choose(self, service, excluded=(), idempotent=True):
         """Return the node id of a member, or an empty text if there is none."""
@@ -73,7 +73,7 @@
         if not present:
             return ""
         usable = known.ejector.usable(present, now_s, idempotent)
-        return known.chooser.choose(usable, self._chance).node_id
+        return known.chooser.choose(usable, self._random).node_id
 
     def designated(self, service, name):
         """Return the member that runs a suspect, which is the same on all nodes."""
--- a/comfreywharf/daemon/requests/quarantine.py
+++ b/comfreywharf/daemon/requests/quarantine.py
@@ -19,7 +19,7 @@
 """Pauses between probes of a port. A crashing process may close its listening socket
 last."""
 
-TOLD_DIRECTLY = 64
+MAX_DIRECT_NOTICES = 64
 """How many members of the service the node itself notifies of a crash."""
 
 
@@ -43,33 +43,33 @@
 
     def __init__(self, node):
         self._node = node
-        self._known = Quarantine()
-        self._watch = CrashWatch()
+        self._quarantine = Quarantine()
+        self._crash_watch = CrashWatch()
         self._numbers = itertools.count(1)
         self._crashed_s = float("-inf")
         for kind in (SUSPECT, LIFTED):
-            node.notices.subscribe(kind, self._learn)
+            node.notices.subscribe(kind, self._receive_notice)
         node.follower.subscribe(self._on_folded)
 
     def is_empty(self):
         """Return whether no request is suspect or condemned."""
-        return not len(self._known)
+        return not len(self._quarantine)
 
     def standing(self, name, now_s):
         """Return the `Standing` of a fingerprint."""
-        return self._known.standing(name, now_s)
+        return self._quarantine.standing(name, now_s)
 
     def retry_after_ms(self, name, now_s):
         """Return after how many ms a condemned request may be sent again."""
-        return int(self._known.retry_after_s(name, now_s) * 1000)
+        return int(self._quarantine.retry_after_s(name, now_s) * 1000)
 
     def list(self, now_s):
         """Return a `QuarantineEntry` for each suspect or condemned request."""
-        return self._known.list(now_s)
+        return self._quarantine.list(now_s)
 
     def lift(self, name):
         """Let a request run again on all nodes; return false if it is unknown."""
-        notices = self._known.lift(name, boottime_s())
+        notices = self._quarantine.lift(name, boottime_s())
         if notices:
             self._node.report("quarantine_lifted", fingerprint=name)
         self._publish(notices)
@@ -77,21 +77,21 @@
 
     def suspect(self, name, service):
         """Mark a request as suspect before the crash of its server is confirmed."""
-        self._known.suspect(name, service, boottime_s())
+        self._quarantine.suspect(name, service, boottime_s())
 
-    def cleared(self, name):
+    def clear_suspect(self, name):
         """Clear a suspect that another node ran alone and got an answer to."""
-        self._known.answered(name, boottime_s())
+        self._quarantine.answered(name, boottime_s())
 
-    def begun(self, slot):
+    def record_start(self, slot):
         """Record a request that is about to be forwarded."""
-        self._watch.begun(slot, slot.ticket.alone)
+        self._crash_watch.begun(slot, slot.ticket.alone)
 
-    def ended(self, slot, answered):
+    def record_end(self, slot, answered):
         """Record the end of a request; a suspect that was answered is cleared."""
-        self._watch.ended(slot)
+        self._crash_watch.ended(slot)
         if answered and slot.ticket.alone:
-            self._publish(self._known.answered(slot.fingerprint, boottime_s()))
+            self._publish(self._quarantine.answered(slot.fingerprint, boottime_s()))
 
     def lost(self, slot, backend, wait_s=PROBE_WAIT_S):
         """Record a lost connection, and probe whether the backend server crashed.
@@ -99,7 +99,7 @@
         The caller may send its request again as soon as it has a reply. The reply is
         therefore delayed by up to ``wait_s``, so that the peers are notified first.
         """
-        if self._watch.lost(slot, boottime_s()):
+        if self._crash_watch.lost(slot, boottime_s()):
             gevent.spawn(self._probe, backend).join(wait_s)
 
     def _probe(self, backend):
@@ -112,7 +112,7 @@
     def confirm(self):
         """Handle the confirmation that the backend server crashed or was restarted."""
         now_s = boottime_s()
-        loss = self._watch.confirmed(now_s)
+        loss = self._crash_watch.confirmed(now_s)
         if loss is None or not loss.runs:
             return
         node = self._node
@@ -127,13 +127,13 @@
             in_flight=len(loss.runs),
             alone=crash.alone,
         )
-        self._publish(self._known.crashed(crash_id, service, crash, now_s))
+        self._publish(self._quarantine.crashed(crash_id, service, crash, now_s))
         if crash.alone:
             node.report("request_condemned", fingerprint=crash.fingerprints[0])
-        node.load.backend_died()
-        self._tell_directly(service)
+        node.load.reset_admission()
+        self._notify_directly(service)
 
-    def _tell_directly(self, service):
+    def _notify_directly(self, service):
         """Notify the nodes that may get a suspect next, before its caller resends it.
 
         Gossip reaches most nodes at once, and the others within seconds. A node that
@@ -146,7 +146,7 @@
             for member in node.follower.state.members.values()
             if member.service == service and member.node_id != node.settings.node_id
         ]
-        gevent.joinall(node.gossip.push_to(others[:TOLD_DIRECTLY]), PROBE_WAIT_S)
+        gevent.joinall(node.gossip.push_to(others[:MAX_DIRECT_NOTICES]), PROBE_WAIT_S)
 
     def _on_folded(self, record, result):
         """Notify a node that joined after this node's notices of a crash."""
@@ -155,9 +155,11 @@
         if isinstance(record, NodeAnnounced) and result.accepted:
             self._node.gossip.push_to([record.node_id])
 
-    def _learn(self, notice):
+    def _receive_notice(self, notice):
         try:
-            self._known.learn(notice.kind, notice.subject, notice.value, boottime_s())
+            self._quarantine.learn(
+                notice.kind, notice.subject, notice.value, boottime_s()
+            )
         except ValueError:
             self._node.report("bad_notice", kind=notice.kind)
 
