--- a/comfreywharf/daemon/requests/dispatch.py
+++ b/comfreywharf/daemon/requests/dispatch.py
@@ -212,7 +212,7 @@
             reply, body_stream = self._send(target, call)
             return reply, body_stream
         finally:
-            members.ended(sent, reply)
+            members.record_outcome(sent, reply)
 
     def _send(self, target, call):
         now_s = boottime_s()
--- a/comfreywharf/daemon/requests/members.py
+++ b/comfreywharf/daemon/requests/members.py
@@ -8,7 +8,7 @@
 from comfreywharf.load import Absences, Ejector, MemberLoad
 from comfreywharf.routing import Outcome, Reason
 
-__all__ = ["Members", "Sent"]
+__all__ = ["Members", "SentRequest"]
 
 LIST_AGE_S = 0.1
 """Maximum age of the list of a service's members. With hundreds of members, listing
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class Sent:
+class SentRequest:
     """A request in flight to a member; ``probe`` is true if the member was ejected."""
 
     service: str
@@ -39,7 +39,7 @@
     probe: bool
 
 
-class _Service:
+class _ServiceMembers:
     """The members of one service, with this node's measurements.
 
     ``present`` are those that accept new work, as of ``listed_s``.
@@ -65,76 +65,76 @@
     def choose(self, service, excluded=(), idempotent=True):
         """Return the node id of a member, or an empty text if there is none."""
         now_s = boottime_s()
-        known = self._listed(service, now_s)
-        present = known.present
+        group = self._current_members(service, now_s)
+        present = group.present
         if excluded:
             present = [m for m in present if m.node_id not in excluded]
-        present = known.absences.usable(present, now_s)
+        present = group.absences.usable(present, now_s)
         if not present:
             return ""
-        usable = known.ejector.usable(present, now_s, idempotent)
-        return known.chooser.choose(usable, self._random).node_id
+        usable = group.ejector.usable(present, now_s, idempotent)
+        return group.chooser.choose(usable, self._random).node_id
 
     def designated(self, service, name):
         """Return the member that runs a suspect, which is the same on all nodes."""
-        known = self._listed(service, boottime_s())
+        group = self._current_members(service, boottime_s())
         return min(
-            (m.node_id for m in known.present),
+            (m.node_id for m in group.present),
             key=lambda node_id: random.Random(f"{name} {node_id}").random(),
             default="",
         )
 
     def sent(self, service, node_id):
-        """Record that a request is sent, and return it; pass it to `ended` later."""
-        known = self._services.get(service)
-        member = known.members.get(node_id) if known else None
+        """Record a sent request; pass the result to `record_outcome` later."""
+        group = self._services.get(service)
+        member = group.members.get(node_id) if group else None
         if member is None:
             return None
         now_s = boottime_s()
-        sent = Sent(service, member, now_s, known.ejector.is_out(node_id))
+        sent = SentRequest(service, member, now_s, group.ejector.is_out(node_id))
         member.begin()
-        known.absences.asked(node_id)
-        known.ejector.begun(member, now_s)
+        group.absences.asked(node_id)
+        group.ejector.begun(member, now_s)
         return sent
 
-    def ended(self, sent, reply):
+    def record_outcome(self, sent, reply):
         """Record the outcome of a request; ``reply`` is ``None`` after an exception."""
         if sent is None:
             return
-        known = self._services[sent.service]
-        self._note_presence(known, sent, reply)
+        group = self._services[sent.service]
+        self._update_absences(group, sent, reply)
         failed = _failed(reply)
         if failed is None:
             if reply is not None and reply.reason == Reason.OVERLOADED:
                 sent.member.crowded()
             else:
                 sent.member.drop()
-            known.ejector.dropped(sent.member, sent.probe)
+            group.ejector.dropped(sent.member, sent.probe)
             return
         now_s = boottime_s()
         latency_s = now_s - sent.sent_s
         sent.member.finish(latency_s, failed)
-        changed = known.ejector.finished(
+        changed = group.ejector.finished(
             sent.member,
-            list(known.members.values()),
+            list(group.members.values()),
             latency_s,
             failed,
             now_s,
             sent.probe,
         )
         if changed is not None:
-            self._tell(sent, *changed)
+            self._report_ejection(sent, *changed)
 
     @staticmethod
-    def _note_presence(known, sent, reply):
+    def _update_absences(group, sent, reply):
         if reply is None:
-            known.absences.dropped(sent.member.node_id)
+            group.absences.dropped(sent.member.node_id)
         elif reply.reason and Reason(reply.reason) in _ABSENT:
-            known.absences.missed(sent.member.node_id, boottime_s())
+            group.absences.missed(sent.member.node_id, boottime_s())
         else:
-            known.absences.met(sent.member.node_id, boottime_s())
+            group.absences.met(sent.member.node_id, boottime_s())
 
-    def _tell(self, sent, node_id, out):
+    def _report_ejection(self, sent, node_id, out):
         if not out:
             self._node.report("member_returned", service=sent.service, member=node_id)
             return
@@ -146,33 +146,35 @@
             latency_ms=round(sent.member.mean_latency_s * 1000, 1),
         )
 
-    def _listed(self, service, now_s):
-        known = self._services.get(service)
-        if known is None:
-            known = self._services[service] = _Service(self._node.ports.make_chooser())
-        if now_s - known.listed_s > LIST_AGE_S:
-            known.listed_s = now_s
-            self._list_members(service, known)
-        return known
-
-    def _list_members(self, service, known):
-        everyone = self._node.follower.state.members.values()
-        latest = _latest_at_address(everyone)
+    def _current_members(self, service, now_s):
+        group = self._services.get(service)
+        if group is None:
+            group = self._services[service] = _ServiceMembers(
+                self._node.ports.make_chooser()
+            )
+        if now_s - group.listed_s > LIST_AGE_S:
+            group.listed_s = now_s
+            self._list_members(service, group)
+        return group
+
+    def _list_members(self, service, group):
+        all_members = self._node.follower.state.members.values()
+        latest = _latest_at_address(all_members)
         entries = [
             entry
-            for entry in everyone
+            for entry in all_members
             if entry.service == service and latest[_address(entry)] is entry
         ]
         members = {}
         own_domain = self._node.settings.failure_domain
         for entry in entries:
-            member = known.members.get(entry.node_id) or MemberLoad(entry.node_id)
+            member = group.members.get(entry.node_id) or MemberLoad(entry.node_id)
             if member.announced_offset != entry.announced_offset:
                 member.started_again(entry.announced_offset)
             member.near = entry.failure_domain == own_domain
             members[entry.node_id] = member
-        known.members = members
-        known.present = [members[e.node_id] for e in entries if not e.draining]
+        group.members = members
+        group.present = [members[e.node_id] for e in entries if not e.draining]
 
 
 def _address(entry):
@@ -188,8 +190,8 @@
     """
     latest = {}
     for entry in members:
-        known = latest.get(_address(entry))
-        if known is None or entry.announced_offset > known.announced_offset:
+        other = latest.get(_address(entry))
+        if other is None or entry.announced_offset > other.announced_offset:
             latest[_address(entry)] = entry
     return latest
 
