--- a/comfreywharf/daemon/requests/admission.py
+++ b/comfreywharf/daemon/requests/admission.py
@@ -87,7 +87,7 @@
         slot.admission = self
         slot.ticket = ticket = _ticket(slot.request, flow, deadline_s, alone, now_s)
         self._waiting[ticket] = slot
-        self._carry_out(decide(self.state, Arrived(ticket), now_s))
+        self._apply(decide(self.state, Arrived(ticket), now_s))
         if ticket not in self._waiting:
             return
         slot.verdict = Event()
@@ -97,7 +97,7 @@
     def finish(self, slot):
         """Release the slot."""
         event = Finished(slot.ticket, slot.result)
-        self._carry_out(decide(self.state, event, boottime_s()))
+        self._apply(decide(self.state, event, boottime_s()))
 
     def give_up(self, slot):
         """End the wait of a request whose caller disconnected."""
@@ -105,7 +105,7 @@
             return
         actions = decide(self.state, GaveUp(slot.ticket), boottime_s())
         self._refuse(slot.ticket, Reason.CALLER_GONE_BEFORE_START, 0)
-        self._carry_out(actions)
+        self._apply(actions)
 
     def close(self):
         """Refuse all waiting requests: this backend server instance is gone."""
@@ -115,23 +115,23 @@
     def _tick(self):
         while self._waiting:
             gevent.sleep(TICK_S)
-            self._carry_out(decide(self.state, TimePassed(), boottime_s()))
+            self._apply(decide(self.state, TimePassed(), boottime_s()))
 
-    def _carry_out(self, actions):
+    def _apply(self, actions):
         for action in actions:
             if isinstance(action, Begin):
                 slot = self._waiting.pop(action.ticket, None)
                 if slot is None:
-                    self._begun_after_close(action.ticket)
+                    self._admitted_after_close(action.ticket)
                 else:
                     _wake(slot)
             else:
                 self._refuse(action.ticket, action.reason, action.retry_after_s)
 
-    def _begun_after_close(self, ticket):
+    def _admitted_after_close(self, ticket):
         # The request was refused when the instance was lost. Its slot is released.
         event = Finished(ticket, Result.UNUSED)
-        self._carry_out(decide(self.state, event, boottime_s()))
+        self._apply(decide(self.state, event, boottime_s()))
 
     def _refuse(self, ticket, reason, retry_after_s):
         slot = self._waiting.pop(ticket, None)
--- a/comfreywharf/daemon/requests/bodies.py
+++ b/comfreywharf/daemon/requests/bodies.py
@@ -13,7 +13,7 @@
     "WHOLE_BODY_BYTES",
     "BodyError",
     "CallerBody",
-    "Streams",
+    "StreamTable",
     "Upload",
 ]
 
@@ -46,26 +46,26 @@
         self._limit_bytes = limit_bytes
         self._total = 0
         self._pushed_back = []
-        self._given = 0
+        self._consumed_count = 0
         self.reading = False
         self.too_slow = False
 
     @property
     def replayable(self):
         """Return whether no part was consumed yet."""
-        return not self._given
+        return not self._consumed_count
 
     def push_back(self, part):
         """Put back a part that was taken but not used."""
         self._pushed_back.insert(0, part)
-        self._given -= 1
+        self._consumed_count -= 1
 
     def __iter__(self):
         while True:
             part = self._pushed_back.pop(0) if self._pushed_back else self._read()
             if not part:
                 return
-            self._given += 1
+            self._consumed_count += 1
             yield part
 
     def first_part(self):
@@ -95,17 +95,17 @@
         try:
             part = self._stream.read(PART_BYTES)
         except OSError as error:
-            raise BodyError(self._cut()) from error
+            raise BodyError(self._truncation_reason()) from error
         finally:
             self.reading = False
         self._total += len(part)
         if self._total > self._limit_bytes:
             raise BodyError(Reason.BODY_TOO_LARGE)
         if not part and 0 <= self._length != self._total:
-            raise BodyError(self._cut())
+            raise BodyError(self._truncation_reason())
         return part
 
-    def _cut(self):
+    def _truncation_reason(self):
         return Reason.BODY_TOO_SLOW if self.too_slow else Reason.BAD_REQUEST
 
 
@@ -120,12 +120,12 @@
     def __init__(self):
         self._parts = Queue(maxsize=1)
         self._first = []
-        self._asked_or_finished = gevent.event.Event()
+        self._wanted_or_finished = gevent.event.Event()
         self.finished = gevent.event.AsyncResult()
 
     def await_demand(self):
         """Wait until the body is wanted; return false if the reply came without it."""
-        self._asked_or_finished.wait()
+        self._wanted_or_finished.wait()
         return not self.finished.ready()
 
     def put(self, part):
@@ -141,7 +141,7 @@
     def finish(self, served):
         """Set the result, and discard a queued part so that `put` doesn't block."""
         self.finished.set(served)
-        self._asked_or_finished.set()
+        self._wanted_or_finished.set()
         while not self._parts.empty():
             self._parts.get_nowait()
 
@@ -166,30 +166,30 @@
         return self._first.pop() if self._first else self._next()
 
     def _next(self):
-        self._asked_or_finished.set()
+        self._wanted_or_finished.set()
         try:
             return self._parts.get(timeout=IDLE_LIMIT_S)
         except Empty as error:
             raise BodyError(Reason.CALLER_GONE) from error
 
 
-class Streams:
+class StreamTable:
     """A table of the state kept between the calls that transfer one large body."""
 
     def __init__(self):
-        self._numbers = itertools.count(1)
-        self._kept = {}
+        self._stream_ids = itertools.count(1)
+        self._items = {}
 
-    def add(self, thing):
+    def add(self, item):
         """Store an item and return its stream id."""
-        number = next(self._numbers)
-        self._kept[number] = thing
+        number = next(self._stream_ids)
+        self._items[number] = item
         return number
 
     def get(self, number):
         """Return the item with a stream id, or ``None`` if there is none."""
-        return self._kept.get(number)
+        return self._items.get(number)
 
     def remove(self, number):
         """Remove the item with a stream id and return it, or ``None``."""
-        return self._kept.pop(number, None)
+        return self._items.pop(number, None)
--- a/comfreywharf/daemon/requests/forward_calls.py
+++ b/comfreywharf/daemon/requests/forward_calls.py
@@ -4,7 +4,7 @@
 from absl import logging
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.requests.bodies import PART_BYTES, Streams, Upload
+from comfreywharf.daemon.requests.bodies import PART_BYTES, StreamTable, Upload
 from comfreywharf.daemon.requests.forwarder import StreamedReply
 from comfreywharf.daemon.requests.replies import refusal
 from comfreywharf.daemon.servers.backend import BackendError
@@ -30,8 +30,8 @@
 
     def __init__(self, node):
         self._node = node
-        self._uploads = Streams()
-        self._downloads = Streams()
+        self._uploads = StreamTable()
+        self._downloads = StreamTable()
         self._transit_times = {}
 
     def forward(self, request):
--- a/comfreywharf/daemon/requests/routes.py
+++ b/comfreywharf/daemon/requests/routes.py
@@ -35,9 +35,9 @@
         """Return the version in force; 0 while none is known."""
         return self.table.version
 
-    def confirm(self, then_s):
-        """Record that these routes were the operator's newest at ``then_s``."""
-        self._confirmed_s = max(self._confirmed_s, then_s)
+    def confirm(self, confirmed_s):
+        """Record that these routes were the operator's newest at ``confirmed_s``."""
+        self._confirmed_s = max(self._confirmed_s, confirmed_s)
 
     def age_s(self, now_s):
         """Return for how long these routes may have been outdated."""
