--- a/comfreywharf/daemon/tests/test_bound_pool.py
+++ b/comfreywharf/daemon/tests/test_bound_pool.py
@@ -1,4 +1,4 @@
-"""Orders that reach one process of a server, over real connections."""
+"""`BoundClient` over real connections: orders reach one process of a server only."""
 
 import contextlib
 import struct
@@ -16,9 +16,10 @@
 
 
 class Place:
-    """An address at which one process after the other listens.
+    """An address where one server process after the other listens.
 
-    It takes as many connections as it has ``room`` for, and resets all later ones.
+    It accepts ``room`` connections and resets all later ones. ``seen`` has the name
+    of the process that received each order.
     """
 
     def __init__(self):
@@ -57,7 +58,7 @@
 
 @pytest.fixture
 def place():
-    """Yield an address with its first process."""
+    """Yield an address where the first process listens."""
     place = Place()
     yield place
     place.end()
@@ -65,7 +66,7 @@
 
 @pytest.fixture
 def client(place):
-    """Yield a client with three connections."""
+    """Yield a client with a pool of three connections."""
     client = BoundClient(
         "127.0.0.1",
         place.port,
@@ -88,9 +89,11 @@
 
 
 def test_an_order_is_never_sent_to_the_next_process(client, place):
-    """Symptom: a new life of a server takes what was meant for the one before.
-    Sequence: reach, crash, restart at the address, the order.
-    Cause: a new connection was opened for an old order."""
+    """Guards against an order that a later incarnation of the server executes.
+
+    The server crashes and restarts at the same address between `reach` and the order.
+    A new connection for the old order would lead to the new process.
+    """
     process = client.reach()
     assert order(client, process)
     place.end()
@@ -102,8 +105,12 @@
     assert place.seen == ["first", "second"]
 
 
-def test_a_place_where_nothing_listens_is_told_from_a_silent_one(client, place):
-    """The first is dead and holds nothing; the second has to be waited for."""
+def test_reach_raises_connection_refused_where_nothing_listens(client, place):
+    """A server that refuses connections has crashed and holds no keys.
+
+    One that only doesn't answer may still hold them, so that both have to be
+    distinguished.
+    """
     process = client.reach()
     place.end()
     with pytest.raises(ConnectionRefusedError):
@@ -111,9 +118,11 @@
 
 
 def test_the_process_stays_known_while_its_connections_end_one_by_one(client):
-    """Symptom: a new lease is begun with each answer that a server doesn't give.
-    Sequence: one connection after the other is given up, and orders are answered in
-    between. Cause: only the first connection counted as the process's own."""
+    """Guards against a new lease for each answer that a server fails to give.
+
+    One connection after the other is closed, and orders are answered in between. The
+    process is lost if only its first connection counts as confirmed.
+    """
     process = client.reach()
     for _ in range(10):
         wait_until(lambda: client.reach() and client._pool.tracker.known_count == 3)
@@ -122,8 +131,8 @@
         assert client.reach() == process
 
 
-def test_a_waiting_order_is_told_that_its_process_is_gone(client, place):
-    """It waits for a connection that will not come back to the pool as it was."""
+def test_borrow_returns_none_once_the_process_is_gone(client, place):
+    """A waiting order must not wait for connections that were closed for good."""
     process = client.reach()
     wait_until(lambda: client.reach() and client._pool.tracker.known_count == 3)
     taken = [client.borrow(process) for _ in range(2)]
@@ -135,12 +144,14 @@
     assert waiting.get(timeout=WAIT_S) is None
 
 
-def test_an_order_that_waits_leaves_the_last_connection_to_vouch(client):
-    """Symptom: while orders get no answer, their server goes out of sight; its keys
-    are dark until it has a new lease. Sequence: two of three connections carry orders,
-    a third order waits; the two are given up, the third order takes what is left and
-    is given up as well. Cause: the only connection that was open passed for the only
-    one that the server has room for, though no other had been tried."""
+def test_a_waiting_order_leaves_the_last_connection_to_the_probe(client):
+    """Guards against a lost process, whose keys are unavailable until the next lease.
+
+    Two of three connections carry orders without an answer, and are closed while a
+    third order waits. If that one took the last connection and got no answer either,
+    the process could no longer be identified. The last connection must not count as
+    the only one that the server accepts before another was tried.
+    """
     process = client.reach()
     wait_until(lambda: client.reach() and client._pool.tracker.known_count == 3)
     lost = [client.borrow(process) for _ in range(2)]
@@ -155,11 +166,14 @@
     assert client.reach() == process
 
 
-def test_connections_lost_during_a_refill_dont_pass_for_a_full_server(client, place):
-    """Symptom: as above. Sequence: of three connections one is lost and another is in
-    use; that one is lost as well while a refill asks on the third, and what the refill
-    opened is reset. Cause: what was left passed for all that the server has room for,
-    though it had room for one more when the refill began."""
+def test_connections_lost_during_a_refill_dont_lower_the_limit(client, place):
+    """Guards against a lost process, as in the test before.
+
+    One of three connections is lost and another is in use. While a refill sends its
+    probe on the third, the second is lost too, and the connections that the refill
+    opened are reset. The remaining one must not count as all that the server accepts,
+    since it accepted one more when the refill started.
+    """
     process = client.reach()
     wait_until(lambda: client.reach() and client._pool.tracker.known_count == 3)
     in_use = [client.borrow(process) for _ in range(2)]
@@ -180,16 +194,22 @@
     waiting.kill()
 
 
-def test_a_server_with_room_for_one_connection_gets_its_orders(client, place):
-    """Symptom: the keys of a server that is full are dark. Sequence: it resets each
-    connection but the first. Cause: the last one was kept from orders for good."""
+def test_a_server_that_accepts_one_connection_gets_its_orders(client, place):
+    """Guards against unavailable keys of a server that accepts no further connection.
+
+    The server resets every connection but the first. Reserving the last connection for
+    probes forever would leave none for orders.
+    """
     be_full(client, place)
     assert place.seen == ["first"]
 
 
-def test_connections_that_are_reset_during_the_question_show_a_full_server(client):
-    """Symptom: as above. Sequence: the resets come while the question is answered.
-    Cause: connections that had ended unnoticed counted as room."""
+def test_connections_reset_during_the_probe_lower_the_limit(client):
+    """Guards against unavailable keys of a full server, as in the test before.
+
+    The resets arrive while the probe is answered. Connections whose end hasn't been
+    noticed yet must not count as accepted.
+    """
     process = client.reach()
 
     def probe_target():
@@ -203,10 +223,12 @@
     assert order(client, process)
 
 
-def test_a_refill_keeps_the_last_connection_for_its_question(client, place):
-    """Symptom: a server that had been full goes out of sight, though it has room.
-    Sequence: while a refill opens connections, an order goes out on the only known one
-    and gets no answer. Cause: what the refill before had shown still counted."""
+def test_a_refill_reserves_the_last_connection_for_its_probe(client, place):
+    """Guards against a lost process of a server that was full and no longer is.
+
+    While a refill opens connections, an order is sent on the only confirmed one and
+    gets no answer. The limit that the previous refill found must not apply any more.
+    """
     process = be_full(client, place)
     taken = []
 
@@ -221,10 +243,12 @@
     assert not any(taken)
 
 
-def test_the_next_process_isnt_full_because_the_one_before_was(client, place):
-    """Symptom: a server that has just begun goes out of sight. Sequence: the one before
-    was full; an order goes out on the first connection before others were tried.
-    Cause: what was seen of the one before still counted."""
+def test_the_limit_of_one_process_doesnt_apply_to_the_next(client, place):
+    """Guards against a lost process right after a restart of its server.
+
+    The previous process accepted one connection only. An order must not take the first
+    connection to the next process before further ones were tried.
+    """
     client._pool.release_socket(client.borrow(be_full(client, place)))
     waiting = gevent.spawn(client.borrow, client.reach())
     gevent.idle()
@@ -233,7 +257,7 @@
 
 
 def be_full(client, place):
-    """Have one connection, on which an order goes out; then there is room for more."""
+    """Send an order to a server that accepts one connection, then lift its limit."""
     place.room = 1
     process = client.reach()
     sent = gevent.spawn(order, client, process)
@@ -244,7 +268,7 @@
 
 
 def wait_until(condition):
-    """Let greenlets run until a condition holds."""
+    """Run other greenlets until a condition holds."""
     with gevent.Timeout(WAIT_S), contextlib.suppress(StopIteration):
         while not condition():
             gevent.sleep(0.005)
--- a/comfreywharf/daemon/tests/test_caller_server.py
+++ b/comfreywharf/daemon/tests/test_caller_server.py
@@ -1,4 +1,4 @@
-"""The callers' server on real sockets: what it reads, refuses, keeps and closes."""
+"""`CallerServer` on real sockets: parsing, refusals, kept and closed connections."""
 
 import contextlib
 
@@ -11,7 +11,7 @@
 
 
 class Application:
-    """Answers each request with its body, and keeps the heads."""
+    """An application that answers each request with its body and records the heads."""
 
     def __init__(self):
         self.heads = []
@@ -48,7 +48,7 @@
 
 
 def exchange(server, data):
-    """Send bytes and return all that comes until the connection closes."""
+    """Send bytes and return all that is received until the connection closes."""
     address = ("127.0.0.1", server.port)
     parts = []
     with contextlib.closing(socket.create_connection(address, 3)) as sock:
@@ -70,18 +70,18 @@
 @pytest.mark.parametrize(
     "data", [LAST, GET.replace(b"1.1", b"1.0"), LAST.replace(b"close", b"x, Close")]
 )
-def test_a_connection_ends_with_the_request_that_says_so(server, data):
-    """Symptom: a caller that reads to the end of the stream waits two seconds.
+def test_a_request_that_closes_its_connection_gets_connection_close(server, data):
+    """Guards against a caller that waits two seconds for the end of the stream.
 
-    Sequence: it asks for the end of the connection in a request that comes in one
-    piece. Cause: the parser was asked after the request's end, when it had
-    forgotten what the request said."""
+    The request, which arrives in one segment, asks to close the connection. The parser
+    reports this only until it has parsed the end of the request.
+    """
     answer = exchange(server, data)
     assert b"connection: close" in answer.lower()
 
 
 def test_a_kept_connection_serves_one_request_after_the_other(server, application):
-    """Sent one behind the other's answer, each gets its own."""
+    """Each request is sent after the previous answer, and gets its own answer."""
     with contextlib.closing(socket.create_connection(("127.0.0.1", server.port))) as s:
         for path in (b"/1", b"/2", b"/3"):
             s.sendall(GET.replace(b"/a", path))
@@ -97,7 +97,7 @@
     ],
 )
 def test_a_body_is_read_by_length_or_in_chunks(server, application, body):
-    """Both forms give the application the same bytes."""
+    """The application receives the same bytes in both cases."""
     head = b"POST /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
     assert status(exchange(server, head + body)) == 200
     assert application.bodies == [b"hello"]
@@ -115,33 +115,38 @@
         b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
     ],
 )
-def test_what_two_hops_could_read_differently_is_refused(server, application, data):
-    """Symptom: a request is smuggled inside another one's body.
-    Sequence: a head with two lengths. Cause: the hops choose different ones."""
+def test_an_ambiguous_head_is_refused(server, application, data):
+    """Guards against request smuggling.
+
+    If a head has two lengths, for example, two hops may choose different ones, and a
+    request may be hidden in the body of another one.
+    """
     assert status(exchange(server, data)) == 400
     assert application.heads == []
 
 
-def test_too_large_a_head_is_refused(server):
-    """The answer says so, and the connection ends."""
+def test_a_head_over_the_size_limit_is_refused_with_431(server):
+    """The connection is closed after the answer."""
     big = b"GET /a HTTP/1.1\r\nHost: h\r\nX: " + b"x" * 1500 + b"\r\n\r\n"
     assert status(exchange(server, big)) == 431
 
 
-def test_a_head_that_never_ends_is_given_up(server):
-    """A caller that sends a byte now and then doesn't hold a greenlet for ever."""
+def test_an_incomplete_head_times_out_with_408(server):
+    """Guards against a slow caller that occupies a greenlet without limit."""
     assert status(exchange(server, b"GET /a HTTP/1.1\r\nHost:")) == 408
 
 
-def test_an_idle_connection_is_closed_without_a_word(server):
-    """Bytes that answer no request would be taken for the next one's answer."""
+def test_an_idle_connection_is_closed_without_an_answer(server):
+    """A caller would take unsolicited bytes for the answer to its next request."""
     assert exchange(server, b"") == b""
 
 
-def test_a_request_behind_a_body_begins_where_the_body_ends(server, application):
-    """Symptom: a server runs a request that no caller sent, or a body is too long.
-    Sequence: a second request lies behind the first one's body in one segment.
-    Cause: the parser was given both; now it gets the bytes of one request only."""
+def test_a_request_after_a_body_starts_where_the_body_ends(server, application):
+    """Guards against a body that extends into the next request, and the reverse.
+
+    A second request follows the first one's body in the same segment. The parser must
+    receive the bytes of one request only.
+    """
     data = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nok" + LAST
     first, second = exchange(server, data).split(b"HTTP/1.1 200")[1:]
     assert first.endswith(b"ok") and second.endswith(b"empty")
@@ -149,11 +154,13 @@
     assert sorted(application.bodies) == [b"", b"ok"]
 
 
-def test_bytes_behind_a_chunked_body_arent_taken_for_another(server, application):
-    """Symptom: a server runs a request that no caller sent.
-    Sequence: a second request lies behind the first one's chunks in one segment.
-    Cause: where chunks end is found by the parser alone, and hops may differ in it.
-    The connection is closed, and the caller sends again."""
+def test_bytes_after_a_chunked_body_close_the_connection(server, application):
+    """Guards against a request that is run although no caller sent it.
+
+    A second request follows the first one's chunks in the same segment. The end of the
+    chunks is determined by the parser alone, and hops may differ in it. The connection
+    is closed, and the caller sends the second request again.
+    """
     chunked = b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
     data = chunked + b"2\r\nok\r\n0\r\n\r\n" + GET
     answer = exchange(server, data)
@@ -162,9 +169,10 @@
 
 
 def test_an_answer_before_the_bodys_end_closes_the_connection(server, application):
-    """Symptom: the rest of a body is read as the next request.
-    Sequence: a long upload is refused at once.
-    Cause: the connection was kept although bytes of the body were still to come."""
+    """Guards against the rest of a body that is parsed as the next request.
+
+    A long upload is refused at once, while bytes of its body are still in transit.
+    """
     application.reads = False
     head = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 300000\r\n\r\n"
     answer = exchange(server, head + b"x" * 100_000)
@@ -172,9 +180,11 @@
     assert b"Connection: close" in answer
 
 
-def test_a_cut_stream_doesnt_look_complete(server, application):
-    """Symptom: a caller takes a part of an answer for the whole.
-    Sequence: the answer's source fails midway. Cause: the chunks were ended."""
+def test_a_truncated_stream_doesnt_look_complete(server, application):
+    """Guards against a partial answer that the caller takes for a complete one.
+
+    The source of the answer fails midway. The terminating chunk must not be sent.
+    """
 
     def parts():
         yield b"first"
@@ -186,17 +196,19 @@
     assert not answer.endswith(b"0\r\n\r\n")
 
 
-def test_a_retiring_server_says_so_with_each_answer(server, application):
-    """Symptom: a request is lost on a connection that closes under it.
-    Sequence: a stop closes kept connections. Cause: their callers weren't told."""
+def test_a_retiring_server_sends_connection_close_with_each_answer(server, application):
+    """Guards against a request that is lost on a connection closed by a planned stop.
+
+    A caller whose connection is closed without notice may just have sent a request.
+    """
     server.retire()
     answer = exchange(server, GET)
     assert status(answer) == 200
     assert b"Connection: close" in answer
 
 
-def test_a_server_that_refuses_new_work_still_answers_what_it_has(server, application):
-    """The request in progress is answered, the next one refused as not run."""
+def test_refuse_new_still_answers_the_requests_in_progress(server, application):
+    """The request in progress is answered; the next one is refused with 503."""
     application.gate = gevent.event.Event()
     first = gevent.spawn(exchange, server, LAST)
     with contextlib.closing(socket.create_connection(("127.0.0.1", server.port))) as s:
--- a/comfreywharf/daemon/tests/test_collecting.py
+++ b/comfreywharf/daemon/tests/test_collecting.py
@@ -1,4 +1,4 @@
-"""A few bodies that follow their requests are collected at a time."""
+"""Collection of bodies that are sent after their requests, a few at a time."""
 
 import contextlib
 
@@ -14,14 +14,14 @@
 
 
 def enter(limiter):
-    """Return the stack that has the room of one body."""
+    """Return an exit stack that holds the permit for one body."""
     stack = contextlib.ExitStack()
     stack.enter_context(limiter.permit(boottime_s() + PATIENCE_S))
     return stack
 
 
-def test_room_is_had_by_so_many_at_a_time_and_given_on():
-    """Guards against room that is lost with a request that was refused."""
+def test_a_released_permit_goes_to_the_next_waiting_request():
+    """Guards against a permit that isn't released when its request is refused."""
     limiter = BodyCollectionLimiter(limit=2)
     first, second = enter(limiter), enter(limiter)
     third = gevent.spawn(enter, limiter)
@@ -33,8 +33,8 @@
     second.close()
 
 
-def test_a_request_without_room_by_its_deadline_has_not_run():
-    """Guards against requests that wait for room beyond their deadline."""
+def test_a_request_without_a_permit_by_its_deadline_is_refused():
+    """Guards against requests that wait for a permit beyond their deadline."""
     limiter = BodyCollectionLimiter(limit=1)
     with enter(limiter), pytest.raises(BodyError):
         with limiter.permit(boottime_s()):
@@ -42,8 +42,8 @@
     assert not limiter.waiting
 
 
-def test_a_body_is_asked_for_when_it_is_collected_and_not_before():
-    """Guards against bodies that are sent though nobody wants them."""
+def test_a_body_is_requested_only_when_it_is_collected():
+    """Guards against bodies that are sent although they aren't wanted."""
     upload = Upload()
     demand = gevent.spawn(upload.await_demand)
     gevent.sleep(0)
@@ -55,8 +55,8 @@
     assert collected.get(timeout=PATIENCE_S) == BODY
 
 
-def test_a_body_that_breaks_off_is_not_taken_for_a_shorter_one():
-    """Guards against a part of a body that a server runs."""
+def test_a_truncated_body_raises_body_error():
+    """Guards against a truncated body that is forwarded as a shorter, complete one."""
     upload = Upload()
     gevent.spawn(upload.put, BODY[:3])
     gevent.spawn(upload.put, None)
--- a/comfreywharf/daemon/tests/test_held_requests.py
+++ b/comfreywharf/daemon/tests/test_held_requests.py
@@ -1,4 +1,4 @@
-"""Requests that wait at their owner, and what lets them through."""
+"""Requests that are held at their owner, and the events that release them."""
 
 import gevent
 import pytest
@@ -23,10 +23,12 @@
     return leases
 
 
-def test_a_request_is_held_until_the_witnesses_know_of_the_fence(leases, monkeypatch):
-    """Symptom: callers see refusals, or gaps of 250 ms, after each split.
-    Sequence: a request comes while a slice's new fence waits for a renewal.
-    Cause: nothing wakes it when the witnesses have granted that."""
+def test_a_request_is_held_until_the_witnesses_grant_the_fence(leases, monkeypatch):
+    """Guards against refusals, or gaps of 250 ms, after each split of a slice.
+
+    A request arrives while the new fence of its slice waits for a renewal. It has to
+    be woken once the witnesses have granted the renewal.
+    """
     monkeypatch.setattr(leases, "_ask_right", lambda *args: right_once_told(leases))
     leases.holder.use_witnesses([("w",)])
     monkeypatch.setattr(leases, "_call_witness", lambda *args: Grant(granted=True))
@@ -48,11 +50,13 @@
 
 
 @pytest.mark.parametrize("fenced", [True, False])
-def test_a_late_answer_of_a_server_that_checks_fences_is_passed_on(leases, fenced):
-    """Symptom: a caller hears that nobody knows what came of a booking that was made.
-    Events: the server's answer comes a moment behind the request's own time.
-    Cause: it was taken for the answer to a node that had slept through its lease, which
-    counts where servers don't check fences."""
+def test_a_late_answer_of_a_server_that_checks_fences_is_forwarded(leases, fenced):
+    """Guards against an unknown outcome that is reported for a completed booking.
+
+    The server's answer arrives just after the request's deadline. Only for servers that
+    don't check fences may it be dropped, since the node may have been paused for longer
+    than its lease.
+    """
     leases._node.ports.fenced = fenced
     right = Right(deadline_s=10.0)
     assert leases.still_held(right, 9.9)
--- a/comfreywharf/daemon/tests/test_members.py
+++ b/comfreywharf/daemon/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Among whom a node chooses for a service that isn't divided by key."""
+"""The members among which a node chooses for a service not divided by key."""
 
 from types import SimpleNamespace
 
@@ -31,12 +31,13 @@
     )
 
 
-def test_a_member_whose_address_another_one_has_isnt_asked():
-    """Symptom: requests are refused with no-backend for eighteen seconds.
+def test_a_member_whose_address_was_reassigned_isnt_chosen():
+    """Guards against requests that are refused with no-backend for eighteen seconds.
 
-    Sequence: a machine is lost, and its address is given to a machine of another
-    service. Cause: the lost one was still a member, at an address where a node
-    answered that it had no such server."""
+    A machine is lost, and its address is assigned to a machine of another service. The
+    lost one is still a member, but the node at its address has no server of the
+    service.
+    """
     members = make_members(
         entry("lost", "files", "10.0.0.4", 5),
         entry("other", "booking", "10.0.0.4", 9),
--- a/comfreywharf/daemon/tests/test_pipelining.py
+++ b/comfreywharf/daemon/tests/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Requests behind one another on a connection: each test is a way to answer wrongly."""
+"""Pipelined requests on one connection: order of answers, limits and smuggling."""
 
 import contextlib
 import random
@@ -22,7 +22,10 @@
 
 
 class Desk:
-    """Answers with what a request brought, in whatever order its gates open."""
+    """An application that echoes each request's target and body.
+
+    A request whose target is in ``gates`` is answered once its gate is set.
+    """
 
     def __init__(self):
         self.begun = []
@@ -83,7 +86,7 @@
 
 
 def bodies(data):
-    """Return the bodies of answers, in their order."""
+    """Return the bodies of the answers, in their order."""
     return [answer.partition(b"\r\n\r\n")[2] for answer in data.split(b"HTTP/1.1 ")[1:]]
 
 
@@ -93,10 +96,12 @@
             gevent.sleep(0.005)
 
 
-def test_a_row_is_served_at_once_and_answered_in_order(server, desk):
-    """Symptom: the second lookup of a row takes as long as both.
-    Events: three requests in one packet; the first one's answer comes last.
-    Cause: one request of a connection was served at a time."""
+def test_pipelined_requests_run_concurrently_and_are_answered_in_order(server, desk):
+    """Guards against pipelined requests that are served one at a time.
+
+    Three requests arrive in one packet, and the first is answered last. Served one at
+    a time, the second would take as long as both.
+    """
     first = desk.gates["/1"] = Event()
     with connected(server) as sock:
         sock.sendall(get("/1") + get("/2") + get("/3", close=True))
@@ -105,9 +110,11 @@
         assert bodies(read_all(sock)) == [b"/1:", b"/2:", b"/3:"]
 
 
-def test_a_row_is_bounded(server, desk):
-    """Symptom: one caller's row takes all of a node's memory.
-    Events: a caller sends fifty requests and nothing is answered yet."""
+def test_the_number_of_running_pipelined_requests_is_bounded(server, desk):
+    """Guards against one caller that uses up a node's memory.
+
+    A caller sends fifty requests, none of which is answered yet.
+    """
     desk.gates = {f"/{n}": Event() for n in range(50)}
     with connected(server) as sock:
         sock.sendall(b"".join(get(f"/{n}") for n in range(50)))
@@ -119,10 +126,12 @@
         wait_for(lambda: len(desk.begun) == 50)
 
 
-def test_an_error_in_a_row_comes_behind_the_answers_before_it(server, desk):
-    """Symptom: a caller loses an answer that was ready, or takes one for another's.
-    Events: the second of three requests fails before the first is answered.
-    Cause: the connection was cut at the failure, or the next answer took its place."""
+def test_a_failed_request_resets_the_connection_after_earlier_answers(server, desk):
+    """Guards against a lost answer, or one that is taken for that to another request.
+
+    The second of three requests fails before the first is answered. The connection
+    must not be reset before the first answer, and the third answer must not follow.
+    """
     first = desk.gates["/1"] = Event()
     desk.failing.add("/2")
     with connected(server) as sock:
@@ -132,10 +141,12 @@
         assert bodies(read_all(sock)) == [b"/1:"]
 
 
-def test_nothing_is_begun_behind_an_answer_that_closes(server, desk):
-    """Symptom: a booking runs twice.
-    Events: a caller closes with its first request and sends another one behind it.
-    Cause: what stands behind an answer that closes is sent again by its caller."""
+def test_no_request_starts_after_one_that_closes_the_connection(server, desk):
+    """Guards against a booking that runs twice.
+
+    The first request closes the connection, and another one follows it. A caller sends
+    requests after a closing answer again on another connection.
+    """
     with connected(server) as sock:
         sock.sendall(get("/1", close=True) + get("/2"))
         data = read_all(sock)
@@ -143,10 +154,12 @@
     assert desk.begun == ["/1"]
 
 
-def test_a_planned_stop_in_a_row_closes_behind_the_last_begun(server, desk):
-    """Symptom: requests of a row are cut by a planned stop.
-    Events: two requests are being served when the stop begins; a third one comes.
-    Cause: the first answer said that the connection closes."""
+def test_a_planned_stop_closes_after_the_last_started_request(server, desk):
+    """Guards against pipelined requests that a planned stop interrupts.
+
+    Two requests are being served when the stop starts, and a third one arrives. Only
+    the second answer may announce that the connection closes.
+    """
     first = desk.gates["/1"] = Event()
     with connected(server) as sock:
         sock.sendall(get("/1") + get("/2"))
@@ -161,10 +174,12 @@
     assert desk.begun == ["/1", "/2"]
 
 
-def test_a_request_that_runs_once_waits_for_those_before_it(server, desk):
-    """Symptom: nobody knows whether a booking ran whose connection was cut.
-    Events: it stands behind a lookup whose answer breaks off.
-    Cause: it was begun while an answer before it could still end the connection."""
+def test_a_request_that_must_run_once_waits_for_earlier_ones(server, desk):
+    """Guards against a booking with an unknown outcome after a connection reset.
+
+    The booking follows a lookup whose answer breaks off. It must not start while an
+    earlier answer can still end the connection.
+    """
     first = desk.gates["/1"] = Event()
     desk.failing.add("/1")
     with connected(server) as sock:
@@ -176,8 +191,8 @@
     assert desk.begun == ["/1"]
 
 
-def test_a_caller_that_leaves_ends_its_row(server, desk):
-    """A connection whose caller is gone is forgotten once its requests have ended."""
+def test_a_connection_is_removed_after_its_caller_disconnects(server, desk):
+    """The server forgets the connection once its requests have ended."""
     first = desk.gates["/1"] = Event()
     with connected(server) as sock:
         sock.sendall(get("/1") + get("/2"))
@@ -200,9 +215,11 @@
     suppress_health_check=list(HealthCheck),
 )
 @given(row=ROWS, seed=st.integers(0, 2**16))
-def test_a_row_is_read_alike_however_it_is_split(row, seed):
-    """Symptom: a request is smuggled in another one's body, or is cut.
-    Events: a row of requests with bodies that hold anything, split at any byte."""
+def test_pipelined_requests_are_parsed_alike_however_they_are_split(row, seed):
+    """Guards against smuggled and truncated requests.
+
+    Pipelined requests with arbitrary bodies are split into segments at any byte.
+    """
     desk = Desk()
     server = CallerServer("127.0.0.1", 0, desk, lambda: LIMITS)
     server.start()
@@ -228,7 +245,7 @@
 
 
 def _answers(data):
-    """Split answers by their lengths, since bodies may hold anything."""
+    """Split answers by their lengths, since bodies may contain any bytes."""
     answers = []
     while data:
         head, _, rest = data.partition(b"\r\n\r\n")
@@ -250,10 +267,12 @@
         b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: x, chunked\r\n\r\n",
     ],
 )
-def test_a_length_that_hops_read_differently_ends_the_row(server, desk, first):
-    """Symptom: a server runs a request that no caller sent.
-    Events: a head with a length that two hops may read differently, and a request in
-    what may be its body."""
+def test_an_ambiguous_length_is_refused_and_ends_the_connection(server, desk, first):
+    """Guards against a request that is run although no caller sent it.
+
+    Two hops may read the length in the head differently, and another request is hidden
+    in what may be the body.
+    """
     with connected(server) as sock:
         sock.sendall(first + get("/hidden"))
         data = read_all(sock)
