--- a/comfreywharf/daemon/tests/test_bound_pool.py
+++ b/comfreywharf/daemon/tests/test_bound_pool.py
@@ -18,13 +18,13 @@
 class Place:
     """An address where one server process after the other listens.
 
-    It accepts ``room`` connections and resets all later ones. ``seen`` has the name
-    of the process that received each order.
+    It accepts ``accept_limit`` connections and resets all later ones. ``received_by``
+    has the name of the process that received each order.
     """
 
     def __init__(self):
-        self.seen = []
-        self.room = 1000
+        self.received_by = []
+        self.accept_limit = 1000
         self.port = 0
         self._server = None
         self.begin("first")
@@ -32,7 +32,7 @@
     def begin(self, name):
         def answer(environ, start_response):
             if environ["REQUEST_METHOD"] == "POST":
-                self.seen.append(name)
+                self.received_by.append(name)
             start_response("200 OK", [("Content-Length", "0")])
             return [b""]
 
@@ -41,8 +41,8 @@
         accept = self._server.do_handle
 
         def take(sock, *args):
-            self.room -= 1
-            if self.room >= 0:
+            self.accept_limit -= 1
+            if self.accept_limit >= 0:
                 accept(sock, *args)
                 return
             sock.setsockopt(SOL_SOCKET, SO_LINGER, RESET)
@@ -100,9 +100,9 @@
     place.begin("second")
     wait_until(lambda: client.reach() != process)
     assert not order(client, process)
-    assert place.seen == ["first"]
+    assert place.received_by == ["first"]
     assert order(client, client.reach())
-    assert place.seen == ["first", "second"]
+    assert place.received_by == ["first", "second"]
 
 
 def test_reach_raises_connection_refused_where_nothing_listens(client, place):
@@ -183,7 +183,7 @@
         return "/"
 
     client._probe_target = probe_target
-    place.room = 0
+    place.accept_limit = 0
     client._pool.release_socket(in_use.pop())
     wait_until(lambda: client.reach() and not client._refilling.ready())
     client._refilling.join(timeout=WAIT_S)
@@ -200,8 +200,8 @@
     The server resets every connection but the first. Reserving the last connection for
     probes forever would leave none for orders.
     """
-    be_full(client, place)
-    assert place.seen == ["first"]
+    fill_then_lift_limit(client, place)
+    assert place.received_by == ["first"]
 
 
 def test_connections_reset_during_the_probe_lower_the_limit(client):
@@ -229,7 +229,7 @@
     While a refill opens connections, an order is sent on the only confirmed one and
     gets no answer. The limit that the previous refill found must not apply any more.
     """
-    process = be_full(client, place)
+    process = fill_then_lift_limit(client, place)
     taken = []
 
     def open_slowly(sock):
@@ -249,21 +249,21 @@
     The previous process accepted one connection only. An order must not take the first
     connection to the next process before further ones were tried.
     """
-    client._pool.release_socket(client.borrow(be_full(client, place)))
+    client._pool.release_socket(client.borrow(fill_then_lift_limit(client, place)))
     waiting = gevent.spawn(client.borrow, client.reach())
     gevent.idle()
     assert client._pool.tracker.known_count > 1 or not waiting.ready()
     waiting.kill()
 
 
-def be_full(client, place):
+def fill_then_lift_limit(client, place):
     """Send an order to a server that accepts one connection, then lift its limit."""
-    place.room = 1
+    place.accept_limit = 1
     process = client.reach()
     sent = gevent.spawn(order, client, process)
     wait_until(lambda: client.reach() and sent.ready())
     assert sent.value
-    place.room = 1000
+    place.accept_limit = 1000
     return process
 
 
--- a/comfreywharf/daemon/tests/test_held_requests.py
+++ b/comfreywharf/daemon/tests/test_held_requests.py
@@ -29,7 +29,7 @@
     A request arrives while the new fence of its slice waits for a renewal. It has to
     be woken once the witnesses have granted the renewal.
     """
-    monkeypatch.setattr(leases, "_ask_right", lambda *args: right_once_told(leases))
+    monkeypatch.setattr(leases, "_ask_right", lambda *args: right_once_granted(leases))
     leases.holder.use_witnesses([("w",)])
     monkeypatch.setattr(leases, "_call_witness", lambda *args: Grant(granted=True))
     held = gevent.spawn(leases.acquire, "booking", b"", boottime_s(), 30.0)
@@ -43,7 +43,7 @@
     assert held.value.reason is None
 
 
-def right_once_told(leases):
+def right_once_granted(leases):
     if leases.holder.lease.told_epoch() >= 5:
         return Right(service="booking")
     return Right(reason=Reason.NOT_YET_OWNER)
--- a/comfreywharf/daemon/tests/test_pipelining.py
+++ b/comfreywharf/daemon/tests/test_pipelining.py
@@ -21,21 +21,21 @@
 )
 
 
-class Desk:
+class GatedApplication:
     """An application that echoes each request's target and body.
 
     A request whose target is in ``gates`` is answered once its gate is set.
     """
 
     def __init__(self):
-        self.begun = []
+        self.started_targets = []
         self.gates = {}
         self.failing = set()
         self.most_at_once = 0
         self._running = 0
 
     def __call__(self, head, request):
-        self.begun.append(head.target)
+        self.started_targets.append(head.target)
         self._running += 1
         self.most_at_once = max(self.most_at_once, self._running)
         body = b""
@@ -51,14 +51,14 @@
 
 
 @pytest.fixture
-def desk():
-    return Desk()
+def application():
+    return GatedApplication()
 
 
 @pytest.fixture
-def server(desk):
+def server(application):
     started = CallerServer(
-        "127.0.0.1", 0, desk, lambda: LIMITS, lambda head: head.method == "PUT"
+        "127.0.0.1", 0, application, lambda: LIMITS, lambda head: head.method == "PUT"
     )
     started.start()
     yield started
@@ -96,52 +96,56 @@
             gevent.sleep(0.005)
 
 
-def test_pipelined_requests_run_concurrently_and_are_answered_in_order(server, desk):
+def test_pipelined_requests_run_concurrently_and_are_answered_in_order(
+    server, application
+):
     """Guards against pipelined requests that are served one at a time.
 
     Three requests arrive in one packet, and the first is answered last. Served one at
     a time, the second would take as long as both.
     """
-    first = desk.gates["/1"] = Event()
+    first = application.gates["/1"] = Event()
     with connected(server) as sock:
         sock.sendall(get("/1") + get("/2") + get("/3", close=True))
-        wait_for(lambda: len(desk.begun) == 3)
+        wait_for(lambda: len(application.started_targets) == 3)
         first.set()
         assert bodies(read_all(sock)) == [b"/1:", b"/2:", b"/3:"]
 
 
-def test_the_number_of_running_pipelined_requests_is_bounded(server, desk):
+def test_the_number_of_running_pipelined_requests_is_bounded(server, application):
     """Guards against one caller that uses up a node's memory.
 
     A caller sends fifty requests, none of which is answered yet.
     """
-    desk.gates = {f"/{n}": Event() for n in range(50)}
+    application.gates = {f"/{n}": Event() for n in range(50)}
     with connected(server) as sock:
         sock.sendall(b"".join(get(f"/{n}") for n in range(50)))
-        wait_for(lambda: len(desk.begun) == MAX_PIPELINED_REQUESTS)
+        wait_for(lambda: len(application.started_targets) == MAX_PIPELINED_REQUESTS)
         gevent.sleep(0.05)
-        assert len(desk.begun) == MAX_PIPELINED_REQUESTS
-        for gate in desk.gates.values():
+        assert len(application.started_targets) == MAX_PIPELINED_REQUESTS
+        for gate in application.gates.values():
             gate.set()
-        wait_for(lambda: len(desk.begun) == 50)
+        wait_for(lambda: len(application.started_targets) == 50)
 
 
-def test_a_failed_request_resets_the_connection_after_earlier_answers(server, desk):
+def test_a_failed_request_resets_the_connection_after_earlier_answers(
+    server, application
+):
     """Guards against a lost answer, or one that is taken for that to another request.
 
     The second of three requests fails before the first is answered. The connection
     must not be reset before the first answer, and the third answer must not follow.
     """
-    first = desk.gates["/1"] = Event()
-    desk.failing.add("/2")
+    first = application.gates["/1"] = Event()
+    application.failing.add("/2")
     with connected(server) as sock:
         sock.sendall(get("/1") + get("/2") + get("/3"))
-        wait_for(lambda: len(desk.begun) == 3)
+        wait_for(lambda: len(application.started_targets) == 3)
         first.set()
         assert bodies(read_all(sock)) == [b"/1:"]
 
 
-def test_no_request_starts_after_one_that_closes_the_connection(server, desk):
+def test_no_request_starts_after_one_that_closes_the_connection(server, application):
     """Guards against a booking that runs twice.
 
     The first request closes the connection, and another one follows it. A caller sends
@@ -151,19 +155,19 @@
         sock.sendall(get("/1", close=True) + get("/2"))
         data = read_all(sock)
     assert bodies(data) == [b"/1:"] and b"Connection: close" in data
-    assert desk.begun == ["/1"]
+    assert application.started_targets == ["/1"]
 
 
-def test_a_planned_stop_closes_after_the_last_started_request(server, desk):
+def test_a_planned_stop_closes_after_the_last_started_request(server, application):
     """Guards against pipelined requests that a planned stop interrupts.
 
     Two requests are being served when the stop starts, and a third one arrives. Only
     the second answer may announce that the connection closes.
     """
-    first = desk.gates["/1"] = Event()
+    first = application.gates["/1"] = Event()
     with connected(server) as sock:
         sock.sendall(get("/1") + get("/2"))
-        wait_for(lambda: len(desk.begun) == 2)
+        wait_for(lambda: len(application.started_targets) == 2)
         server.retire()
         sock.sendall(get("/3"))
         gevent.sleep(0.05)
@@ -171,37 +175,37 @@
         data = read_all(sock)
     assert bodies(data) == [b"/1:", b"/2:"]
     assert data.count(b"Connection: close") == 1
-    assert desk.begun == ["/1", "/2"]
+    assert application.started_targets == ["/1", "/2"]
 
 
-def test_a_request_that_must_run_once_waits_for_earlier_ones(server, desk):
+def test_a_request_that_must_run_once_waits_for_earlier_ones(server, application):
     """Guards against a booking with an unknown outcome after a connection reset.
 
     The booking follows a lookup whose answer breaks off. It must not start while an
     earlier answer can still end the connection.
     """
-    first = desk.gates["/1"] = Event()
-    desk.failing.add("/1")
+    first = application.gates["/1"] = Event()
+    application.failing.add("/1")
     with connected(server) as sock:
         sock.sendall(get("/1") + get("/2", "PUT"))
-        wait_for(lambda: desk.begun)
+        wait_for(lambda: application.started_targets)
         gevent.sleep(0.05)
         first.set()
         assert read_all(sock) == b""
-    assert desk.begun == ["/1"]
+    assert application.started_targets == ["/1"]
 
 
-def test_a_connection_is_removed_after_its_caller_disconnects(server, desk):
+def test_a_connection_is_removed_after_its_caller_disconnects(server, application):
     """The server forgets the connection once its requests have ended."""
-    first = desk.gates["/1"] = Event()
+    first = application.gates["/1"] = Event()
     with connected(server) as sock:
         sock.sendall(get("/1") + get("/2"))
-        wait_for(lambda: len(desk.begun) == 2)
+        wait_for(lambda: len(application.started_targets) == 2)
     first.set()
     wait_for(lambda: server.busy == 0)
 
 
-ROWS = st.lists(
+PIPELINED_REQUESTS = st.lists(
     st.tuples(st.sampled_from(["GET", "POST", "PUT"]), st.binary(max_size=40)),
     min_size=1,
     max_size=5,
@@ -214,24 +218,24 @@
     deadline=None,
     suppress_health_check=list(HealthCheck),
 )
-@given(row=ROWS, seed=st.integers(0, 2**16))
-def test_pipelined_requests_are_parsed_alike_however_they_are_split(row, seed):
+@given(pipeline=PIPELINED_REQUESTS, seed=st.integers(0, 2**16))
+def test_pipelined_requests_are_parsed_alike_however_they_are_split(pipeline, seed):
     """Guards against smuggled and truncated requests.
 
     Pipelined requests with arbitrary bodies are split into segments at any byte.
     """
-    desk = Desk()
-    server = CallerServer("127.0.0.1", 0, desk, lambda: LIMITS)
+    application = GatedApplication()
+    server = CallerServer("127.0.0.1", 0, application, lambda: LIMITS)
     server.start()
     data, expected = b"", []
-    for number, (method, body) in enumerate(row):
-        last = b"Connection: close\r\n" if number == len(row) - 1 else b""
+    for number, (method, body) in enumerate(pipeline):
+        last = b"Connection: close\r\n" if number == len(pipeline) - 1 else b""
         head = f"{method} /{number} HTTP/1.1\r\nHost: h\r\n".encode()
         length = f"Content-Length: {len(body)}\r\n\r\n".encode()
         data += head + last + length + body
         expected.append(f"/{number}:".encode() + body)
-    chance = random.Random(seed)
-    cuts = sorted(chance.sample(range(1, len(data)), min(4, len(data) - 1)))
+    generator = random.Random(seed)
+    cuts = sorted(generator.sample(range(1, len(data)), min(4, len(data) - 1)))
     try:
         with connected(server) as sock:
             for start, end in zip([0, *cuts], [*cuts, len(data)], strict=True):
@@ -267,7 +271,9 @@
         b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: x, chunked\r\n\r\n",
     ],
 )
-def test_an_ambiguous_length_is_refused_and_ends_the_connection(server, desk, first):
+def test_an_ambiguous_length_is_refused_and_ends_the_connection(
+    server, application, first
+):
     """Guards against a request that is run although no caller sent it.
 
     Two hops may read the length in the head differently, and another request is hidden
@@ -277,4 +283,4 @@
         sock.sendall(first + get("/hidden"))
         data = read_all(sock)
     assert data.startswith(b"HTTP/1.1 400")
-    assert desk.begun == []
+    assert application.started_targets == []
