--- a/comfreywharf/daemon/requests/caller_server.py
+++ b/comfreywharf/daemon/requests/caller_server.py
@@ -159,7 +159,7 @@
             lines.append("Connection: close")
         data = ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
         bodiless = answer.status in _BODILESS or method == "HEAD"
-        with gevent.Timeout(WRITE_TIMEOUT_S, OSError("the caller takes nothing")):
+        with gevent.Timeout(WRITE_TIMEOUT_S, OSError("write timed out")):
             if answer.parts is None:
                 self.sock.sendall(data if bodiless else data + answer.body)
                 return
@@ -172,7 +172,7 @@
                 continue
             if chunked:
                 part = b"%x\r\n%s\r\n" % (len(part), part)
-            with gevent.Timeout(WRITE_TIMEOUT_S, OSError("the caller takes nothing")):
+            with gevent.Timeout(WRITE_TIMEOUT_S, OSError("write timed out")):
                 self.sock.sendall(part)
         if chunked:
             self.sock.sendall(b"0\r\n\r\n")
@@ -274,7 +274,9 @@
             if connection.closing and not connection.was_cut:
                 connection.linger()
         except OSError as error:
-            logging.debug("caller %s: %s", address, error)
+            logging.debug(
+                "connection of caller %s ended with an error: %s", address, error
+            )
         finally:
             self._connections.discard(connection)
             sock.close()
@@ -330,7 +332,7 @@
             if not connection.closing:
                 self._send(connection, request, answer, turn)
         except OSError as error:
-            logging.debug("caller: %s", error)
+            logging.debug("request failed, resetting the connection: %s", error)
             connection.cut()
         except BaseException:
             connection.cut()
--- a/comfreywharf/daemon/requests/caller_stream.py
+++ b/comfreywharf/daemon/requests/caller_stream.py
@@ -269,7 +269,7 @@
             try:
                 self._receive()
             except (CallerGone, BadRequest) as error:
-                raise OSError("the body is cut") from error
+                raise OSError("the body is truncated or malformed") from error
         if not self._callbacks.parts:
             return b""
         return self._callbacks.parts.pop(0)
--- a/comfreywharf/daemon/requests/forward_calls.py
+++ b/comfreywharf/daemon/requests/forward_calls.py
@@ -72,7 +72,7 @@
         try:
             upload.finish(self._node.forwarder.serve(request, upload, now_s))
         except Exception:
-            logging.exception("an upload failed")
+            logging.exception("unexpected error while serving an upload")
             upload.finish(StreamedReply(refusal(Reason.INTERNAL)))
 
     def write_upload(self, stream_id, data):
--- a/comfreywharf/daemon/requests/ingress.py
+++ b/comfreywharf/daemon/requests/ingress.py
@@ -105,7 +105,7 @@
                 reply, body_stream = self._dispatcher.dispatch(call)
         except Exception:
             # The error may have occurred after the request was sent.
-            logging.exception("a request failed in the router")
+            logging.exception("unexpected error while serving a caller's request")
             reply, body_stream = refusal(Reason.INTERNAL), None
         finally:
             self.watch.leave(call)
--- a/comfreywharf/daemon/requests/routes.py
+++ b/comfreywharf/daemon/requests/routes.py
@@ -56,7 +56,9 @@
         try:
             table = decode_table(document)
         except RouteTableError as error:
-            logging.warning("routes of a peer: %s", error)
+            logging.warning(
+                "ignoring a peer's route table that can't be decoded: %s", error
+            )
             return False
         return self.use(table)
 
