--- a/comfreywharf/daemon/connections/http.py
+++ b/comfreywharf/daemon/connections/http.py
@@ -15,7 +15,7 @@
     "NodelayHandler",
     "NodelayPool",
     "SingleSendClient",
-    "cut_connection",
+    "reset_on_close",
     "shut_down",
 ]
 
@@ -103,7 +103,7 @@
         return environ
 
 
-def cut_connection(sock):
+def reset_on_close(sock):
     """Have a connection reset on close, so that a truncated answer isn't accepted.
 
     An answer to an HTTP/1.0 caller ends where the connection ends. A truncated one
--- a/comfreywharf/daemon/requests/caller_server.py
+++ b/comfreywharf/daemon/requests/caller_server.py
@@ -17,7 +17,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from comfreywharf.daemon.connections.http import cut_connection
+from comfreywharf.daemon.connections.http import reset_on_close
 from comfreywharf.daemon.requests.caller_stream import (
     BLOCK_BYTES,
     BadRequest,
@@ -84,7 +84,7 @@
         self.running = set()
         self.reading = False
         self.closing = False
-        self.was_cut = False
+        self.was_reset = False
         self.changed = Event()
         self._reader = gevent.getcurrent()
         self._reader_waits = False
@@ -177,10 +177,10 @@
         if chunked:
             self.sock.sendall(b"0\r\n\r\n")
 
-    def cut(self):
+    def reset(self):
         """Reset the connection, so that a partial answer doesn't look complete."""
-        self.was_cut = True
-        cut_connection(self.sock)
+        self.was_reset = True
+        reset_on_close(self.sock)
         self.close()
 
     def close(self):
@@ -271,7 +271,7 @@
                 pass
             if connection.last is not None:
                 connection.last.done.wait()
-            if connection.closing and not connection.was_cut:
+            if connection.closing and not connection.was_reset:
                 connection.linger()
         except OSError as error:
             logging.debug(
@@ -333,9 +333,9 @@
                 self._send(connection, request, answer, turn)
         except OSError as error:
             logging.debug("request failed, resetting the connection: %s", error)
-            connection.cut()
+            connection.reset()
         except BaseException:
-            connection.cut()
+            connection.reset()
             raise
         finally:
             connection.end(turn)
--- a/comfreywharf/daemon/requests/dispatch.py
+++ b/comfreywharf/daemon/requests/dispatch.py
@@ -25,7 +25,7 @@
 )
 from comfreywharf.transport import CallError
 
-__all__ = ["AnswerCut", "Dispatcher", "LocalAnswerBody", "RemoteAnswerBody"]
+__all__ = ["AnswerTruncated", "Dispatcher", "LocalAnswerBody", "RemoteAnswerBody"]
 
 HOP_MARGIN_S = 0.05
 """How much longer than the request's remaining time a call waits for its answer."""
@@ -33,7 +33,7 @@
 CANCEL_TIMEOUT_S = 0.5
 
 
-class AnswerCut(Exception):
+class AnswerTruncated(Exception):
     """The rest of a streamed answer can't be read."""
 
 
@@ -44,13 +44,13 @@
         self._stream = stream
 
     def parts(self, first):
-        """Yield the body; raises `AnswerCut`, which resets the caller's connection."""
+        """Yield the body; `AnswerTruncated` resets the caller's connection."""
         try:
             yield first
             while part := self._stream.read(PART_BYTES):
                 yield part
         except BackendError as error:
-            raise AnswerCut from error
+            raise AnswerTruncated from error
         finally:
             self._stream.close()
 
@@ -65,7 +65,7 @@
         self._cancel = cancel
 
     def parts(self, first):
-        """Yield the body; raises `AnswerCut`, which resets the caller's connection."""
+        """Yield the body; `AnswerTruncated` resets the caller's connection."""
         whole = False
         try:
             yield first
@@ -84,9 +84,9 @@
                 "read_body", self._stream_id, PART_BYTES * 4, timeout_s=timeout_s
             )
         except CallError as error:
-            raise AnswerCut from error
+            raise AnswerTruncated from error
         if chunk.failed:
-            raise AnswerCut
+            raise AnswerTruncated
         return chunk
 
 
--- a/comfreywharf/daemon/requests/ingress.py
+++ b/comfreywharf/daemon/requests/ingress.py
@@ -8,7 +8,7 @@
 from returns.result import Failure
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.connections.http import NodelayHandler, cut_connection
+from comfreywharf.daemon.connections.http import NodelayHandler, reset_on_close
 from comfreywharf.daemon.requests.bodies import (
     WHOLE_BODY_BYTES,
     BodyError,
@@ -16,7 +16,7 @@
 )
 from comfreywharf.daemon.requests.caller_requests import parse_request
 from comfreywharf.daemon.requests.caller_watch import Call, CallerWatch
-from comfreywharf.daemon.requests.dispatch import AnswerCut
+from comfreywharf.daemon.requests.dispatch import AnswerTruncated
 from comfreywharf.daemon.requests.replies import refusal
 from comfreywharf.routing import Outcome, Reason
 
@@ -120,8 +120,8 @@
         self._streaming += 1
         try:
             yield from parts
-        except AnswerCut:
-            cut_connection(sock)
+        except AnswerTruncated:
+            reset_on_close(sock)
             raise
         finally:
             self._streaming -= 1
