--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/belonging/gossip.py
@@ -295,7 +295,7 @@
         The age that it tells counts from its answer, which came after the question.
         """
         routes = self._node.routes
-        if reply.routes and routes.take(reply.routes):
+        if reply.routes and routes.apply_document(reply.routes):
             self._node.report(
                 "routes_in_force",
                 version=routes.version,
--- a/comfreywharf/daemon/requests/routes.py
+++ b/comfreywharf/daemon/requests/routes.py
@@ -51,7 +51,7 @@
         """Return the table as bytes if it is newer than ``version``, else ``b""``."""
         return self._document if self.version > version else b""
 
-    def take(self, document):
+    def apply_document(self, document):
         """Decode and apply a peer's table; return whether it was newer."""
         try:
             table = decode_table(document)
@@ -60,9 +60,9 @@
                 "ignoring a peer's route table that can't be decoded: %s", error
             )
             return False
-        return self.use(table)
+        return self.apply(table)
 
-    def use(self, table):
+    def apply(self, table):
         """Put a table in force if it is newer; return whether it was."""
         if table.version <= self.version:
             return False
--- a/comfreywharf/daemon/tests/test_declaring.py
+++ b/comfreywharf/daemon/tests/test_declaring.py
@@ -14,7 +14,7 @@
 def make_declaring(servers):
     """Return what declares, for a node that began to plan at 0."""
     routes = Routes()
-    routes.use(make_table())
+    routes.apply(make_table())
     members = {str(n): SimpleNamespace(service="booking") for n in range(servers)}
     node = SimpleNamespace(
         routes=routes,
--- a/comfreywharf/platform/configuration.py
+++ b/comfreywharf/platform/configuration.py
@@ -154,5 +154,5 @@
             # A broken record must not take the node down, nor its routes away.
             self._report("bad_routes", error=str(error))
             return
-        if self._routes.use(table):
+        if self._routes.apply(table):
             self._report("routes_in_force", version=table.version, source="store")
--- a/comfreywharf/routes/tests/test_routes.py
+++ b/comfreywharf/routes/tests/test_routes.py
@@ -41,19 +41,19 @@
     Sequence: a peer brings version 7; the store's answer with version 5 was slow.
     Cause: whatever came last was put in force."""
     routes = Routes()
-    assert routes.use(make_table(version=7))
-    assert not routes.use(make_table(version=5))
-    assert not routes.take(encode_table(make_table(version=7)))
+    assert routes.apply(make_table(version=7))
+    assert not routes.apply(make_table(version=5))
+    assert not routes.apply_document(encode_table(make_table(version=7)))
     assert routes.version == 7
 
 
 def test_a_peer_gets_the_routes_only_if_its_own_are_older():
     """The table travels once, and comes out as it went in."""
     routes = Routes()
-    routes.use(make_table(version=7))
+    routes.apply(make_table(version=7))
     assert routes.document_after(7) == b""
     other = Routes()
-    assert other.take(routes.document_after(6))
+    assert other.apply_document(routes.document_after(6))
     assert other.table == routes.table
 
 
@@ -63,6 +63,6 @@
     with pytest.raises(RouteTableError):
         decode_table(data)
     routes = Routes()
-    routes.use(make_table(version=7))
-    assert not routes.take(data)
+    routes.apply(make_table(version=7))
+    assert not routes.apply_document(data)
     assert routes.version == 7
