--- a/comfreywharf/daemon/tests/test_collecting.py
+++ b/comfreywharf/daemon/tests/test_collecting.py
@@ -10,13 +10,13 @@
 from comfreywharf.daemon.requests.collecting import BodyCollectionLimiter, collect
 
 BODY = b"garment"
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 
 
 def enter(limiter):
     """Return an exit stack that holds the permit for one body."""
     stack = contextlib.ExitStack()
-    stack.enter_context(limiter.permit(boottime_s() + PATIENCE_S))
+    stack.enter_context(limiter.permit(boottime_s() + TIMEOUT_S))
     return stack
 
 
@@ -28,7 +28,7 @@
     gevent.sleep(0)
     assert limiter.waiting == 1
     first.close()
-    third.get(timeout=PATIENCE_S)
+    third.get(timeout=TIMEOUT_S)
     assert not limiter.waiting
     second.close()
 
@@ -48,11 +48,11 @@
     demand = gevent.spawn(upload.await_demand)
     gevent.sleep(0)
     assert not demand.ready()
-    collected = gevent.spawn(collect, upload, len(BODY), boottime_s() + PATIENCE_S)
-    assert demand.get(timeout=PATIENCE_S)
+    collected = gevent.spawn(collect, upload, len(BODY), boottime_s() + TIMEOUT_S)
+    assert demand.get(timeout=TIMEOUT_S)
     upload.put(BODY)
     upload.put(None)
-    assert collected.get(timeout=PATIENCE_S) == BODY
+    assert collected.get(timeout=TIMEOUT_S) == BODY
 
 
 def test_a_truncated_body_raises_body_error():
@@ -61,4 +61,4 @@
     gevent.spawn(upload.put, BODY[:3])
     gevent.spawn(upload.put, None)
     with pytest.raises(BodyError):
-        collect(upload, len(BODY), boottime_s() + PATIENCE_S)
+        collect(upload, len(BODY), boottime_s() + TIMEOUT_S)
