--- a/comfreywharf/daemon/connections/bound_pool.py
+++ b/comfreywharf/daemon/connections/bound_pool.py
@@ -1,4 +1,4 @@
-"""Connections to a backend server that are known to lead to one process of it."""
+"""A client whose pooled connections all lead to one process of a backend server."""
 
 from collections import deque
 
@@ -13,131 +13,134 @@
 __all__ = ["BoundClient"]
 
 REFILL_PAUSE_S = 0.2
-"""A server that is full accepts connections and resets them. Without a pause, eight
-that are wanted were 3,300 attempts within 0.4 s on one machine, at the very server
-that has no room."""
+"""Pause between refills. A server at its connection limit accepts connections and
+resets them. Without a pause, filling a pool of eight took 3,300 attempts within 0.4 s
+on one machine, all of them at the overloaded server."""
 
-VOUCH_TIMEOUT_S = 1.0
-"""A question waits for one of the server's slots, most often for 0.1 s."""
+PROBE_TIMEOUT_S = 1.0
+"""Timeout of the probe request. It waits for one of the server's slots, usually for
+0.1 s."""
 
 
 class BoundClient(SingleSendClient):
-    """An HTTP client whose requests reach one process, and never the next at its place.
-
-    `reach` says which process that is; `borrow` gives a connection to it, on which
-    `exchange` sends, so that the answer can vouch for others.
-
-    The process is lost from sight with the last known connection, and orders may use
-    up one connection after the other: half of them get no answer at times. So the last
-    one carries none, but a question that any process answers, with which it vouches
-    for new ones; ``question()`` returns its target. Only where a refill has shown that
-    the server has room for no other does it carry orders as well.
+    """An HTTP client whose requests never reach a later process at the same address.
+
+    `reach` returns the number of the process; `borrow` returns a connection to it, and
+    `exchange` sends a request on that connection. Each answer confirms that other
+    connections lead to the same process.
+
+    The process can no longer be identified once its last confirmed connection is
+    closed. Orders may use up one connection after the other, since at times half of
+    them get no answer. The last confirmed connection is therefore reserved for a probe
+    request that any process answers, and whose answer confirms new connections;
+    ``probe_target()`` returns the request target of this probe. The last connection
+    carries orders only after a refill has shown that the server accepts no other.
     """
 
-    def __init__(self, host, port, *, question, **settings):
+    def __init__(self, host, port, *, probe_target, **settings):
         super().__init__(host, port, **settings)
-        self._question = question
+        self._probe_target = probe_target
         self._refilling = None
         self._refill_not_before_s = float("-inf")
 
     @property
     def pool_type(self):
-        """Return the pool that follows the process."""
+        """Return the class of the pool, which tracks the process."""
         return _BoundPool
 
     def reach(self):
-        """Return the number of the process at the address, whoever that is.
+        """Return the number of the process that listens at the address.
 
-        Connects where no process is known. Raises `ConnectionRefusedError` where
-        nothing listens, `OSError` where no connection comes about.
+        Opens a connection if no process is known. Raises `ConnectionRefusedError` if
+        nothing listens, and `OSError` if the connection fails for another reason.
         """
         process = self._pool.reach()
         if self._wants_refill():
-            # Due later, it still has to come without another call: the order that
-            # this one is for may wait for it.
+            # The refill is scheduled now even if it is due later: the order that
+            # this call serves may wait for it, and no further call may follow.
             wait_s = max(0.0, self._refill_not_before_s - boottime_s())
             self._refilling = gevent.spawn_later(wait_s, self._refill)
         return process
 
     def borrow(self, process):
-        """Return a connection to a process; ``None`` once that isn't known any more.
+        """Return an idle connection to a process, and wait for one if necessary.
 
-        Waits for one that is idle.
+        Return ``None`` once the process is no longer known.
         """
         return self._pool.borrow(process)
 
     def exchange(self, sock, method, target, header_lines, body):
-        """Send on a connection and return the answer, which vouches for others."""
-        asked = self._pool.bond.asked()
+        """Send on a connection and return the answer, which confirms others."""
+        asked = self._pool.tracker.asked()
 
-        def vouch():
+        def confirm_connections():
             self._pool.answered(sock, asked)
 
         request = (method, target, header_lines, body)
-        return super().exchange(sock, *request, answered=vouch)
+        return super().exchange(sock, *request, answered=confirm_connections)
 
     @property
-    def awaits(self):
-        """Return whether an answer is awaited on a connection that is open."""
+    def awaits_answer(self):
+        """Return whether an answer is pending on an open connection."""
         return self._pool.in_use > 0
 
     def _wants_refill(self):
         if self._refilling is not None and not self._refilling.ready():
             return False
-        return self._pool.missing or self._pool.bond.waits
+        return self._pool.missing or self._pool.tracker.waits
 
     def _refill(self):
         self._refill_not_before_s = boottime_s() + REFILL_PAUSE_S
-        self._pool.refill(self._vouch)
+        self._pool.refill(self._send_probe)
 
-    def _vouch(self):
+    def _send_probe(self):
         try:
-            with gevent.Timeout(VOUCH_TIMEOUT_S):
-                sock = self._pool.borrow(self._pool.bond.process, to_vouch=True)
+            with gevent.Timeout(PROBE_TIMEOUT_S):
+                sock = self._pool.borrow(self._pool.tracker.process, for_probe=True)
                 if sock is not None:
-                    self.exchange(sock, "GET", self._question(), "", b"")
+                    self.exchange(sock, "GET", self._probe_target(), "", b"")
         except (gevent.Timeout, OSError, RuntimeError, HTTPParseError):
-            # The next refill asks again, or finds that the process is gone.
+            # The next refill sends another probe, or finds that the process is gone.
             return
 
 
 class _BoundPool(NodelayPool):
-    """The connections of a `BoundClient`."""
+    """The connection pool of a `BoundClient`."""
 
     def __init__(self, *address, **settings):
         super().__init__(*address, **settings)
-        self.bond = ProcessBond()
+        self.tracker = ProcessBond()
         self._idle = deque()
         self._open = set()
         self._opening = 0
         self._first = None
         self._changed = Event()
-        self._room = self.size
+        self._max_open = self.size
 
     @property
     def in_use(self):
-        """Return how many connections are lent."""
+        """Return how many connections are in use."""
         return len(self._open) - len(self._idle)
 
     @property
     def missing(self):
-        """Return how many connections are still to be opened."""
+        """Return how many connections the pool lacks, without those being opened."""
         if self._closed:
             return 0
         return max(0, self.size - len(self._open) - self._opening)
 
     def reach(self):
         """Return the number of the process at the address; see `BoundClient`."""
-        self._drop_ended()
-        if not self.bond.process and not self._closed:
+        self._drop_closed()
+        if not self.tracker.process and not self._closed:
             self._open_first()
-        return self.bond.process
+        return self.tracker.process
 
     def _open_first(self):
-        """Open a connection to whoever is there; who comes meanwhile waits for it.
+        """Open the first connection; concurrent callers wait for the same one.
 
-        Each request that lacks a grant comes here. With a connection of its own for
-        each, 40 of them had 47 open at a server that was to have 8.
+        Each request that lacks a grant calls this. When each opened a connection of
+        its own, 40 requests had 47 connections open to a server that was to have 8.
         """
         if self._first is not None:
             self._first.get()
@@ -148,93 +151,94 @@
             first.set()
         except OSError as error:
             first.set_exception(error)
-            if not self.bond.process:
+            if not self.tracker.process:
                 raise
         finally:
             self._first = None
 
-    def borrow(self, process, *, to_vouch=False):
+    def borrow(self, process, *, for_probe=False):
         """Return an idle connection to a process; see `BoundClient`."""
         while self._leads_to(process):
-            sock = self._take_idle(to_vouch)
+            sock = self._take_idle(for_probe)
             if sock is not None:
                 return sock
             self._changed.wait()
         return None
 
     def _leads_to(self, process):
-        # What has ended is noticed first: noticed between this look and the wait, it
-        # would wake nobody.
-        self._drop_ended()
-        return bool(process) and self.bond.process == process and not self._closed
+        # Closed connections are dropped before the check. Dropped between the check
+        # and the wait, they would wake no waiter.
+        self._drop_closed()
+        return bool(process) and self.tracker.process == process and not self._closed
 
     def answered(self, sock, asked):
-        """Take note of an answer; who waits may have a connection now."""
-        self.bond.answered(sock, asked)
-        self.tell()
+        """Record an answer, and notify waiters that connections may be available."""
+        self.tracker.answered(sock, asked)
+        self.notify_waiters()
 
-    def refill(self, vouch):
-        """Open what is missing, and call `vouch` if something waits for that.
+    def refill(self, send_probe):
+        """Open missing connections, and call ``send_probe()`` if any is unconfirmed.
 
-        This also finds out how many connections the server has room for. Those that
-        it resets are open for a moment; those that orders lose meanwhile had room.
+        This also determines how many connections the server accepts. Those that it
+        resets are open briefly and don't count; those that were open before and that
+        orders lose in the meantime do count.
         """
         before = len(self._open)
-        self._room = self.size
+        self._max_open = self.size
         self._open_missing()
-        if self.bond.waits:
-            vouch()
-        self._drop_ended()
-        self._room = max(before, len(self._open))
-        self.tell()
+        if self.tracker.waits:
+            send_probe()
+        self._drop_closed()
+        self._max_open = max(before, len(self._open))
+        self.notify_waiters()
 
     def _open_missing(self):
         opening = [gevent.spawn(self._open_another) for _ in range(self.missing)]
         gevent.joinall(opening)
 
     def return_socket(self, sock):
-        """Take back a connection that may be used again."""
+        """Return a reusable connection to the pool."""
         if self._closed or sock not in self._open:
             self.release_socket(sock)
             return
         self._idle.append(sock)
-        self.tell()
+        self.notify_waiters()
 
     def release_socket(self, sock):
         """Close a connection."""
         self._open.discard(sock)
-        self.bond.closed(sock)
+        self.tracker.closed(sock)
         sock.close()
-        self.tell()
+        self.notify_waiters()
 
     def close(self):
-        """Close what is idle, now, and what is in use once it is given back."""
+        """Close idle connections now, and those in use once they are returned."""
         super().close()
         self._drop(list(self._idle))
-        self.tell()
+        self.notify_waiters()
 
-    def tell(self):
-        """Have those who wait for a connection look again."""
+    def notify_waiters(self):
+        """Wake the greenlets that wait for a connection, so that they check again."""
         self._changed.set()
         self._changed.clear()
 
-    def _take_idle(self, to_vouch):
-        """Return the known connection that was idle for longest, or ``None``.
+    def _take_idle(self, for_probe):
+        """Return the confirmed connection that was idle for longest, or ``None``.
 
-        Taken in turn, none of them is closed by the server for being idle.
+        Using them in turn keeps the server from closing any of them for being idle.
         """
-        known = [sock for sock in self._idle if self.bond.knows(sock)]
-        # An order that waits while others get no answer would take the last one when
-        # those are closed, get no answer itself, and put the process out of sight. It
-        # goes out on the last one only once a refill has shown that the server has
-        # room for no other; until then that one is kept to vouch for new ones.
-        last_is_kept = self._room > 1 and not to_vouch
+        known = [sock for sock in self._idle if self.tracker.knows(sock)]
+        # Orders that get no answer have their connections closed. A waiting order
+        # that then took the last confirmed one, and got no answer either, would make
+        # the process impossible to identify. The last one is therefore kept to confirm
+        # new ones, until a refill has shown that the server accepts no other.
+        last_is_kept = self._max_open > 1 and not for_probe
         if not known or (len(known) == 1 and last_is_kept):
             return None
         self._idle.remove(known[0])
         return known[0]
 
-    def _drop_ended(self):
+    def _drop_closed(self):
         self._drop([sock for sock in self._idle if not self._is_socket_alive(sock)])
 
     def _drop(self, socks):
@@ -246,7 +250,7 @@
         try:
             self._open_one()
         except OSError:
-            # The next refill tries again, and `reach` says why it is in vain.
+            # The next refill tries again, and `reach` raises the error to its caller.
             return
 
     def _open_one(self):
@@ -255,11 +259,11 @@
             sock = self._create_socket()
         finally:
             self._opening -= 1
-        if not self.bond.process:
-            # Nothing can vouch for older connections any more. How much room there is
-            # for new ones hasn't been seen yet.
+        if not self.tracker.process:
+            # No confirmed connection is left that could confirm older ones. How many
+            # connections the new process accepts isn't known yet.
             self._drop(list(self._idle))
-            self._room = self.size
+            self._max_open = self.size
         self._open.add(sock)
-        self.bond.opened(sock)
+        self.tracker.opened(sock)
         self.return_socket(sock)
--- a/comfreywharf/daemon/requests/caller_requests.py
+++ b/comfreywharf/daemon/requests/caller_requests.py
@@ -1,4 +1,4 @@
-"""Read a caller's HTTP request into a typed message, or refuse it with a reason."""
+"""Parse a caller's HTTP request into a typed message, or refuse it with a reason."""
 
 import os
 import re
@@ -24,11 +24,12 @@
 RETRIES = 2
 
 TARGET_PASSED_MS = 1
-"""What ``ForwardRequest.target_ms`` holds once an answer is late; 0 means never."""
+"""Value of ``ForwardRequest.target_ms`` once the latency target has passed. A value of
+0 means that there is no target."""
 
 FIRST_SEND = 0
 FIRST_SEND_UNKNOWN = -1
-_LONGEST_AGO_MS = 1 << 30
+_MAX_FIRST_SENT_AGO_MS = 1 << 30
 
 _REQUEST_ID = re.compile(r"[A-Za-z0-9._:-]{1,64}")
 _METHOD = re.compile(r"[A-Z]{1,20}")
@@ -37,7 +38,7 @@
 
 
 def target_left_ms(left_ms):
-    """Return how long an answer is still worth most, as a message carries it.
+    """Return the time left until the latency target, as a message carries it, in ms.
 
     >>> target_left_ms(120.7), target_left_ms(-3)
     (120, 1)
@@ -47,14 +48,14 @@
 
 @attrs.frozen
 class CallerRequest:
-    """The request for the owner, its body left out, and its service."""
+    """The message to the owner without its body, and the requested service."""
 
     request: ForwardRequest
     service: ServiceConfig
 
 
 def parse_request(environ, services) -> Result[CallerRequest, Reason]:
-    """Return the request for the owner, its body left out.
+    """Return the message to the owner without its body.
 
     The path is ``/SERVICE/REST``; the key comes in the header
     ``Comfreywharf-Key``. See docs/interfaces-callers.md.
@@ -78,7 +79,7 @@
     headers, header_bytes = caller_headers(environ)
     if header_bytes > MAX_HEADER_BYTES:
         return Failure(Reason.HEADERS_TOO_LARGE)
-    request_id, first_sent_ago_ms = _identity(environ)
+    request_id, first_sent_ago_ms = _request_identity(environ)
     remaining_ms = _timeout_ms(environ, service)
     if request_id is None or first_sent_ago_ms is None or remaining_ms is None:
         return Failure(Reason.BAD_REQUEST)
@@ -102,11 +103,12 @@
     return Success(CallerRequest(request, service))
 
 
-def _identity(environ):
-    """Return the request id and how long ago it was first sent, in ms.
+def _request_identity(environ):
+    """Return the request id, and how long ago the request was first sent, in ms.
 
-    Either is ``None`` where it can't be read. An id that the caller made may be
-    one that it sent before, unless it says otherwise; an id made here is new.
+    Both are ``None`` if either is malformed. A request with the caller's own id may
+    be a resend, unless the caller states when it was first sent. An id that is
+    generated here is new.
     """
     request_id = environ.get("HTTP_COMFREYWHARF_REQUEST_ID")
     if request_id is None:
@@ -118,7 +120,7 @@
         return request_id, FIRST_SEND_UNKNOWN
     if not _NUMBER.fullmatch(text):
         return None, None
-    return request_id, min(int(text), _LONGEST_AGO_MS)
+    return request_id, min(int(text), _MAX_FIRST_SENT_AGO_MS)
 
 
 def _timeout_ms(environ, service):
--- a/comfreywharf/daemon/requests/caller_watch.py
+++ b/comfreywharf/daemon/requests/caller_watch.py
@@ -1,7 +1,7 @@
-"""Watch callers that wait for an answer: one that hung up needs none.
+"""Detect callers that disconnect while they wait for an answer.
 
-One greenlet looks at all of them a few times a second. Nearly all requests are
-answered before it comes round, and so cost nothing.
+One greenlet polls all of them a few times per second. Nearly all requests are answered
+before the first poll, and so add no cost.
 """
 
 import select
@@ -19,14 +19,15 @@
 
 WATCH_INTERVAL_S = 0.1
 
-_HUNG_UP = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_DISCONNECTED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 @attrs.define(eq=False)
 class Call:
-    """A caller's request while it is served; ``target`` is who has it now.
+    """A caller's request while it is served.
 
-    An answer after ``worth_until_s`` is worth less; ``None`` means never.
+    ``target`` is the node that currently has the request. ``target_deadline_s`` is the
+    time by which an answer meets the latency target, ``None`` if there is no target.
     """
 
     request: ForwardRequest
@@ -35,40 +36,40 @@
     sock: object
     began_s: float
     deadline_s: float
-    worth_until_s: float | None = None
+    target_deadline_s: float | None = None
     target: str = ""
     gone: bool = False
 
 
 class CallerWatch:
-    """Tell of callers that hung up, and end the wait for those that stall.
+    """Report callers that disconnected, and stop reading from those that stall.
 
-    ``on_gone(call)`` is called once for a call whose caller is gone. A caller
-    that closes only its sending side counts as gone.
+    ``on_disconnect(call)`` is called once for a call whose caller disconnected. A
+    caller that closes only its sending side counts as disconnected.
     """
 
-    def __init__(self, on_gone):
-        self._on_gone = on_gone
+    def __init__(self, on_disconnect):
+        self._on_disconnect = on_disconnect
         self._calls = set()
 
     def __len__(self):
         return len(self._calls)
 
     def enter(self, call):
-        """Begin to watch a call."""
+        """Start watching a call."""
         self._calls.add(call)
 
     def leave(self, call):
-        """Watch a call no longer."""
+        """Stop watching a call."""
         self._calls.discard(call)
 
     def run(self):
-        """Look round until the greenlet is killed."""
+        """Poll the callers until the greenlet is killed."""
         while True:
             gevent.sleep(WATCH_INTERVAL_S)
-            self._look(boottime_s())
+            self._poll_callers(boottime_s())
 
-    def _look(self, now_s):
+    def _poll_callers(self, now_s):
         poll = select.poll()
         waiting = {}
         for call in list(self._calls):
@@ -77,22 +78,22 @@
             body = call.body
             if isinstance(body, CallerBody) and body.reading:
                 if now_s > call.deadline_s:
-                    _end_reading(call)
+                    _stop_reading(call)
             elif (number := call.sock.fileno()) >= 0:
                 waiting.setdefault(number, []).append(call)
-                poll.register(number, _HUNG_UP)
+                poll.register(number, _DISCONNECTED)
         if not waiting:
             return
         for number, _ in poll.poll(0):
             for call in waiting[number]:
                 call.gone = True
-                self._on_gone(call)
+                self._on_disconnect(call)
 
 
-def _end_reading(call):
-    # A caller that sends a byte now and then would hold its greenlet, and its
-    # share of the backend server's connections, for as long as it likes. The
-    # sending side stays open: the caller is told.
+def _stop_reading(call):
+    # A caller that sends a byte now and then could occupy its greenlet and a
+    # connection to the backend server without limit. The sending side stays open,
+    # so that the caller still receives the refusal.
     call.body.too_slow = True
     try:
         call.sock.shutdown(socket.SHUT_RD)
--- a/comfreywharf/daemon/requests/forward_calls.py
+++ b/comfreywharf/daemon/requests/forward_calls.py
@@ -1,10 +1,10 @@
-"""The calls between nodes that carry requests and large bodies."""
+"""Handlers of the calls between nodes that carry requests and large bodies."""
 
 import gevent
 from absl import logging
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.requests.bodies import PART_BYTES, Streams, Upload
+from comfreywharf.daemon.requests.bodies import PART_BYTES, StreamTable, Upload
 from comfreywharf.daemon.requests.forwarder import StreamedReply
 from comfreywharf.daemon.requests.replies import refusal
 from comfreywharf.daemon.servers.backend import BackendError
@@ -16,36 +16,36 @@
 __all__ = ["ForwardCalls"]
 
 STREAM_MARGIN_S = 1.0
-"""How long after its deadline a stream is still known by its number."""
+"""How long a stream id stays valid after the stream's deadline."""
 
 TRANSIT_MARGIN_S = 0.1
-"""How long a message may take without any of its request's time being taken off: what a
-busy node needs to send and to read it."""
+"""Transit time of a message that isn't subtracted from its request's time. A busy node
+needs this long to send and to read a message."""
 
-LONGEST_PART_BYTES = PART_BYTES * 4
+MAX_PART_BYTES = PART_BYTES * 4
 
 
 class ForwardCalls:
-    """Each method is one call of the thrift interface ``Node``."""
+    """Implement the request and body calls of the thrift interface ``Node``."""
 
     def __init__(self, node):
         self._node = node
-        self._uploads = Streams()
-        self._downloads = Streams()
-        self._transits = {}
+        self._uploads = StreamTable()
+        self._downloads = StreamTable()
+        self._transit_times = {}
 
     def forward(self, request):
         """Serve a request whose key this node owns."""
-        self._take_off_transit(request)
+        self._subtract_transit_time(request)
         if request.remaining_ms <= 0:
             return refusal(Reason.DEADLINE_BEFORE_START)
         served = self._node.forwarder.serve(request, request.body, boottime_s())
         return self._reply(served)
 
     def open_upload(self, request):
-        """Begin a request whose body follows once it is wanted."""
+        """Start a request whose body is sent once it is wanted."""
         upload = Upload()
-        self._take_off_transit(request)
+        self._subtract_transit_time(request)
         if request.remaining_ms <= 0:
             upload.finish(StreamedReply(refusal(Reason.DEADLINE_BEFORE_START)))
         else:
@@ -55,15 +55,16 @@
         gevent.spawn_later(kept_s, self._uploads.remove, number)
         return UploadOpened(stream_id=number, wanted=upload.await_demand())
 
-    def _take_off_transit(self, request):
-        """Take the time that a request spent in queues on its way off its own.
+    def _subtract_transit_time(self, request):
+        """Subtract the time that a request spent in queues from its remaining time.
 
-        Where none is left, its caller has gone, and the cancellation may be on its way
-        behind it.
+        If none is left, the caller has disconnected, and a cancellation may follow.
         """
         if not request.sent_ms:
             return
-        transits = self._transits.setdefault(request.ingress_node_id, TransitTimes())
+        transits = self._transit_times.setdefault(
+            request.ingress_node_id, TransitTimes()
+        )
         queued_s = transits.queued_s(request.sent_ms / 1000, boottime_s())
         request.remaining_ms -= max(0, int((queued_s - TRANSIT_MARGIN_S) * 1000))
 
@@ -71,16 +72,16 @@
         try:
             upload.finish(self._node.forwarder.serve(request, upload, now_s))
         except Exception:
-            logging.exception("an upload failed")
+            logging.exception("unexpected error while serving an upload")
             upload.finish(StreamedReply(refusal(Reason.INTERNAL)))
 
     def write_upload(self, stream_id, data):
-        """Take a part; false if no more is wanted."""
+        """Accept a part of a body; return false if no more is wanted."""
         upload = self._uploads.get(stream_id)
         return upload is not None and upload.put(data)
 
     def finish_upload(self, stream_id):
-        """End the body and return the reply."""
+        """Mark the end of the body, and return the reply."""
         upload = self._uploads.remove(stream_id)
         if upload is None:
             return refusal(Reason.INTERNAL)
@@ -106,7 +107,7 @@
         if stream is None:
             return BodyChunk(data=b"", last=True, failed=True)
         try:
-            data = stream.read(max(1, min(max_bytes, LONGEST_PART_BYTES)))
+            data = stream.read(max(1, min(max_bytes, MAX_PART_BYTES)))
         except BackendError:
             self._downloads.remove(stream_id)
             return BodyChunk(data=b"", last=True, failed=True)
--- a/comfreywharf/daemon/requests/forwarder.py
+++ b/comfreywharf/daemon/requests/forwarder.py
@@ -1,4 +1,4 @@
-"""The owner's side: hand a request to the backend server beside this node."""
+"""The owner's side: forward a request to the backend server beside this node."""
 
 import gevent
 from geventhttpclient.response import HTTPParseError
@@ -6,7 +6,11 @@
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.requests.bodies import WHOLE_BODY_BYTES, BodyError
 from comfreywharf.daemon.requests.memory import resend_mark
-from comfreywharf.daemon.requests.replies import answer_of, refusal, remembered
+from comfreywharf.daemon.requests.replies import (
+    answer_to_remember,
+    refusal,
+    reply_from_answer,
+)
 from comfreywharf.daemon.requests.running import RunningRequests
 from comfreywharf.daemon.requests.wire import answer_headers
 from comfreywharf.daemon.servers.backend import BackendError
@@ -22,11 +26,11 @@
 __all__ = ["AnswerStream", "Forwarder", "StreamedReply"]
 
 RESEND_MARGIN_S = 1.0
-"""How long a request may have been on its way before its age was counted."""
+"""Time that a request may have been in transit before its age was measured."""
 
 
 class StreamedReply:
-    """A reply, and the `AnswerStream` that the rest of its body is read from."""
+    """A reply, and the `AnswerStream` for the rest of its body, or ``None``."""
 
     def __init__(self, reply, stream=None):
         self.reply = reply
@@ -34,7 +38,7 @@
 
 
 class AnswerStream:
-    """The rest of an answer; the request ends with it."""
+    """The rest of an answer. The request ends when it is closed."""
 
     def __init__(self, response, deadline_s, close):
         self._response = response
@@ -42,7 +46,7 @@
         self._close = close
 
     def read(self, size_bytes):
-        """Return the next part, nothing at the end; raises `BackendError`."""
+        """Return the next part, or ``b""`` at the end; raises `BackendError`."""
         try:
             with gevent.Timeout(self.deadline_s - boottime_s()):
                 part = self._response.read(size_bytes)
@@ -54,7 +58,7 @@
         return part
 
     def close(self):
-        """End the request; if its answer wasn't read to the end, cancel it."""
+        """End the request, and cancel it unless its answer was read to the end."""
         close, self._close = self._close, None
         if close is not None:
             self._response.release()
@@ -69,7 +73,7 @@
         self._running = RunningRequests(node)
 
     def serve(self, request, body, now_s):
-        """Forward to the backend server and return a `StreamedReply`.
+        """Forward a request to the backend server and return a `StreamedReply`.
 
         ``body`` is bytes or an iterator of bytes.
         """
@@ -87,8 +91,8 @@
                 return StreamedReply(refusal(right.reason, owner_hint=hint))
             self._node.load_reports.count(right)
             self._node.load.count(right)
-            once = request.key and request.method not in SAFE_METHODS
-            if not once or not self._node.ports.remembers:
+            must_run_once = request.key and request.method not in SAFE_METHODS
+            if not must_run_once or not self._node.ports.remembers:
                 return self._forward(request, body, right, deadline_s, None)
             served = self._serve_once(request, body, right, now_s, deadline_s)
             if served is not None:
@@ -101,13 +105,14 @@
         return len(self._running)
 
     def cancel(self, service, key_hash, request_id):
-        """Cancel a request whose caller is gone, if it still runs."""
+        """Cancel a request whose caller disconnected, if it still runs."""
         self._running.cancel(RequestKey(service, key_hash, request_id))
 
     def _serve_once(self, request, body, right, now_s, deadline_s):
-        """Run a request unless it ran before; ``None`` if it has to be asked again.
+        """Run a request unless it ran before; return a `StreamedReply`.
 
-        That is the case after a wait for the same request's first send.
+        Return ``None`` if the caller has to try again, which is the case after a wait
+        for the first send of the same request.
         """
         node = self._node
         key = RequestKey(request.service_name, right.key_hash, request.request_id)
@@ -122,13 +127,13 @@
             return self._run_and_remember(request, body, right, deadline_s, key)
         node.leases.finish(right)
         if found.begin_status == BeginStatus.RUNNING:
-            # The right isn't kept during the wait: it would hold up a move of
-            # the key, although nothing was forwarded under it.
+            # The right to serve is released during the wait. It would delay a move
+            # of the key, although nothing was forwarded under it.
             if node.memory.wait(key, deadline_s - boottime_s()):
                 return None
             return StreamedReply(refusal(Reason.DEADLINE_PASSED))
         if found.begin_status == BeginStatus.KNOWN:
-            return StreamedReply(remembered(found.answer))
+            return StreamedReply(reply_from_answer(found.answer))
         if found.begin_status == BeginStatus.REUSED:
             return StreamedReply(refusal(Reason.REQUEST_ID_REUSED))
         return StreamedReply(refusal(Reason.NOT_VOUCHED))
@@ -150,23 +155,25 @@
         finally:
             if served is None:
                 reply = refusal(Reason.INTERNAL)
-                memory.finish(key, answer_of(reply, True), boottime_s())
+                memory.finish(key, answer_to_remember(reply, True), boottime_s())
             elif served.reply.outcome == Outcome.NOT_RUN:
                 memory.forget(key)
             else:
-                answer = answer_of(served.reply, served.stream is None)
+                answer = answer_to_remember(served.reply, served.stream is None)
                 memory.finish(key, answer, boottime_s())
 
     def _forward(self, request, body, right, deadline_s, key):
         node = self._node
         backend = node.backend
         deadline_s = min(deadline_s, right.deadline_s)
-        # An address may be given to a server of another service. A node that
-        # hasn't folded this yet sends its requests here all the same.
-        strange = backend and backend.announcement.service != request.service_name
-        if backend is None or strange or boottime_s() >= deadline_s:
+        # An address may be reassigned to a server of another service. A node that
+        # hasn't folded this record yet still sends its requests here.
+        is_other_service = (
+            backend and backend.announcement.service != request.service_name
+        )
+        if backend is None or is_other_service or boottime_s() >= deadline_s:
             node.leases.finish(right)
-            if backend is None or strange:
+            if backend is None or is_other_service:
                 reply = refusal(Reason.NO_BACKEND, retry_after_ms=1000)
             else:
                 reply = refusal(Reason.DEADLINE_BEFORE_START)
@@ -180,14 +187,14 @@
         try:
             return exchange.run(request, running.slot.body)
         except BaseException:
-            # Whatever went wrong, the request may have been sent.
+            # Whatever the error was, the request may have been sent.
             exchange.give_up()
             raise
 
     def _admit(self, request, body, running):
-        """Wait for a slot of the backend server; return a refusal instead of one."""
+        """Wait for a slot of the backend server; return a refusal, or ``None``."""
         reply = None
-        asked_s = boottime_s()
+        queued_since_s = boottime_s()
         try:
             running.slot = self._node.load.enter(request, body, running)
             reply = running.slot.refused
@@ -195,9 +202,9 @@
             reply = refusal(error.reason, outcome=Outcome.NOT_RUN)
         finally:
             if running.slot is None or reply is not None:
-                self._running.settled(running)
+                self._running.complete(running)
         metrics, service = self._node.metrics, request.service_name
-        metrics.stage_ended(service, "queue", boottime_s() - asked_s)
+        metrics.stage_ended(service, "queue", boottime_s() - queued_since_s)
         if reply is not None:
             metrics.not_admitted(service, reply.reason)
             state = self._node.load.admission_state
@@ -206,7 +213,7 @@
 
 
 class _Exchange:
-    """One try of a request at the backend server."""
+    """One attempt of a request at the backend server."""
 
     def __init__(self, node, all_running, running, backend, key):
         self._node = node
@@ -227,7 +234,7 @@
             self._node.load.refused(
                 self._running.slot, Reason.BAD_REQUEST, self._backend
             )
-            self._settle()
+            self._complete()
             return StreamedReply(refusal(Reason.BAD_REQUEST))
         sent_s = boottime_s()
         try:
@@ -243,15 +250,15 @@
             return StreamedReply(reply)
 
     def give_up(self):
-        """End the request later: it may still take effect."""
+        """Stop waiting for the request, which may still take effect and ends later."""
         if not self._ended:
             self._ended = True
-            self._all_running.unsettled(self._running, self._backend, self._forget)
+            self._all_running.complete_later(self._running, self._backend, self._forget)
 
-    def _settle(self):
+    def _complete(self):
         if not self._ended:
             self._ended = True
-            self._all_running.settled(self._running)
+            self._all_running.complete(self._running)
 
     def _forget(self):
         if self._key is not None:
@@ -268,7 +275,7 @@
         reply = refusal(reason)
         if reply.outcome == Outcome.NOT_RUN:
             reply.retry_after_ms = self._node.ports.refused_retry_after_ms
-            self._settle()
+            self._complete()
         else:
             self.give_up()
         return StreamedReply(reply)
@@ -279,20 +286,22 @@
             refused = self._dialect.refused(response)
             if refused is not None:
                 return self._refuse(refused)
-            if not self._dialect.belongs(response, self._running.key.request_id):
+            if not self._dialect.answers_request(
+                response, self._running.key.request_id
+            ):
                 raise BackendError(Reason.ANSWER_MIXED, "an answer to another request")
-            # A node resumed after a long pause still believes in its lease.
-            # One would see two owners answer for one key within a lease's
-            # length; what comes this late is told as unknown.
+            # A node that resumes after a long pause still considers its lease valid.
+            # Callers would get answers of two owners for one key within the length
+            # of a lease. The outcome of such a late answer is reported as unknown.
             if not self._node.leases.still_held(self._running.right, boottime_s()):
                 raise BackendError(Reason.LEASE_LAPSED, "the answer came too late")
         except BaseException:
             response.release()
             raise
         self._node.load.answered(self._running.slot)
-        reply = _answered(response, body)
+        reply = _forward_reply(response, body)
         if response.whole and not response.buffered_bytes:
-            self._settle()
+            self._complete()
             return StreamedReply(reply)
         stream = AnswerStream(response, self._running.deadline_s, self._close_stream)
         self._running.abort = stream.close
@@ -313,13 +322,13 @@
 
     def _close_stream(self, whole):
         if whole:
-            self._settle()
+            self._complete()
         else:
-            self._node.load.cut_off(self._running.slot, self._backend)
+            self._node.load.answer_interrupted(self._running.slot, self._backend)
             self.give_up()
 
 
-def _answered(response, body):
+def _forward_reply(response, body):
     headers = answer_headers(response)
     length = response.get("content-length")
     if length and (response.method == "HEAD" or not response.whole):
--- a/comfreywharf/daemon/requests/ingress.py
+++ b/comfreywharf/daemon/requests/ingress.py
@@ -1,4 +1,4 @@
-"""The callers' port: find the owner of a key and pass the request on."""
+"""The callers' port: accept requests, dispatch them and return their answers."""
 
 from http.client import responses
 
@@ -8,7 +8,7 @@
 from returns.result import Failure
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.connections.http import NodelayHandler, cut_connection
+from comfreywharf.daemon.connections.http import NodelayHandler, reset_on_close
 from comfreywharf.daemon.requests.bodies import (
     WHOLE_BODY_BYTES,
     BodyError,
@@ -16,7 +16,7 @@
 )
 from comfreywharf.daemon.requests.caller_requests import parse_request
 from comfreywharf.daemon.requests.caller_watch import Call, CallerWatch
-from comfreywharf.daemon.requests.dispatch import AnswerCut
+from comfreywharf.daemon.requests.dispatch import AnswerTruncated
 from comfreywharf.daemon.requests.replies import refusal
 from comfreywharf.routing import Outcome, Reason
 
@@ -32,7 +32,7 @@
 
 @attrs.frozen(kw_only=True)
 class BodySource:
-    """Where a caller's body is read from, and how long it says it is."""
+    """The stream of a caller's body, with its declared length and transfer coding."""
 
     coding: str | None
     length: int
@@ -59,13 +59,13 @@
         return len(self.watch) + self._streaming
 
     def make_server(self, host, port):
-        """Return the server; it isn't started yet."""
+        """Return the server, not yet started."""
         return pywsgi.WSGIServer(
             (host, port), self, log=None, handler_class=NodelayHandler, backlog=1024
         )
 
     def __call__(self, environ, start_response):
-        """Answer one caller."""
+        """Answer one request."""
         now_s = boottime_s()
         parsed = parse_request(environ, self._node.follower.state.config.services)
         if isinstance(parsed, Failure):
@@ -83,7 +83,7 @@
         return _respond(start_response, environ, reply, request_id, parts)
 
     def refuse(self, reason, now_s, request_id=""):
-        """Return the reply to a request that isn't one."""
+        """Return the reply to a request that is refused before it is dispatched."""
         reply = refusal(reason)
         self._node.meter.refused_at_once(reply, now_s)
         self._node.decisions.turned_away(request_id, reply, now_s)
@@ -92,36 +92,36 @@
     def serve(self, parsed, source, sock, now_s):
         """Return ``(reply, parts)`` for a `CallerRequest`.
 
-        ``parts`` yields the body where that isn't in the reply; it is ``None``
-        otherwise.
+        ``parts`` yields the body of a streamed answer; it is ``None`` if the whole
+        body is in the reply.
         """
         call = self._call(parsed, sock, now_s)
         self.watch.enter(call)
         try:
             refused = self._read_body(source, call)
             if refused is not None:
-                reply, rest = refusal(refused), None
+                reply, body_stream = refusal(refused), None
             else:
-                reply, rest = self._dispatcher.dispatch(call)
+                reply, body_stream = self._dispatcher.dispatch(call)
         except Exception:
-            # What failed here may have happened after the request was sent.
-            logging.exception("a request failed in the router")
-            reply, rest = refusal(Reason.INTERNAL), None
+            # The error may have occurred after the request was sent.
+            logging.exception("unexpected error while serving a caller's request")
+            reply, body_stream = refusal(Reason.INTERNAL), None
         finally:
             self.watch.leave(call)
         self._node.meter.request_ended(call, reply)
         self._node.decisions.ended(call, reply, boottime_s())
-        if rest is None:
+        if body_stream is None:
             return reply, None
-        return reply, self._passed_on(rest.parts(reply.body), call.sock)
+        return reply, self._stream_to_caller(body_stream.parts(reply.body), call.sock)
 
-    def _passed_on(self, parts, sock):
-        """Yield the parts of an answer; cut the caller's connection at an error."""
+    def _stream_to_caller(self, parts, sock):
+        """Yield the parts of an answer; reset the caller's connection on an error."""
         self._streaming += 1
         try:
             yield from parts
-        except AnswerCut:
-            cut_connection(sock)
+        except AnswerTruncated:
+            reset_on_close(sock)
             raise
         finally:
             self._streaming -= 1
@@ -136,13 +136,13 @@
             sock=sock,
             began_s=now_s,
             deadline_s=now_s + request.remaining_ms / 1000,
-            worth_until_s=now_s + request.target_ms / 1000
+            target_deadline_s=now_s + request.target_ms / 1000
             if request.target_ms
             else None,
         )
 
     def _read_body(self, source, call):
-        """Read a short body, prepare a long one; return a `Reason` to refuse it."""
+        """Read a short body, or set up a long one; return a `Reason` to refuse it."""
         limit_bytes = call.service.max_body_bytes
         length = source.length
         if source.coding is None:
--- a/comfreywharf/daemon/requests/members.py
+++ b/comfreywharf/daemon/requests/members.py
@@ -1,4 +1,4 @@
-"""The shell around the choice among backend servers that aren't divided by key."""
+"""The I/O shell around the choice of a member for services not divided by key."""
 
 import random
 
@@ -8,14 +8,14 @@
 from comfreywharf.load import Absences, Ejector, MemberLoad
 from comfreywharf.routing import Outcome, Reason
 
-__all__ = ["Members", "Sent"]
+__all__ = ["Members", "SentRequest"]
 
 LIST_AGE_S = 0.1
-"""How old the list of a service's members may be. Going through all members for
-each request would cost more than the request where there are hundreds."""
+"""Maximum age of the list of a service's members. With hundreds of members, listing
+them for each request would cost more than the request itself."""
 
 _ABSENT = frozenset({Reason.NO_BACKEND, Reason.PEER_UNREACHABLE, Reason.DRAINING})
-"""Refusals of a member that isn't there, or whose server isn't."""
+"""Refusals that show that a member or its backend server is absent."""
 
 _FAILURES = frozenset(
     {
@@ -26,12 +26,12 @@
         Reason.DEADLINE_PASSED,
     }
 )
-"""Refusals that speak against the backend server or the node beside it."""
+"""Refusals that count as failures of the backend server or the node beside it."""
 
 
 @attrs.frozen
-class Sent:
-    """A request on its way to a member; ``probe`` if the member was out."""
+class SentRequest:
+    """A request in flight to a member; ``probe`` is true if the member was ejected."""
 
     service: str
     member: MemberLoad
@@ -39,10 +39,10 @@
     probe: bool
 
 
-class _Service:
-    """The members of one service, as this node measured them.
+class _ServiceMembers:
+    """The members of one service, with this node's measurements.
 
-    ``present`` are those that take new work, as of ``listed_s``.
+    ``present`` are those that accept new work, as of ``listed_s``.
     """
 
     def __init__(self, chooser):
@@ -55,86 +55,86 @@
 
 
 class Members:
-    """Measure the members of each service, and choose among them."""
+    """Measure the members of each service, and choose one for each request."""
 
     def __init__(self, node):
         self._node = node
         self._services = {}
-        self._chance = random.Random(f"{node.settings.node_id} {node.incarnation}")
+        self._random = random.Random(f"{node.settings.node_id} {node.incarnation}")
 
     def choose(self, service, excluded=(), idempotent=True):
-        """Return the node id of a member, or nothing if there is none."""
+        """Return the node id of a member, or an empty text if there is none."""
         now_s = boottime_s()
-        known = self._listed(service, now_s)
-        present = known.present
+        group = self._current_members(service, now_s)
+        present = group.present
         if excluded:
             present = [m for m in present if m.node_id not in excluded]
-        present = known.absences.usable(present, now_s)
+        present = group.absences.usable(present, now_s)
         if not present:
             return ""
-        usable = known.ejector.usable(present, now_s, idempotent)
-        return known.chooser.choose(usable, self._chance).node_id
+        usable = group.ejector.usable(present, now_s, idempotent)
+        return group.chooser.choose(usable, self._random).node_id
 
     def designated(self, service, name):
-        """Return the one member that runs a suspect, the same at all nodes."""
-        known = self._listed(service, boottime_s())
+        """Return the member that runs a suspect, which is the same on all nodes."""
+        group = self._current_members(service, boottime_s())
         return min(
-            (m.node_id for m in known.present),
+            (m.node_id for m in group.present),
             key=lambda node_id: random.Random(f"{name} {node_id}").random(),
             default="",
         )
 
     def sent(self, service, node_id):
-        """Note that a request is sent; end it with `ended`."""
-        known = self._services.get(service)
-        member = known.members.get(node_id) if known else None
+        """Record a sent request; pass the result to `record_outcome` later."""
+        group = self._services.get(service)
+        member = group.members.get(node_id) if group else None
         if member is None:
             return None
         now_s = boottime_s()
-        sent = Sent(service, member, now_s, known.ejector.is_out(node_id))
+        sent = SentRequest(service, member, now_s, group.ejector.is_out(node_id))
         member.begin()
-        known.absences.asked(node_id)
-        known.ejector.begun(member, now_s)
+        group.absences.asked(node_id)
+        group.ejector.begun(member, now_s)
         return sent
 
-    def ended(self, sent, reply):
-        """Weigh the outcome of a request; ``reply`` is ``None`` if it broke off."""
+    def record_outcome(self, sent, reply):
+        """Record the outcome of a request; ``reply`` is ``None`` after an exception."""
         if sent is None:
             return
-        known = self._services[sent.service]
-        self._note_presence(known, sent, reply)
+        group = self._services[sent.service]
+        self._update_absences(group, sent, reply)
         failed = _failed(reply)
         if failed is None:
             if reply is not None and reply.reason == Reason.OVERLOADED:
                 sent.member.crowded()
             else:
                 sent.member.drop()
-            known.ejector.dropped(sent.member, sent.probe)
+            group.ejector.dropped(sent.member, sent.probe)
             return
         now_s = boottime_s()
         latency_s = now_s - sent.sent_s
         sent.member.finish(latency_s, failed)
-        changed = known.ejector.finished(
+        changed = group.ejector.finished(
             sent.member,
-            list(known.members.values()),
+            list(group.members.values()),
             latency_s,
             failed,
             now_s,
             sent.probe,
         )
         if changed is not None:
-            self._tell(sent, *changed)
+            self._report_ejection(sent, *changed)
 
     @staticmethod
-    def _note_presence(known, sent, reply):
+    def _update_absences(group, sent, reply):
         if reply is None:
-            known.absences.dropped(sent.member.node_id)
+            group.absences.dropped(sent.member.node_id)
         elif reply.reason and Reason(reply.reason) in _ABSENT:
-            known.absences.missed(sent.member.node_id, boottime_s())
+            group.absences.missed(sent.member.node_id, boottime_s())
         else:
-            known.absences.met(sent.member.node_id, boottime_s())
+            group.absences.met(sent.member.node_id, boottime_s())
 
-    def _tell(self, sent, node_id, out):
+    def _report_ejection(self, sent, node_id, out):
         if not out:
             self._node.report("member_returned", service=sent.service, member=node_id)
             return
@@ -146,33 +146,35 @@
             latency_ms=round(sent.member.mean_latency_s * 1000, 1),
         )
 
-    def _listed(self, service, now_s):
-        known = self._services.get(service)
-        if known is None:
-            known = self._services[service] = _Service(self._node.ports.make_chooser())
-        if now_s - known.listed_s > LIST_AGE_S:
-            known.listed_s = now_s
-            self._list_members(service, known)
-        return known
-
-    def _list_members(self, service, known):
-        everyone = self._node.follower.state.members.values()
-        latest = _latest_at_address(everyone)
+    def _current_members(self, service, now_s):
+        group = self._services.get(service)
+        if group is None:
+            group = self._services[service] = _ServiceMembers(
+                self._node.ports.make_chooser()
+            )
+        if now_s - group.listed_s > LIST_AGE_S:
+            group.listed_s = now_s
+            self._list_members(service, group)
+        return group
+
+    def _list_members(self, service, group):
+        all_members = self._node.follower.state.members.values()
+        latest = _latest_at_address(all_members)
         entries = [
             entry
-            for entry in everyone
+            for entry in all_members
             if entry.service == service and latest[_address(entry)] is entry
         ]
         members = {}
         own_domain = self._node.settings.failure_domain
         for entry in entries:
-            member = known.members.get(entry.node_id) or MemberLoad(entry.node_id)
+            member = group.members.get(entry.node_id) or MemberLoad(entry.node_id)
             if member.announced_offset != entry.announced_offset:
                 member.started_again(entry.announced_offset)
             member.near = entry.failure_domain == own_domain
             members[entry.node_id] = member
-        known.members = members
-        known.present = [members[e.node_id] for e in entries if not e.draining]
+        group.members = members
+        group.present = [members[e.node_id] for e in entries if not e.draining]
 
 
 def _address(entry):
@@ -180,22 +182,22 @@
 
 
 def _latest_at_address(members):
-    """Return the member at each address: the one that announced itself last.
+    """Return the member that announced itself last at each address.
 
-    An address may be given to another machine before the lost one is forgotten. For
-    ten seconds half of the requests then went to a node beside a server of another
-    service, which could only refuse them.
+    An address may be reassigned to another machine before the lost one is removed. If
+    both were used, half of the requests would for ten seconds go to a node beside a
+    server of another service, which can only refuse them.
     """
     latest = {}
     for entry in members:
-        known = latest.get(_address(entry))
-        if known is None or entry.announced_offset > known.announced_offset:
+        other = latest.get(_address(entry))
+        if other is None or entry.announced_offset > other.announced_offset:
             latest[_address(entry)] = entry
     return latest
 
 
 def _failed(reply):
-    """Return whether a reply speaks against its member; ``None`` if for neither."""
+    """Return whether a reply is a failure of its member; ``None`` if it isn't known."""
     if reply is None:
         return None
     if reply.outcome == Outcome.ANSWERED and not reply.reason:
--- a/comfreywharf/daemon/requests/quarantine.py
+++ b/comfreywharf/daemon/requests/quarantine.py
@@ -1,4 +1,4 @@
-"""The shell around the quarantine: crashes of the backend server, notices."""
+"""The I/O shell around the quarantine: detected crashes, and notices to peers."""
 
 import itertools
 
@@ -12,92 +12,94 @@
 __all__ = ["QuarantineShell", "request_fingerprint"]
 
 PROBE_WAIT_S = 0.1
-"""How long a lost request's answer waits until the server was tried, and peers
-were told."""
+"""How long the reply to a lost request is delayed while the server's port is probed and
+peers are notified."""
 
 PROBE_PAUSES_S = (0.002, 0.01, 0.03, 0.1)
-"""Between tries of a port: a dying process may close its listening socket last."""
+"""Pauses between probes of a port. A crashing process may close its listening socket
+last."""
 
-TOLD_DIRECTLY = 64
-"""How many members of the service are told of a crash by the node itself."""
+MAX_DIRECT_NOTICES = 64
+"""How many members of the service the node itself notifies of a crash."""
 
 
 def request_fingerprint(request, body):
     """Return the fingerprint of a `ForwardRequest`.
 
-    Where the body follows its request, the ingress node has made it. Of another
-    body in parts the first one is waited for; `BodyError` if it can't be had.
+    If the body is sent after its request, the ingress node has set the fingerprint.
+    For another streamed body, wait for its first part; raises `BodyError` if that
+    can't be read.
     """
     if request.fingerprint:
         return request.fingerprint
-    known = body if isinstance(body, bytes) else body.first_part()
+    known_part = body if isinstance(body, bytes) else body.first_part()
     return fingerprint(
-        request.service_name, request.key, request.method, request.path, known
+        request.service_name, request.key, request.method, request.path, known_part
     )
 
 
 class QuarantineShell:
-    """Suspects and condemned requests, as this node and its peers know them."""
+    """Suspect and condemned requests that this node or its peers know of."""
 
     def __init__(self, node):
         self._node = node
-        self._known = Quarantine()
-        self._watch = CrashWatch()
+        self._quarantine = Quarantine()
+        self._crash_watch = CrashWatch()
         self._numbers = itertools.count(1)
         self._crashed_s = float("-inf")
         for kind in (SUSPECT, LIFTED):
-            node.notices.subscribe(kind, self._learn)
+            node.notices.subscribe(kind, self._receive_notice)
         node.follower.subscribe(self._on_folded)
 
     def is_empty(self):
-        """Return whether no request is under suspicion, so that none need be tried."""
-        return not len(self._known)
+        """Return whether no request is suspect or condemned."""
+        return not len(self._quarantine)
 
     def standing(self, name, now_s):
         """Return the `Standing` of a fingerprint."""
-        return self._known.standing(name, now_s)
+        return self._quarantine.standing(name, now_s)
 
     def retry_after_ms(self, name, now_s):
-        """Return when a condemned request may come back."""
-        return int(self._known.retry_after_s(name, now_s) * 1000)
+        """Return after how many ms a condemned request may be sent again."""
+        return int(self._quarantine.retry_after_s(name, now_s) * 1000)
 
     def list(self, now_s):
-        """Return a `QuarantineEntry` for each request under suspicion."""
-        return self._known.list(now_s)
+        """Return a `QuarantineEntry` for each suspect or condemned request."""
+        return self._quarantine.list(now_s)
 
     def lift(self, name):
-        """Let a request run again, at all nodes; false if it isn't known."""
-        notices = self._known.lift(name, boottime_s())
+        """Let a request run again on all nodes; return false if it is unknown."""
+        notices = self._quarantine.lift(name, boottime_s())
         if notices:
             self._node.report("quarantine_lifted", fingerprint=name)
         self._publish(notices)
         return bool(notices)
 
     def suspect(self, name, service):
-        """Guard a request whose server was lost, before a crash is confirmed."""
-        self._known.suspect(name, service, boottime_s())
+        """Mark a request as suspect before the crash of its server is confirmed."""
+        self._quarantine.suspect(name, service, boottime_s())
 
-    def cleared(self, name):
-        """Take the answer to a suspect that another node ran alone."""
-        self._known.answered(name, boottime_s())
+    def clear_suspect(self, name):
+        """Clear a suspect that another node ran alone and got an answer to."""
+        self._quarantine.answered(name, boottime_s())
 
-    def begun(self, slot):
-        """Note a request that is about to be forwarded."""
-        self._watch.begun(slot, slot.ticket.alone)
+    def record_start(self, slot):
+        """Record a request that is about to be forwarded."""
+        self._crash_watch.begun(slot, slot.ticket.alone)
 
-    def ended(self, slot, answered):
-        """Note the end of a request; a suspect that was answered is cleared."""
-        self._watch.ended(slot)
+    def record_end(self, slot, answered):
+        """Record the end of a request; a suspect that was answered is cleared."""
+        self._crash_watch.ended(slot)
         if answered and slot.ticket.alone:
-            self._publish(self._known.answered(slot.fingerprint, boottime_s()))
+            self._publish(self._quarantine.answered(slot.fingerprint, boottime_s()))
 
     def lost(self, slot, backend, wait_s=PROBE_WAIT_S):
-        """Take a lost connection; find out whether the backend server died.
+        """Record a lost connection, and probe whether the backend server crashed.
 
-        The caller may send its request again as soon as it has its answer. The
-        answer therefore waits for a moment, so that the peers are told first.
+        The caller may send its request again as soon as it has a reply. The reply is
+        therefore delayed by up to ``wait_s``, so that the peers are notified first.
         """
-        if self._watch.lost(slot, boottime_s()):
+        if self._crash_watch.lost(slot, boottime_s()):
             gevent.spawn(self._probe, backend).join(wait_s)
 
     def _probe(self, backend):
@@ -108,9 +110,9 @@
             gevent.sleep(pause_s)
 
     def confirm(self):
-        """Take the word that the backend server died or was started anew."""
+        """Handle the confirmation that the backend server crashed or was restarted."""
         now_s = boottime_s()
-        loss = self._watch.confirmed(now_s)
+        loss = self._crash_watch.confirmed(now_s)
         if loss is None or not loss.runs:
             return
         node = self._node
@@ -125,18 +127,18 @@
             in_flight=len(loss.runs),
             alone=crash.alone,
         )
-        self._publish(self._known.crashed(crash_id, service, crash, now_s))
+        self._publish(self._quarantine.crashed(crash_id, service, crash, now_s))
         if crash.alone:
             node.report("request_condemned", fingerprint=crash.fingerprints[0])
-        node.load.backend_died()
-        self._tell_directly(service)
+        node.load.reset_admission()
+        self._notify_directly(service)
 
-    def _tell_directly(self, service):
-        """Tell the servers that may get a suspect next, before its caller can.
+    def _notify_directly(self, service):
+        """Notify the nodes that may get a suspect next, before its caller resends it.
 
-        Gossip reaches a node within seconds, and most at once. Where the next
-        server of a suspect is among the others, it runs it beside all else: one
-        would see a crash more for each node that wasn't told.
+        Gossip reaches most nodes at once, and the others within seconds. A node that
+        hasn't been notified runs a suspect beside other requests, so that each such
+        node can cost another crash.
         """
         node = self._node
         others = [
@@ -144,18 +146,20 @@
             for member in node.follower.state.members.values()
             if member.service == service and member.node_id != node.settings.node_id
         ]
-        gevent.joinall(node.gossip.push_to(others[:TOLD_DIRECTLY]), PROBE_WAIT_S)
+        gevent.joinall(node.gossip.push_to(others[:MAX_DIRECT_NOTICES]), PROBE_WAIT_S)
 
     def _on_folded(self, record, result):
-        """Tell a newcomer of this node's crash: it wasn't there to be told."""
+        """Notify a node that joined after this node's notices of a crash."""
         if boottime_s() - self._crashed_s > CONDEMNED_S:
             return
         if isinstance(record, NodeAnnounced) and result.accepted:
             self._node.gossip.push_to([record.node_id])
 
-    def _learn(self, notice):
+    def _receive_notice(self, notice):
         try:
-            self._known.learn(notice.kind, notice.subject, notice.value, boottime_s())
+            self._quarantine.learn(
+                notice.kind, notice.subject, notice.value, boottime_s()
+            )
         except ValueError:
             self._node.report("bad_notice", kind=notice.kind)
 
--- a/comfreywharf/daemon/requests/replies.py
+++ b/comfreywharf/daemon/requests/replies.py
@@ -1,18 +1,18 @@
-"""Replies that a node gives by itself, without a backend server's answer."""
+"""Replies that a node creates itself, without an answer of the backend server."""
 
 from comfreywharf.routing import Answer, Outcome, Reason, status_of
 from comfreywharf.transport.gen.ttypes import ForwardReply, Header
 
-__all__ = ["FIRST_STATUS_HEADER", "answer_of", "refusal", "remembered"]
+__all__ = ["FIRST_STATUS_HEADER", "answer_to_remember", "refusal", "reply_from_answer"]
 
 FIRST_STATUS_HEADER = "Comfreywharf-First-Status"
-"""The status of an answer that is known, but whose body wasn't kept."""
+"""Carries the status of an earlier answer whose body wasn't kept."""
 
 
 def refusal(reason, *, retry_after_ms=0, owner_hint="", outcome=None):
-    """Return the reply for a request that has no answer, for a `Reason`.
+    """Return the reply to a request without an answer, for a `Reason`.
 
-    ``outcome`` replaces the one that the reason usually means.
+    ``outcome`` overrides the default outcome of the reason.
     """
     verdict = status_of(reason)
     return ForwardReply(
@@ -29,8 +29,8 @@
     )
 
 
-def answer_of(reply, body_kept):
-    """Return what is remembered of a reply."""
+def answer_to_remember(reply, body_kept):
+    """Return the `Answer` to remember of a reply."""
     return Answer(
         outcome=Outcome(reply.outcome),
         status=reply.status,
@@ -41,8 +41,8 @@
     )
 
 
-def remembered(answer):
-    """Return the reply to a resend, from what is remembered."""
+def reply_from_answer(answer):
+    """Return the reply to a resend from the remembered answer."""
     if answer.outcome == Outcome.ANSWERED and not answer.body_kept:
         reply = refusal(Reason.ANSWER_NOT_KEPT)
         reply.headers = [Header(name=FIRST_STATUS_HEADER, value=str(answer.status))]
--- a/comfreywharf/daemon/tests/test_collecting.py
+++ b/comfreywharf/daemon/tests/test_collecting.py
@@ -1,4 +1,4 @@
-"""A few bodies that follow their requests are collected at a time."""
+"""Collection of bodies that are sent after their requests, a few at a time."""
 
 import contextlib
 
@@ -7,58 +7,58 @@
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.requests.bodies import BodyError, Upload
-from comfreywharf.daemon.requests.collecting import Collecting, collect
+from comfreywharf.daemon.requests.collecting import BodyCollectionLimiter, collect
 
 BODY = b"garment"
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 
 
-def enter(collecting):
-    """Return the stack that has the room of one body."""
+def enter(limiter):
+    """Return an exit stack that holds the permit for one body."""
     stack = contextlib.ExitStack()
-    stack.enter_context(collecting.room(boottime_s() + PATIENCE_S))
+    stack.enter_context(limiter.permit(boottime_s() + TIMEOUT_S))
     return stack
 
 
-def test_room_is_had_by_so_many_at_a_time_and_given_on():
-    """Guards against room that is lost with a request that was refused."""
-    collecting = Collecting(most=2)
-    first, second = enter(collecting), enter(collecting)
-    third = gevent.spawn(enter, collecting)
+def test_a_released_permit_goes_to_the_next_waiting_request():
+    """Guards against a permit that isn't released when its request is refused."""
+    limiter = BodyCollectionLimiter(limit=2)
+    first, second = enter(limiter), enter(limiter)
+    third = gevent.spawn(enter, limiter)
     gevent.sleep(0)
-    assert collecting.waiting == 1
+    assert limiter.waiting == 1
     first.close()
-    third.get(timeout=PATIENCE_S)
-    assert not collecting.waiting
+    third.get(timeout=TIMEOUT_S)
+    assert not limiter.waiting
     second.close()
 
 
-def test_a_request_without_room_by_its_deadline_has_not_run():
-    """Guards against requests that wait for room beyond their deadline."""
-    collecting = Collecting(most=1)
-    with enter(collecting), pytest.raises(BodyError):
-        with collecting.room(boottime_s()):
+def test_a_request_without_a_permit_by_its_deadline_is_refused():
+    """Guards against requests that wait for a permit beyond their deadline."""
+    limiter = BodyCollectionLimiter(limit=1)
+    with enter(limiter), pytest.raises(BodyError):
+        with limiter.permit(boottime_s()):
             pass
-    assert not collecting.waiting
+    assert not limiter.waiting
 
 
-def test_a_body_is_asked_for_when_it_is_collected_and_not_before():
-    """Guards against bodies that are sent though nobody wants them."""
+def test_a_body_is_requested_only_when_it_is_collected():
+    """Guards against bodies that are sent although they aren't wanted."""
     upload = Upload()
     demand = gevent.spawn(upload.await_demand)
     gevent.sleep(0)
     assert not demand.ready()
-    collected = gevent.spawn(collect, upload, len(BODY), boottime_s() + PATIENCE_S)
-    assert demand.get(timeout=PATIENCE_S)
+    collected = gevent.spawn(collect, upload, len(BODY), boottime_s() + TIMEOUT_S)
+    assert demand.get(timeout=TIMEOUT_S)
     upload.put(BODY)
     upload.put(None)
-    assert collected.get(timeout=PATIENCE_S) == BODY
+    assert collected.get(timeout=TIMEOUT_S) == BODY
 
 
-def test_a_body_that_breaks_off_is_not_taken_for_a_shorter_one():
-    """Guards against a part of a body that a server runs."""
+def test_a_truncated_body_raises_body_error():
+    """Guards against a truncated body that is forwarded as a shorter, complete one."""
     upload = Upload()
     gevent.spawn(upload.put, BODY[:3])
     gevent.spawn(upload.put, None)
     with pytest.raises(BodyError):
-        collect(upload, len(BODY), boottime_s() + PATIENCE_S)
+        collect(upload, len(BODY), boottime_s() + TIMEOUT_S)
--- a/comfreywharf/routes/tests/test_routes.py
+++ b/comfreywharf/routes/tests/test_routes.py
@@ -42,19 +42,19 @@
     A peer sends version 7 before the store's slow answer with version 5 arrives.
     """
     routes = Routes()
-    assert routes.use(make_table(version=7))
-    assert not routes.use(make_table(version=5))
-    assert not routes.take(encode_table(make_table(version=7)))
+    assert routes.apply(make_table(version=7))
+    assert not routes.apply(make_table(version=5))
+    assert not routes.apply_document(encode_table(make_table(version=7)))
     assert routes.version == 7
 
 
 def test_a_peer_gets_the_routes_only_if_its_own_are_older():
     """The table isn't sent if the peer has it, and is unchanged by the transfer."""
     routes = Routes()
-    routes.use(make_table(version=7))
+    routes.apply(make_table(version=7))
     assert routes.document_after(7) == b""
     other = Routes()
-    assert other.take(routes.document_after(6))
+    assert other.apply_document(routes.document_after(6))
     assert other.table == routes.table
 
 
@@ -64,6 +64,6 @@
     with pytest.raises(RouteTableError):
         decode_table(data)
     routes = Routes()
-    routes.use(make_table(version=7))
-    assert not routes.take(data)
+    routes.apply(make_table(version=7))
+    assert not routes.apply_document(data)
     assert routes.version == 7
