--- a/comfreywharf/placement/__init__.py
+++ b/comfreywharf/placement/__init__.py
@@ -1,8 +1,8 @@
-"""Which slice goes to which backend server, and who decides it.
+"""Placement of slices on backend servers, and election of the planner.
 
 `planning.decide` turns load reports and the folded state into moves, splits and
-merges; `terms.decide` settles which node plans; `SliceMeter` counts what a node
-reports.
+merges; `terms.decide` determines when a node starts a planner's term;
+`SliceMeter` measures the rates that a node reports.
 """
 
 from comfreywharf.placement.loads import (
--- a/comfreywharf/placement/budget.py
+++ b/comfreywharf/placement/budget.py
@@ -1,4 +1,4 @@
-"""How much of a service's keys may be moved: a token bucket of key weight."""
+"""Token bucket that limits how much of a service's load may change owner."""
 
 import attrs
 
@@ -6,15 +6,15 @@
 
 HOUR_S = 3600.0
 BURST = 0.25
-"""The part of an hour's churn that may be spent at once."""
+"""Capacity of the bucket, as a fraction of the hourly share."""
 
 
 @attrs.define
 class ChurnBudget:
-    """Shares of a service's load that may still change owner.
+    """Budget for moving a service's load, in shares of its total load.
 
-    ``hourly_share`` of 1.0 means that in an hour as much load may move as the
-    whole service has.
+    An ``hourly_share`` of 1.0 allows moves within an hour whose weights add up to
+    the total load of the service.
     """
 
     hourly_share: float
@@ -25,14 +25,14 @@
         self._tokens = self.hourly_share * BURST
 
     def refill(self, now_s):
-        """Add what has accrued since the last call."""
+        """Add the tokens accrued since the last call; ``now_s`` is in seconds."""
         if self._filled_s is not None:
             accrued = self.hourly_share * (now_s - self._filled_s) / HOUR_S
             self._tokens = min(self.hourly_share * BURST, self._tokens + accrued)
         self._filled_s = now_s
 
     def spend(self, share):
-        """Take a share if there is enough, and return whether there was."""
+        """Spend ``share`` if enough tokens remain, and return whether it was spent."""
         if share > self._tokens:
             return False
         self._tokens -= share
--- a/comfreywharf/placement/homes.py
+++ b/comfreywharf/placement/homes.py
@@ -1,18 +1,20 @@
-"""Moves that have to be made: slices without an owner that may serve them."""
+"""Mandatory moves: assign an owner to slices whose owner can't serve them."""
 
 __all__ = ["find_homes"]
 
 TAKEOVER_GRACE_S = 10.0
-"""How long a lost owner's slices are left to the takeover by their standby."""
+"""Time that the standbys of a lost owner have for their takeover."""
 
 
 def find_homes(view):
-    """Plan an owner for each slice whose owner is none, draining or lost.
-
-    A lost owner's slices normally go to the agreed standby without the planner.
-    Only where that hasn't happened within a grace time, as when owner and
-    standby were lost together, does the planner step in. Heaviest first, each
-    to the target with the lowest relative load.
+    """Plan a new owner for each slice without an owner that can serve it.
+
+    The owner is missing, draining or lost. Slices of a lost owner are normally
+    taken over by their standby without the planner. The planner moves them only
+    if that hasn't happened within `TAKEOVER_GRACE_S`, for example because owner
+    and standby were lost together. The heaviest slices are moved first, each to
+    its live standby if the owner was lost, otherwise to the target with the
+    lowest relative load.
     """
     if not view.targets:
         return
@@ -25,8 +27,8 @@
 def _needs_home(view, piece):
     if not piece.owner or piece.owner not in view.members:
         return True
-    # A slice whose release is still awaited can't be moved again; the fold
-    # would refuse it.
+    # The fold refuses to move a slice whose release by its previous owner is
+    # still awaited.
     if piece.previous:
         return False
     if view.members[piece.owner].draining:
--- a/comfreywharf/placement/loads.py
+++ b/comfreywharf/placement/loads.py
@@ -1,4 +1,4 @@
-"""What the planner knows of load and liveness: the nodes' own reports."""
+"""Load and liveness of the nodes, as the planner derives them from reports."""
 
 import attrs
 
@@ -14,39 +14,40 @@
 ]
 
 MAX_REPORTS_PER_S = 64
-"""What all nodes together send to the planner, however many they are."""
+"""Limit on the reports that all nodes together send to the planner."""
 
 MAX_RATES_PER_S = 100
-"""How many slices' rates all of these reports together may name."""
+"""Limit on the slice rates that all nodes together report each second."""
 
 LEAST_RATES = 2
 
 MIN_INTERVAL_S = 1.0
 MIN_SILENCE_S = 3.0
 SILENT_REPORTS = 3
-"""How many reports may be missing before a node counts as lost."""
+"""Number of report intervals without a report after which a node is lost."""
 
 JUST_LOST_S = 0.001
 
 HOT_KEY_KEPT_S = 30.0
 MAX_HOT_KEYS = 256
-"""How many hot keys of a service the planner remembers."""
+"""Limit on the hot keys that the planner keeps for each service."""
 
 
 def report_interval_s(member_count):
     """Return the time between two reports of one node, in seconds.
 
-    It grows with the number of members, so that the planner's share of reports
-    stays bounded: one second up to 64 nodes, 10 s at 640.
+    It grows with the number of members, which bounds the rate of reports that the
+    planner receives: 1 s up to 64 nodes, 10 s at 640.
     """
     return max(MIN_INTERVAL_S, member_count / MAX_REPORTS_PER_S)
 
 
 def rates_per_report(member_count):
-    """Return how many slices' rates one report may name.
+    """Return how many slice rates one report may contain.
 
-    More than enough for all at 7 nodes, 2 at 640, where a planner that was told
-    everything each time would receive more bytes than control may take.
+    The limit exceeds the number of slices at 7 nodes, and is 2 at 640 nodes. If
+    640 nodes reported all rates each time, the planner would receive more bytes
+    than the budget for control traffic allows.
     """
     interval_s = report_interval_s(member_count)
     share = MAX_RATES_PER_S * interval_s / max(1, member_count)
@@ -54,10 +55,11 @@
 
 
 def report_delay_s(member_count, planner_changed, rng, least_s=MIN_INTERVAL_S):
-    """Return how long a node waits before its next report, in seconds.
+    """Return the delay before a node's next report, in seconds.
 
-    A new planner needs to hear of everyone soon, but not of all 640 at once:
-    the wait is then drawn from ``rng`` over the whole interval.
+    A new planner needs a report from every node soon, but not from all 640 at
+    once. After a change of planner the delay is therefore drawn from ``rng``,
+    spread over the interval.
     """
     interval_s = max(least_s, member_count / MAX_REPORTS_PER_S)
     if planner_changed:
@@ -66,13 +68,13 @@
 
 
 def silence_s(member_count):
-    """Return how long a live node may go unheard, in seconds."""
+    """Return how long a live node may go without a report, in seconds."""
     return max(MIN_SILENCE_S, SILENT_REPORTS * report_interval_s(member_count))
 
 
 @attrs.frozen(kw_only=True)
 class SliceRate:
-    """The requests a second that a node counted for one of its slices."""
+    """The request rate that a node measured for one of its slices."""
 
     service: str
     start: int
@@ -81,7 +83,7 @@
 
 @attrs.frozen(kw_only=True)
 class HotKeyRate:
-    """The requests a second that a node estimates for one key."""
+    """The request rate that a node estimates for one key."""
 
     service: str
     key_hash: int
@@ -90,7 +92,7 @@
 
 @attrs.frozen(kw_only=True)
 class NodeReport:
-    """One node's report; it names only the slices whose rate has changed."""
+    """One node's load report; ``slices`` holds only rates that changed."""
 
     node_id: str
     incarnation: int
@@ -103,13 +105,13 @@
 
     @property
     def well(self):
-        """Return whether the node may serve: a lease and a backend server."""
+        """Return whether the node can serve: it holds a lease and its server is up."""
         return self.backend_up and self.lease_held
 
 
 @attrs.frozen(kw_only=True)
 class _Standing:
-    """A node as its last report showed it; times are the planner's own."""
+    """State of a node from its last report; times are of the planner's clock."""
 
     incarnation: int
     heard_s: float
@@ -130,10 +132,11 @@
 
 @attrs.define(kw_only=True)
 class LoadTable:
-    """The latest loads, and who is live. It is rebuilt by each new planner.
+    """Latest loads and liveness of the nodes, rebuilt by each new planner.
 
-    ``started_s`` is when this planner's term began: a node first heard soon
-    after it isn't cold, only new to the planner.
+    ``started_s`` is the start of this planner's term. A node whose first report
+    arrives soon after it is treated as warm: it is probably new only to the
+    planner.
     """
 
     started_s: float
@@ -143,7 +146,7 @@
     _hot: dict[str, dict[int, _Seen]] = attrs.Factory(dict)
 
     def take(self, report, now_s):
-        """Take a report into account; one of an earlier incarnation is dropped."""
+        """Record a report; drop it if it is from an earlier incarnation."""
         earlier = self._nodes.get(report.node_id)
         if earlier and report.incarnation < earlier.incarnation:
             return
@@ -155,11 +158,11 @@
             self._take_hot_key(entry, now_s)
 
     def lapse(self, node_id, now_s):
-        """Take note that a standby took over from a node.
+        """Mark a node as lost because a standby took over from it.
 
-        Its silence alone shows only after several reports, half a minute at 640
-        nodes. For that time the lost node would look like the emptiest one, and
-        the planner would move slices to it.
+        Missing reports alone show the loss only after several report intervals,
+        half a minute at 640 nodes. Until then the lost node would appear to be
+        the least loaded one, and the planner would move slices to it.
         """
         node = self._nodes.get(node_id)
         if node is not None and node.lapsed_s is None:
@@ -168,7 +171,7 @@
     def _standing(self, earlier, report, now_s):
         restarted = earlier is None or earlier.incarnation != report.incarnation
         changed = restarted or earlier.well != report.well
-        # A lease that lapsed for a moment leaves the backend server warm.
+        # An expired lease doesn't restart the backend server, which stays warm.
         if not restarted and earlier.backend_up >= report.backend_up:
             warm_from_s = earlier.warm_from_s
         elif earlier is None and now_s - self.started_s < 2 * MIN_SILENCE_S:
@@ -194,7 +197,10 @@
             del seen[coldest]
 
     def notice(self, members, now_s):
-        """Start the wait for members that haven't reported; forget the removed."""
+        """Track newly added members and forget removed ones.
+
+        A member that never reports counts as lost after a timeout from this call.
+        """
         for node_id in members:
             self._noticed_s.setdefault(node_id, now_s)
         if len(self._noticed_s) > len(members):
@@ -203,10 +209,10 @@
                 self._nodes.pop(node_id, None)
 
     def is_live(self, member, now_s, silence_s):
-        """Return whether a member may be given slices.
+        """Return whether slices may be assigned to a member.
 
-        A report from before the member's newest announcement says nothing of
-        the process that runs now.
+        A report from before the member's latest announcement is ignored: it came
+        from an earlier incarnation.
         """
         node = self._nodes.get(member.node_id)
         return (
@@ -219,8 +225,8 @@
     def lost_for_s(self, member, now_s, silence_s):
         """Return how long a member has been lost, in seconds; 0 if it isn't.
 
-        A member that was never heard is given the same time from when the
-        planner first saw it, since a new planner hears of nobody at first.
+        For a member that never reported, the timeout runs from when the planner
+        first saw it, since a new planner has no reports at first.
         """
         node = self._nodes.get(member.node_id)
         if node is None:
@@ -233,32 +239,32 @@
         return max(0.0, unheard_s, unwell_s)
 
     def warm_for_s(self, node_id, now_s):
-        """Return for how long a node's backend server has been serving."""
+        """Return how long a node's backend server has been up, in seconds."""
         node = self._nodes.get(node_id)
         return now_s - node.warm_from_s if node else 0.0
 
     def busy_fraction(self, node_id):
-        """Return the share of a node's slots that its last report showed in use."""
+        """Return the fraction of a node's slots in use, from its last report."""
         node = self._nodes.get(node_id)
         return node.busy_fraction if node else 0.0
 
     def service_ms(self, node_id):
-        """Return a request's mean time at a node's server; 0 if unknown."""
+        """Return the mean service time at a node, in milliseconds; 0 if unknown."""
         node = self._nodes.get(node_id)
         return node.service_ms if node else 0.0
 
     def hot_keys(self, service, now_s):
-        """Return ``{key_hash: requests_per_s}`` of keys that were hot lately."""
+        """Return ``{key_hash: requests_per_s}`` of the recently reported hot keys."""
         seen = self._hot.get(service, {})
         for value in [v for v, s in seen.items() if now_s - s.seen_s > HOT_KEY_KEPT_S]:
             del seen[value]
         return {value: entry.requests_per_s for value, entry in seen.items()}
 
     def divided(self, service, start, at, right_per_s):
-        """Share out a slice's rate between the two parts that a split made.
+        """Divide a slice's rate between the two parts of a split.
 
-        Without it both parts would count as unmeasured until their owner's next
-        report, and the planner would move their neighbours for nothing.
+        Otherwise both parts would count as unmeasured until their owner's next
+        report, and the planner would move other slices unnecessarily.
         """
         rates = self.rates.setdefault(service, {})
         rates[start] = max(0.0, rates.get(start, 0.0) - right_per_s)
--- a/comfreywharf/placement/meter.py
+++ b/comfreywharf/placement/meter.py
@@ -1,4 +1,4 @@
-"""Count a node's requests by slice, and say which rates are worth reporting."""
+"""Measure a node's request rates by slice, and select the rates to report."""
 
 import math
 
@@ -9,19 +9,19 @@
 __all__ = ["SliceMeter"]
 
 SMOOTHING_S = 15.0
-"""The time constant of the moving average."""
+"""Time constant of the moving average."""
 
 DEVIATIONS = 4.0
-"""A count that is further off than this shows a new rate, and not chance."""
+"""Standard deviations beyond which a count is taken as a change of the rate."""
 
 JUMP = 0.6
-"""The weight of such a count in the average, whatever the window's length."""
+"""Weight of such a count in the average, regardless of the window's length."""
 
 CHANGE = 0.05
-"""A rate is reported again once it differs by this fraction."""
+"""Relative change of a rate from which on it is reported again."""
 
 NOISE_PER_S = 1.0
-"""Changes below this many requests a second are never worth a report."""
+"""Absolute change, in requests per second, up to which a rate isn't reported."""
 
 
 @attrs.define
@@ -35,11 +35,11 @@
 
 @attrs.define
 class SliceMeter:
-    """Requests a second for each slice that a node owns.
+    """Requests per second for each slice that a node owns.
 
-    Rates are smoothed, since a planner that acts on single windows moves slices
-    for chance alone. Only rates that changed are reported: at 640 nodes full
-    reports would cost the planner more bytes than control may take.
+    Rates are smoothed, since a planner that acted on single windows would move
+    slices because of random variation. Only changed rates are reported: at 640
+    nodes, full reports would exceed the planner's budget for control traffic.
     """
 
     smoothing_s: float = SMOOTHING_S
@@ -53,9 +53,9 @@
             rate.count += requests
 
     def own(self, owned):
-        """Follow the slices that the node owns: ``(service, Slice)`` pairs.
+        """Set the slices that the node owns, given as ``(service, Slice)`` pairs.
 
-        A slice whose bounds changed is measured anew.
+        The measurement of a slice whose bounds changed starts over.
         """
         kept = {}
         for service, piece in owned:
@@ -67,7 +67,7 @@
         self._rates = kept
 
     def close_window(self, now_s):
-        """End a window of counting at ``now_s`` and smooth its rates."""
+        """Close the counting window at ``now_s`` and update the smoothed rates."""
         window_s = now_s - self._since_s if self._since_s is not None else 0.0
         self._since_s = now_s
         if window_s <= 0:
@@ -84,15 +84,15 @@
             rate.count = 0
 
     def everything(self):
-        """Return each rate as a `SliceRate`, for a planner that knows nothing."""
+        """Return every rate as a `SliceRate`, for a planner without earlier reports."""
         return self._entries(
             place for place, rate in self._rates.items() if rate.smooth_per_s >= 0
         )
 
     def changed(self, limit):
-        """Return the rates that changed, at most ``limit``, the largest change first.
+        """Return at most ``limit`` changed rates, the largest changes first.
 
-        They count as reported from then on.
+        The returned rates count as reported.
         """
         places = [place for place, rate in self._rates.items() if _differs(rate)]
         if len(places) > limit:
@@ -113,9 +113,9 @@
 
 
 def _is_chance(rate, window_s):
-    """Return whether a window's count is within the noise of counting.
+    """Return whether a window's count is within the expected random variation.
 
-    A Poisson count has a standard deviation of the root of its mean.
+    The standard deviation of a Poisson count is the square root of its mean.
     """
     expected = rate.smooth_per_s * window_s
     return abs(rate.count - expected) <= DEVIATIONS * math.sqrt(expected + 1)
--- a/comfreywharf/placement/pace.py
+++ b/comfreywharf/placement/pace.py
@@ -1,4 +1,4 @@
-"""How fast placement reacts, for deployments that differ in what a move costs."""
+"""Tuning of placement, for deployments that differ in the cost of a move."""
 
 import attrs
 
@@ -9,15 +9,16 @@
 
 @attrs.frozen(kw_only=True)
 class PlacementPace:
-    """The durations and bounds of placement.
+    """Durations and switches of placement; durations are in seconds.
 
-    ``warm_up_s`` is how long a backend server is spared after its start,
-    ``smoothing_s`` the time constant of measured rates. The first assignment of
-    all slices waits ``gather_s`` for nodes to come up. Nodes report their load every
-    ``report_s`` at most, and count hot keys over ``hot_window_s``. Where ``brisk``
-    is true a move costs little: the planner then moves for smaller differences,
-    sooner and without an hourly bound. ``by_speed`` has it measure how fast each
-    backend server is, instead of trusting its slots.
+    ``warm_up_s`` is the time over which the load of a backend server is ramped up
+    after its start, ``smoothing_s`` the time constant of measured rates. The
+    first assignment of all slices waits ``gather_s`` for nodes to come up. Nodes
+    report their load at most once per ``report_s``, and count hot keys over
+    windows of ``hot_window_s``. Where ``brisk`` is true, moves are cheap: the
+    planner reacts to smaller imbalances, sooner, and with an hourly budget that
+    only runaway moves reach. With ``by_speed``, a backend server's capacity is
+    scaled by its measured speed instead of following from its slots alone.
     """
 
     warm_up_s: float = 60.0
--- a/comfreywharf/placement/planning.py
+++ b/comfreywharf/placement/planning.py
@@ -1,4 +1,4 @@
-"""The planner's decisions as a whole: reports in, rounds, actions out."""
+"""The planner's decisions: turn load reports and the folded state into actions."""
 
 import attrs
 
@@ -35,19 +35,21 @@
 ]
 
 MAX_MOVES_PER_RECORD = 400
-"""A record of this many moves stays well below the log's 256 KiB."""
+"""Keeps a record of moves well below the log's limit of 256 KiB."""
 
 MIN_ROUND_S = 0.5
 REMOVE_AFTER_S = 6.0
-"""Longer than a restart takes, and than most partitions last."""
+"""Time after which a lost member may be removed; longer than a restart takes and
+than most network partitions last."""
 
 SLICES_PER_S = 2000
-"""How many slices a planner looks at in a second, however many there are."""
+"""Limit on the slices that a planner examines per second, which sets the interval
+between rounds."""
 
 
 @attrs.frozen(kw_only=True)
 class LoadReported:
-    """A node's report arrived."""
+    """A node's load report was received."""
 
     report: NodeReport
 
@@ -61,7 +63,7 @@
 
 @attrs.frozen(kw_only=True)
 class RoundDue:
-    """It is time to plan against the folded state."""
+    """A planning round is due on the given folded state."""
 
     cluster: ClusterState
 
@@ -75,7 +77,7 @@
 
 @attrs.frozen(kw_only=True)
 class Switches:
-    """Parts of the planner that a replay may turn off to show what they do."""
+    """Parts of the planner that a replay can disable to measure their effect."""
 
     resize: bool = True
     spread_standbys: bool = True
@@ -85,7 +87,7 @@
 
 @attrs.define(kw_only=True)
 class PlanningState:
-    """What a planner remembers during its term; nothing of it must last.
+    """State of a planner during its term; none of it needs to be stored.
 
     ``make_policy`` returns the `RebalancePolicy` for a `ServiceConfig`.
     """
@@ -98,14 +100,14 @@
 
     @classmethod
     def begin(cls, now_s, **fields):
-        """Return the state of a planner whose term begins."""
+        """Return the state of a planner whose term starts at ``now_s``."""
         pace = fields.get("pace")
         if pace is not None and pace.brisk:
             fields.setdefault("make_policy", brisk_policy)
         return cls(table=LoadTable(started_s=now_s), **fields)
 
     def policy(self, service):
-        """Return the policy of a service; a changed declaration gets a new one."""
+        """Return the policy of a service; create one if its declaration changed."""
         known = self.policies.get(service.name)
         if known is None or known[0] != service:
             known = (service, self.make_policy(service))
@@ -122,8 +124,8 @@
     """Return ``(state, actions)`` for an event at ``now_s``, in seconds.
 
     The state is changed in place. Actions are `Move`, `Split` and `Merge`;
-    each names the epochs it builds on, so that one that comes too late is
-    refused by the fold.
+    each names the slice epochs it is based on, so that the fold refuses an
+    outdated one.
     """
     if isinstance(event, LoadReported):
         state.table.take(event.report, now_s)
@@ -160,8 +162,8 @@
 def _gathers(state, pieces, now_s):
     """Return whether the first assignment still waits for nodes to come up.
 
-    Given to those that came first, nearly all slices would move again within
-    seconds, each with a record that every node reads.
+    If all slices were assigned to the first few nodes, nearly all would move
+    again within seconds, each with a record that every node reads.
     """
     if now_s - state.table.started_s >= state.pace.gather_s:
         return False
@@ -192,7 +194,8 @@
 def long_lost(state, cluster, now_s):
     """Return a member that may be removed, or ``None``.
 
-    It was lost for `REMOVE_AFTER_S`, and no slice waits for it in any way.
+    It has been lost for more than `REMOVE_AFTER_S`, owns no slice, and no slice
+    awaits its release.
     """
     silence = silence_s(len(cluster.members))
     needed = {
@@ -210,7 +213,7 @@
 
 
 def to_record(action, record_id, term):
-    """Return the log's record for an action."""
+    """Return the log record for an action."""
     if isinstance(action, Move):
         return SlicesMoved(record_id=record_id, term=term, moves=action.moves)
     if isinstance(action, Merge):
--- a/comfreywharf/placement/rebalance.py
+++ b/comfreywharf/placement/rebalance.py
@@ -1,4 +1,4 @@
-"""Moves that could be made: when load has shifted, and which slices then go."""
+"""Optional moves that balance load: when to move, and which slices."""
 
 from abc import ABC, abstractmethod
 
@@ -16,30 +16,32 @@
 
 LEAST_MOVES_PER_ROUND = 4
 MOVED_SHARE_PER_ROUND = 0.05
-"""How many slices may move in a round, as a share of all of them."""
+"""Limit on the slices that move in one round, as a share of all slices."""
 
 OVERLOADED = 0.9
-"""The busy fraction from which a server's queue grows."""
+"""Busy fraction of a server's slots from which on its queue grows."""
 
 LEAST_USED = 0.3
-"""From which share of its slots on a server is worth relieving. With a dozen slots
-requests begin to wait at three quarters; bursts are half as much again, and a load that
-grows reaches that within the patience of a cautious service."""
+"""Utilisation of a server's slots below which nothing is moved. With a dozen slots,
+requests start to queue at a utilisation of 0.75. Bursts add half of the mean load, and
+a growing load can reach that point within the patience of a cautious service."""
 
 USED_BRISK = 0.55
-"""The same where an imbalance that is felt moves keys within a second."""
+"""The same where moves are cheap and an imbalance is acted on within a second."""
 
 HOURLY_SHARE_BRISK = 60.0
-"""Where moves are cheap: all keys once a minute, which only runaway moves reach."""
+"""Hourly churn where moves are cheap: all keys once a minute, which only runaway
+moves reach."""
 
 CHURN_DOMINATES = 10.0
-"""From this ratio of weights on, only an overload is worth a move."""
+"""Ratio of churn weight to unavailability weight from which on slices move only in
+an overload."""
 
 
 class RebalancePolicy(ABC):
-    """When and how a service's slices are moved for balance.
+    """Decide when and how a service's slices are moved to balance load.
 
-    A policy lives as long as a planner's term and may remember earlier rounds.
+    A policy object lasts for one planner's term and may keep state between rounds.
     """
 
     @abstractmethod
@@ -49,16 +51,18 @@
 
 @attrs.define
 class BoundedRebalance(RebalancePolicy):
-    """Move when imbalance has lasted, a little, and never above an hourly bound.
+    """Move few slices, only for a lasting imbalance, within an hourly budget.
 
     ``trigger`` and ``target`` are relative loads (1.0 is the mean): nothing
     moves until a server has been above the trigger for ``patience_s``, and then
-    just enough moves to bring each below the target. A slice stays where it went
-    for ``dwell_s``, and at most ``moved_share`` of all slices move in a round.
-
-    Nothing moves while no server needs ``least_used`` of its slots: loads differ by
-    chance, and no request waits for the difference. Without that bound all keys moved
-    four times in a calm minute, and a key that few asked for was refused on its way.
+    just enough moves to bring each server below the target. A moved slice isn't
+    moved again for ``dwell_s``, and at most ``moved_share`` of all slices move in a
+    round.
+
+    Nothing moves while no server needs ``least_used`` of its slots, since loads
+    vary randomly and no request queues because of the difference. Without this
+    bound, all keys moved four times within a minute of low load, and requests for
+    a rarely used key were refused during its move.
     """
 
     trigger: float
@@ -90,11 +94,11 @@
             return False
         if self._above_since_s is None:
             self._above_since_s = now_s
-        # Patience is against noise in the measured load. A server that owns
-        # nothing while another is above the trigger is no noise: it joined.
+        # Patience filters noise in the measured load. A server without any load
+        # while another one is above the trigger has just joined; that isn't noise.
         if joined:
             return True
-        # The further above the trigger, the less can it be chance.
+        # The further the load is above the trigger, the less likely is it noise.
         patience_s = self.patience_s * (self.trigger - 1) / (level - 1)
         return now_s - self._above_since_s >= patience_s
 
@@ -123,7 +127,10 @@
         return pieces
 
     def _shift(self, view, source, pieces):
-        """Return ``(piece, owner)`` that best removes a server's excess."""
+        """Return the ``(piece, owner)`` that best removes a server's excess load.
+
+        Return ``None`` if there is no such move.
+        """
         limit = self.target * view.mean
         excess = view.loads[source] - limit * view.targets[source]
         if excess <= 0 or not pieces:
@@ -150,10 +157,10 @@
 
 @attrs.define
 class OverloadRebalance(BoundedRebalance):
-    """The same, but only while a server's slots are all but used up.
+    """Move slices only while a server's slots are nearly all in use.
 
-    For services where each move of a key is a risk: an imbalance that no
-    caller feels isn't worth one.
+    For services where each move of a key is a risk that an imbalance without
+    effect on callers doesn't justify.
     """
 
     def _due(self, view, now_s):
@@ -165,7 +172,7 @@
 
 
 def policy_for(service):
-    """Return the `RebalancePolicy` that a service's two weights ask for.
+    """Return the `RebalancePolicy` for a service's churn and unavailability weights.
 
     >>> from comfreywharf.records import ServiceConfig
     >>> calm = policy_for(ServiceConfig(name="records", churn_weight=3.0))
@@ -186,11 +193,11 @@
 
 
 def brisk_policy(service):
-    """Return the `RebalancePolicy` where a move costs little beside a queue.
+    """Return the `RebalancePolicy` for services whose moves cost less than queueing.
 
-    A slice that moves with its handover is out of service for as long as the work
-    on it lasts, a fraction of a second; a server that is given a tenth too much
-    refuses that tenth for as long as it lasts.
+    A slice that moves by handover is unavailable only until its running requests
+    have finished, a fraction of a second. A server with a tenth too much load
+    refuses that tenth for as long as the imbalance lasts.
     """
     return BoundedRebalance(
         trigger=1.12,
--- a/comfreywharf/placement/resize.py
+++ b/comfreywharf/placement/resize.py
@@ -1,4 +1,4 @@
-"""Splitting, pinning and merging slices; none of it moves a key by itself."""
+"""Split, pin and merge slices; no key changes owner by a resize itself."""
 
 import attrs
 
@@ -6,31 +6,32 @@
 
 MAX_RESIZES_PER_ROUND = 8
 PIN_SHARE = 0.2
-"""A key is pinned when its rate is this share of a server's fair load."""
+"""Share of a server's fair load from which on a key is pinned to its own slice."""
 
 REST_SHARE = 0.15
-"""A key isn't pinned if the rest of its slice weighs less than this share."""
+"""Share of a server's fair load that the rest of a slice must exceed for a key of it
+to be pinned."""
 
 SPLIT_SHARE = 0.35
-"""A slice is split when its weight is this share of a server's fair load."""
+"""Share of a server's fair load above which a slice is split."""
 
 KNOWN_SHARE = 0.1
-"""How much of a slice's weight its hottest keys must have to show its middle."""
+"""Share of a slice's weight that its hot keys must have to locate its middle."""
 
 MERGE_SHARE = 0.02
-"""Two slices are merged when both together weigh at most this share."""
+"""Share of a server's fair load up to which two slices together are merged."""
 
 LEAST_SLOTS = 0.25
-"""How much of a slot a slice must need before it is divided. Of a server that is
-hardly used, any slice can be a third of the load: a few requests a second then
-divided the slices until none were left to divide, and moved the parts about."""
+"""Slots that a slice's load must need before the slice is split. On a nearly idle
+server any slice can be a third of the load; without this bound a few requests per
+second split slices until none could be split, and the parts were moved around."""
 
 SLICES_PER_MEMBER = 24
 
 
 @attrs.frozen(kw_only=True)
 class Split:
-    """Divide a slice; ``right_per_s`` is the rate expected of the right part."""
+    """Split a slice at ``at``; ``right_per_s`` is the right part's expected rate."""
 
     service: str
     start: int
@@ -41,7 +42,7 @@
 
 @attrs.frozen(kw_only=True)
 class Merge:
-    """Join a slice with the one behind it."""
+    """Merge a slice with the next one."""
 
     service: str
     start: int
@@ -58,8 +59,8 @@
 def plan_resizes(view):
     """Return the `Split` and `Merge` actions of a round, the urgent ones first.
 
-    Slices that have a planned move, or whose release is awaited, are left
-    alone: the fold would refuse one of the two changes.
+    Slices with a planned move or an awaited release are skipped, since the fold
+    would refuse one of the two changes.
     """
     if not view.targets or view.total <= 0:
         return []
@@ -85,8 +86,8 @@
         while hot and hot[0] < piece.start:
             hot.pop(0)
         if hot and hot[0] < piece.end:
-            # A slice that holds little besides its hot key moves as well as the
-            # key alone would.
+            # A slice with little load besides its hot key can be moved as a
+            # whole; pinning the key would gain nothing.
             if weight - view.hot_keys[hot[0]] > REST_SHARE * fair:
                 splits.append((weight, _pin(view, piece, hot[0])))
         elif weight > SPLIT_SHARE * fair:
@@ -97,11 +98,11 @@
 
 
 def _middle(view, piece):
-    """Return where to divide a slice so that its load is divided.
+    """Return the key hash at which to split a slice so that its load is halved.
 
-    Busy keys lie close together. Divided in the middle of its range, a slice of
-    2,000 keys takes five rounds until the busy 60 are apart, and their server
-    refuses callers for as long. The hottest keys show where the load lies.
+    Busy keys are adjacent. If a slice of 2,000 keys is split in the middle of its
+    range, it takes five rounds to separate its 60 busy keys, and their server
+    refuses requests until then. The hot keys show where the load lies.
     """
     inside = sorted(
         (value, rate)
@@ -120,7 +121,7 @@
 
 
 def _pin(view, piece, value):
-    """Return the next of the two splits that leave a key a slice of its own."""
+    """Return the next of the two splits that isolate a key in its own slice."""
     rate = view.hot_keys[value]
     weight = view.weights[piece.start]
     if value > piece.start:
--- a/comfreywharf/placement/standbys.py
+++ b/comfreywharf/placement/standbys.py
@@ -1,4 +1,4 @@
-"""Which node stands by for a slice: another failure domain, spread widely."""
+"""Choose the standby of each slice: in another failure domain, spread over nodes."""
 
 from collections import Counter, defaultdict
 from functools import partial
@@ -10,20 +10,21 @@
 
 @attrs.define
 class _Carried:
-    """The load that each node stands by for, in all, and by where it comes from."""
+    """Load that each node would take over as standby, in total and by owner."""
 
     of_all: Counter = attrs.Factory(Counter)
     of_owner: Counter = attrs.Factory(Counter)
 
     def add(self, owner, standby, weight):
-        """Count a slice's weight."""
+        """Add a slice's weight."""
         self.of_all[standby] += weight
         self.of_owner[owner, standby] += weight
 
     def burden(self, owner, standby, members):
-        """Return a key that is lowest for the standby that should carry more.
+        """Return a sort key; the candidate with the lowest key is preferred.
 
-        What it would take over if this owner is lost comes first.
+        The load that it would take over from this owner counts before the total
+        for each of its slots.
         """
         slots = max(1, members[standby].slots)
         return (
@@ -34,13 +35,13 @@
 
 
 def choose_standbys(view, spread=True):
-    """Plan a standby for each slice whose standby couldn't take over well.
+    """Plan a standby for each slice that lacks a suitable one.
 
-    A standby is in another failure domain than the owner wherever a member of
-    another one is fit, in the same region if possible. The standbys of one
-    owner are spread over many nodes: were they a single node, the loss of the
-    owner would double that node's load at once. ``spread`` is off only in
-    replays that show this.
+    A standby is in another failure domain than the owner if an eligible member
+    exists there, and in the same region if possible. The standbys of one owner
+    are spread over many nodes: with a single one, the loss of the owner would
+    double that node's load at once. ``spread`` is false only in replays that
+    show this effect.
     """
     fit = {
         node_id
@@ -60,7 +61,7 @@
 
 
 def _needy(view, fit, domains):
-    """Return, by owner, the slices that need another standby."""
+    """Return the slices that need another standby, by owner."""
     needy = defaultdict(list)
     for piece in view.pieces:
         owner = view.owner(piece)
@@ -72,7 +73,7 @@
 
 
 def _survey(view, needy):
-    """Return what standbys carry for the slices that keep theirs."""
+    """Return the standby load of the slices that keep their standby."""
     changing = {piece.start for pieces in needy.values() for piece in pieces}
     carried = _Carried()
     for piece in view.pieces:
@@ -92,7 +93,7 @@
 
 
 def _deal_out(view, owner, pieces, candidates, carried):
-    """Give slices to candidates in turn, the heaviest slice first."""
+    """Assign slices to candidates round-robin, the heaviest slice first."""
     pieces.sort(key=lambda piece: (-view.weights[piece.start], piece.start))
     for number, piece in enumerate(pieces):
         standby = candidates[number % len(candidates)] if candidates else ""
@@ -101,7 +102,11 @@
 
 
 def _candidates(view, owner, fit):
-    """Return the fit nodes of the best class that has any."""
+    """Return the eligible nodes of the most preferred class that has any.
+
+    Another failure domain than the owner's comes before the same one, then the
+    same region before another one.
+    """
     home = view.members[owner]
     classes = defaultdict(list)
     for node_id in fit:
--- a/comfreywharf/placement/terms.py
+++ b/comfreywharf/placement/terms.py
@@ -1,8 +1,8 @@
-"""Who plans: when a node starts a planner's term, and when it leaves that be.
+"""Election of the planner: when a node starts a planner's term.
 
-Two planners at once do no harm, since the fold refuses records of a stale term.
-What has to be kept small is how many nodes try at once, and how often the role
-moves.
+Two planners at the same time are harmless, since the fold refuses records of a
+stale term. What has to stay small is the number of nodes that start a term at
+once, and how often the role changes hands.
 """
 
 import attrs
@@ -18,13 +18,14 @@
 ]
 
 MISSED_REPORTS = 3
-"""How many reports in a row go unanswered before the planner seems lost."""
+"""Consecutive reports without an answer after which the planner seems lost."""
 
 STAGGER_S = 1.0
-"""How much later the next candidate tries."""
+"""Delay between one candidate and the next."""
 
 RANKED_CANDIDATES = 8
-"""Later ranks don't queue one behind the other but spread over a window."""
+"""Candidates that are staggered one by one; later ones are spread over
+`LATE_WINDOW_S`."""
 
 LATE_WINDOW_S = 30.0
 BACKOFF_FROM_S = 2.0
@@ -33,7 +34,10 @@
 
 @attrs.frozen(kw_only=True)
 class ReportAnswered:
-    """A load report came back; ``planning`` is false if it met no planner."""
+    """A load report was answered.
+
+    ``planning`` is false if the receiver wasn't planning.
+    """
 
     planner_id: str
     planning: bool
@@ -48,7 +52,7 @@
 
 @attrs.frozen(kw_only=True)
 class Tick:
-    """Time passed. The fields are what the node's fold shows."""
+    """Time has passed; the fields hold the node's folded state."""
 
     planner_id: str
     term: int
@@ -58,7 +62,7 @@
 
 @attrs.frozen(kw_only=True)
 class StartTerm:
-    """Append `PlannerTermStarted` on this base."""
+    """Append a `PlannerTermStarted` record that is based on ``base_term``."""
 
     base_term: int
 
@@ -90,9 +94,9 @@
     if not _seems_lost(state, event):
         state.suspected_s = None
         return []
-    # Nobody can start a term while the log is down. Waiting from when it is
-    # back keeps the order among candidates, where otherwise all of them would
-    # append at the moment of its return.
+    # No node can start a term while the log is down. The wait restarts when the
+    # log is back, which keeps the order of the candidates; otherwise all of them
+    # would append as soon as it returns.
     if not event.log_reachable:
         state.suspected_s = None
         return []
@@ -122,11 +126,11 @@
 
 
 def _wait_s(state, event):
-    """Return how long this candidate lets better placed ones try first.
+    """Return how long this candidate waits for those ranked before it, in seconds.
 
-    The order follows a hash of node and term, so that it differs each time and
-    needs no message. 640 nodes that noticed at once would otherwise make 640
-    appends, when the log takes a few hundred a second.
+    The rank follows from a hash of node and term, so that it differs for each
+    term and needs no message. Otherwise 640 nodes that detect the loss at once
+    would make 640 appends, while the log accepts a few hundred per second.
     """
     others = [node_id for node_id in event.members if node_id != event.planner_id]
     own = _draw(state.node_id, event.term)
@@ -141,9 +145,9 @@
 
 
 def _backoff_s(state):
-    """Return how long this node leaves the role alone after it took it.
+    """Return how long this node waits after a start before the next, in seconds.
 
-    Two nodes that can't reach each other, while all others reach both, would
-    otherwise take the role from each other every few seconds.
+    Otherwise two nodes that can't reach each other, while all others reach both,
+    would take the role from each other every few seconds.
     """
     return min(BACKOFF_TO_S, BACKOFF_FROM_S * 2 ** min(state.own_starts, 10))
--- a/comfreywharf/placement/view.py
+++ b/comfreywharf/placement/view.py
@@ -1,4 +1,4 @@
-"""One service as a round of planning sees it, and the moves planned so far."""
+"""View of one service during a planning round, with the moves planned so far."""
 
 import math
 from heapq import heapify, heappop, heappush
@@ -12,26 +12,28 @@
 __all__ = ["ServiceView", "look"]
 
 COLD_SHARE = 0.2
-"""What a backend server gets at first, as a share of what its slots would take."""
+"""Share of its capacity that a backend server gets right after its start."""
 
 SLOWEST = 0.3
 FASTEST = 2.0
-"""Bounds on a measured speed: a few slow requests aren't a slow server."""
+"""Bounds on a measured relative speed; a few slow requests don't make a slow server."""
 
 IDLE_PER_S = 1e-6
-"""Below this mean rate a service is idle and its slices weigh the same."""
+"""Mean rate up to which a service counts as idle and its slices weigh the same."""
 
 LEAST_SHARE = 0.02
-"""What an idle slice weighs, as a share of the mean slice: keys may come alive."""
+"""Weight added to each slice, as a share of the mean rate, so that an idle slice has
+some weight: its keys may become busy."""
 
 
 @attrs.define(kw_only=True)
 class ServiceView:
-    """A service's members, slices and weights; moves change it as they are planned.
+    """Members, slices and weights of a service, updated with each planned move.
 
-    ``targets`` may be given slices, with their capacity in slots, scaled down
-    while they are cold. ``lost_s`` holds, for members that aren't live, how long
-    they have been lost. ``loads`` are requests a second by owner.
+    ``targets`` holds the nodes to which slices may be assigned and their capacity
+    in slots, scaled down while they are cold and, where the tuning asks for it, by
+    their speed. ``lost_s`` holds how long each member that isn't live has been
+    lost, in seconds. ``loads`` are requests per second by owner.
     """
 
     config: object
@@ -51,20 +53,20 @@
     _order: list = attrs.field(init=False, repr=False)
 
     def __attrs_post_init__(self):
-        """Work out the totals: requests a second, and those for a unit of capacity."""
+        """Compute the total rate, the mean rate per unit of capacity and the order."""
         self.total = sum(self.weights.values())
         self.mean = self.total / max(sum(self.targets.values()), 1e-9)
         self._order = [(self.relative(node_id), node_id) for node_id in self.targets]
         heapify(self._order)
 
     def relative(self, node_id):
-        """Return a target's load for each unit of its capacity."""
+        """Return a target's load per unit of its capacity."""
         return self.loads[node_id] / self.targets[node_id]
 
     def most_used(self):
-        """Return the largest share of its slots that a target's load needs.
+        """Return the highest utilisation of a target's slots by its load.
 
-        It is infinite where no target's time for a request is known.
+        It is infinite if no target's service time is known.
         """
         shares = [
             self.loads[node_id] * service_s / max(1, self.members[node_id].slots)
@@ -74,7 +76,7 @@
         return max(shares, default=math.inf)
 
     def slots_needed(self, piece):
-        """Return how many slots a slice's load needs; infinite where unknown."""
+        """Return how many slots a slice's load needs; infinite if unknown."""
         service_s = self.service_s.get(piece.owner, 0.0)
         return self.weights[piece.start] * service_s if service_s > 0 else math.inf
 
@@ -85,11 +87,11 @@
         return self._order[0][1]
 
     def owner(self, piece):
-        """Return the owner as planned."""
+        """Return a slice's owner with the planned moves applied."""
         return self.owners.get(piece.start, piece.owner)
 
     def standby(self, piece):
-        """Return the standby as planned."""
+        """Return a slice's standby with the planned changes applied."""
         return self.standbys.get(piece.start, piece.standby)
 
     def move(self, piece, owner):
@@ -133,7 +135,7 @@
 def look(cluster, table, name, now_s, warm_up=True, pace=None):
     """Return the `ServiceView` of a service that is divided by key.
 
-    ``warm_up`` is off only in replays that show what it does.
+    ``warm_up`` is false only in replays that show its effect.
     """
     pace = pace or PlacementPace()
     silence = silence_s(len(cluster.members))
@@ -172,11 +174,11 @@
 
 
 def _warmth(warm_s, pace):
-    """Return the share of its capacity that a server is given while it warms up.
+    """Return the share of its capacity that a server gets ``warm_s`` after its start.
 
-    A cold server answers several times slower. Were it given its full share at
-    once, its queue would grow for as long as the cold start lasts; one would
-    see shed requests after each restart.
+    A cold server answers several times slower. With its full share from the start,
+    its queue would grow throughout the cold start, and requests would be shed
+    after each restart.
     """
     if warm_s >= pace.warm_up_s:
         return 1.0
@@ -184,11 +186,11 @@
 
 
 def _speeds(table, node_ids):
-    """Return how fast each backend server is, against the mean of all.
+    """Return the speed of each backend server relative to the mean service time.
 
-    Servers of one service differ by more than twice. Given the same load, the
-    slow ones queue while the fast ones have slots to spare. A server that slows
-    down under its load is given less of it, which is what it needs.
+    Servers of one service can differ by more than a factor of two. At the same
+    load, requests queue at the slow ones while the fast ones have idle slots. A
+    server that slows down under its load is given less load.
     """
     times = {node_id: table.service_ms(node_id) for node_id in node_ids}
     known = [time for time in times.values() if time > 0]
@@ -203,7 +205,10 @@
 
 
 def _weights(pieces, rates):
-    """Return a weight by start; a slice not reported yet counts as a mean one."""
+    """Return the weight of each slice by its start.
+
+    A slice without a reported rate gets the mean rate.
+    """
     known = [rates[piece.start] for piece in pieces if piece.start in rates]
     mean = sum(known) / len(known) if known else 0.0
     least = LEAST_SHARE * mean if mean > IDLE_PER_S else 1.0
