--- a/comfreywharf/load/__init__.py
+++ b/comfreywharf/load/__init__.py
@@ -1,7 +1,8 @@
 """Decisions under load: admission, choice of servers, hot keys, quarantine.
 
-Everything here is pure: no clock, no sockets, no greenlets; chance comes as a
-`random.Random`. The shell is `comfreywharf.daemon.requests.load`.
+Nothing here reads a clock or uses sockets or greenlets; randomness comes from a
+`random.Random` argument. `comfreywharf.daemon.requests.load` calls these
+functions and carries out their decisions.
 """
 
 from comfreywharf.load.absences import Absences
--- a/comfreywharf/load/absences.py
+++ b/comfreywharf/load/absences.py
@@ -1,4 +1,4 @@
-"""Members that can't be asked at the moment: their node is gone, or has no server."""
+"""Track members that are absent: their node or its backend server is down."""
 
 import attrs
 
@@ -6,10 +6,11 @@
 
 FIRST_PAUSE_S = 0.25
 MOST_PAUSE_S = 4.0
-"""How long a member is left alone before one request tries it again."""
+"""Bounds of the pause after which one request probes an absent member."""
 
 FORGOTTEN_S = 10.0
-"""A member that was there for so long is tried again soon when it is absent next."""
+"""Time after its return from which on a member's next absence starts with the
+shortest pause again."""
 
 
 @attrs.define
@@ -22,21 +23,22 @@
 
 @attrs.define
 class Absences:
-    """Which members of one service are absent, as this node met them.
-
-    An absent member says nothing of the quality of its server. Counted as failing ones,
-    of which only a part may be out, two lost servers of three were asked by each
-    request for ten seconds, while the third, which had been met a moment before its
-    server was up, stood aside. Absent ones are left out however many they are; each is
-    tried by one request after a pause that doubles.
+    """The absent members of one service, from the outcomes of this node's requests.
+
+    Absence is kept apart from ejection, which excludes only part of the members.
+    When absent members were ejected as failing ones, two lost servers of three
+    received every request for ten seconds, while the third one stayed ejected
+    because a request had reached it just before its server was up. Absent members
+    are therefore excluded regardless of their number. Each is probed by one
+    request after a pause that doubles with each failed probe.
     """
 
     _known: dict[str, _Absence] = attrs.Factory(dict)
 
     def usable(self, members, now_s):
-        """Return the members to choose from; none if all are known to be absent.
+        """Return the members to choose from; empty if all are known to be absent.
 
-        A member that is due for a try comes alone.
+        If an absent member is due for a probe, return only that one.
         """
         if not self._known:
             return members
@@ -53,12 +55,12 @@
         return absence is not None and absence.ended_s is None
 
     def asked(self, node_id):
-        """Note that a request is sent to a member; it tries one that is absent."""
+        """Record that a request is sent to a member; it probes an absent one."""
         if self.is_absent(node_id):
             self._known[node_id].trying = True
 
     def missed(self, node_id, now_s):
-        """Note that a member was met absent."""
+        """Record that a request found a member absent."""
         absence = self._known.get(node_id)
         if absence is None or _is_over(absence, now_s):
             self._known[node_id] = _Absence(now_s + FIRST_PAUSE_S, FIRST_PAUSE_S)
@@ -70,13 +72,13 @@
         absence.ended_s = None
 
     def dropped(self, node_id):
-        """Note that a request ended without a word of its member."""
+        """Record that a request ended without showing whether its member is present."""
         absence = self._known.get(node_id)
         if absence is not None:
             absence.trying = False
 
     def met(self, node_id, now_s):
-        """Note that a member answered, whatever it answered."""
+        """Record that a member answered, whatever the answer."""
         absence = self._known.get(node_id)
         if absence is not None and absence.ended_s is None:
             absence.trying = False
--- a/comfreywharf/load/admission.py
+++ b/comfreywharf/load/admission.py
@@ -1,7 +1,7 @@
 """Admission at the owner: which requests run now, wait, or are refused at once.
 
-`decide` is the whole of it: the shell tells what happened, and carries out what
-is returned. It imports no clock, and chance comes with the state.
+The caller reports events to `decide` and carries out the actions it returns.
+The module reads no clock; its source of randomness is part of the state.
 """
 
 import random
@@ -29,40 +29,40 @@
 ]
 
 MAX_ALONE = 16
-"""How many suspects may wait for their turn to run alone."""
+"""Limit on the suspects that wait to run alone."""
 
 ALONE_DRAIN_S = 0.25
-"""How long the backend server is emptied for a suspect before it is refused."""
+"""Time that the backend server is drained for a suspect before it is refused."""
 
 ALONE_SHARE = 0.2
-"""The part of the backend server's time that suspects may take."""
+"""Limit on the fraction of the backend server's time that suspects take."""
 
 FLOW_RESERVE = 1
-"""Slots that a single flow leaves free for others, where there are enough."""
+"""Slots that a single flow leaves to other flows."""
 
 MIN_SLOTS_FOR_RESERVE = 4
-"""From how many slots on one is reserved."""
+"""Number of slots from which on `FLOW_RESERVE` applies."""
 
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 3.0
-"""Bounds before the spread. Callers who come back much later than an overload
-ended keep new callers from being served at their first try."""
+"""Bounds of the delay before jitter. Callers that retry long after an overload has
+ended keep new callers from being served at their first attempt."""
 
 RANK_WEIGHT = 0.02
-"""The weight of the newest request in the shares of the ranks."""
+"""Weight of the newest request in the moving shares of the ranks."""
 
 LEAST_SHARE = 0.1
-"""What is left of the slots for the least urgent, at the least, in estimates."""
+"""Lower bound on the share of slots that estimates leave to the least urgent rank."""
 
 SHED_WEIGHT = 0.02
-"""The weight of the newest request in the fraction of refused ones."""
+"""Weight of the newest request in the moving fraction of refused requests."""
 
 
 class Result(Enum):
-    """How a begun request ended, as far as admission is concerned.
+    """How a started request ended, as far as admission is concerned.
 
-    ``REFUSED``: by the backend server, which proved that it didn't run it;
-    ``UNUSED``: nothing was sent, so that nothing can be learnt from it.
+    ``REFUSED``: the backend server refused it and provably didn't run it;
+    ``UNUSED``: nothing was sent, so that the result says nothing about the server.
     """
 
     ANSWERED = "answered"
@@ -73,14 +73,14 @@
 
 @attrs.frozen
 class Arrived:
-    """A request asks to be forwarded."""
+    """A request has arrived."""
 
     ticket: Ticket
 
 
 @attrs.frozen
 class Finished:
-    """A begun request no longer occupies the backend server."""
+    """A started request no longer occupies the backend server."""
 
     ticket: Ticket
     result: Result
@@ -88,14 +88,14 @@
 
 @attrs.frozen
 class GaveUp:
-    """The caller of a waiting request hung up."""
+    """The caller of a waiting request disconnected."""
 
     ticket: Ticket
 
 
 @attrs.frozen
 class TimePassed:
-    """Nothing happened for a while, and requests wait."""
+    """Time has passed without another event while requests wait."""
 
 
 @attrs.frozen
@@ -107,7 +107,7 @@
 
 @attrs.frozen
 class Shed:
-    """Refuse the request now, and say when to come back."""
+    """Refuse the request now; ``retry_after_s`` is the delay before a retry."""
 
     ticket: Ticket
     reason: Reason
@@ -116,10 +116,10 @@
 
 @attrs.frozen
 class RetryAfter:
-    """Bounds of when a refused caller is told to come back, before the spread.
+    """Bounds of the delay before a refused caller retries, before jitter.
 
-    Callers whose own time is short are told to come back sooner: later than their
-    latency target, the second attempt is worth little even if it is served.
+    Callers with a short latency target get a shorter delay: beyond the target, a
+    second attempt is of little use even if it is served.
     """
 
     least_s: float = MIN_RETRY_AFTER_S
@@ -128,10 +128,10 @@
 
 @attrs.define
 class AdmissionState:
-    """What is known of one backend server and of those who wait for it.
+    """State of one backend server and of the requests that wait for it.
 
-    ``fair`` and ``by_deadline`` switch a mechanism off, so that benchmarks and
-    tests can show what it is for.
+    Benchmarks and tests set ``fair`` or ``by_deadline`` to false to show the effect
+    of the mechanism.
     """
 
     limit: ConcurrencyLimit
@@ -153,14 +153,14 @@
     retry_after: RetryAfter = attrs.Factory(lambda: RetryAfter())
 
     def urgent_share(self, rank):
-        """Return which part of the begun requests was more urgent than a rank."""
+        """Return the fraction of started requests that were more urgent than a rank."""
         return sum(share for r, share in self.rank_shares.items() if r < rank)
 
     def typical_s(self, kind, now_s):
-        """Return the time that a request of a kind needs once it was begun.
+        """Return the typical service time of a kind of request, in seconds.
 
-        By the median of all, a short one would look hopeless on a server that is busy
-        with uploads.
+        By the median of all kinds, a short request would seem unable to meet its
+        deadline on a server that is busy with uploads.
         """
         return self.kind_times.get(kind, self.times).typical_s(now_s)
 
@@ -171,12 +171,15 @@
 
     @property
     def runs_alone(self):
-        """Return whether the request in flight must stay the only one."""
+        """Return whether the only request in flight has to run alone."""
         return len(self.in_flight) == 1 and next(iter(self.in_flight)).alone
 
 
 def decide(state, event, now_s):
-    """Apply an event and return the `Begin` and `Shed` actions that follow."""
+    """Apply an event and return the resulting `Begin` and `Shed` actions.
+
+    Raise a `TypeError` if ``event`` isn't an admission event.
+    """
     match event:
         case Arrived(ticket=ticket):
             return _arrive(state, ticket, now_s)
@@ -192,9 +195,9 @@
 
 
 def shed_before_body(state, ticket, ahead, now_s):
-    """Return the `Shed` of a request whose body isn't worth sending, or ``None``.
+    """Return a `Shed` if a request isn't worth sending its body, or ``None``.
 
-    ``ahead`` others wait for their bodies to be sent, and come before it.
+    ``ahead`` is the number of earlier requests that wait to send their bodies.
     """
     sent_s = now_s + state.times.wait_s(ahead, state.limit.allowed(), now_s)
     if not ahead and not state.queue and _free(state):
@@ -232,14 +235,14 @@
 
 
 def _free(state):
-    """Return whether a request that needn't run alone may begin."""
+    """Return whether a slot is available for a request that needn't run alone."""
     if state.runs_alone or state.alone_since_s is not None:
         return False
     return len(state.in_flight) < state.limit.allowed()
 
 
 def _held_back(state, flow):
-    """Return whether a flow has all the slots that one flow may have."""
+    """Return whether a flow occupies all the slots that one flow may have."""
     allowed = state.limit.allowed()
     if not state.fair or flow is None or allowed < MIN_SLOTS_FOR_RESERVE:
         return False
@@ -247,11 +250,11 @@
 
 
 def _hopeless(state, ticket, now_s):
-    """Return whether a request can't be done by its deadline if begun now.
+    """Return whether a request started now would probably miss its deadline.
 
-    Begun all the same, it would take a slot from one that can be done, and its
-    caller would learn nothing: in an overload each slot would be busy with work
-    whose caller is gone, and goodput would fall to nothing.
+    If it were started anyway, it would take a slot from a request that can meet
+    its deadline. In an overload every slot would be busy with requests whose
+    callers have given up, and goodput would drop to zero.
     """
     if not state.by_deadline:
         return False
@@ -259,11 +262,12 @@
 
 
 def _fits_in_queue(state, ticket, now_s):
-    """Return whether a request that waits can probably be done by its deadline.
+    """Return whether a request that waits probably meets its deadline.
 
-    One that can't be done by its target waits behind those that can, for a slot that
-    they leave. Refused for the target's sake, it would come back with less of its time
-    left, and a late answer is worth more to its caller than none.
+    A request that would miss its latency target is marked as late, and waits
+    behind those that can meet theirs. If it were refused because of the target,
+    its caller would retry with less time left; a late answer is worth more to the
+    caller than none.
     """
     if not state.by_deadline:
         return True
@@ -275,10 +279,10 @@
 
 
 def _done_s(state, ticket, now_s):
-    """Return when a request is probably done that waits from now on."""
+    """Return the estimated completion time of a request that starts to wait now."""
     ahead = state.queue.ahead_of(ticket) + 1
     wait_s = state.times.wait_s(ahead, state.limit.allowed(), now_s)
-    # More urgent requests that come later go before this one all the same.
+    # More urgent requests that arrive later still run before this one.
     wait_s /= max(1 - state.urgent_share(ticket.turn), LEAST_SHARE)
     return now_s + wait_s + state.typical_s(ticket.kind, now_s)
 
@@ -293,8 +297,8 @@
             shed = _shed(state, ticket, Reason.DEADLINE_BEFORE_START, now_s)
             actions.append(shed)
         elif state.queue and _misses_target(state, ticket, now_s):
-            # It would be late, and make the next one late as well: in a steady
-            # overload every answer then misses its target by a little.
+            # It would miss its target and delay the next request: in a steady
+            # overload every answer would then miss its target by a little.
             ticket.make_late()
             if _fits_in_queue(state, ticket, now_s):
                 state.queue.push(ticket)
@@ -318,11 +322,11 @@
 
 
 def _begin_alone(state, now_s):
-    """Empty the backend server for a suspect, begin it, or refuse it.
+    """Drain the backend server for a suspect, start the suspect, or refuse it.
 
-    The server stands still for the others meanwhile; a caller who sends
-    suspects again and again could bring it to a halt. Their turns are therefore
-    bounded in length and in their share of the time.
+    Other requests wait meanwhile, so that a caller who keeps sending suspects
+    could block the server. The drain is therefore bounded in length, and the
+    suspects' runs in their share of the time.
     """
     if not state.alone_waiting or now_s < state.alone_not_before_s:
         return []
@@ -411,10 +415,10 @@
 
 
 def _retry_after_s(state, now_s):
-    """Return when to come back: later the more is refused, and spread out.
+    """Return the retry delay, in seconds; it grows with the fraction refused.
 
-    Callers that come back all together, or sooner than the backend server can
-    take them, keep an overload alive after its cause has gone.
+    It has jitter, since callers that retry all at once, or sooner than the backend
+    server can serve them, prolong an overload after its cause has gone.
     """
     drain_s = state.times.wait_s(state.waiting, state.limit.allowed(), now_s)
     least_s, most_s = state.retry_after.least_s, state.retry_after.most_s
--- a/comfreywharf/load/choice.py
+++ b/comfreywharf/load/choice.py
@@ -1,4 +1,4 @@
-"""Ways to choose a backend server for a service that isn't divided by key."""
+"""Strategies that choose a backend server for a service not divided by key."""
 
 from abc import ABC, abstractmethod
 
@@ -12,44 +12,45 @@
 ]
 
 NEAR_BONUS = 3.0
-"""How many times the cost of a far server a near one may have. A node has about one
-request at a time at each server, so that costs differ by two or three by chance."""
+"""Ratio of a near server's cost to a far one's up to which the near one is chosen. A
+node has about one request in flight at each server, so that costs differ by a factor
+of two or three by chance."""
 
 CROWDED = 0.05
-"""The fraction refused or failed from which on being near counts for nothing."""
+"""Fraction refused or failed from which on a near server isn't preferred."""
 
 
 class Chooser(ABC):
-    """Choose among backend servers by what this node has measured of them."""
+    """Choose among backend servers, from this node's own measurements."""
 
     @abstractmethod
     def choose(self, members, chance):
         """Return one of ``members``, a non-empty list of `MemberLoad`.
 
-        ``chance`` is a `random.Random`.
+        ``chance`` is the `random.Random` to draw from.
         """
 
 
 class RoundRobin(Chooser):
-    """Each in turn, whatever was measured."""
+    """Choose each server in turn, regardless of measurements."""
 
     def __init__(self):
         self._turn = 0
 
     def choose(self, members, chance):
-        """Return the next one."""
+        """Return the next member."""
         self._turn += 1
         return members[self._turn % len(members)]
 
 
 class LeastInFlight(Chooser):
-    """The one with the fewest requests in flight, in proportion to its weight."""
+    """Choose the server with the fewest requests in flight relative to its weight."""
 
     def choose(self, members, chance):
-        """Return the least loaded; chance decides between equals.
+        """Return the least loaded member; ties are broken at random.
 
-        Were the first of the equals taken, all ingress nodes would send to the
-        same server whenever the load is light.
+        If the first of several equal members were chosen, all ingress nodes would
+        send to the same server whenever the load is light.
         """
         return min(
             members, key=lambda m: ((m.in_flight + 1) / m.weight, chance.random())
@@ -57,15 +58,15 @@
 
 
 class TwoChoices(Chooser):
-    """The better of two random ones by latency times load.
+    """Choose the better of two random servers by latency times load.
 
-    Two random choices (Mitzenmacher, 2001) keep many ingress nodes from running
-    to the same server, which they all found idle a moment ago; the latency tells
-    a slow server from a fast one before requests pile up in it.
+    Two random choices (Mitzenmacher, 2001) keep many ingress nodes from sending
+    to the same server because all of them have just measured it as idle. The
+    latency distinguishes a slow server from a fast one before requests queue there.
     """
 
     def choose(self, members, chance):
-        """Return the better of two."""
+        """Return the better of two random members."""
         if len(members) == 1:
             return members[0]
         first, second = chance.sample(members, 2)
@@ -73,14 +74,14 @@
 
 
 class NearFirst(TwoChoices):
-    """A server in this node's failure domain, unless another one is much better.
+    """Choose a server in this node's failure domain unless another is much better.
 
-    Bytes between failure domains are paid for, and take longer. A near server that
-    refuses or fails is no better than any: its requests would be sent twice.
+    Traffic between failure domains costs money and takes longer. A near server that
+    refuses or fails isn't preferred, since its requests would be sent twice.
     """
 
     def choose(self, members, chance):
-        """Return a near server, or the better of two where none is good enough."""
+        """Return a near member, or a far one if it is much better."""
         near = [m for m in members if m.near and _is_well(m)]
         far = [m for m in members if not m.near]
         if not near or not far:
@@ -99,4 +100,4 @@
 
 
 DEFAULT_CHOOSER = TwoChoices
-"""The default; docs/design/load.md has the comparison that it rests on."""
+"""Default strategy; docs/design/load.md compares the alternatives."""
--- a/comfreywharf/load/crashes.py
+++ b/comfreywharf/load/crashes.py
@@ -1,21 +1,21 @@
-"""Tell a crash of the backend server from a cut connection."""
+"""Distinguish a crash of the backend server from a lost connection."""
 
 import attrs
 
 __all__ = ["CrashWatch", "Loss"]
 
 CONFIRM_S = 2.0
-"""How long after a lost connection a new instance still counts as its cause."""
+"""Time after a lost connection within which a restart of the server explains it."""
 
 SAME_LOSS_S = 0.1
-"""How far apart the runs of one crash may notice that their connections broke."""
+"""Time within which lost connections are attributed to the same crash."""
 
 
 @attrs.frozen
 class Loss:
-    """The runs in flight when a backend server died.
+    """The runs in flight when a backend server crashed.
 
-    ``alone`` says that there was one, which was run alone as a suspect.
+    ``alone`` is true if there was a single run, which ran alone as a suspect.
     """
 
     runs: tuple[object, ...]
@@ -24,11 +24,12 @@
 
 @attrs.define
 class CrashWatch:
-    """The runs in flight at one backend server, and those of a loss.
+    """The runs in flight at one backend server, now and at the last loss.
 
-    A connection may be lost although the server lives. What was in flight is
-    therefore only noted; it is reported once the server is known to have died:
-    its port refuses connections, or it announces itself as a new instance.
+    A connection may be lost although the server still runs. The runs in flight
+    are therefore only recorded; they are returned as a `Loss` once the crash is
+    confirmed: the server's port refuses connections, or the server announces
+    itself as a new instance.
     """
 
     _in_flight: dict[object, bool] = attrs.Factory(dict)
@@ -36,19 +37,19 @@
     _lost_s: float = float("-inf")
 
     def begun(self, run, alone):
-        """Note a run; ``run`` is any object that stands for it."""
+        """Record the start of a run; ``run`` is any hashable object for it."""
         self._in_flight[run] = alone
 
     def ended(self, run):
-        """Note the end of a run."""
+        """Record the end of a run."""
         self._in_flight.pop(run, None)
 
     def lost(self, run, now_s):
-        """Take a lost connection; return whether the server should be tried.
+        """Record a lost connection; return whether to check if the server is up.
 
-        It is called before `ended` of the run that lost its connection. All runs
-        of a crash lose theirs, one after another; the first loss has seen the
-        others still in flight.
+        It has to be called before `ended` of the run that lost its connection. All
+        runs of a crash lose their connections one after another; at the first
+        loss the others are still in flight.
         """
         if now_s - self._lost_s <= SAME_LOSS_S and run in self._at_loss:
             return False
@@ -59,10 +60,11 @@
         return True
 
     def confirmed(self, now_s):
-        """Return the `Loss` once the server is known to have died, or ``None``.
+        """Return the `Loss` of a confirmed crash, or ``None`` without a recent loss.
 
-        The runs of a dead server are over for this watch, even while it isn't
-        known yet whether they took effect: they can't crash the next instance.
+        The runs of a crashed server are removed from those in flight, even if it
+        is still unknown whether they took effect: they can't crash the next
+        instance.
         """
         if now_s - self._lost_s > CONFIRM_S:
             return None
--- a/comfreywharf/load/ejection.py
+++ b/comfreywharf/load/ejection.py
@@ -1,36 +1,36 @@
-"""Take failing and slow backend servers out of the choice, and try them again."""
+"""Eject failing and slow backend servers from the choice, and probe them later."""
 
 import attrs
 
 __all__ = ["Ejector"]
 
 FAILURE_LIMIT = 0.5
-"""A server that fails more than this part of its requests may be ejected."""
+"""Failure fraction above which a server may be ejected."""
 
 SLOW_FACTOR = 3.0
-"""A server this many times slower than the median of the others may be, too."""
+"""Ratio to the median latency of the others above which a server may be ejected."""
 
 MIN_SAMPLES = 5
-"""How many outcomes a verdict rests on."""
+"""Number of outcomes that a decision needs."""
 
 MAX_OUT_FRACTION = 0.5
-"""At most this part of a service's servers is out at a time, rounded down."""
+"""Limit on the fraction of a service's servers that are ejected, rounded down."""
 
 FIRST_PAUSE_S = 1.0
 MAX_PAUSE_S = 30.0
-"""How long a server stays out before it is tried with one request."""
+"""Bounds of the time that a server stays ejected before one request probes it."""
 
 
 @attrs.define
 class _Ejection:
-    """A server that is out: until when, and the request that tries it."""
+    """An ejected server: when its probe is due, and whether one is in flight."""
 
     until_s: float
     pause_s: float
     probing: bool = False
 
     def is_due(self, now_s, idempotent):
-        """Return whether a request may be used to try the server."""
+        """Return whether a request may be used to probe the server."""
         if self.probing:
             return False
         wait_s = 0.0 if idempotent else self.pause_s
@@ -39,24 +39,25 @@
 
 @attrs.define
 class Ejector:
-    """Which members of one service are out, by this node's own measurements.
+    """The ejected members of one service, from this node's own measurements.
 
-    A floor bounds how many may be out: where all are slow or failing, the cause
-    lies elsewhere, and sending everything to the last one would break that one
-    too. A server that is out gets one request after a pause; an answer as good
-    as the others' brings it back, anything else doubles the pause.
+    The fraction of ejected members is bounded: if all are slow or failing, the
+    cause lies elsewhere, and sending every request to the last one would overload
+    that one as well. An ejected server gets one request as a probe after a pause.
+    An answer as good as the others' reinstates it; any other outcome doubles the
+    pause.
     """
 
     _out: dict[str, _Ejection] = attrs.Factory(dict)
     _returned: dict[str, tuple[float, float]] = attrs.Factory(dict)
 
     def usable(self, members, now_s, idempotent=True):
-        """Return the members to choose from; a due probe comes alone.
+        """Return the members to choose from; only one if its probe is due.
 
-        ``members`` are `MemberLoad`; the result is empty only if they are. A
-        request that isn't idempotent is used as a probe only if no other came
-        for a whole pause, since its caller would be left with an unknown
-        outcome.
+        ``members`` is a list of `MemberLoad`; the result is empty only if it is. A
+        request that isn't idempotent is used as a probe only if no idempotent one
+        arrived for another whole pause, since a failed probe would leave its caller
+        with an unknown outcome.
         """
         if not self._out:
             return list(members)
@@ -68,17 +69,17 @@
         return [m for m in members if m.node_id not in self._out] or list(members)
 
     def begun(self, member, now_s):
-        """Note that a request was sent to a member."""
+        """Record that a request was sent to a member."""
         ejection = self._out.get(member.node_id)
         if ejection and now_s >= ejection.until_s:
             ejection.probing = True
 
     def finished(self, member, members, latency_s, failed, now_s, probe):
-        """Weigh an outcome; return the ``(node_id, out)`` that changed, or ``None``.
+        """Record an outcome; return the changed ``(node_id, ejected)``, or ``None``.
 
-        ``probe`` says whether the member was out when the request was sent. A
-        late answer to a request from before the ejection proves nothing of the
-        server as it is now.
+        ``probe`` tells whether the member was ejected when the request was sent. A
+        late answer to a request from before the ejection says nothing about the
+        server's present state, and is ignored.
         """
         ejection = self._out.get(member.node_id)
         if ejection is not None:
@@ -92,13 +93,13 @@
         return member.node_id, True
 
     def dropped(self, member, probe):
-        """Note that a request ended without saying anything of the server."""
+        """Record that a request ended without an outcome that concerns the server."""
         ejection = self._out.get(member.node_id)
         if ejection is not None and probe:
             ejection.probing = False
 
     def is_out(self, node_id):
-        """Return whether a member is out."""
+        """Return whether a member is ejected."""
         return node_id in self._out
 
     def _probed(self, ejection, member, members, latency_s, failed, now_s):
@@ -138,14 +139,14 @@
         return len(self._out) < int(len(members) * MAX_OUT_FRACTION)
 
     def _first_pause_s(self, node_id, now_s):
-        """Return a longer pause for a server that was out not long ago."""
+        """Return the first pause; longer if the server was reinstated recently."""
         returned_s, pause_s = self._returned.get(node_id, (float("-inf"), 0.0))
         if now_s - returned_s > 2 * MAX_PAUSE_S:
             return FIRST_PAUSE_S
         return pause_s
 
     def _forget_departed(self, members):
-        """Drop members that left, and keep to the floor for those that stay."""
+        """Drop members that left, and reinstate members beyond the allowed fraction."""
         present = {member.node_id for member in members}
         for node_id in [n for n in self._out if n not in present]:
             del self._out[node_id]
--- a/comfreywharf/load/estimates.py
+++ b/comfreywharf/load/estimates.py
@@ -1,41 +1,43 @@
-"""Estimates of service time and drain rate, from a node's own measurements."""
+"""Estimates of service time and drain rate from a node's own measurements."""
 
 import attrs
 
 __all__ = ["ServiceTimes", "work_kind"]
 
 QUANTILE_STEP = 0.05
-"""How far, relative to its value, a tracked quantile moves with one sample."""
+"""Relative step of a tracked quantile for each sample."""
 
 MEAN_WEIGHT = 0.03
-"""The weight of the newest sample in the mean: that of some 30 requests."""
+"""Weight of the newest sample in the mean, which covers about 30 requests."""
 
 GAP_WEIGHT = 0.1
-"""The weight of the newest gap between two completions."""
+"""Weight of the newest gap between two completions."""
 
 HALF_LIFE_S = 1.0
-"""How long an estimate without a new sample takes to lose half of its value."""
+"""Half-life of an estimate without new samples."""
 
 FRESH_S = 1.0
-"""How old the last gap may be for the drain rate to rest on it."""
+"""Maximum age of the last gap for the drain rate to be based on it."""
 
 
 def work_kind(request):
-    """Return what requests have in common that take about the same time.
+    """Return the kind of a request; requests of one kind take about the same time.
 
-    ``request`` is a `ForwardRequest`: its rank, and whether it may be repeated.
+    ``request`` is a `ForwardRequest`. The kind is its priority, and whether it may
+    be repeated.
     """
     return request.priority, request.repeatable
 
 
 @attrs.define
 class ServiceTimes:
-    """How long requests take, and how fast a backlog drains.
+    """Track how long requests take and how fast a backlog drains.
 
-    The median is followed rather than the mean: one upload of a minute among
-    thousands of lookups would otherwise make every lookup look hopeless. Each
-    sample moves the median by a fixed fraction of itself (a relative form of the
-    stochastic approximation of Robbins and Monro, 1951), which needs no memory.
+    The typical time is the median rather than the mean: because of one upload of a
+    minute among thousands of lookups, every lookup would otherwise seem unable to
+    meet its deadline. Each sample moves the median by a fixed fraction of its
+    value (a relative form of the stochastic approximation of Robbins and Monro,
+    1951), which needs no stored samples.
 
     >>> times = ServiceTimes()
     >>> times.add(0.010, now_s=1.0)
@@ -50,7 +52,7 @@
     _gap_sampled_s: float = float("-inf")
 
     def add(self, elapsed_s, now_s):
-        """Take the time that one request took at the backend server."""
+        """Add the time that one request took at the backend server, in seconds."""
         if self.mean_s <= 0:
             self.mean_s = elapsed_s
         else:
@@ -64,7 +66,7 @@
         self._sampled_s = now_s
 
     def add_gap(self, gap_s, now_s):
-        """Take the time between two completions while requests waited."""
+        """Add the time between two completions while requests waited, in seconds."""
         if now_s - self._gap_sampled_s > FRESH_S:
             self._gap_s = gap_s
         else:
@@ -72,12 +74,11 @@
         self._gap_sampled_s = now_s
 
     def typical_s(self, now_s):
-        """Return the time that a request needs once it was begun; 0 if unknown.
+        """Return the typical service time of a request, in seconds; 0 if unknown.
 
-        An estimate that is too high keeps all work from being begun, so that no
-        sample ever corrects it: one would see a healthy server with no request
-        in flight and every caller refused. The estimate therefore decays while
-        no sample comes.
+        If the estimate is too high, no request is started, and no sample can
+        correct it: a healthy server would have no request in flight while every
+        caller is refused. The estimate therefore decays without new samples.
         """
         idle_s = now_s - self._sampled_s
         if idle_s <= HALF_LIFE_S:
@@ -85,7 +86,7 @@
         return self._median_s * 0.5 ** (idle_s / HALF_LIFE_S - 1)
 
     def wait_s(self, ahead, slots, now_s):
-        """Return how long a request waits behind ``ahead`` others."""
+        """Return how long a request waits behind ``ahead`` others, in seconds."""
         if now_s - self._gap_sampled_s <= FRESH_S:
             return ahead * self._gap_s
         return ahead * self.typical_s(now_s) / max(slots, 1)
--- a/comfreywharf/load/fairqueue.py
+++ b/comfreywharf/load/fairqueue.py
@@ -1,4 +1,4 @@
-"""A bounded queue that is fair between flows and ordered by deadline in each."""
+"""Queues of waiting requests: fair between flows, or ordered by rank."""
 
 import heapq
 import itertools
@@ -10,21 +10,22 @@
 __all__ = ["LATE_RANK", "FairQueue", "RankedQueue", "RequestQueue", "Ticket"]
 
 SPARE_ENTRIES = 64
-"""How many entries of departed flows are kept before they are cleared away."""
+"""Heap entries of removed flows that are kept, besides one per waiting flow, before
+the heap is compacted."""
 
 LATE_RANK = 100
-"""Added to the rank of a request that will be late: behind all that won't."""
+"""Added to the rank of a late request, so that it waits behind all others."""
 
 
 @attrs.define(eq=False, kw_only=True)
 class Ticket:
-    """One request before the backend server.
+    """One request that waits for, or occupies, a slot of the backend server.
 
-    ``flow`` is what must not starve others: the key, or ``None`` where a service
-    isn't divided by key. An ``alone`` request is suspected of crashing backend
-    servers and runs beside no other. ``rank`` 0 is the most urgent. Requests of one
-    ``kind`` take about the same time. After
-    ``target_s`` an answer is worth less; ``None`` means that it never is.
+    ``flow`` is the unit of fairness: the key, or ``None`` if the service isn't
+    divided by key. An ``alone`` request is suspected of crashing backend servers
+    and runs beside no other. ``rank`` 0 is the most urgent. Requests of one
+    ``kind`` take about the same time. After ``target_s``, the latency target, an
+    answer is worth less; ``None`` means that there is no target.
     """
 
     flow: object
@@ -39,11 +40,11 @@
 
     @property
     def turn(self):
-        """Return its rank among those that wait: late ones behind all others."""
+        """Return the rank in the queue; late requests rank behind all others."""
         return self.rank + LATE_RANK if self.late else self.rank
 
     def make_late(self):
-        """Let it wait behind all that can still be answered within their target."""
+        """Mark as late: it waits behind all requests that can meet their target."""
         self.target_s = None
         self.late = True
 
@@ -54,14 +55,14 @@
 
 @attrs.define(eq=False)
 class _Flow:
-    """The waiting tickets of one flow, and its start tag."""
+    """The waiting tickets of one flow and its start tag."""
 
     tag: float
     tickets: list[Ticket] = attrs.Factory(list)
 
 
 class RequestQueue(ABC):
-    """Requests that wait for a slot of the backend server, in some order."""
+    """Queue of requests that wait for a slot of the backend server."""
 
     @abstractmethod
     def __len__(self):
@@ -77,27 +78,30 @@
 
     @abstractmethod
     def ahead_of(self, ticket):
-        """Return an upper bound of how many tickets go before a new one."""
+        """Return an upper bound on the tickets served before a new one."""
 
     @abstractmethod
     def pop(self, skip=frozenset()):
-        """Take the next ticket whose flow isn't in ``skip``, or ``None``."""
+        """Remove and return the next ticket whose flow isn't in ``skip``, or ``None``.
+
+        A queue without flows ignores ``skip``.
+        """
 
     @abstractmethod
     def remove(self, ticket):
-        """Take out a ticket that waits; false if it doesn't."""
+        """Remove a waiting ticket; return false if it doesn't wait here."""
 
     @abstractmethod
     def drop_from_longest(self):
-        """Take out the ticket that is given up when the queue is too long."""
+        """Remove and return the ticket to refuse when the queue is too long."""
 
 
 class RankedQueue(RequestQueue):
-    """The most urgent first, and among equals the one that waits longest.
+    """Order requests by rank, the most urgent first, and within a rank by arrival.
 
-    For backend servers whose slots are shared by all keys alike: a hot key then
-    starves nobody, and what matters is that a less urgent kind of request isn't
-    served better than a more urgent one.
+    For backend servers whose slots are shared by all keys: a hot key then starves
+    no other key, and a less urgent kind of request must not be served better than a
+    more urgent one.
     """
 
     def __init__(self):
@@ -117,18 +121,18 @@
         self._ranks.setdefault(ticket.turn, []).append(ticket)
 
     def ahead_of(self, ticket):
-        """Return how many tickets of its rank and of more urgent ones wait."""
+        """Return how many tickets of the same or a more urgent rank wait."""
         return sum(
             len(tickets) for turn, tickets in self._ranks.items() if turn <= ticket.turn
         )
 
     def pop(self, skip=frozenset()):
-        """Take the ticket that is next."""
+        """Remove and return the next ticket, or ``None``."""
         waiting = [rank for rank, tickets in self._ranks.items() if tickets]
         return self._ranks[min(waiting)].pop(0) if waiting else None
 
     def remove(self, ticket):
-        """Take out a ticket that waits; false if it doesn't."""
+        """Remove a waiting ticket; return false if it doesn't wait here."""
         tickets = self._ranks.get(ticket.turn, [])
         if ticket not in tickets:
             return False
@@ -136,7 +140,7 @@
         return True
 
     def drop_from_longest(self):
-        """Take out the newest ticket of the least urgent rank."""
+        """Remove and return the newest ticket of the least urgent rank."""
         waiting = [rank for rank, tickets in self._ranks.items() if tickets]
         return self._ranks[max(waiting)].pop()
 
@@ -144,10 +148,10 @@
 class FairQueue(RequestQueue):
     """Start-time fair queueing over flows (Goyal, Vin and Cheng, 1996).
 
-    A flow's start tag grows by one with each ticket that is taken from it, and
-    the flow with the least tag is next. A flow that begins to wait starts at the
-    tag of the last one taken, so that it comes before the backlog of a hot key
-    but gains nothing from having been idle.
+    A flow's start tag grows by one with each ticket served, and the flow with the
+    lowest tag is served next. A flow that starts to wait gets the tag of the flow
+    served last, so that it precedes the backlog of a hot key but gains nothing
+    from its idle time. Tickets within a flow are ordered by deadline.
     """
 
     def __init__(self):
@@ -177,14 +181,14 @@
         self._length += 1
 
     def ahead_of(self, ticket):
-        """Return an upper bound of how many tickets go before a new one."""
+        """Return an upper bound on the tickets served before a new one."""
         flow = self._flows.get(ticket.flow)
         if flow is None:
             return min(self._length, len(self._flows))
         return min(self._length, (len(flow.tickets) + 1) * len(self._flows))
 
     def pop(self, skip=frozenset()):
-        """Take the next ticket whose flow isn't in ``skip``, or ``None``."""
+        """Remove and return the next ticket whose flow isn't skipped, or ``None``."""
         kept = []
         taken = None
         while self._heap and taken is None:
@@ -212,7 +216,7 @@
         return ticket
 
     def remove(self, ticket):
-        """Take out a ticket that waits; false if it doesn't."""
+        """Remove a waiting ticket; return false if it doesn't wait here."""
         flow = self._flows.get(ticket.flow)
         if flow is None or ticket not in flow.tickets:
             return False
@@ -223,11 +227,10 @@
         return True
 
     def drop_from_longest(self):
-        """Take out the ticket with the latest deadline of the longest flow.
+        """Remove and return the ticket with the latest deadline of the longest flow.
 
-        Were the newcomer refused instead, a hot key would fill the queue and its
-        neighbours would be refused for a load that isn't theirs (McKenney,
-        1990).
+        If the new ticket were refused instead, a hot key would fill the queue, and
+        requests for other keys would be refused because of it (McKenney, 1990).
         """
         longest = max(self._flows.values(), key=lambda flow: len(flow.tickets))
         ticket = longest.tickets[-1]
@@ -240,11 +243,11 @@
             self._compact()
 
     def _compact(self):
-        """Drop entries of flows that have gone.
+        """Drop the heap entries of removed flows.
 
-        While a frozen backend server finishes nothing, nothing is taken, and
-        each flow that gave up would leave its entry behind: memory would grow
-        for as long as the server is frozen.
+        While a frozen backend server finishes nothing, no entry is popped, and each
+        flow whose callers gave up would leave an entry: memory would grow for as
+        long as the server is frozen.
         """
         self._heap = [e for e in self._heap if self._flows.get(e[3]) is e[2]]
         heapq.heapify(self._heap)
--- a/comfreywharf/load/fingerprints.py
+++ b/comfreywharf/load/fingerprints.py
@@ -1,4 +1,4 @@
-"""Recognise a request that its caller sends again."""
+"""Fingerprints that identify a repeated request by its content."""
 
 import hashlib
 
@@ -8,13 +8,13 @@
 
 
 def fingerprint(service, key, method, path, body):
-    """Return the same text for the same request, whoever sends it again.
+    """Return a hexadecimal digest that is equal for equal requests of any caller.
 
-    Only what the backend server acts on goes in: request id, headers and
-    timeout, which a caller could vary, don't. ``path`` includes the query;
-    ``key`` and ``body`` are bytes. Of a streamed body the first part is given.
-    The digest is a cryptographic one, since a caller who could make two
-    requests collide could have a stranger's request quarantined.
+    It covers only what the backend server acts on, not the request id, headers and
+    timeout, which a caller could vary. ``path`` includes the query; ``key`` and
+    ``body`` are bytes. Of a streamed body, ``body`` is the first part. The digest
+    is cryptographic: a caller who could construct a collision could have another
+    caller's request quarantined.
 
     >>> fingerprint("files", b"", "GET", "/look", b"")[:8]
     'f66dc667'
--- a/comfreywharf/load/hotkeys.py
+++ b/comfreywharf/load/hotkeys.py
@@ -5,17 +5,17 @@
 __all__ = ["HotKeyCount", "HotKeys"]
 
 MAX_COUNTED = 768
-"""How many keys are counted at a time."""
+"""Limit on the keys with a count at a time."""
 
 WINDOW_S = 2.0
-"""How long requests are counted before the counts are reported as rates."""
+"""Length of a counting window, after which its counts are reported as rates."""
 
 REPORTED_KEYS = 25
 
 
 @attrs.frozen
 class HotKeyCount:
-    """A key by its hash, and how often it is asked for."""
+    """The hash of a key and its request rate."""
 
     service: str
     key_hash: int
@@ -25,13 +25,13 @@
 class HotKeys:
     """Count requests by key in windows of a few seconds.
 
-    Counts follow Misra and Gries (1982): where there is no room for another key,
-    all counts are lowered by their median (Anderson et al., 2017). A window's
+    Counts follow Misra and Gries (1982): when there are more than `MAX_COUNTED`
+    keys, all counts are reduced by their median (Anderson et al., 2017). A window's
     counts are a lower bound, off by at most 0.35% of the window's requests; the
-    hottest 25 of a skewed load lie far above that. The library with this sketch
-    brings numpy, which was 14 MB and a quarter of a process's start. Two windows
-    are kept: the one that is filling, and the last full one, so that a key that
-    was hot a while ago is forgotten within two windows.
+    hottest 25 keys of a skewed load are far above that. The library that has this
+    sketch depends on numpy, which took 14 MB and a quarter of the process's startup
+    time. Two windows are kept, the current one and the last complete one, so that
+    a key that is no longer hot is forgotten within two windows.
     """
 
     def __init__(self, now_s, window_s=WINDOW_S):
@@ -51,7 +51,7 @@
             self._filling = _lowered(self._filling)
 
     def hottest(self, now_s, limit=REPORTED_KEYS):
-        """Return the hottest keys of the last full window, hottest first."""
+        """Return the hottest keys of the last complete window, hottest first."""
         if now_s - self._begun_s >= self._window_s:
             self._rotate(now_s)
         if self._full is None:
@@ -72,6 +72,6 @@
 
 
 def _lowered(counts):
-    """Return counts less their median, those that vanish left out."""
+    """Return the counts reduced by their median, without those at or below zero."""
     median = sorted(counts.values())[len(counts) // 2]
     return {key: count - median for key, count in counts.items() if count > median}
--- a/comfreywharf/load/limits.py
+++ b/comfreywharf/load/limits.py
@@ -1,29 +1,27 @@
-"""How many requests a backend server is given at once."""
+"""Limit on the concurrent requests at a backend server."""
 
 import attrs
 
 __all__ = ["ConcurrencyLimit", "warm_fraction"]
 
 COLD_FRACTION = 0.25
-"""The part of its slots that a backend server gets at once after it announced
-itself."""
+"""Fraction of its slots that a backend server gets right after its announcement."""
 
 WARM_ROUNDS = 5
-"""How many answers a slot, on average, until a backend server counts as warm."""
+"""Mean number of answers per slot after which a backend server counts as warm."""
 
 CUT_FACTOR = 0.7
-"""What a refusal by the backend server itself leaves of the limit."""
+"""Factor that a refusal by the backend server applies to the limit."""
 
 CUT_INTERVAL_S = 0.1
-"""One cut answers all refusals within this time, since they have one cause."""
+"""Refusals within this time have one cause and cut the limit only once."""
 
 
 def warm_fraction(answers, needed):
-    """Return which part of its load a backend server may bear, from 0.25 to 1.
+    """Return the fraction of its full load for a backend server, from 0.25 to 1.
 
-    The ramp follows what the server has done, not the time since it came up: a
-    server that is slow while it is cold climbs slowly, one that nobody used is
-    still cold.
+    The ramp follows the number of answers, not the time since the start: a server
+    that is slow while cold ramps up slowly, and an unused one is still cold.
 
     >>> warm_fraction(0, 100), warm_fraction(200, 100)
     (0.25, 1.0)
@@ -37,15 +35,16 @@
 class ConcurrencyLimit:
     """The slots of one backend server: a ramp after its start, cuts on refusals.
 
-    The number of slots is what the server announced. It is never exceeded; a
-    server that refuses work within it has told the truth by its refusals, and
-    the limit falls at once and climbs again by an answer at a time (additive
-    increase, multiplicative decrease: Chiu and Jain, 1989).
+    The number of slots is the one that the server announced; it is never exceeded.
+    If the server refuses requests within it, the limit is cut at once, and rises
+    again with each answer (additive increase, multiplicative decrease: Chiu and
+    Jain, 1989).
 
-    Where ``cold`` is false there is no ramp: a server that is only slower after
-    its start, at any number of requests, loses by each slot that is left empty.
-    Where ``cuts`` is false refusals change nothing: a server that refuses a part of
-    its requests at any load, and is given one slot for it, serves a twelfth.
+    If ``cold`` is false, there is no ramp: a server that is slower after its start
+    at any number of requests only loses throughput by idle slots. If ``cuts`` is
+    false, refusals don't change the limit: a server that refuses a fraction of its
+    requests at any load would be cut down to a single slot, a twelfth of its
+    throughput with 12 slots.
 
     >>> limit = ConcurrencyLimit(slots=12)
     >>> limit.allowed()
@@ -69,7 +68,7 @@
         return self._allowed
 
     def answered(self):
-        """Count an answer of the backend server that isn't a failure."""
+        """Count a successful answer of the backend server."""
         if self._allowed == self.slots:
             return
         self._answers += 1
@@ -77,7 +76,7 @@
         self._update()
 
     def refused(self, now_s):
-        """Lower the limit after the backend server refused a request."""
+        """Cut the limit after the backend server refused a request."""
         if not self.cuts or now_s - self._cut_s < CUT_INTERVAL_S:
             return
         self._cut_s = now_s
--- a/comfreywharf/load/members.py
+++ b/comfreywharf/load/members.py
@@ -1,4 +1,4 @@
-"""What an ingress node has measured of each backend server it sends to."""
+"""Measurements of an ingress node about each backend server it sends to."""
 
 import attrs
 
@@ -7,27 +7,27 @@
 __all__ = ["MemberLoad"]
 
 LATENCY_WEIGHT = 0.1
-"""The weight of the newest latency in the mean."""
+"""Weight of the newest latency in the mean."""
 
 FAILURE_WEIGHT = 0.2
-"""The weight of the newest outcome in the failure fraction."""
+"""Weight of the newest outcome in the failure fraction."""
 
 REFUSAL_WEIGHT = 0.1
-"""The weight of the newest outcome in the fraction refused for want of slots."""
+"""Weight of the newest outcome in the fraction refused for lack of slots."""
 
 ANSWERS_UNTIL_WARM = 50
-"""After how many answers through one node a server gets its full part."""
+"""Answers through one node after which a server gets its full share of requests."""
 
 
 @attrs.define(eq=False)
 class MemberLoad:
     """Requests in flight, latency and failures of one backend server.
 
-    All of it is counted by this node. What a backend server reports of its own
-    health and load isn't consulted: reports lag, and a server that fails every
-    request may report that it is well and idle. ``announced_offset`` tells one
-    start of the server from the next; with each it is cold again. It is ``near`` if it
-    stands in this node's failure domain.
+    All values are measured by this node. What a backend server reports about its
+    own health and load isn't used: reports lag, and a server that fails every
+    request may report that it is healthy and idle. ``announced_offset`` identifies
+    a start of the server; after each start it is cold. ``near`` is true if the
+    server is in this node's failure domain.
     """
 
     node_id: str
@@ -42,11 +42,11 @@
 
     @property
     def weight(self):
-        """Return which part of its load the server may bear, from 0.25 to 1."""
+        """Return the fraction of its full load for the server, from 0.25 to 1."""
         return warm_fraction(self.answers, ANSWERS_UNTIL_WARM)
 
     def started_again(self, announced_offset):
-        """Forget what was measured before the server's latest start."""
+        """Discard the measurements from before the server's latest start."""
         self.announced_offset = announced_offset
         self.answers = 0
         self.mean_latency_s = 0.0
@@ -55,20 +55,20 @@
         self.samples = 0
 
     def begin(self):
-        """Count a request that was sent."""
+        """Count a request that is sent."""
         self.in_flight += 1
 
     def drop(self):
-        """Count the end of a request that says nothing of the server."""
+        """Count the end of a request whose outcome doesn't concern the server."""
         self.in_flight -= 1
 
     def crowded(self):
-        """Count a request that was refused for want of slots."""
+        """Count the end of a request that was refused for lack of slots."""
         self.in_flight -= 1
         self.refused_fraction += REFUSAL_WEIGHT * (1 - self.refused_fraction)
 
     def finish(self, latency_s, failed):
-        """Count the end of a request, and whether the server failed it."""
+        """Count the end of a request; ``failed`` tells whether the server failed it."""
         self.in_flight -= 1
         self.refused_fraction -= REFUSAL_WEIGHT * self.refused_fraction
         self.samples += 1
--- a/comfreywharf/load/quarantine.py
+++ b/comfreywharf/load/quarantine.py
@@ -1,9 +1,9 @@
-"""Requests that are suspected of crashing backend servers, and those that do.
+"""Quarantine of requests that crash backend servers, or are suspected of it.
 
-A request in flight when a backend server dies becomes a suspect. It runs alone
-the next time: an answer clears it, a crash condemns it, since no other request
-can have been the cause. Nodes tell each other by notices; each crash has an id,
-so that a notice that arrives twice counts once.
+A request in flight when a backend server crashes becomes a suspect. The next time
+it runs alone: an answer clears it, and a crash condemns it, since no other request
+can be the cause. Nodes inform their peers by notices. Each crash has an id, so that
+a notice that is received twice counts once.
 """
 
 from enum import Enum
@@ -22,23 +22,24 @@
 
 SUSPECT = "suspect"
 LIFTED = "lifted"
-"""Kinds of notices; the subject is described at `Quarantine.learn`."""
+"""Kinds of notices; `Quarantine.learn` describes their subject."""
 
 IN_COMPANY = 1.0
 ALONE = 2.0
-"""Values of a suspect's notice: what else was in flight during the crash."""
+"""Values of a suspect's notice: whether it ran with others or alone at the crash."""
 
 HERE = "here"
-"""Stands for the id of a crash that isn't confirmed."""
+"""Crash id of this node's unconfirmed suspicions."""
 
 SUSPECT_S = 60.0
-"""How long a suspect that nobody sends again stays one."""
+"""Time after which a request without another crash is no longer a suspect."""
 
 CONDEMNED_S = 600.0
-"""How long a condemned request isn't run."""
+"""Time for which a condemned request isn't run."""
 
 MAX_ENTRIES = 1024
-"""How many fingerprints are kept; the ones that expire first give way."""
+"""Limit on the fingerprints kept. Suspects are evicted before condemned requests,
+and among these the ones that expire first."""
 
 
 class Standing(Enum):
@@ -51,7 +52,7 @@
 
 @attrs.frozen
 class Notice:
-    """What peers should be told, and for how long it matters."""
+    """A notice for the peers, and how long they need it."""
 
     kind: str
     subject: str
@@ -61,9 +62,9 @@
 
 @attrs.frozen
 class Crash:
-    """The requests in flight when a backend server died, by fingerprint.
+    """The requests in flight when a backend server crashed, by fingerprint.
 
-    ``alone`` says that it was one suspect, which was run alone as such.
+    ``alone`` is true if it was a single suspect that was run alone.
     """
 
     fingerprints: tuple[str, ...]
@@ -72,7 +73,7 @@
 
 @attrs.frozen(kw_only=True)
 class QuarantineEntry:
-    """A suspect or condemned request, as operators see it."""
+    """A suspect or condemned request, as listed to operators."""
 
     fingerprint: str
     service: str
@@ -83,7 +84,7 @@
 
 @attrs.define
 class _Record:
-    """The crashes that a fingerprint was in flight at, by id."""
+    """The crashes during which a request was in flight, by crash id."""
 
     service: str
     crashes: dict[str, float] = attrs.Factory(dict)
@@ -100,13 +101,13 @@
 
 
 class Quarantine:
-    """One node's knowledge of suspects over all nodes."""
+    """Suspect and condemned requests of all nodes, as known to one node."""
 
     def __init__(self):
         self._records = {}
 
     def __len__(self):
-        """Return how many fingerprints are kept, expired ones included."""
+        """Return how many fingerprints are kept, including expired ones."""
         return len(self._records)
 
     def standing(self, fingerprint, now_s):
@@ -115,20 +116,20 @@
         return record.standing if record else Standing.TRUSTED
 
     def retry_after_s(self, fingerprint, now_s):
-        """Return when a condemned request may come back."""
+        """Return the time until a condemned request may run again, in seconds."""
         record = self._current(fingerprint, now_s)
         return max(record.expires_s - now_s, 0.0) if record else 0.0
 
     def suspect(self, fingerprint, service, now_s):
-        """Suspect a request on this node's own account; peers aren't told."""
+        """Make a request a suspect on this node only; peers aren't notified."""
         self._add(fingerprint, service, HERE, IN_COMPANY, now_s)
 
     def crashed(self, crash_id, service, crash, now_s):
-        """Take a `Crash` of the backend server beside this node.
+        """Record a `Crash` of this node's backend server; return the notices for peers.
 
-        Only a suspect that was run alone is condemned. The first crash of a
-        request that happened to be the only one may have another cause, and so
-        may the crash of one that was begun before it became a suspect.
+        Only a suspect that was run alone is condemned. If a request merely happened
+        to be the only one in flight, or was started before it became a suspect, the
+        crash may have another cause.
         """
         value = ALONE if crash.alone else IN_COMPANY
         notices = []
@@ -139,13 +140,16 @@
         return notices
 
     def answered(self, fingerprint, now_s):
-        """Clear a suspect that ran alone and was answered."""
+        """Clear a suspect that ran alone and was answered; return notices for peers."""
         if self.standing(fingerprint, now_s) is not Standing.SUSPECT:
             return []
         return self.lift(fingerprint, now_s)
 
     def lift(self, fingerprint, now_s):
-        """Forgive a fingerprint's crashes, by an operator's word or its answer."""
+        """Clear a fingerprint's crashes; return the notices for peers.
+
+        It is called on an operator's order, and when a suspect was answered.
+        """
         record = self._current(fingerprint, now_s)
         if record is None or not record.crashes:
             return []
@@ -155,12 +159,12 @@
         return [Notice(LIFTED, subject, 0.0, CONDEMNED_S)]
 
     def learn(self, kind, subject, value, now_s):
-        """Take a peer's notice.
+        """Apply a notice received from a peer.
 
-        The subject is ``FINGERPRINT CRASH_ID SERVICE``; for a lifted one the ids
-        of all forgiven crashes are given, separated by commas. They stay
-        forgiven if their own notices arrive later. A subject of another form is
-        a `ValueError`.
+        The subject is ``FINGERPRINT CRASH_ID SERVICE``; in a notice of kind
+        ``lifted`` the ids of all cleared crashes are separated by commas. These
+        stay cleared if their own notices are received later. Raise a `ValueError`
+        for a subject of another form.
         """
         fingerprint, crash_ids, service = subject.split(" ", 2)
         if kind == SUSPECT:
@@ -173,7 +177,7 @@
             self._keep_bound(now_s)
 
     def list(self, now_s):
-        """Return the entries in force, condemned ones first."""
+        """Return the entries that haven't expired, condemned ones first."""
         entries = [
             QuarantineEntry(
                 fingerprint=name,
