--- a/comfreywharf/placement/homes.py
+++ b/comfreywharf/placement/mandatory.py
@@ -1,12 +1,12 @@
 """Mandatory moves: assign an owner to slices whose owner can't serve them."""
 
-__all__ = ["find_homes"]
+__all__ = ["plan_mandatory_moves"]
 
 TAKEOVER_GRACE_S = 10.0
 """Time that the standbys of a lost owner have for their takeover."""
 
 
-def find_homes(view):
+def plan_mandatory_moves(view):
     """Plan a new owner for each slice without an owner that can serve it.
 
     The owner is missing, draining or lost. Slices of a lost owner are normally
@@ -18,13 +18,13 @@
     """
     if not view.targets:
         return
-    homeless = [piece for piece in view.pieces if _needs_home(view, piece)]
-    homeless.sort(key=lambda piece: (-view.weights[piece.start], piece.start))
-    for piece in homeless:
+    unserved = [piece for piece in view.pieces if _needs_owner(view, piece)]
+    unserved.sort(key=lambda piece: (-view.weights[piece.start], piece.start))
+    for piece in unserved:
         view.move(piece, _new_owner(view, piece))
 
 
-def _needs_home(view, piece):
+def _needs_owner(view, piece):
     if not piece.owner or piece.owner not in view.members:
         return True
     # The fold refuses to move a slice whose release by its previous owner is
--- a/comfreywharf/placement/planning.py
+++ b/comfreywharf/placement/planning.py
@@ -2,8 +2,8 @@
 
 import attrs
 
-from comfreywharf.placement.homes import find_homes
 from comfreywharf.placement.loads import LoadTable, NodeReport, silence_s
+from comfreywharf.placement.mandatory import plan_mandatory_moves
 from comfreywharf.placement.pace import PlacementPace
 from comfreywharf.placement.rebalance import (
     RebalancePolicy,
@@ -153,7 +153,7 @@
     view = look(cluster, state.table, service.name, now_s, warm_up, state.pace)
     if _gathers(state, pieces, now_s):
         return view
-    find_homes(view)
+    plan_mandatory_moves(view)
     state.policy(service).plan(view, now_s)
     choose_standbys(view, spread=state.switches.spread_standbys)
     return view
--- a/comfreywharf/placement/standbys.py
+++ b/comfreywharf/placement/standbys.py
@@ -107,11 +107,11 @@
     Another failure domain than the owner's comes before the same one, then the
     same region before another one.
     """
-    home = view.members[owner]
+    owner_member = view.members[owner]
     classes = defaultdict(list)
     for node_id in fit:
         if node_id != owner:
             member = view.members[node_id]
-            same_domain = member.failure_domain == home.failure_domain
-            classes[same_domain, member.region != home.region].append(node_id)
+            same_domain = member.failure_domain == owner_member.failure_domain
+            classes[same_domain, member.region != owner_member.region].append(node_id)
     return classes[min(classes)] if classes else []
