--- a/comfreywharf/daemon/owning/planner.py
+++ b/comfreywharf/daemon/owning/planner.py
@@ -105,8 +105,8 @@
         if state.planner_id != self._node_id:
             self._planning = None
         elif self._planning is None or self._planned_term != state.planner_term:
-            pace = self._node.ports.placement
-            self._planning = PlanningState.begin(now_s, pace=pace)
+            tuning = self._node.ports.placement
+            self._planning = PlanningState.begin(now_s, tuning=tuning)
             self._planned_term = state.planner_term
             self._next_round_s = now_s
 
--- a/comfreywharf/daemon/ports.py
+++ b/comfreywharf/daemon/ports.py
@@ -18,7 +18,7 @@
 from comfreywharf.load.admission import RetryAfter
 from comfreywharf.load.fairqueue import FairQueue
 from comfreywharf.ownership import LeaseTerms
-from comfreywharf.placement import PlacementPace
+from comfreywharf.placement import PlacementTuning
 from comfreywharf.records import DEFAULT_RETRY_FRACTION
 from comfreywharf.routing import RouteLimits
 
@@ -42,7 +42,7 @@
     remembers = True
     doubt_s = 0.4
     silent_s = 1.0
-    placement = PlacementPace()
+    placement = PlacementTuning()
     route_limits = RouteLimits()
     read_pace = ReadPace()
     retry_after = RetryAfter()
--- a/comfreywharf/daemon/tests/test_declaring.py
+++ b/comfreywharf/daemon/tests/test_declaring.py
@@ -6,7 +6,7 @@
 
 from comfreywharf.daemon.owning.declaring import SLICES_PER_SERVER, Declaring
 from comfreywharf.daemon.requests.routes import Routes
-from comfreywharf.placement import PlacementPace
+from comfreywharf.placement import PlacementTuning
 from comfreywharf.records import ClusterState, Configuration
 from comfreywharf.routes.tests.builders import make_table
 
@@ -19,7 +19,7 @@
     node = SimpleNamespace(
         routes=routes,
         follower=SimpleNamespace(state=ClusterState(members=members)),
-        ports=SimpleNamespace(placement=PlacementPace(gather_s=2.0)),
+        ports=SimpleNamespace(placement=PlacementTuning(gather_s=2.0)),
     )
     declaring = Declaring(node)
     declaring._planning_since_s = 0.0
--- a/comfreywharf/placement/__init__.py
+++ b/comfreywharf/placement/__init__.py
@@ -15,7 +15,6 @@
     report_interval_s,
 )
 from comfreywharf.placement.meter import SliceMeter
-from comfreywharf.placement.pace import PlacementPace
 from comfreywharf.placement.planning import (
     LoadReported,
     Move,
@@ -33,9 +32,10 @@
     policy_for,
 )
 from comfreywharf.placement.resize import Merge, Split, slice_limit
+from comfreywharf.placement.tuning import PlacementTuning
 
 __all__ = [
-    "PlacementPace",
+    "PlacementTuning",
     "BoundedRebalance",
     "HotKeyRate",
     "LoadReported",
--- a/comfreywharf/placement/planning.py
+++ b/comfreywharf/placement/planning.py
@@ -4,7 +4,6 @@
 
 from comfreywharf.placement.loads import LoadTable, NodeReport, silence_s
 from comfreywharf.placement.mandatory import plan_mandatory_moves
-from comfreywharf.placement.pace import PlacementPace
 from comfreywharf.placement.rebalance import (
     RebalancePolicy,
     brisk_policy,
@@ -12,6 +11,7 @@
 )
 from comfreywharf.placement.resize import Merge, Split, plan_resizes
 from comfreywharf.placement.standbys import choose_standbys
+from comfreywharf.placement.tuning import PlacementTuning
 from comfreywharf.placement.view import look
 from comfreywharf.records import (
     ClusterState,
@@ -93,7 +93,7 @@
     """
 
     table: LoadTable
-    pace: PlacementPace = attrs.Factory(PlacementPace)
+    tuning: PlacementTuning = attrs.Factory(PlacementTuning)
     make_policy: object = policy_for
     switches: Switches = attrs.Factory(Switches)
     policies: dict[str, tuple[ServiceConfig, RebalancePolicy]] = attrs.Factory(dict)
@@ -101,8 +101,8 @@
     @classmethod
     def begin(cls, now_s, **fields):
         """Return the state of a planner whose term starts at ``now_s``."""
-        pace = fields.get("pace")
-        if pace is not None and pace.brisk:
+        tuning = fields.get("tuning")
+        if tuning is not None and tuning.brisk:
             fields.setdefault("make_policy", brisk_policy)
         return cls(table=LoadTable(started_s=now_s), **fields)
 
@@ -150,7 +150,7 @@
     pieces = cluster.slices[service.name].slices
     state.table.prune(service.name, [piece.start for piece in pieces])
     warm_up = state.switches.warm_up
-    view = look(cluster, state.table, service.name, now_s, warm_up, state.pace)
+    view = look(cluster, state.table, service.name, now_s, warm_up, state.tuning)
     if _gathers(state, pieces, now_s):
         return view
     plan_mandatory_moves(view)
@@ -165,7 +165,7 @@
     If all slices were assigned to the first few nodes, nearly all would move
     again within seconds, each with a record that every node reads.
     """
-    if now_s - state.table.started_s >= state.pace.gather_s:
+    if now_s - state.table.started_s >= state.tuning.gather_s:
         return False
     return not any(piece.owner for piece in pieces)
 
--- a/comfreywharf/placement/tests/builders.py
+++ b/comfreywharf/placement/tests/builders.py
@@ -3,7 +3,7 @@
 from comfreywharf.placement import (
     LoadReported,
     NodeReport,
-    PlacementPace,
+    PlacementTuning,
     PlanningState,
     RoundDue,
     SliceRate,
@@ -34,11 +34,13 @@
 class PlannedCluster:
     """A fold, a planner, and nodes that report when they are told to."""
 
-    def __init__(self, nodes=0, pace=None, **service_fields):
+    def __init__(self, nodes=0, tuning=None, **service_fields):
         self.now_s = 0.0
         self.service_ms = 0.0
         self.state = ClusterState()
-        self.planning = PlanningState.begin(self.now_s, pace=pace or PlacementPace())
+        self.planning = PlanningState.begin(
+            self.now_s, tuning=tuning or PlacementTuning()
+        )
         self.live = {}
         service = ServiceConfig(name=SERVICE, **service_fields)
         self.append(
--- a/comfreywharf/placement/tests/test_planning.py
+++ b/comfreywharf/placement/tests/test_planning.py
@@ -9,7 +9,7 @@
     rule,
 )
 
-from comfreywharf.placement import Move, PlacementPace, slice_limit
+from comfreywharf.placement import Move, PlacementTuning, slice_limit
 from comfreywharf.placement.loads import silence_s
 from comfreywharf.placement.tests.builders import DOMAINS, SERVICE, PlannedCluster
 
@@ -289,8 +289,8 @@
     """Symptom: all keys move four times within a calm minute.
     Sequence: one server has twice the load of the others, and slots to spare.
     Cause: the planner moved for any difference, whether a request waited or not."""
-    pace = PlacementPace(brisk=True, by_speed=True)
-    cluster = PlannedCluster(nodes=4, pace=pace, slices=40)
+    tuning = PlacementTuning(brisk=True, by_speed=True)
+    cluster = PlannedCluster(nodes=4, tuning=tuning, slices=40)
     assert moves_for_balance(cluster, per_slice_s, heavier=2.0, rounds=6) is moves
 
 
--- a/comfreywharf/placement/pace.py
+++ b/comfreywharf/placement/tuning.py
@@ -4,11 +4,11 @@
 
 from comfreywharf.placement.meter import SMOOTHING_S
 
-__all__ = ["PlacementPace"]
+__all__ = ["PlacementTuning"]
 
 
 @attrs.frozen(kw_only=True)
-class PlacementPace:
+class PlacementTuning:
     """Durations and switches of placement; durations are in seconds.
 
     ``warm_up_s`` is the time over which the load of a backend server is ramped up
--- a/comfreywharf/placement/view.py
+++ b/comfreywharf/placement/view.py
@@ -6,7 +6,7 @@
 import attrs
 
 from comfreywharf.placement.loads import silence_s
-from comfreywharf.placement.pace import PlacementPace
+from comfreywharf.placement.tuning import PlacementTuning
 from comfreywharf.records import SliceMove
 
 __all__ = ["ServiceView", "look"]
@@ -132,19 +132,19 @@
         ]
 
 
-def look(cluster, table, name, now_s, warm_up=True, pace=None):
+def look(cluster, table, name, now_s, warm_up=True, tuning=None):
     """Return the `ServiceView` of a service that is divided by key.
 
     ``warm_up`` is false only in replays that show its effect.
     """
-    pace = pace or PlacementPace()
+    tuning = tuning or PlacementTuning()
     silence = silence_s(len(cluster.members))
     members = {m.node_id: m for m in cluster.members.values() if m.service == name}
     live = {i for i, m in members.items() if table.is_live(m, now_s, silence)}
-    speeds = _speeds(table, live) if pace.by_speed else {}
+    speeds = _speeds(table, live) if tuning.by_speed else {}
     targets = {
         node_id: max(1, member.slots)
-        * (_warmth(table.warm_for_s(node_id, now_s), pace) if warm_up else 1.0)
+        * (_warmth(table.warm_for_s(node_id, now_s), tuning) if warm_up else 1.0)
         * speeds.get(node_id, 1.0)
         for node_id, member in sorted(members.items())
         if node_id in live and not member.draining
@@ -173,16 +173,16 @@
     )
 
 
-def _warmth(warm_s, pace):
+def _warmth(warm_s, tuning):
     """Return the share of its capacity that a server gets ``warm_s`` after its start.
 
     A cold server answers several times slower. With its full share from the start,
     its queue would grow throughout the cold start, and requests would be shed
     after each restart.
     """
-    if warm_s >= pace.warm_up_s:
+    if warm_s >= tuning.warm_up_s:
         return 1.0
-    return COLD_SHARE + (1 - COLD_SHARE) * max(0.0, warm_s) / pace.warm_up_s
+    return COLD_SHARE + (1 - COLD_SHARE) * max(0.0, warm_s) / tuning.warm_up_s
 
 
 def _speeds(table, node_ids):
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -21,7 +21,7 @@
 from comfreywharf.load.fairqueue import RankedQueue
 from comfreywharf.ownership.holds import HoldTerms
 from comfreywharf.ownership.listed_holds import ListedHoldBook
-from comfreywharf.placement import PlacementPace
+from comfreywharf.placement import PlacementTuning
 from comfreywharf.platform.backends import PlatformBackend, PlatformDialect
 from comfreywharf.platform.callers import CallerDesk
 from comfreywharf.platform.configuration import ConfigurationReader
@@ -77,7 +77,7 @@
     remembers = False
     silent_s = None
     removes_lost = True
-    placement = PlacementPace(
+    placement = PlacementTuning(
         warm_up_s=3.0,
         smoothing_s=2.0,
         gather_s=2.0,
