--- a/comfreywharf/placement/planning.py
+++ b/comfreywharf/placement/planning.py
@@ -6,7 +6,7 @@
 from comfreywharf.placement.mandatory import plan_mandatory_moves
 from comfreywharf.placement.rebalance import (
     RebalancePolicy,
-    brisk_policy,
+    cheap_move_policy,
     policy_for,
 )
 from comfreywharf.placement.resize import Merge, Split, plan_resizes
@@ -102,8 +102,8 @@
     def begin(cls, now_s, **fields):
         """Return the state of a planner whose term starts at ``now_s``."""
         tuning = fields.get("tuning")
-        if tuning is not None and tuning.brisk:
-            fields.setdefault("make_policy", brisk_policy)
+        if tuning is not None and tuning.cheap_moves:
+            fields.setdefault("make_policy", cheap_move_policy)
         return cls(table=LoadTable(started_s=now_s), **fields)
 
     def policy(self, service):
--- a/comfreywharf/placement/rebalance.py
+++ b/comfreywharf/placement/rebalance.py
@@ -10,7 +10,7 @@
     "BoundedRebalance",
     "OverloadRebalance",
     "RebalancePolicy",
-    "brisk_policy",
+    "cheap_move_policy",
     "policy_for",
 ]
 
@@ -21,15 +21,15 @@
 OVERLOADED = 0.9
 """Busy fraction of a server's slots from which on its queue grows."""
 
-LEAST_USED = 0.3
+MIN_UTILISATION = 0.3
 """Utilisation of a server's slots below which nothing is moved. With a dozen slots,
 requests start to queue at a utilisation of 0.75. Bursts add half of the mean load, and
 a growing load can reach that point within the patience of a cautious service."""
 
-USED_BRISK = 0.55
+MIN_UTILISATION_CHEAP_MOVES = 0.55
 """The same where moves are cheap and an imbalance is acted on within a second."""
 
-HOURLY_SHARE_BRISK = 60.0
+HOURLY_SHARE_CHEAP_MOVES = 60.0
 """Hourly churn where moves are cheap: all keys once a minute, which only runaway
 moves reach."""
 
@@ -59,7 +59,7 @@
     moved again for ``dwell_s``, and at most ``moved_share`` of all slices move in a
     round.
 
-    Nothing moves while no server needs ``least_used`` of its slots, since loads
+    Nothing moves while no server needs ``min_utilisation`` of its slots, since loads
     vary randomly and no request queues because of the difference. Without this
     bound, all keys moved four times within a minute of low load, and requests for
     a rarely used key were refused during its move.
@@ -71,7 +71,7 @@
     dwell_s: float
     budget: ChurnBudget
     moved_share: float = MOVED_SHARE_PER_ROUND
-    least_used: float = LEAST_USED
+    min_utilisation: float = MIN_UTILISATION
     _above_since_s: float | None = None
     _moved_s: dict[int, float] = attrs.Factory(dict)
 
@@ -88,7 +88,7 @@
         highest = max(view.relative(node_id) for node_id in view.targets)
         level = highest / view.mean
         joined = any(view.loads[node_id] <= 0 for node_id in view.targets)
-        felt = joined or view.most_used() >= self.least_used
+        felt = joined or view.max_utilisation() >= self.min_utilisation
         if level <= self.trigger or not felt:
             self._above_since_s = None
             return False
@@ -192,7 +192,7 @@
     )
 
 
-def brisk_policy(service):
+def cheap_move_policy(service):
     """Return the `RebalancePolicy` for services whose moves cost less than queueing.
 
     A slice that moves by handover is unavailable only until its running requests
@@ -204,7 +204,7 @@
         target=1.05,
         patience_s=0.5,
         dwell_s=3.0,
-        budget=ChurnBudget(hourly_share=HOURLY_SHARE_BRISK),
+        budget=ChurnBudget(hourly_share=HOURLY_SHARE_CHEAP_MOVES),
         moved_share=0.15,
-        least_used=USED_BRISK,
+        min_utilisation=MIN_UTILISATION_CHEAP_MOVES,
     )
--- a/comfreywharf/placement/tests/test_planning.py
+++ b/comfreywharf/placement/tests/test_planning.py
@@ -289,7 +289,7 @@
     """Symptom: all keys move four times within a calm minute.
     Sequence: one server has twice the load of the others, and slots to spare.
     Cause: the planner moved for any difference, whether a request waited or not."""
-    tuning = PlacementTuning(brisk=True, by_speed=True)
+    tuning = PlacementTuning(cheap_moves=True, scale_by_speed=True)
     cluster = PlannedCluster(nodes=4, tuning=tuning, slices=40)
     assert moves_for_balance(cluster, per_slice_s, heavier=2.0, rounds=6) is moves
 
--- a/comfreywharf/placement/tuning.py
+++ b/comfreywharf/placement/tuning.py
@@ -15,9 +15,9 @@
     after its start, ``smoothing_s`` the time constant of measured rates. The
     first assignment of all slices waits ``gather_s`` for nodes to come up. Nodes
     report their load at most once per ``report_s``, and count hot keys over
-    windows of ``hot_window_s``. Where ``brisk`` is true, moves are cheap: the
+    windows of ``hot_window_s``. Where ``cheap_moves`` is true, a move costs little: the
     planner reacts to smaller imbalances, sooner, and with an hourly budget that
-    only runaway moves reach. With ``by_speed``, a backend server's capacity is
+    only runaway moves reach. With ``scale_by_speed``, a backend server's capacity is
     scaled by its measured speed instead of following from its slots alone.
     """
 
@@ -26,5 +26,5 @@
     gather_s: float = 0.0
     report_s: float = 1.0
     hot_window_s: float = 2.0
-    brisk: bool = False
-    by_speed: bool = False
+    cheap_moves: bool = False
+    scale_by_speed: bool = False
--- a/comfreywharf/placement/view.py
+++ b/comfreywharf/placement/view.py
@@ -63,7 +63,7 @@
         """Return a target's load per unit of its capacity."""
         return self.loads[node_id] / self.targets[node_id]
 
-    def most_used(self):
+    def max_utilisation(self):
         """Return the highest utilisation of a target's slots by its load.
 
         It is infinite if no target's service time is known.
@@ -141,7 +141,7 @@
     silence = silence_s(len(cluster.members))
     members = {m.node_id: m for m in cluster.members.values() if m.service == name}
     live = {i for i, m in members.items() if table.is_live(m, now_s, silence)}
-    speeds = _speeds(table, live) if tuning.by_speed else {}
+    speeds = _speeds(table, live) if tuning.scale_by_speed else {}
     targets = {
         node_id: max(1, member.slots)
         * (_warmth(table.warm_for_s(node_id, now_s), tuning) if warm_up else 1.0)
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -83,8 +83,8 @@
         gather_s=2.0,
         report_s=0.5,
         hot_window_s=1.0,
-        brisk=True,
-        by_speed=True,
+        cheap_moves=True,
+        scale_by_speed=True,
     )
     route_limits = RouteLimits(
         held_in_all_s=0.3,
