--- a/comfreywharf/placement/loads.py
+++ b/comfreywharf/placement/loads.py
@@ -110,22 +110,22 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Standing:
+class _NodeState:
     """State of a node from its last report; times are of the planner's clock."""
 
     incarnation: int
-    heard_s: float
+    reported_s: float
     well: bool
     backend_up: bool
     changed_s: float
     warm_from_s: float
     busy_fraction: float
     service_ms: float = 0.0
-    lapsed_s: float | None = None
+    taken_over_s: float | None = None
 
 
 @attrs.frozen(kw_only=True)
-class _Seen:
+class _HotKeySample:
     requests_per_s: float
     seen_s: float
 
@@ -141,23 +141,23 @@
 
     started_s: float
     rates: dict[str, dict[int, float]] = attrs.Factory(dict)
-    _nodes: dict[str, _Standing] = attrs.Factory(dict)
-    _noticed_s: dict[str, float] = attrs.Factory(dict)
-    _hot: dict[str, dict[int, _Seen]] = attrs.Factory(dict)
+    _nodes: dict[str, _NodeState] = attrs.Factory(dict)
+    _first_seen_s: dict[str, float] = attrs.Factory(dict)
+    _hot: dict[str, dict[int, _HotKeySample]] = attrs.Factory(dict)
 
-    def take(self, report, now_s):
+    def record_report(self, report, now_s):
         """Record a report; drop it if it is from an earlier incarnation."""
         earlier = self._nodes.get(report.node_id)
         if earlier and report.incarnation < earlier.incarnation:
             return
-        self._nodes[report.node_id] = self._standing(earlier, report, now_s)
+        self._nodes[report.node_id] = self._next_state(earlier, report, now_s)
         for entry in report.slices:
             rates = self.rates.setdefault(entry.service, {})
             rates[entry.start] = entry.requests_per_s
         for entry in report.hot_keys:
-            self._take_hot_key(entry, now_s)
+            self._record_hot_key(entry, now_s)
 
-    def lapse(self, node_id, now_s):
+    def mark_taken_over(self, node_id, now_s):
         """Mark a node as lost because a standby took over from it.
 
         Missing reports alone show the loss only after several report intervals,
@@ -165,10 +165,10 @@
         the least loaded one, and the planner would move slices to it.
         """
         node = self._nodes.get(node_id)
-        if node is not None and node.lapsed_s is None:
-            self._nodes[node_id] = attrs.evolve(node, well=False, lapsed_s=now_s)
+        if node is not None and node.taken_over_s is None:
+            self._nodes[node_id] = attrs.evolve(node, well=False, taken_over_s=now_s)
 
-    def _standing(self, earlier, report, now_s):
+    def _next_state(self, earlier, report, now_s):
         restarted = earlier is None or earlier.incarnation != report.incarnation
         changed = restarted or earlier.well != report.well
         # An expired lease doesn't restart the backend server, which stays warm.
@@ -178,9 +178,9 @@
             warm_from_s = float("-inf")
         else:
             warm_from_s = now_s
-        return _Standing(
+        return _NodeState(
             incarnation=report.incarnation,
-            heard_s=now_s,
+            reported_s=now_s,
             well=report.well,
             backend_up=report.backend_up,
             changed_s=now_s if changed else earlier.changed_s,
@@ -189,23 +189,25 @@
             service_ms=report.service_ms,
         )
 
-    def _take_hot_key(self, entry, now_s):
+    def _record_hot_key(self, entry, now_s):
         seen = self._hot.setdefault(entry.service, {})
-        seen[entry.key_hash] = _Seen(requests_per_s=entry.requests_per_s, seen_s=now_s)
+        seen[entry.key_hash] = _HotKeySample(
+            requests_per_s=entry.requests_per_s, seen_s=now_s
+        )
         if len(seen) > MAX_HOT_KEYS:
             coldest = min(seen, key=lambda value: seen[value].requests_per_s)
             del seen[coldest]
 
-    def notice(self, members, now_s):
+    def update_members(self, members, now_s):
         """Track newly added members and forget removed ones.
 
         A member that never reports counts as lost after a timeout from this call.
         """
         for node_id in members:
-            self._noticed_s.setdefault(node_id, now_s)
-        if len(self._noticed_s) > len(members):
-            for node_id in set(self._noticed_s) - set(members):
-                del self._noticed_s[node_id]
+            self._first_seen_s.setdefault(node_id, now_s)
+        if len(self._first_seen_s) > len(members):
+            for node_id in set(self._first_seen_s) - set(members):
+                del self._first_seen_s[node_id]
                 self._nodes.pop(node_id, None)
 
     def is_live(self, member, now_s, silence_s):
@@ -219,7 +221,7 @@
             node is not None
             and node.well
             and node.incarnation >= member.incarnation
-            and now_s - node.heard_s <= silence_s
+            and now_s - node.reported_s <= silence_s
         )
 
     def lost_for_s(self, member, now_s, silence_s):
@@ -230,13 +232,13 @@
         """
         node = self._nodes.get(member.node_id)
         if node is None:
-            noticed_s = self._noticed_s.get(member.node_id, now_s)
-            return max(0.0, now_s - noticed_s - silence_s)
-        if node.lapsed_s is not None:
-            return max(JUST_LOST_S, now_s - node.lapsed_s)
-        unheard_s = now_s - node.heard_s - silence_s
-        unwell_s = 0.0 if node.well else now_s - node.changed_s - silence_s
-        return max(0.0, unheard_s, unwell_s)
+            first_seen_s = self._first_seen_s.get(member.node_id, now_s)
+            return max(0.0, now_s - first_seen_s - silence_s)
+        if node.taken_over_s is not None:
+            return max(JUST_LOST_S, now_s - node.taken_over_s)
+        overdue_s = now_s - node.reported_s - silence_s
+        unable_s = 0.0 if node.well else now_s - node.changed_s - silence_s
+        return max(0.0, overdue_s, unable_s)
 
     def warm_for_s(self, node_id, now_s):
         """Return how long a node's backend server has been up, in seconds."""
@@ -260,7 +262,7 @@
             del seen[value]
         return {value: entry.requests_per_s for value, entry in seen.items()}
 
-    def divided(self, service, start, at, right_per_s):
+    def record_split(self, service, start, at, right_per_s):
         """Divide a slice's rate between the two parts of a split.
 
         Otherwise both parts would count as unmeasured until their owner's next
@@ -270,7 +272,7 @@
         rates[start] = max(0.0, rates.get(start, 0.0) - right_per_s)
         rates[at] = right_per_s
 
-    def joined(self, service, start, next_start):
+    def record_merge(self, service, start, next_start):
         """Add the rates of two slices that were merged."""
         rates = self.rates.setdefault(service, {})
         rates[start] = rates.get(start, 0.0) + rates.pop(next_start, 0.0)
--- a/comfreywharf/placement/planning.py
+++ b/comfreywharf/placement/planning.py
@@ -128,14 +128,14 @@
     outdated one.
     """
     if isinstance(event, LoadReported):
-        state.table.take(event.report, now_s)
+        state.table.record_report(event.report, now_s)
         return state, []
     if isinstance(event, TakeoverFolded):
         if state.switches.notice_takeovers:
-            state.table.lapse(event.owner_id, now_s)
+            state.table.mark_taken_over(event.owner_id, now_s)
         return state, []
     cluster = event.cluster
-    state.table.notice(cluster.members, now_s)
+    state.table.update_members(cluster.members, now_s)
     moves = []
     resizes = []
     for name, service in cluster.config.services.items():
@@ -176,11 +176,11 @@
     actions = plan_resizes(view)
     for action in actions:
         if isinstance(action, Split):
-            state.table.divided(
+            state.table.record_split(
                 action.service, action.start, action.at, action.right_per_s
             )
         else:
-            state.table.joined(action.service, action.start, action.next_start)
+            state.table.record_merge(action.service, action.start, action.next_start)
     return actions
 
 
