--- a/comfreywharf/placement/loads.py
+++ b/comfreywharf/placement/loads.py
@@ -10,7 +10,7 @@
     "rates_per_report",
     "report_delay_s",
     "report_interval_s",
-    "silence_s",
+    "report_timeout_s",
 ]
 
 MAX_REPORTS_PER_S = 64
@@ -19,16 +19,16 @@
 MAX_RATES_PER_S = 100
 """Limit on the slice rates that all nodes together report each second."""
 
-LEAST_RATES = 2
+MIN_RATES_PER_REPORT = 2
 
 MIN_INTERVAL_S = 1.0
-MIN_SILENCE_S = 3.0
-SILENT_REPORTS = 3
+MIN_REPORT_TIMEOUT_S = 3.0
+MISSING_REPORTS = 3
 """Number of report intervals without a report after which a node is lost."""
 
-JUST_LOST_S = 0.001
+MIN_LOST_S = 0.001
 
-HOT_KEY_KEPT_S = 30.0
+HOT_KEY_RETENTION_S = 30.0
 MAX_HOT_KEYS = 256
 """Limit on the hot keys that the planner keeps for each service."""
 
@@ -51,7 +51,7 @@
     """
     interval_s = report_interval_s(member_count)
     share = MAX_RATES_PER_S * interval_s / max(1, member_count)
-    return max(LEAST_RATES, round(share))
+    return max(MIN_RATES_PER_REPORT, round(share))
 
 
 def report_delay_s(member_count, planner_changed, rng, least_s=MIN_INTERVAL_S):
@@ -67,9 +67,9 @@
     return interval_s
 
 
-def silence_s(member_count):
+def report_timeout_s(member_count):
     """Return how long a live node may go without a report, in seconds."""
-    return max(MIN_SILENCE_S, SILENT_REPORTS * report_interval_s(member_count))
+    return max(MIN_REPORT_TIMEOUT_S, MISSING_REPORTS * report_interval_s(member_count))
 
 
 @attrs.frozen(kw_only=True)
@@ -174,7 +174,7 @@
         # An expired lease doesn't restart the backend server, which stays warm.
         if not restarted and earlier.backend_up >= report.backend_up:
             warm_from_s = earlier.warm_from_s
-        elif earlier is None and now_s - self.started_s < 2 * MIN_SILENCE_S:
+        elif earlier is None and now_s - self.started_s < 2 * MIN_REPORT_TIMEOUT_S:
             warm_from_s = float("-inf")
         else:
             warm_from_s = now_s
@@ -210,7 +210,7 @@
                 del self._first_seen_s[node_id]
                 self._nodes.pop(node_id, None)
 
-    def is_live(self, member, now_s, silence_s):
+    def is_live(self, member, now_s, report_timeout_s):
         """Return whether slices may be assigned to a member.
 
         A report from before the member's latest announcement is ignored: it came
@@ -221,10 +221,10 @@
             node is not None
             and node.well
             and node.incarnation >= member.incarnation
-            and now_s - node.reported_s <= silence_s
+            and now_s - node.reported_s <= report_timeout_s
         )
 
-    def lost_for_s(self, member, now_s, silence_s):
+    def lost_for_s(self, member, now_s, report_timeout_s):
         """Return how long a member has been lost, in seconds; 0 if it isn't.
 
         For a member that never reported, the timeout runs from when the planner
@@ -233,11 +233,11 @@
         node = self._nodes.get(member.node_id)
         if node is None:
             first_seen_s = self._first_seen_s.get(member.node_id, now_s)
-            return max(0.0, now_s - first_seen_s - silence_s)
+            return max(0.0, now_s - first_seen_s - report_timeout_s)
         if node.taken_over_s is not None:
-            return max(JUST_LOST_S, now_s - node.taken_over_s)
-        overdue_s = now_s - node.reported_s - silence_s
-        unable_s = 0.0 if node.well else now_s - node.changed_s - silence_s
+            return max(MIN_LOST_S, now_s - node.taken_over_s)
+        overdue_s = now_s - node.reported_s - report_timeout_s
+        unable_s = 0.0 if node.well else now_s - node.changed_s - report_timeout_s
         return max(0.0, overdue_s, unable_s)
 
     def warm_for_s(self, node_id, now_s):
@@ -258,7 +258,9 @@
     def hot_keys(self, service, now_s):
         """Return ``{key_hash: requests_per_s}`` of the recently reported hot keys."""
         seen = self._hot.get(service, {})
-        for value in [v for v, s in seen.items() if now_s - s.seen_s > HOT_KEY_KEPT_S]:
+        for value in [
+            v for v, s in seen.items() if now_s - s.seen_s > HOT_KEY_RETENTION_S
+        ]:
             del seen[value]
         return {value: entry.requests_per_s for value, entry in seen.items()}
 
--- a/comfreywharf/placement/planning.py
+++ b/comfreywharf/placement/planning.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from comfreywharf.placement.loads import LoadTable, NodeReport, silence_s
+from comfreywharf.placement.loads import LoadTable, NodeReport, report_timeout_s
 from comfreywharf.placement.mandatory import plan_mandatory_moves
 from comfreywharf.placement.rebalance import (
     RebalancePolicy,
@@ -197,7 +197,7 @@
     It has been lost for more than `REMOVE_AFTER_S`, owns no slice, and no slice
     awaits its release.
     """
-    silence = silence_s(len(cluster.members))
+    report_timeout = report_timeout_s(len(cluster.members))
     needed = {
         node_id
         for pieces in cluster.slices.values()
@@ -207,7 +207,7 @@
     for member in cluster.members.values():
         if member.node_id in needed:
             continue
-        if state.table.lost_for_s(member, now_s, silence) > REMOVE_AFTER_S:
+        if state.table.lost_for_s(member, now_s, report_timeout) > REMOVE_AFTER_S:
             return member
     return None
 
--- a/comfreywharf/placement/tests/test_planning.py
+++ b/comfreywharf/placement/tests/test_planning.py
@@ -10,10 +10,10 @@
 )
 
 from comfreywharf.placement import Move, PlacementTuning, slice_limit
-from comfreywharf.placement.loads import silence_s
+from comfreywharf.placement.loads import report_timeout_s
 from comfreywharf.placement.tests.builders import DOMAINS, SERVICE, PlannedCluster
 
-SILENCE_S = silence_s(8)
+REPORT_TIMEOUT_S = report_timeout_s(8)
 NODES = st.integers(0, 7)
 
 
@@ -91,7 +91,7 @@
             assert not members[move.owner].draining
             if move.owner not in self.cluster.live:
                 silent_s = self.cluster.now_s - self.lost_s[move.owner]
-                assert silent_s <= SILENCE_S
+                assert silent_s <= REPORT_TIMEOUT_S
             assert move.owner not in self.gone
         if move.standby:
             domain = members[move.owner].failure_domain
--- a/comfreywharf/placement/view.py
+++ b/comfreywharf/placement/view.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from comfreywharf.placement.loads import silence_s
+from comfreywharf.placement.loads import report_timeout_s
 from comfreywharf.placement.tuning import PlacementTuning
 from comfreywharf.records import SliceMove
 
@@ -138,9 +138,9 @@
     ``warm_up`` is false only in replays that show its effect.
     """
     tuning = tuning or PlacementTuning()
-    silence = silence_s(len(cluster.members))
+    report_timeout = report_timeout_s(len(cluster.members))
     members = {m.node_id: m for m in cluster.members.values() if m.service == name}
-    live = {i for i, m in members.items() if table.is_live(m, now_s, silence)}
+    live = {i for i, m in members.items() if table.is_live(m, now_s, report_timeout)}
     speeds = _speeds(table, live) if tuning.scale_by_speed else {}
     targets = {
         node_id: max(1, member.slots)
@@ -160,7 +160,7 @@
         members=members,
         targets=targets,
         lost_s={
-            node_id: table.lost_for_s(member, now_s, silence)
+            node_id: table.lost_for_s(member, now_s, report_timeout)
             for node_id, member in members.items()
             if node_id not in live
         },
