--- a/comfreywharf/daemon/owning/load_reports.py
+++ b/comfreywharf/daemon/owning/load_reports.py
@@ -66,7 +66,7 @@
 
     def _report_load(self, now_s):
         state = self._node.follower.state
-        self._meter.own(state.owned_by(self._node_id))
+        self._meter.set_owned(state.owned_by(self._node_id))
         self._meter.close_window(now_s)
         planner_id = state.planner_id
         if self._node_id not in state.members or not planner_id:
--- a/comfreywharf/placement/meter.py
+++ b/comfreywharf/placement/meter.py
@@ -11,16 +11,16 @@
 SMOOTHING_S = 15.0
 """Time constant of the moving average."""
 
-DEVIATIONS = 4.0
+MAX_DEVIATIONS = 4.0
 """Standard deviations beyond which a count is taken as a change of the rate."""
 
-JUMP = 0.6
+RATE_CHANGE_WEIGHT = 0.6
 """Weight of such a count in the average, regardless of the window's length."""
 
-CHANGE = 0.05
+REPORTED_CHANGE = 0.05
 """Relative change of a rate from which on it is reported again."""
 
-NOISE_PER_S = 1.0
+MIN_REPORTED_CHANGE_PER_S = 1.0
 """Absolute change, in requests per second, up to which a rate isn't reported."""
 
 
@@ -52,7 +52,7 @@
         if rate is not None:
             rate.count += requests
 
-    def own(self, owned):
+    def set_owned(self, owned):
         """Set the slices that the node owns, given as ``(service, Slice)`` pairs.
 
         The measurement of a slice whose bounds changed starts over.
@@ -77,10 +77,10 @@
             measured = rate.count / window_s
             if rate.smooth_per_s < 0:
                 rate.smooth_per_s = measured
-            elif _is_chance(rate, window_s):
+            elif _is_noise(rate, window_s):
                 rate.smooth_per_s += weight * (measured - rate.smooth_per_s)
             else:
-                rate.smooth_per_s += JUMP * (measured - rate.smooth_per_s)
+                rate.smooth_per_s += RATE_CHANGE_WEIGHT * (measured - rate.smooth_per_s)
             rate.count = 0
 
     def everything(self):
@@ -94,7 +94,7 @@
 
         The returned rates count as reported.
         """
-        places = [place for place, rate in self._rates.items() if _differs(rate)]
+        places = [place for place, rate in self._rates.items() if _needs_report(rate)]
         if len(places) > limit:
             places.sort(key=lambda place: (-_difference(self._rates[place]), place))
         return self._entries(places[:limit])
@@ -112,22 +112,25 @@
         return tuple(entries)
 
 
-def _is_chance(rate, window_s):
+def _is_noise(rate, window_s):
     """Return whether a window's count is within the expected random variation.
 
     The standard deviation of a Poisson count is the square root of its mean.
     """
     expected = rate.smooth_per_s * window_s
-    return abs(rate.count - expected) <= DEVIATIONS * math.sqrt(expected + 1)
+    return abs(rate.count - expected) <= MAX_DEVIATIONS * math.sqrt(expected + 1)
 
 
-def _differs(rate):
+def _needs_report(rate):
     if rate.smooth_per_s < 0:
         return False
     if rate.reported_per_s < 0:
         return True
     difference = _difference(rate)
-    return difference > NOISE_PER_S and difference > CHANGE * rate.reported_per_s
+    return (
+        difference > MIN_REPORTED_CHANGE_PER_S
+        and difference > REPORTED_CHANGE * rate.reported_per_s
+    )
 
 
 def _difference(rate):
--- a/comfreywharf/placement/tests/test_meter.py
+++ b/comfreywharf/placement/tests/test_meter.py
@@ -10,7 +10,9 @@
 
 def make_meter(slices):
     meter = SliceMeter()
-    meter.own(("booking", Slice(start=10 * n, end=10 * n + 10)) for n in range(slices))
+    meter.set_owned(
+        ("booking", Slice(start=10 * n, end=10 * n + 10)) for n in range(slices)
+    )
     meter.close_window(0.0)
     return meter
 
@@ -20,7 +22,7 @@
 def test_reports_are_bounded_and_catch_up(windows, limit):
     """No report names more slices than allowed; what was left out follows."""
     meter = make_meter(6)
-    told = {}
+    reported = {}
     now_s = 0.0
     for window in windows:
         now_s += 1.0
@@ -29,12 +31,12 @@
         meter.close_window(now_s)
         entries = meter.changed(limit)
         assert len(entries) <= limit
-        told.update({entry.start: entry.requests_per_s for entry in entries})
+        reported.update({entry.start: entry.requests_per_s for entry in entries})
     for _ in range(6):
-        told.update({e.start: e.requests_per_s for e in meter.changed(limit)})
-    truth = {entry.start: entry.requests_per_s for entry in meter.everything()}
-    for start, rate in truth.items():
-        assert abs(told[start] - rate) <= max(1.0, 0.05 * told[start]) + 1e-9
+        reported.update({e.start: e.requests_per_s for e in meter.changed(limit)})
+    measured = {entry.start: entry.requests_per_s for entry in meter.everything()}
+    for start, rate in measured.items():
+        assert abs(reported[start] - rate) <= max(1.0, 0.05 * reported[start]) + 1e-9
 
 
 def test_a_slice_with_new_bounds_is_measured_anew():
@@ -43,7 +45,7 @@
     meter.count("booking", 0, 100)
     meter.close_window(1.0)
     assert meter.everything()[0].requests_per_s == 100.0
-    meter.own([("booking", Slice(start=0, end=5))])
+    meter.set_owned([("booking", Slice(start=0, end=5))])
     meter.count("booking", 0, 10)
     meter.close_window(2.0)
     assert meter.everything()[0].requests_per_s == 10.0
--- a/comfreywharf_dev/bench/placement_cost.py
+++ b/comfreywharf_dev/bench/placement_cost.py
@@ -234,7 +234,7 @@
     meter = SliceMeter()
     start_s = time.process_time()
     for number in range(ROUNDS):
-        meter.own(cluster.owned_by("node-001"))
+        meter.set_owned(cluster.owned_by("node-001"))
         meter.close_window(float(number))
         meter.changed(rates_per_report(MEMBERS))
     return (time.process_time() - start_s) / ROUNDS
--- a/comfreywharf_dev/bench/placement_replay.py
+++ b/comfreywharf_dev/bench/placement_replay.py
@@ -306,7 +306,7 @@
         hot = self._hot_keys()
         interval_s = report_interval_s(len(self.cluster.members))
         for node_id, meter in self._meters.items():
-            meter.own(owned[node_id])
+            meter.set_owned(owned[node_id])
             for _, piece in owned[node_id]:
                 expected = self._rates[piece.start] * self._step_s
                 meter.count(service, piece.start, self._rng.poisson(expected))
