--- a/comfreywharf/daemon/owning/planner.py
+++ b/comfreywharf/daemon/owning/planner.py
@@ -143,7 +143,7 @@
         Machines come and go here without a word to anybody. Kept, the lost would
         go on being chosen as witnesses and for requests without a key.
         """
-        lost = planning.long_lost(self._planning, state, now_s)
+        lost = planning.removable_member(self._planning, state, now_s)
         if lost is not None:
             record = NodeRemoved(
                 record_id=new_record_id(),
--- a/comfreywharf/placement/planning.py
+++ b/comfreywharf/placement/planning.py
@@ -151,7 +151,7 @@
     state.table.prune(service.name, [piece.start for piece in pieces])
     warm_up = state.switches.warm_up
     view = look(cluster, state.table, service.name, now_s, warm_up, state.tuning)
-    if _gathers(state, pieces, now_s):
+    if _awaits_first_nodes(state, pieces, now_s):
         return view
     plan_mandatory_moves(view)
     state.policy(service).plan(view, now_s)
@@ -159,7 +159,7 @@
     return view
 
 
-def _gathers(state, pieces, now_s):
+def _awaits_first_nodes(state, pieces, now_s):
     """Return whether the first assignment still waits for nodes to come up.
 
     If all slices were assigned to the first few nodes, nearly all would move
@@ -191,7 +191,7 @@
     ]
 
 
-def long_lost(state, cluster, now_s):
+def removable_member(state, cluster, now_s):
     """Return a member that may be removed, or ``None``.
 
     It has been lost for more than `REMOVE_AFTER_S`, owns no slice, and no slice
