--- a/comfreywharf/placement/rebalance.py
+++ b/comfreywharf/placement/rebalance.py
@@ -15,7 +15,7 @@
 ]
 
 LEAST_MOVES_PER_ROUND = 4
-MOVED_SHARE_PER_ROUND = 0.05
+MAX_MOVED_SHARE_PER_ROUND = 0.05
 """Limit on the slices that move in one round, as a share of all slices."""
 
 OVERLOADED = 0.9
@@ -70,7 +70,7 @@
     patience_s: float
     dwell_s: float
     budget: ChurnBudget
-    moved_share: float = MOVED_SHARE_PER_ROUND
+    moved_share: float = MAX_MOVED_SHARE_PER_ROUND
     min_utilisation: float = MIN_UTILISATION
     _above_since_s: float | None = None
     _moved_s: dict[int, float] = attrs.Factory(dict)
@@ -78,18 +78,18 @@
     def plan(self, view, now_s):
         """Plan the moves that are due."""
         self.budget.refill(now_s)
-        self._forget(now_s)
-        if len(view.targets) < 2 or not self._due(view, now_s):
+        self._end_dwells(now_s)
+        if len(view.targets) < 2 or not self._is_due(view, now_s):
             return
-        room = max(LEAST_MOVES_PER_ROUND, int(self.moved_share * len(view.pieces)))
-        self._spread(view, now_s, room)
+        max_moves = max(LEAST_MOVES_PER_ROUND, int(self.moved_share * len(view.pieces)))
+        self._plan_moves(view, now_s, max_moves)
 
-    def _due(self, view, now_s):
+    def _is_due(self, view, now_s):
         highest = max(view.relative(node_id) for node_id in view.targets)
         level = highest / view.mean
         joined = any(view.loads[node_id] <= 0 for node_id in view.targets)
-        felt = joined or view.max_utilisation() >= self.min_utilisation
-        if level <= self.trigger or not felt:
+        noticeable = joined or view.max_utilisation() >= self.min_utilisation
+        if level <= self.trigger or not noticeable:
             self._above_since_s = None
             return False
         if self._above_since_s is None:
@@ -102,15 +102,15 @@
         patience_s = self.patience_s * (self.trigger - 1) / (level - 1)
         return now_s - self._above_since_s >= patience_s
 
-    def _spread(self, view, now_s, moves_left):
+    def _plan_moves(self, view, now_s, moves_left):
         pieces = self._movable(view)
         sources = sorted(pieces, key=view.relative, reverse=True)
         for source in sources:
             while moves_left > 0:
-                shift = self._shift(view, source, pieces[source])
-                if shift is None:
+                best_move = self._best_move(view, source, pieces[source])
+                if best_move is None:
                     break
-                piece, owner = shift
+                piece, owner = best_move
                 if not self.budget.spend(view.weights[piece.start] / view.total):
                     return
                 pieces[source].remove(piece)
@@ -126,7 +126,7 @@
                 pieces[piece.owner].append(piece)
         return pieces
 
-    def _shift(self, view, source, pieces):
+    def _best_move(self, view, source, pieces):
         """Return the ``(piece, owner)`` that best removes a server's excess load.
 
         Return ``None`` if there is no such move.
@@ -136,17 +136,19 @@
         if excess <= 0 or not pieces:
             return None
         owner = view.least_loaded()
-        room = limit * view.targets[owner] - view.loads[owner]
-        fitting = [piece for piece in pieces if view.weights[piece.start] <= room]
-        if not fitting or owner == source:
+        headroom = limit * view.targets[owner] - view.loads[owner]
+        candidates = [
+            piece for piece in pieces if view.weights[piece.start] <= headroom
+        ]
+        if not candidates or owner == source:
             return None
         best = min(
-            fitting,
+            candidates,
             key=lambda piece: (abs(view.weights[piece.start] - excess), piece.start),
         )
         return best, owner
 
-    def _forget(self, now_s):
+    def _end_dwells(self, now_s):
         for start in [
             start
             for start, moved_s in self._moved_s.items()
@@ -163,12 +165,12 @@
     effect on callers doesn't justify.
     """
 
-    def _due(self, view, now_s):
+    def _is_due(self, view, now_s):
         busy = max(view.busy.get(node_id, 0.0) for node_id in view.targets)
         if busy < OVERLOADED:
             self._above_since_s = None
             return False
-        return super()._due(view, now_s)
+        return super()._is_due(view, now_s)
 
 
 def policy_for(service):
