--- a/comfreywharf/placement/resize.py
+++ b/comfreywharf/placement/resize.py
@@ -8,20 +8,20 @@
 PIN_SHARE = 0.2
 """Share of a server's fair load from which on a key is pinned to its own slice."""
 
-REST_SHARE = 0.15
+MIN_REST_SHARE = 0.15
 """Share of a server's fair load that the rest of a slice must exceed for a key of it
 to be pinned."""
 
 SPLIT_SHARE = 0.35
 """Share of a server's fair load above which a slice is split."""
 
-KNOWN_SHARE = 0.1
+MIN_HOT_SHARE = 0.1
 """Share of a slice's weight that its hot keys must have to locate its middle."""
 
 MERGE_SHARE = 0.02
 """Share of a server's fair load up to which two slices together are merged."""
 
-LEAST_SLOTS = 0.25
+MIN_SLOTS_TO_SPLIT = 0.25
 """Slots that a slice's load must need before the slice is split. On a nearly idle
 server any slice can be a third of the load; without this bound a few requests per
 second split slices until none could be split, and the parts were moved around."""
@@ -64,33 +64,33 @@
     """
     if not view.targets or view.total <= 0:
         return []
-    fair = view.total / len(view.targets)
-    room = slice_limit(view.config, len(view.members)) - len(view.pieces)
-    splits = _splits(view, fair)[: max(0, min(room, MAX_RESIZES_PER_ROUND))]
-    touched = {split.start for split in splits}
-    left = MAX_RESIZES_PER_ROUND - len(splits)
-    return splits + _merges(view, fair, touched)[:left]
+    fair_load = view.total / len(view.targets)
+    max_splits = slice_limit(view.config, len(view.members)) - len(view.pieces)
+    splits = _splits(view, fair_load)[: max(0, min(max_splits, MAX_RESIZES_PER_ROUND))]
+    split_starts = {split.start for split in splits}
+    merges_left = MAX_RESIZES_PER_ROUND - len(splits)
+    return splits + _merges(view, fair_load, split_starts)[:merges_left]
 
 
-def _splits(view, fair):
+def _splits(view, fair_load):
     hot = sorted(
-        value for value, rate in view.hot_keys.items() if rate >= PIN_SHARE * fair
+        value for value, rate in view.hot_keys.items() if rate >= PIN_SHARE * fair_load
     )
     splits = []
     for piece in view.pieces:
-        if piece.end - piece.start == 1 or not _at_rest(view, piece):
+        if piece.end - piece.start == 1 or not _is_stable(view, piece):
             continue
         weight = view.weights[piece.start]
-        if view.slots_needed(piece) < LEAST_SLOTS:
+        if view.slots_needed(piece) < MIN_SLOTS_TO_SPLIT:
             continue
         while hot and hot[0] < piece.start:
             hot.pop(0)
         if hot and hot[0] < piece.end:
             # A slice with little load besides its hot key can be moved as a
             # whole; pinning the key would gain nothing.
-            if weight - view.hot_keys[hot[0]] > REST_SHARE * fair:
+            if weight - view.hot_keys[hot[0]] > MIN_REST_SHARE * fair_load:
                 splits.append((weight, _pin(view, piece, hot[0])))
-        elif weight > SPLIT_SHARE * fair:
+        elif weight > SPLIT_SHARE * fair_load:
             middle = _middle(view, piece)
             splits.append((weight, _split(view, piece, middle, weight / 2)))
     splits.sort(key=lambda entry: (-entry[0], entry[1].start))
@@ -104,18 +104,18 @@
     range, it takes five rounds to separate its 60 busy keys, and their server
     refuses requests until then. The hot keys show where the load lies.
     """
-    inside = sorted(
+    hot_inside = sorted(
         (value, rate)
         for value, rate in view.hot_keys.items()
         if piece.start < value < piece.end
     )
-    hot = sum(rate for _, rate in inside)
-    if hot < KNOWN_SHARE * view.weights[piece.start]:
+    hot = sum(rate for _, rate in hot_inside)
+    if hot < MIN_HOT_SHARE * view.weights[piece.start]:
         return (piece.start + piece.end) // 2
-    passed = 0.0
-    for value, rate in inside:
-        passed += rate
-        if passed >= hot / 2:
+    cumulative = 0.0
+    for value, rate in hot_inside:
+        cumulative += rate
+        if cumulative >= hot / 2:
             return value
     return (piece.start + piece.end) // 2
 
@@ -126,8 +126,8 @@
     weight = view.weights[piece.start]
     if value > piece.start:
         rest = max(0.0, weight - rate)
-        behind = (piece.end - value) / (piece.end - piece.start)
-        return _split(view, piece, value, rate + rest * behind)
+        right_fraction = (piece.end - value) / (piece.end - piece.start)
+        return _split(view, piece, value, rate + rest * right_fraction)
     return _split(view, piece, value + 1, max(0.0, weight - rate))
 
 
@@ -141,13 +141,13 @@
     )
 
 
-def _merges(view, fair, touched):
+def _merges(view, fair_load, split_starts):
     surplus = len(view.pieces) - view.config.slices
     merges = []
     index = 0
     while index + 1 < len(view.pieces) and len(merges) < surplus:
         left, right = view.pieces[index : index + 2]
-        if _mergeable(view, left, right, fair, touched):
+        if _mergeable(view, left, right, fair_load, split_starts):
             merges.append(
                 Merge(
                     service=view.config.name,
@@ -162,20 +162,20 @@
     return merges
 
 
-def _mergeable(view, left, right, fair, touched):
-    if left.start in touched or right.start in touched:
+def _mergeable(view, left, right, fair_load, split_starts):
+    if left.start in split_starts or right.start in split_starts:
         return False
     if (left.owner, left.standby) != (right.owner, right.standby):
         return False
-    if not (_at_rest(view, left) and _at_rest(view, right)):
+    if not (_is_stable(view, left) and _is_stable(view, right)):
         return False
     weight = view.weights[left.start] + view.weights[right.start]
-    if weight > MERGE_SHARE * fair:
+    if weight > MERGE_SHARE * fair_load:
         return False
     return not any(left.start <= value < right.end for value in view.hot_keys)
 
 
-def _at_rest(view, piece):
+def _is_stable(view, piece):
     if piece.previous or not piece.owner:
         return False
     return piece.start not in view.owners and piece.start not in view.standbys
