--- a/comfreywharf/placement/standbys.py
+++ b/comfreywharf/placement/standbys.py
@@ -9,18 +9,18 @@
 
 
 @attrs.define
-class _Carried:
+class _StandbyLoads:
     """Load that each node would take over as standby, in total and by owner."""
 
-    of_all: Counter = attrs.Factory(Counter)
-    of_owner: Counter = attrs.Factory(Counter)
+    total: Counter = attrs.Factory(Counter)
+    by_owner: Counter = attrs.Factory(Counter)
 
     def add(self, owner, standby, weight):
         """Add a slice's weight."""
-        self.of_all[standby] += weight
-        self.of_owner[owner, standby] += weight
+        self.total[standby] += weight
+        self.by_owner[owner, standby] += weight
 
-    def burden(self, owner, standby, members):
+    def sort_key(self, owner, standby, members):
         """Return a sort key; the candidate with the lowest key is preferred.
 
         The load that it would take over from this owner counts before the total
@@ -28,8 +28,8 @@
         """
         slots = max(1, members[standby].slots)
         return (
-            self.of_owner[owner, standby],
-            self.of_all[standby] / slots,
+            self.by_owner[owner, standby],
+            self.total[standby] / slots,
             standby,
         )
 
@@ -43,48 +43,50 @@
     double that node's load at once. ``spread`` is false only in replays that
     show this effect.
     """
-    fit = {
+    eligible = {
         node_id
         for node_id, member in view.members.items()
         if not member.draining and view.lost_s.get(node_id, 0.0) == 0.0
     }
-    domains = {view.members[node_id].failure_domain for node_id in fit}
-    needy = _needy(view, fit, domains)
-    carried = _survey(view, needy) if needy else None
-    for owner in sorted(needy):
-        candidates = _candidates(view, owner, fit)
+    domains = {view.members[node_id].failure_domain for node_id in eligible}
+    to_assign = _slices_to_assign(view, eligible, domains)
+    standby_loads = _kept_standby_loads(view, to_assign) if to_assign else None
+    for owner in sorted(to_assign):
+        candidates = _candidates(view, owner, eligible)
         if spread:
-            candidates.sort(key=partial(carried.burden, owner, members=view.members))
+            candidates.sort(
+                key=partial(standby_loads.sort_key, owner, members=view.members)
+            )
         else:
             candidates = sorted(candidates)[:1]
-        _deal_out(view, owner, needy[owner], candidates, carried)
+        _assign_round_robin(view, owner, to_assign[owner], candidates, standby_loads)
 
 
-def _needy(view, fit, domains):
+def _slices_to_assign(view, eligible, domains):
     """Return the slices that need another standby, by owner."""
-    needy = defaultdict(list)
+    to_assign = defaultdict(list)
     for piece in view.pieces:
         owner = view.owner(piece)
-        if owner in view.members and not _serves_well(
-            view, owner, view.standby(piece), fit, domains
+        if owner in view.members and not _is_suitable(
+            view, owner, view.standby(piece), eligible, domains
         ):
-            needy[owner].append(piece)
-    return needy
+            to_assign[owner].append(piece)
+    return to_assign
 
 
-def _survey(view, needy):
+def _kept_standby_loads(view, to_assign):
     """Return the standby load of the slices that keep their standby."""
-    changing = {piece.start for pieces in needy.values() for piece in pieces}
-    carried = _Carried()
+    changing = {piece.start for pieces in to_assign.values() for piece in pieces}
+    standby_loads = _StandbyLoads()
     for piece in view.pieces:
         owner = view.owner(piece)
         if owner in view.members and piece.start not in changing:
-            carried.add(owner, view.standby(piece), view.weights[piece.start])
-    return carried
+            standby_loads.add(owner, view.standby(piece), view.weights[piece.start])
+    return standby_loads
 
 
-def _serves_well(view, owner, standby, fit, domains):
-    if standby == owner or standby not in fit:
+def _is_suitable(view, owner, standby, eligible, domains):
+    if standby == owner or standby not in eligible:
         return False
     domain = view.members[owner].failure_domain
     if view.members[standby].failure_domain != domain:
@@ -92,16 +94,16 @@
     return domains <= {domain}
 
 
-def _deal_out(view, owner, pieces, candidates, carried):
+def _assign_round_robin(view, owner, pieces, candidates, standby_loads):
     """Assign slices to candidates round-robin, the heaviest slice first."""
     pieces.sort(key=lambda piece: (-view.weights[piece.start], piece.start))
     for number, piece in enumerate(pieces):
         standby = candidates[number % len(candidates)] if candidates else ""
         view.set_standby(piece, standby)
-        carried.add(owner, standby, view.weights[piece.start])
+        standby_loads.add(owner, standby, view.weights[piece.start])
 
 
-def _candidates(view, owner, fit):
+def _candidates(view, owner, eligible):
     """Return the eligible nodes of the most preferred class that has any.
 
     Another failure domain than the owner's comes before the same one, then the
@@ -109,7 +111,7 @@
     """
     owner_member = view.members[owner]
     classes = defaultdict(list)
-    for node_id in fit:
+    for node_id in eligible:
         if node_id != owner:
             member = view.members[node_id]
             same_domain = member.failure_domain == owner_member.failure_domain
--- a/comfreywharf/placement/tests/test_planning.py
+++ b/comfreywharf/placement/tests/test_planning.py
@@ -95,12 +95,12 @@
             assert move.owner not in self.gone
         if move.standby:
             domain = members[move.owner].failure_domain
-            fit = {
+            eligible = {
                 node_id
                 for node_id in self.cluster.live
                 if not members[node_id].draining
             }
-            if any(members[n].failure_domain != domain for n in fit):
+            if any(members[n].failure_domain != domain for n in eligible):
                 assert members[move.standby].failure_domain != domain
             assert move.standby != move.owner
 
