--- a/comfreywharf/placement/terms.py
+++ b/comfreywharf/placement/terms.py
@@ -72,7 +72,7 @@
     """One node's view of the planner."""
 
     node_id: str
-    missed: int = 0
+    missed_reports: int = 0
     suspected_s: float | None = None
     term: int = -1
     own_starts: int = 0
@@ -84,14 +84,14 @@
     if isinstance(event, Tick):
         return state, _tick(state, event, now_s)
     answered = isinstance(event, ReportAnswered) and event.planning
-    state.missed = 0 if answered else state.missed + 1
+    state.missed_reports = 0 if answered else state.missed_reports + 1
     return state, []
 
 
 def _tick(state, event, now_s):
     if event.term != state.term:
         _follow_term(state, event)
-    if not _seems_lost(state, event):
+    if not _planner_seems_lost(state, event):
         state.suspected_s = None
         return []
     # No node can start a term while the log is down. The wait restarts when the
@@ -113,16 +113,16 @@
 
 def _follow_term(state, event):
     state.term = event.term
-    state.missed = 0
+    state.missed_reports = 0
     state.suspected_s = None
 
 
-def _seems_lost(state, event):
+def _planner_seems_lost(state, event):
     if state.node_id not in event.members or event.planner_id == state.node_id:
         return False
     if event.planner_id not in event.members:
         return True
-    return state.missed >= MISSED_REPORTS
+    return state.missed_reports >= MISSED_REPORTS
 
 
 def _wait_s(state, event):
@@ -133,14 +133,14 @@
     would make 640 appends, while the log accepts a few hundred per second.
     """
     others = [node_id for node_id in event.members if node_id != event.planner_id]
-    own = _draw(state.node_id, event.term)
-    rank = sum(1 for node_id in others if _draw(node_id, event.term) < own)
+    own_hash = _rank_hash(state.node_id, event.term)
+    rank = sum(1 for node_id in others if _rank_hash(node_id, event.term) < own_hash)
     if rank < RANKED_CANDIDATES:
         return rank * STAGGER_S
-    return RANKED_CANDIDATES * STAGGER_S + LATE_WINDOW_S * own / (1 << 64)
+    return RANKED_CANDIDATES * STAGGER_S + LATE_WINDOW_S * own_hash / (1 << 64)
 
 
-def _draw(node_id, term):
+def _rank_hash(node_id, term):
     return xxhash.xxh3_64_intdigest(node_id.encode(), seed=max(term, 0))
 
 
--- a/comfreywharf/placement/tests/test_terms.py
+++ b/comfreywharf/placement/tests/test_terms.py
@@ -12,10 +12,10 @@
 NODES = tuple(f"node-{number}" for number in range(160))
 
 
-def make_states(missed):
+def make_states(missed_reports):
     states = [TermState(node_id=node_id, term=1) for node_id in NODES[1:]]
     for state in states:
-        for _ in range(missed):
+        for _ in range(missed_reports):
             decide(state, ReportFailed(planner_id="node-0"), 0.0)
     return states
 
@@ -40,13 +40,13 @@
     Sequence: the planner is lost, and all nodes miss its answers. Cause: each
     appends the start of a term at once.
     """
-    found = starts(make_states(missed=3), 3)
+    found = starts(make_states(missed_reports=3), 3)
     assert 1 <= len(found) <= 3
 
 
 def test_a_single_missed_answer_starts_no_term():
     """Two lost messages are no loss of the planner; an answer clears the count."""
-    states = make_states(missed=2)
+    states = make_states(missed_reports=2)
     for state in states:
         decide(state, ReportAnswered(planner_id="node-0", planning=True), 0.0)
         decide(state, ReportFailed(planner_id="node-0"), 0.0)
@@ -60,7 +60,7 @@
     so the planner answers that it isn't planning; the log returns. Cause: every
     node's wait ran out during the outage.
     """
-    states = make_states(missed=9)
+    states = make_states(missed_reports=9)
     assert starts(states, 20, log_reachable=False) == []
     assert 1 <= len(starts(states, 2)) <= 3
 
