--- a/comfreywharf/placement/planning.py
+++ b/comfreywharf/placement/planning.py
@@ -12,7 +12,7 @@
 from comfreywharf.placement.resize import Merge, Split, plan_resizes
 from comfreywharf.placement.standbys import choose_standbys
 from comfreywharf.placement.tuning import PlacementTuning
-from comfreywharf.placement.view import look
+from comfreywharf.placement.view import build_view
 from comfreywharf.records import (
     ClusterState,
     ServiceConfig,
@@ -150,7 +150,7 @@
     pieces = cluster.slices[service.name].slices
     state.table.prune(service.name, [piece.start for piece in pieces])
     warm_up = state.switches.warm_up
-    view = look(cluster, state.table, service.name, now_s, warm_up, state.tuning)
+    view = build_view(cluster, state.table, service.name, now_s, warm_up, state.tuning)
     if _awaits_first_nodes(state, pieces, now_s):
         return view
     plan_mandatory_moves(view)
--- a/comfreywharf/placement/rebalance.py
+++ b/comfreywharf/placement/rebalance.py
@@ -85,7 +85,7 @@
         self._plan_moves(view, now_s, max_moves)
 
     def _is_due(self, view, now_s):
-        highest = max(view.relative(node_id) for node_id in view.targets)
+        highest = max(view.relative_load(node_id) for node_id in view.targets)
         level = highest / view.mean
         joined = any(view.loads[node_id] <= 0 for node_id in view.targets)
         noticeable = joined or view.max_utilisation() >= self.min_utilisation
@@ -104,7 +104,7 @@
 
     def _plan_moves(self, view, now_s, moves_left):
         pieces = self._movable(view)
-        sources = sorted(pieces, key=view.relative, reverse=True)
+        sources = sorted(pieces, key=view.relative_load, reverse=True)
         for source in sources:
             while moves_left > 0:
                 best_move = self._best_move(view, source, pieces[source])
--- a/comfreywharf/placement/view.py
+++ b/comfreywharf/placement/view.py
@@ -9,19 +9,19 @@
 from comfreywharf.placement.tuning import PlacementTuning
 from comfreywharf.records import SliceMove
 
-__all__ = ["ServiceView", "look"]
+__all__ = ["ServiceView", "build_view"]
 
 COLD_SHARE = 0.2
 """Share of its capacity that a backend server gets right after its start."""
 
-SLOWEST = 0.3
-FASTEST = 2.0
+MIN_SPEED = 0.3
+MAX_SPEED = 2.0
 """Bounds on a measured relative speed; a few slow requests don't make a slow server."""
 
 IDLE_PER_S = 1e-6
 """Mean rate up to which a service counts as idle and its slices weigh the same."""
 
-LEAST_SHARE = 0.02
+MIN_WEIGHT_SHARE = 0.02
 """Weight added to each slice, as a share of the mean rate, so that an idle slice has
 some weight: its keys may become busy."""
 
@@ -50,16 +50,18 @@
     standbys: dict[int, str] = attrs.Factory(dict)
     total: float = attrs.field(init=False)
     mean: float = attrs.field(init=False)
-    _order: list = attrs.field(init=False, repr=False)
+    _load_heap: list = attrs.field(init=False, repr=False)
 
     def __attrs_post_init__(self):
         """Compute the total rate, the mean rate per unit of capacity and the order."""
         self.total = sum(self.weights.values())
         self.mean = self.total / max(sum(self.targets.values()), 1e-9)
-        self._order = [(self.relative(node_id), node_id) for node_id in self.targets]
-        heapify(self._order)
+        self._load_heap = [
+            (self.relative_load(node_id), node_id) for node_id in self.targets
+        ]
+        heapify(self._load_heap)
 
-    def relative(self, node_id):
+    def relative_load(self, node_id):
         """Return a target's load per unit of its capacity."""
         return self.loads[node_id] / self.targets[node_id]
 
@@ -82,9 +84,9 @@
 
     def least_loaded(self):
         """Return the target with the lowest relative load."""
-        while self._order[0][0] != self.relative(self._order[0][1]):
-            heappop(self._order)
-        return self._order[0][1]
+        while self._load_heap[0][0] != self.relative_load(self._load_heap[0][1]):
+            heappop(self._load_heap)
+        return self._load_heap[0][1]
 
     def owner(self, piece):
         """Return a slice's owner with the planned moves applied."""
@@ -105,7 +107,7 @@
         if node_id in self.loads:
             self.loads[node_id] += weight
         if node_id in self.targets:
-            heappush(self._order, (self.relative(node_id), node_id))
+            heappush(self._load_heap, (self.relative_load(node_id), node_id))
 
     def set_standby(self, piece, standby):
         """Plan a new standby for a slice."""
@@ -132,7 +134,7 @@
         ]
 
 
-def look(cluster, table, name, now_s, warm_up=True, tuning=None):
+def build_view(cluster, table, name, now_s, warm_up=True, tuning=None):
     """Return the `ServiceView` of a service that is divided by key.
 
     ``warm_up`` is false only in replays that show its effect.
@@ -144,7 +146,7 @@
     speeds = _speeds(table, live) if tuning.scale_by_speed else {}
     targets = {
         node_id: max(1, member.slots)
-        * (_warmth(table.warm_for_s(node_id, now_s), tuning) if warm_up else 1.0)
+        * (_warm_up_share(table.warm_for_s(node_id, now_s), tuning) if warm_up else 1.0)
         * speeds.get(node_id, 1.0)
         for node_id, member in sorted(members.items())
         if node_id in live and not member.draining
@@ -173,7 +175,7 @@
     )
 
 
-def _warmth(warm_s, tuning):
+def _warm_up_share(warm_s, tuning):
     """Return the share of its capacity that a server gets ``warm_s`` after its start.
 
     A cold server answers several times slower. With its full share from the start,
@@ -198,7 +200,7 @@
         return {}
     mean = sum(known) / len(known)
     return {
-        node_id: min(max(mean / time, SLOWEST), FASTEST)
+        node_id: min(max(mean / time, MIN_SPEED), MAX_SPEED)
         for node_id, time in times.items()
         if time > 0
     }
@@ -211,5 +213,5 @@
     """
     known = [rates[piece.start] for piece in pieces if piece.start in rates]
     mean = sum(known) / len(known) if known else 0.0
-    least = LEAST_SHARE * mean if mean > IDLE_PER_S else 1.0
+    least = MIN_WEIGHT_SHARE * mean if mean > IDLE_PER_S else 1.0
     return {piece.start: rates.get(piece.start, mean) + least for piece in pieces}
