--- a/comfreywharf/placement/tests/builders.py
+++ b/comfreywharf/placement/tests/builders.py
@@ -1,4 +1,4 @@
-"""A small cluster that a planner plans for, without processes or clocks."""
+"""A small simulated cluster with a planner, without processes or clocks."""
 
 from comfreywharf.placement import (
     LoadReported,
@@ -32,7 +32,7 @@
 
 
 class PlannedCluster:
-    """A fold, a planner, and nodes that report when they are told to."""
+    """A folded state, a planner, and nodes whose reports the test triggers."""
 
     def __init__(self, nodes=0, tuning=None, **service_fields):
         self.now_s = 0.0
@@ -55,12 +55,12 @@
         return self.state.slices[SERVICE].slices
 
     def append(self, kind, **fields):
-        """Fold a record and return whether it counts."""
+        """Fold a record and return whether the fold accepted it."""
         record = kind(record_id=str(self.state.next_offset), **fields)
         return fold(self.state, self.state.next_offset, record).accepted
 
     def start(self, node_id, domain):
-        """Announce a node, or its next incarnation, that holds its lease."""
+        """Announce a node, or its next incarnation, and start its lease."""
         member = self.state.members.get(node_id)
         incarnation = member.incarnation + 1 if member else 1
         self.live[node_id] = incarnation
@@ -89,7 +89,7 @@
         self.append(DrainChanged, node_id=node_id, draining=draining, author="test")
 
     def lose(self, node_id):
-        """Lose a node; its standbys take over and the planner hears of it."""
+        """Lose a node; its standbys take over, and the planner is notified."""
         del self.live[node_id]
         takers = {p.standby for p in self.pieces if p.owner == node_id}
         for taker in sorted(takers & set(self.live)):
@@ -114,7 +114,7 @@
             planning.decide(self.planning, event, self.now_s)
 
     def report(self, rates=None):
-        """Let each live node report; ``rates`` are by slice start."""
+        """Deliver a report of each live node; ``rates`` are by slice start."""
         for node_id, incarnation in self.live.items():
             owned = [p.start for p in self.pieces if p.owner == node_id]
             report = NodeReport(
@@ -130,12 +130,12 @@
             planning.decide(self.planning, LoadReported(report=report), self.now_s)
 
     def plan(self):
-        """Return the actions of a round."""
+        """Run a planning round and return its actions."""
         event = RoundDue(cluster=self.state)
         return planning.decide(self.planning, event, self.now_s)[1]
 
     def apply(self, actions):
-        """Fold actions and return whether each counts."""
+        """Fold actions and return whether each was accepted."""
         accepted = []
         for action in actions:
             record = to_record(action, str(self.state.next_offset), TERM)
@@ -153,7 +153,7 @@
                 )
 
     def settle(self, rounds=5, rates=None, step_s=1.0):
-        """Report, plan and hand over for some rounds."""
+        """Report, plan and complete all moves for a number of rounds."""
         for _ in range(rounds):
             self.now_s += step_s
             self.report(rates)
--- a/comfreywharf/placement/tests/test_meter.py
+++ b/comfreywharf/placement/tests/test_meter.py
@@ -1,4 +1,4 @@
-"""What a node reports of its slices."""
+"""Tests of the slice rates that a node reports."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -20,7 +20,7 @@
 @settings(derandomize=True, deadline=None)
 @given(windows=st.lists(counts, min_size=1, max_size=12), limit=st.integers(1, 6))
 def test_reports_are_bounded_and_catch_up(windows, limit):
-    """No report names more slices than allowed; what was left out follows."""
+    """No report exceeds the limit; the omitted rates follow in later reports."""
     meter = make_meter(6)
     reported = {}
     now_s = 0.0
@@ -40,7 +40,7 @@
 
 
 def test_a_slice_with_new_bounds_is_measured_anew():
-    """The rate of a whole slice isn't reported for the part a split left."""
+    """After a split, the rate of the whole slice isn't reported for its part."""
     meter = make_meter(1)
     meter.count("booking", 0, 100)
     meter.close_window(1.0)
@@ -52,6 +52,6 @@
 
 
 def test_all_nodes_together_stay_within_the_planners_share():
-    """640 nodes name about as many rates a second as 10 do."""
+    """640 nodes report about as many rates per second in total as 10 do."""
     assert rates_per_report(10) >= 10
     assert rates_per_report(640) == 2
--- a/comfreywharf/placement/tests/test_planning.py
+++ b/comfreywharf/placement/tests/test_planning.py
@@ -1,4 +1,4 @@
-"""What a planner may and may not do, whatever happens around it."""
+"""Tests of the planner's rules under any order of events."""
 
 import pytest
 from hypothesis import settings, strategies as st
@@ -18,13 +18,13 @@
 
 
 class PlannerMachine(RuleBasedStateMachine):
-    """Nodes come, drain, are lost and return, under changing load, while it plans.
+    """Nodes join, drain, are lost and return, under changing load, while it plans.
 
-    After each round: no slice goes to a node that drains, was taken over or has
-    been silent for long, none is moved while a release is awaited, each action
-    counts in the fold, and standbys lie in another failure domain wherever there
-    is a node in one. A node that owned nothing when it was lost can be noticed
-    only by its silence.
+    After each round: no slice moves to a node that is draining, was taken over or
+    hasn't reported for longer than the timeout; no slice moves while its release
+    is awaited; the fold accepts each action; and standbys are in another failure
+    domain if a node exists there. The loss of a node that owned nothing can be
+    detected only by its missing reports.
     """
 
     def __init__(self):
@@ -80,7 +80,7 @@
         moves = [m for a in actions if isinstance(a, Move) for m in a.moves]
         for move in moves:
             self.check_move(before[move.start], move)
-        # A plan whose record never reaches the log must not confuse the next.
+        # A plan whose records don't reach the log must not affect the next one.
         if not lost:
             assert all(self.cluster.apply(actions))
 
@@ -107,7 +107,7 @@
     @precondition(lambda self: self.cluster.live)
     @rule()
     def settle(self):
-        """Whatever came before, a quiet minute leaves nothing undone."""
+        """After a minute without events each slice has a live owner and standby."""
         for node_id in self.cluster.live:
             self.cluster.drain(node_id, draining=False)
         self.cluster.settle(30, self.rates, step_s=2.0)
@@ -133,12 +133,12 @@
 
 
 def test_nothing_moves_to_a_node_that_was_taken_over():
-    """A lost node isn't taken for an idle one while its silence is short.
+    """A lost node isn't a target before its reports time out.
 
-    Symptom: after a loss, keys that were served go dead one after another, and
-    standbys take over again and again. Sequence: an owner is lost, its standbys
-    take its slices, and it now owns nothing. Cause: until it has been silent for
-    long enough the planner holds it for live, and for the least loaded of all.
+    Guards against moves of slices to a node whose standbys have taken over. The
+    node then owns nothing, and until its reports time out it would count as live
+    and least loaded: served keys would become unavailable one after another, each
+    until the next takeover.
     """
     cluster = PlannedCluster(nodes=6, slices=24)
     cluster.settle(8, dict.fromkeys([p.start for p in cluster.pieces], 50.0))
@@ -151,11 +151,11 @@
 
 
 def test_a_plan_that_is_late_changes_nothing():
-    """A planner of an earlier term, or a plan on old epochs, is refused.
+    """The fold refuses a plan of an earlier term or on outdated epochs.
 
-    Symptom: a slice goes back to a server that gave it up. Sequence: a planner
-    pauses between planning and appending; another plans meanwhile. Cause: the
-    late record names no term or epoch that it builds on.
+    Guards against a slice that returns to a server that released it: a planner
+    pauses between planning and appending, while another one plans. Its late
+    records are refused because of the term and epochs that they are based on.
     """
     cluster = PlannedCluster(nodes=4, slices=8)
     cluster.now_s = 1.0
@@ -169,7 +169,7 @@
 
 
 def test_standbys_of_one_owner_are_spread():
-    """No node stands by for more of an owner than an even share, rounded up."""
+    """No node is standby for more of an owner's slices than an even share."""
     cluster = PlannedCluster(nodes=9, slices=54)
     cluster.settle(5)
     for owner in owners(cluster):
@@ -181,7 +181,7 @@
 
 @pytest.mark.parametrize("churn_weight", [0.3, 3.0])
 def test_small_differences_move_nothing(churn_weight):
-    """Load that varies by a few percent, as counting does, costs no churn."""
+    """Load that varies by a few percent, as counts do, causes no moves."""
     cluster = PlannedCluster(nodes=7, slices=70, churn_weight=churn_weight)
     starts = [p.start for p in cluster.pieces]
     cluster.settle(10, dict.fromkeys(starts, 100.0))
@@ -209,11 +209,11 @@
 
 
 def test_a_drain_doesnt_move_a_slice_whose_release_is_awaited():
-    """A second move waits for the first one's release.
+    """A second move waits for the release of the first one.
 
-    Symptom: two nodes serve a key. Sequence: a slice moves from a slow node, and
-    its new owner drains before the release came. Cause: a third owner is named,
-    which waits for the second node's release only.
+    Guards against two nodes that serve one key: a slice moves away from a slow
+    node, and its new owner is drained before the release. A third owner would wait
+    for the release of the second node only.
     """
     cluster = PlannedCluster(nodes=4, slices=16)
     cluster.settle(3)
@@ -224,7 +224,7 @@
 
 
 def test_balance_doesnt_move_a_slice_whose_release_is_awaited():
-    """The same when the new owner is overloaded before the release came."""
+    """The same if the new owner becomes overloaded before the release."""
     cluster = PlannedCluster(nodes=4, slices=40)
     rates = dict.fromkeys([p.start for p in cluster.pieces], 100.0)
     cluster.settle(8, rates)
@@ -239,7 +239,7 @@
 
 
 def test_a_standby_goes_to_another_domain_once_there_is_one():
-    """Where only one domain was up, standbys leave it when another comes up."""
+    """Standbys leave the only failure domain as soon as another one is up."""
     cluster = PlannedCluster(slices=8)
     for node_id in ("node-0", "node-3"):
         cluster.start(node_id, "teika")
@@ -256,7 +256,7 @@
 
 
 def test_a_key_that_is_always_hot_cannot_raise_the_number_of_slices_for_ever():
-    """Splitting in search of an unknown hot key stops at the service's limit."""
+    """Splits that try to isolate an unknown hot key stop at the service's limit."""
     cluster = PlannedCluster(nodes=1, slices=16)
     for _ in range(80):
         rates = {p.start: 20.0 for p in cluster.pieces}
@@ -286,9 +286,12 @@
 def test_a_brisk_planner_leaves_differences_alone_that_no_request_feels(
     per_slice_s, moves
 ):
-    """Symptom: all keys move four times within a calm minute.
-    Sequence: one server has twice the load of the others, and slots to spare.
-    Cause: the planner moved for any difference, whether a request waited or not."""
+    """An imbalance doesn't move slices while all servers have idle slots.
+
+    Guards against moves for any difference in load, whether requests wait or not:
+    with twice the load on one of several nearly idle servers, all keys moved four
+    times within a minute.
+    """
     tuning = PlacementTuning(cheap_moves=True, scale_by_speed=True)
     cluster = PlannedCluster(nodes=4, tuning=tuning, slices=40)
     assert moves_for_balance(cluster, per_slice_s, heavier=2.0, rounds=6) is moves
@@ -296,9 +299,12 @@
 
 @pytest.mark.parametrize(("per_slice_s", "moves"), [(0.1, False), (2.0, True)])
 def test_a_service_that_is_hardly_used_is_left_as_it_is(per_slice_s, moves):
-    """Symptom: a key is refused for seconds though hardly anybody asks for anything.
-    Sequence: one server has three times the load of the others, a few requests a
-    second; its slices are moved, and one is held by a request that was given up.
-    Cause: the planner moved for any difference that lasted."""
+    """A lasting imbalance doesn't move slices of a nearly idle service.
+
+    Guards against moves for any lasting difference in load. One server had three
+    times the load of the others, a few requests per second. Its slices were moved,
+    and a key was refused for seconds, because an abandoned request delayed the
+    release of its slice.
+    """
     cluster = PlannedCluster(nodes=4, slices=40)
     assert moves_for_balance(cluster, per_slice_s, heavier=3.0, rounds=20) is moves
--- a/comfreywharf/placement/tests/test_terms.py
+++ b/comfreywharf/placement/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""Who starts a planner's term, and how many try."""
+"""Tests of the election of the planner: who starts a term, and how many at once."""
 
 from comfreywharf.placement.terms import (
     ReportAnswered,
@@ -21,7 +21,7 @@
 
 
 def starts(states, seconds, *, planner_id="node-0", log_reachable=True):
-    """Return ``(time, node_id)`` of each `StartTerm`, as if none were folded."""
+    """Return ``(time, node_id)`` of each `StartTerm`; none of them is folded."""
     tick = Tick(
         planner_id=planner_id, term=1, members=NODES, log_reachable=log_reachable
     )
@@ -34,18 +34,18 @@
 
 
 def test_the_loss_of_the_planner_brings_few_candidates_one_after_another():
-    """Candidates try in an order, and not all 160 at the same moment.
+    """Candidates start a term in order, and not all 160 at once.
 
-    Symptom: the log refuses appends for seconds after the loss of one node.
-    Sequence: the planner is lost, and all nodes miss its answers. Cause: each
-    appends the start of a term at once.
+    Guards against an overload of the log after the loss of the planner: all nodes
+    detect the loss, and if each appended the start of a term at once, the log would
+    refuse appends for seconds.
     """
     found = starts(make_states(missed_reports=3), 3)
     assert 1 <= len(found) <= 3
 
 
 def test_a_single_missed_answer_starts_no_term():
-    """Two lost messages are no loss of the planner; an answer clears the count."""
+    """Two unanswered reports don't count as the planner's loss; an answer resets."""
     states = make_states(missed_reports=2)
     for state in states:
         decide(state, ReportAnswered(planner_id="node-0", planning=True), 0.0)
@@ -54,11 +54,11 @@
 
 
 def test_nobody_appends_while_the_log_is_down_and_few_do_when_it_is_back():
-    """An outage of the log isn't followed by 160 appends.
+    """The end of an outage of the log doesn't cause 160 appends.
 
-    Symptom: the log goes down again as it comes back. Sequence: the log is down,
-    so the planner answers that it isn't planning; the log returns. Cause: every
-    node's wait ran out during the outage.
+    Guards against an overload of the log when it returns. During the outage the
+    planner answers that it isn't planning; if each node's wait elapsed meanwhile,
+    all nodes would append when the log is back.
     """
     states = make_states(missed_reports=9)
     assert starts(states, 20, log_reachable=False) == []
@@ -66,11 +66,12 @@
 
 
 def test_two_nodes_that_cannot_reach_each_other_settle():
-    """The role changes hands ever more rarely, instead of every few seconds.
+    """The planner's role changes less and less often between the two nodes.
 
-    Symptom: a term starts every few seconds, and no planner lives long enough to
-    know the load. Sequence: one link is cut; each of two nodes misses the other's
-    answers. Cause: whoever misses three answers takes the role back.
+    Guards against a term that starts every few seconds, so that no planner keeps
+    the role long enough to learn the load. One link is cut, and each of the two
+    nodes misses the other's answers; without backoff, each would take the role
+    back after three missed answers.
     """
     states = {name: TermState(node_id=name) for name in ("node-0", "node-1")}
     planner_id, term = "node-0", 1
