--- a/comfreywharf/placement/tests/test_meter.py
+++ b/comfreywharf/placement/tests/test_meter.py
@@ -39,7 +39,7 @@
         assert abs(reported[start] - rate) <= max(1.0, 0.05 * reported[start]) + 1e-9
 
 
-def test_a_slice_with_new_bounds_is_measured_anew():
+def test_a_slice_with_new_bounds_is_measured_from_scratch():
     """After a split, the rate of the whole slice isn't reported for its part."""
     meter = make_meter(1)
     meter.count("booking", 0, 100)
@@ -51,7 +51,7 @@
     assert meter.everything()[0].requests_per_s == 10.0
 
 
-def test_all_nodes_together_stay_within_the_planners_share():
+def test_rates_that_all_nodes_report_together_are_bounded():
     """640 nodes report about as many rates per second in total as 10 do."""
     assert rates_per_report(10) >= 10
     assert rates_per_report(640) == 2
--- a/comfreywharf/placement/tests/test_planning.py
+++ b/comfreywharf/placement/tests/test_planning.py
@@ -150,7 +150,7 @@
         assert "node-0" not in owners(cluster)
 
 
-def test_a_plan_that_is_late_changes_nothing():
+def test_an_outdated_plan_is_refused():
     """The fold refuses a plan of an earlier term or on outdated epochs.
 
     Guards against a slice that returns to a server that released it: a planner
@@ -233,8 +233,8 @@
         cluster.now_s += 2.0
         cluster.report(rates)
         cluster.apply(cluster.plan())
-    gainer = next(p.owner for p in cluster.pieces if p.previous)
-    rates = {p.start: 500.0 if p.owner == gainer else 50.0 for p in cluster.pieces}
+    new_owner = next(p.owner for p in cluster.pieces if p.previous)
+    rates = {p.start: 500.0 if p.owner == new_owner else 50.0 for p in cluster.pieces}
     assert_awaited_stay(cluster, rates)
 
 
@@ -255,7 +255,7 @@
         assert len(domains) == 2
 
 
-def test_a_key_that_is_always_hot_cannot_raise_the_number_of_slices_for_ever():
+def test_an_always_hot_key_does_not_split_slices_beyond_the_limit():
     """Splits that try to isolate an unknown hot key stop at the service's limit."""
     cluster = PlannedCluster(nodes=1, slices=16)
     for _ in range(80):
@@ -267,7 +267,7 @@
     assert 16 < len(cluster.pieces) <= limit
 
 
-def moves_for_balance(cluster, per_slice_s, heavier, rounds):
+def is_rebalanced(cluster, per_slice_s, heavier, rounds):
     """Return whether slices move when one server has ``heavier`` times the load."""
     cluster.service_ms = 130.0
     cluster.settle()
@@ -283,9 +283,7 @@
 
 
 @pytest.mark.parametrize(("per_slice_s", "moves"), [(0.6, False), (3.0, True)])
-def test_a_brisk_planner_leaves_differences_alone_that_no_request_feels(
-    per_slice_s, moves
-):
+def test_cheap_moves_need_a_noticeable_imbalance(per_slice_s, moves):
     """An imbalance doesn't move slices while all servers have idle slots.
 
     Guards against moves for any difference in load, whether requests wait or not:
@@ -294,11 +292,11 @@
     """
     tuning = PlacementTuning(cheap_moves=True, scale_by_speed=True)
     cluster = PlannedCluster(nodes=4, tuning=tuning, slices=40)
-    assert moves_for_balance(cluster, per_slice_s, heavier=2.0, rounds=6) is moves
+    assert is_rebalanced(cluster, per_slice_s, heavier=2.0, rounds=6) is moves
 
 
 @pytest.mark.parametrize(("per_slice_s", "moves"), [(0.1, False), (2.0, True)])
-def test_a_service_that_is_hardly_used_is_left_as_it_is(per_slice_s, moves):
+def test_a_nearly_idle_service_is_not_rebalanced(per_slice_s, moves):
     """A lasting imbalance doesn't move slices of a nearly idle service.
 
     Guards against moves for any lasting difference in load. One server had three
@@ -307,4 +305,4 @@
     release of its slice.
     """
     cluster = PlannedCluster(nodes=4, slices=40)
-    assert moves_for_balance(cluster, per_slice_s, heavier=3.0, rounds=20) is moves
+    assert is_rebalanced(cluster, per_slice_s, heavier=3.0, rounds=20) is moves
--- a/comfreywharf/placement/tests/test_terms.py
+++ b/comfreywharf/placement/tests/test_terms.py
@@ -33,7 +33,7 @@
     return found
 
 
-def test_the_loss_of_the_planner_brings_few_candidates_one_after_another():
+def test_the_loss_of_the_planner_starts_few_terms():
     """Candidates start a term in order, and not all 160 at once.
 
     Guards against an overload of the log after the loss of the planner: all nodes
@@ -53,7 +53,7 @@
     assert starts(states, 20) == []
 
 
-def test_nobody_appends_while_the_log_is_down_and_few_do_when_it_is_back():
+def test_an_outage_of_the_log_is_not_followed_by_many_appends():
     """The end of an outage of the log doesn't cause 160 appends.
 
     Guards against an overload of the log when it returns. During the outage the
@@ -65,7 +65,7 @@
     assert 1 <= len(starts(states, 2)) <= 3
 
 
-def test_two_nodes_that_cannot_reach_each_other_settle():
+def test_nodes_cut_off_from_each_other_rarely_change_the_planner():
     """The planner's role changes less and less often between the two nodes.
 
     Guards against a term that starts every few seconds, so that no planner keeps
