--- a/comfreywharf/daemon/requests/members.py
+++ b/comfreywharf/daemon/requests/members.py
@@ -93,7 +93,7 @@
         now_s = boottime_s()
         sent = Sent(service, member, now_s, known.ejector.is_out(node_id))
         member.begin()
-        known.absences.asked(node_id)
+        known.absences.record_sent(node_id)
         known.ejector.begun(member, now_s)
         return sent
 
@@ -128,11 +128,11 @@
     @staticmethod
     def _note_presence(known, sent, reply):
         if reply is None:
-            known.absences.dropped(sent.member.node_id)
+            known.absences.record_no_outcome(sent.member.node_id)
         elif reply.reason and Reason(reply.reason) in _ABSENT:
-            known.absences.missed(sent.member.node_id, boottime_s())
+            known.absences.record_absent(sent.member.node_id, boottime_s())
         else:
-            known.absences.met(sent.member.node_id, boottime_s())
+            known.absences.record_present(sent.member.node_id, boottime_s())
 
     def _tell(self, sent, node_id, out):
         if not out:
--- a/comfreywharf/load/absences.py
+++ b/comfreywharf/load/absences.py
@@ -5,10 +5,10 @@
 __all__ = ["Absences"]
 
 FIRST_PAUSE_S = 0.25
-MOST_PAUSE_S = 4.0
+LONGEST_PAUSE_S = 4.0
 """Bounds of the pause after which one request probes an absent member."""
 
-FORGOTTEN_S = 10.0
+PAUSE_RESET_S = 10.0
 """Time after its return from which on a member's next absence starts with the
 shortest pause again."""
 
@@ -17,7 +17,7 @@
 class _Absence:
     until_s: float
     pause_s: float
-    trying: bool = False
+    probing: bool = False
     ended_s: float | None = None
 
 
@@ -33,58 +33,58 @@
     request after a pause that doubles with each failed probe.
     """
 
-    _known: dict[str, _Absence] = attrs.Factory(dict)
+    _absences: dict[str, _Absence] = attrs.Factory(dict)
 
     def usable(self, members, now_s):
         """Return the members to choose from; empty if all are known to be absent.
 
         If an absent member is due for a probe, return only that one.
         """
-        if not self._known:
+        if not self._absences:
             return members
         for member in members:
-            absence = self._known.get(member.node_id)
-            if absence and absence.ended_s is None and not absence.trying:
+            absence = self._absences.get(member.node_id)
+            if absence and absence.ended_s is None and not absence.probing:
                 if now_s >= absence.until_s:
                     return [member]
         return [m for m in members if not self.is_absent(m.node_id)]
 
     def is_absent(self, node_id):
         """Return whether a member is known to be absent."""
-        absence = self._known.get(node_id)
+        absence = self._absences.get(node_id)
         return absence is not None and absence.ended_s is None
 
-    def asked(self, node_id):
+    def record_sent(self, node_id):
         """Record that a request is sent to a member; it probes an absent one."""
         if self.is_absent(node_id):
-            self._known[node_id].trying = True
+            self._absences[node_id].probing = True
 
-    def missed(self, node_id, now_s):
+    def record_absent(self, node_id, now_s):
         """Record that a request found a member absent."""
-        absence = self._known.get(node_id)
+        absence = self._absences.get(node_id)
         if absence is None or _is_over(absence, now_s):
-            self._known[node_id] = _Absence(now_s + FIRST_PAUSE_S, FIRST_PAUSE_S)
+            self._absences[node_id] = _Absence(now_s + FIRST_PAUSE_S, FIRST_PAUSE_S)
             return
-        if absence.trying or absence.ended_s is not None:
-            absence.pause_s = min(2 * absence.pause_s, MOST_PAUSE_S)
+        if absence.probing or absence.ended_s is not None:
+            absence.pause_s = min(2 * absence.pause_s, LONGEST_PAUSE_S)
             absence.until_s = now_s + absence.pause_s
-        absence.trying = False
+        absence.probing = False
         absence.ended_s = None
 
-    def dropped(self, node_id):
+    def record_no_outcome(self, node_id):
         """Record that a request ended without showing whether its member is present."""
-        absence = self._known.get(node_id)
+        absence = self._absences.get(node_id)
         if absence is not None:
-            absence.trying = False
+            absence.probing = False
 
-    def met(self, node_id, now_s):
+    def record_present(self, node_id, now_s):
         """Record that a member answered, whatever the answer."""
-        absence = self._known.get(node_id)
+        absence = self._absences.get(node_id)
         if absence is not None and absence.ended_s is None:
-            absence.trying = False
+            absence.probing = False
             absence.ended_s = now_s
 
 
 def _is_over(absence, now_s):
     ended_s = absence.ended_s
-    return ended_s is not None and now_s > ended_s + FORGOTTEN_S
+    return ended_s is not None and now_s > ended_s + PAUSE_RESET_S
--- a/comfreywharf/load/tests/test_absences.py
+++ b/comfreywharf/load/tests/test_absences.py
@@ -19,16 +19,16 @@
     Cause: half of a service's servers at most may be out, which one took up."""
     absences = Absences()
     for name in "abc":
-        absences.missed(name, 1.0)
+        absences.record_absent(name, 1.0)
     assert names(absences.usable(MEMBERS, 1.1)) == []
     assert names(absences.usable(MEMBERS, 1.3)) == ["a"]
-    absences.asked("a")
+    absences.record_sent("a")
     assert names(absences.usable(MEMBERS, 1.3)) == ["b"]
-    absences.asked("b")
-    absences.asked("c")
-    absences.met("c", 1.31)
-    absences.missed("a", 1.6)
-    absences.missed("b", 1.6)
+    absences.record_sent("b")
+    absences.record_sent("c")
+    absences.record_present("c", 1.31)
+    absences.record_absent("a", 1.6)
+    absences.record_absent("b", 1.6)
     assert names(absences.usable(MEMBERS, 1.7)) == ["c"]
 
 
@@ -36,29 +36,29 @@
     """Symptom: a request in a few waits for a lost machine's silence.
     Events: a machine is gone for good."""
     absences = Absences()
-    now_s, tries = 0.0, 0
-    absences.missed("a", now_s)
+    now_s, probes = 0.0, 0
+    absences.record_absent("a", now_s)
     while now_s < 20:
         now_s += 0.05
         if names(absences.usable(MEMBERS, now_s)) == ["a"]:
-            tries += 1
-            absences.asked("a")
-            absences.missed("a", now_s)
-    assert tries <= 8
+            probes += 1
+            absences.record_sent("a")
+            absences.record_absent("a", now_s)
+    assert probes <= 8
 
 
 def test_a_member_that_comes_back_is_used_at_once():
     """A server that began again isn't left alone for what was before."""
     absences = Absences()
-    absences.missed("a", 0.0)
-    absences.asked("a")
-    absences.met("a", 0.31)
+    absences.record_absent("a", 0.0)
+    absences.record_sent("a")
+    absences.record_present("a", 0.31)
     assert names(absences.usable(MEMBERS, 0.32)) == ["a", "b", "c"]
 
 
 def test_a_late_word_from_before_a_loss_doesnt_end_the_try():
     """Two requests were on their way when the member went; each counts once."""
     absences = Absences()
-    absences.missed("a", 0.0)
-    absences.missed("a", 0.1)
+    absences.record_absent("a", 0.0)
+    absences.record_absent("a", 0.1)
     assert names(absences.usable(MEMBERS, 0.26)) == ["a"]
