--- a/comfreywharf/daemon/requests/members.py
+++ b/comfreywharf/daemon/requests/members.py
@@ -91,10 +91,10 @@
         if member is None:
             return None
         now_s = boottime_s()
-        sent = Sent(service, member, now_s, known.ejector.is_out(node_id))
+        sent = Sent(service, member, now_s, known.ejector.is_ejected(node_id))
         member.begin()
         known.absences.record_sent(node_id)
-        known.ejector.begun(member, now_s)
+        known.ejector.record_sent(member, now_s)
         return sent
 
     def ended(self, sent, reply):
@@ -109,12 +109,12 @@
                 sent.member.crowded()
             else:
                 sent.member.drop()
-            known.ejector.dropped(sent.member, sent.probe)
+            known.ejector.record_no_outcome(sent.member, sent.probe)
             return
         now_s = boottime_s()
         latency_s = now_s - sent.sent_s
         sent.member.finish(latency_s, failed)
-        changed = known.ejector.finished(
+        changed = known.ejector.record_outcome(
             sent.member,
             list(known.members.values()),
             latency_s,
--- a/comfreywharf/load/ejection.py
+++ b/comfreywharf/load/ejection.py
@@ -13,7 +13,7 @@
 MIN_SAMPLES = 5
 """Number of outcomes that a decision needs."""
 
-MAX_OUT_FRACTION = 0.5
+MAX_EJECTED_FRACTION = 0.5
 """Limit on the fraction of a service's servers that are ejected, rounded down."""
 
 FIRST_PAUSE_S = 1.0
@@ -48,8 +48,8 @@
     pause.
     """
 
-    _out: dict[str, _Ejection] = attrs.Factory(dict)
-    _returned: dict[str, tuple[float, float]] = attrs.Factory(dict)
+    _ejected: dict[str, _Ejection] = attrs.Factory(dict)
+    _reinstated: dict[str, tuple[float, float]] = attrs.Factory(dict)
 
     def usable(self, members, now_s, idempotent=True):
         """Return the members to choose from; only one if its probe is due.
@@ -59,62 +59,64 @@
         arrived for another whole pause, since a failed probe would leave its caller
         with an unknown outcome.
         """
-        if not self._out:
+        if not self._ejected:
             return list(members)
         self._forget_departed(members)
         for member in members:
-            ejection = self._out.get(member.node_id)
+            ejection = self._ejected.get(member.node_id)
             if ejection and ejection.is_due(now_s, idempotent):
                 return [member]
-        return [m for m in members if m.node_id not in self._out] or list(members)
+        return [m for m in members if m.node_id not in self._ejected] or list(members)
 
-    def begun(self, member, now_s):
+    def record_sent(self, member, now_s):
         """Record that a request was sent to a member."""
-        ejection = self._out.get(member.node_id)
+        ejection = self._ejected.get(member.node_id)
         if ejection and now_s >= ejection.until_s:
             ejection.probing = True
 
-    def finished(self, member, members, latency_s, failed, now_s, probe):
+    def record_outcome(self, member, members, latency_s, failed, now_s, probe):
         """Record an outcome; return the changed ``(node_id, ejected)``, or ``None``.
 
         ``probe`` tells whether the member was ejected when the request was sent. A
         late answer to a request from before the ejection says nothing about the
         server's present state, and is ignored.
         """
-        ejection = self._out.get(member.node_id)
+        ejection = self._ejected.get(member.node_id)
         if ejection is not None:
             if not probe:
                 return None
-            return self._probed(ejection, member, members, latency_s, failed, now_s)
-        if not self._is_bad(member, members) or not self._room(members):
+            return self._record_probe(
+                ejection, member, members, latency_s, failed, now_s
+            )
+        if not self._should_eject(member, members) or not self._may_eject(members):
             return None
         pause_s = self._first_pause_s(member.node_id, now_s)
-        self._out[member.node_id] = _Ejection(now_s + pause_s, pause_s)
+        self._ejected[member.node_id] = _Ejection(now_s + pause_s, pause_s)
         return member.node_id, True
 
-    def dropped(self, member, probe):
+    def record_no_outcome(self, member, probe):
         """Record that a request ended without an outcome that concerns the server."""
-        ejection = self._out.get(member.node_id)
+        ejection = self._ejected.get(member.node_id)
         if ejection is not None and probe:
             ejection.probing = False
 
-    def is_out(self, node_id):
+    def is_ejected(self, node_id):
         """Return whether a member is ejected."""
-        return node_id in self._out
+        return node_id in self._ejected
 
-    def _probed(self, ejection, member, members, latency_s, failed, now_s):
+    def _record_probe(self, ejection, member, members, latency_s, failed, now_s):
         ejection.probing = False
         limit_s = self._slow_limit_s(member, members)
         if failed or (limit_s and latency_s > limit_s):
             ejection.pause_s = min(ejection.pause_s * 2, MAX_PAUSE_S)
             ejection.until_s = now_s + ejection.pause_s
             return None
-        del self._out[member.node_id]
-        self._returned[member.node_id] = (now_s, ejection.pause_s)
+        del self._ejected[member.node_id]
+        self._reinstated[member.node_id] = (now_s, ejection.pause_s)
         member.started_again(member.announced_offset)
         return member.node_id, False
 
-    def _is_bad(self, member, members):
+    def _should_eject(self, member, members):
         if member.samples < MIN_SAMPLES:
             return False
         if member.failure_fraction > FAILURE_LIMIT:
@@ -129,18 +131,18 @@
             for other in members
             if other is not member
             and other.answers >= MIN_SAMPLES
-            and other.node_id not in self._out
+            and other.node_id not in self._ejected
         )
         if not others:
             return None
         return SLOW_FACTOR * others[(len(others) - 1) // 2]
 
-    def _room(self, members):
-        return len(self._out) < int(len(members) * MAX_OUT_FRACTION)
+    def _may_eject(self, members):
+        return len(self._ejected) < int(len(members) * MAX_EJECTED_FRACTION)
 
     def _first_pause_s(self, node_id, now_s):
         """Return the first pause; longer if the server was reinstated recently."""
-        returned_s, pause_s = self._returned.get(node_id, (float("-inf"), 0.0))
+        returned_s, pause_s = self._reinstated.get(node_id, (float("-inf"), 0.0))
         if now_s - returned_s > 2 * MAX_PAUSE_S:
             return FIRST_PAUSE_S
         return pause_s
@@ -148,9 +150,11 @@
     def _forget_departed(self, members):
         """Drop members that left, and reinstate members beyond the allowed fraction."""
         present = {member.node_id for member in members}
-        for node_id in [n for n in self._out if n not in present]:
-            del self._out[node_id]
-        for node_id in [n for n in self._returned if n not in present]:
-            del self._returned[node_id]
-        while len(self._out) > int(len(members) * MAX_OUT_FRACTION):
-            del self._out[min(self._out, key=lambda n: self._out[n].until_s)]
+        for node_id in [n for n in self._ejected if n not in present]:
+            del self._ejected[node_id]
+        for node_id in [n for n in self._reinstated if n not in present]:
+            del self._reinstated[node_id]
+        while len(self._ejected) > int(len(members) * MAX_EJECTED_FRACTION):
+            del self._ejected[
+                min(self._ejected, key=lambda n: self._ejected[n].until_s)
+            ]
--- a/comfreywharf/load/tests/test_choice.py
+++ b/comfreywharf/load/tests/test_choice.py
@@ -28,7 +28,7 @@
         usable = self.ejector.usable(self.members, self.now_s)
         assert usable
         chosen = usable[index % len(usable)]
-        if self.ejector.is_out(chosen.node_id):
+        if self.ejector.is_ejected(chosen.node_id):
             probes = [m for m, probe in self.in_flight if probe and m is chosen]
             assert not probes, "a server that is out got two requests"
         return chosen
@@ -36,9 +36,9 @@
     @rule(index=st.integers(0, 9))
     def begin(self, index):
         chosen = self.pick(index)
-        self.in_flight.append((chosen, self.ejector.is_out(chosen.node_id)))
+        self.in_flight.append((chosen, self.ejector.is_ejected(chosen.node_id)))
         chosen.begin()
-        self.ejector.begun(chosen, self.now_s)
+        self.ejector.record_sent(chosen, self.now_s)
 
     @precondition(lambda self: self.in_flight)
     @rule(data=st.data())
@@ -50,11 +50,11 @@
         failed = chosen.node_id in self.failing
         latency_s = self.latency_s.get(chosen.node_id, 0.01)
         chosen.finish(latency_s, failed)
-        changed = self.ejector.finished(
+        changed = self.ejector.record_outcome(
             chosen, self.members, latency_s, failed, self.now_s, probe
         )
         if changed == (chosen.node_id, True):
-            out = [m for m in self.members if self.ejector.is_out(m.node_id)]
+            out = [m for m in self.members if self.ejector.is_ejected(m.node_id)]
             assert len(out) <= len(self.members) // 2
 
     @rule()
@@ -62,7 +62,7 @@
         """Send a few requests to each server that is in."""
         usable = self.ejector.usable(self.members, self.now_s)
         for chosen in usable * 6:
-            if not self.ejector.is_out(chosen.node_id):
+            if not self.ejector.is_ejected(chosen.node_id):
                 chosen.begin()
                 self.end(chosen, False)
 
@@ -92,7 +92,7 @@
     @invariant()
     def floor_holds(self):
         usable = self.ejector.usable(self.members, self.now_s)
-        out = [m for m in self.members if self.ejector.is_out(m.node_id)]
+        out = [m for m in self.members if self.ejector.is_ejected(m.node_id)]
         assert usable
         assert len(out) <= len(self.members) // 2
 
@@ -106,7 +106,7 @@
             self.begin(number)
             self.end(*self.in_flight.pop())
             self.now_s += MAX_PAUSE_S / 10
-        assert not any(self.ejector.is_out(m.node_id) for m in self.members)
+        assert not any(self.ejector.is_ejected(m.node_id) for m in self.members)
 
 
 TestEjectionMachine = EjectionMachine.TestCase
@@ -120,7 +120,10 @@
     bad = member("bad", failed=True)
     members = [bad, member("good"), member("well")]
     ejector = Ejector()
-    assert ejector.finished(bad, members, 0.001, True, 0.0, False) == ("bad", True)
+    assert ejector.record_outcome(bad, members, 0.001, True, 0.0, False) == (
+        "bad",
+        True,
+    )
     assert bad not in ejector.usable(members, 0.5)
     assert ejector.usable(members, 1.5) == [bad]
     assert bad not in ejector.usable(members, 1.5, idempotent=False)
--- a/comfreywharf_dev/bench/load_choice.py
+++ b/comfreywharf_dev/bench/load_choice.py
@@ -43,7 +43,7 @@
         if self._ejects:
             usable = self._ejector.usable(self._members, now_s)
         member = self._chooser.choose(usable, self._chance)
-        probe = self._ejector.is_out(member.node_id)
+        probe = self._ejector.is_ejected(member.node_id)
         member.begin()
         self._ejector.begun(member, now_s)
         server = self._servers[self._members.index(member)]
@@ -56,12 +56,12 @@
             self.latencies_s.append(latency_s if outcome.good else PATIENCE_S)
         if outcome.refused:
             member.drop()
-            self._ejector.dropped(member, probe)
+            self._ejector.record_no_outcome(member, probe)
             return
         failed = not outcome.good
         member.finish(latency_s, failed)
         if self._ejects:
-            self._ejector.finished(
+            self._ejector.record_outcome(
                 member, self._members, latency_s, failed, now_s, probe
             )
 
--- a/comfreywharf_dev/bench/load_cost.py
+++ b/comfreywharf_dev/bench/load_cost.py
@@ -68,7 +68,7 @@
         chosen.begin()
         ejector.begun(chosen, number)
         chosen.finish(0.01, False)
-        ejector.finished(chosen, members, 0.01, False, number, False)
+        ejector.record_outcome(chosen, members, 0.01, False, number, False)
 
     return call
 
