--- a/comfreywharf/daemon/requests/members.py
+++ b/comfreywharf/daemon/requests/members.py
@@ -106,7 +106,7 @@
         failed = _failed(reply)
         if failed is None:
             if reply is not None and reply.reason == Reason.OVERLOADED:
-                sent.member.crowded()
+                sent.member.finish_refused()
             else:
                 sent.member.drop()
             known.ejector.record_no_outcome(sent.member, sent.probe)
@@ -168,7 +168,7 @@
         for entry in entries:
             member = known.members.get(entry.node_id) or MemberLoad(entry.node_id)
             if member.announced_offset != entry.announced_offset:
-                member.started_again(entry.announced_offset)
+                member.reset_measurements(entry.announced_offset)
             member.near = entry.failure_domain == own_domain
             members[entry.node_id] = member
         known.members = members
--- a/comfreywharf/load/choice.py
+++ b/comfreywharf/load/choice.py
@@ -11,12 +11,12 @@
     "TwoChoices",
 ]
 
-NEAR_BONUS = 3.0
+NEAR_COST_RATIO = 3.0
 """Ratio of a near server's cost to a far one's up to which the near one is chosen. A
 node has about one request in flight at each server, so that costs differ by a factor
 of two or three by chance."""
 
-CROWDED = 0.05
+MAX_NEAR_FAILURE_FRACTION = 0.05
 """Fraction refused or failed from which on a near server isn't preferred."""
 
 
@@ -82,17 +82,17 @@
 
     def choose(self, members, chance):
         """Return a near member, or a far one if it is much better."""
-        near = [m for m in members if m.near and _is_well(m)]
+        near = [m for m in members if m.near and _is_healthy(m)]
         far = [m for m in members if not m.near]
         if not near or not far:
             return super().choose(members, chance)
         first = super().choose(near, chance)
         second = super().choose(far, chance)
-        return first if _cost(first) <= NEAR_BONUS * _cost(second) else second
+        return first if _cost(first) <= NEAR_COST_RATIO * _cost(second) else second
 
 
-def _is_well(member):
-    return member.refused_fraction + member.failure_fraction < CROWDED
+def _is_healthy(member):
+    return member.refused_fraction + member.failure_fraction < MAX_NEAR_FAILURE_FRACTION
 
 
 def _cost(member):
--- a/comfreywharf/load/ejection.py
+++ b/comfreywharf/load/ejection.py
@@ -113,7 +113,7 @@
             return None
         del self._ejected[member.node_id]
         self._reinstated[member.node_id] = (now_s, ejection.pause_s)
-        member.started_again(member.announced_offset)
+        member.reset_measurements(member.announced_offset)
         return member.node_id, False
 
     def _should_eject(self, member, members):
--- a/comfreywharf/load/members.py
+++ b/comfreywharf/load/members.py
@@ -45,7 +45,7 @@
         """Return the fraction of its full load for the server, from 0.25 to 1."""
         return warm_fraction(self.answers, ANSWERS_UNTIL_WARM)
 
-    def started_again(self, announced_offset):
+    def reset_measurements(self, announced_offset):
         """Discard the measurements from before the server's latest start."""
         self.announced_offset = announced_offset
         self.answers = 0
@@ -62,7 +62,7 @@
         """Count the end of a request whose outcome doesn't concern the server."""
         self.in_flight -= 1
 
-    def crowded(self):
+    def finish_refused(self):
         """Count the end of a request that was refused for lack of slots."""
         self.in_flight -= 1
         self.refused_fraction += REFUSAL_WEIGHT * (1 - self.refused_fraction)
--- a/comfreywharf/load/tests/test_choice.py
+++ b/comfreywharf/load/tests/test_choice.py
@@ -182,7 +182,7 @@
         near.mean_latency_s *= 4
     if trouble in ("refuses", "fails"):
         if trouble == "refuses":
-            near.crowded()
+            near.finish_refused()
         else:
             near.finish(0.001, True)
         assert "far" in choices(members)
@@ -197,7 +197,7 @@
 def test_cold_server_gets_a_part_of_the_load():
     """A server that has just announced itself is weighed by what it answered."""
     warm, cold = member("warm", samples=60), member("cold", samples=60)
-    cold.started_again(announced_offset=7)
+    cold.reset_measurements(announced_offset=7)
     chance = random.Random(0)
     for _ in range(2):
         warm.begin()
