--- a/comfreywharf/daemon/requests/quarantine.py
+++ b/comfreywharf/daemon/requests/quarantine.py
@@ -83,11 +83,11 @@
 
     def begun(self, slot):
         """Note a request that is about to be forwarded."""
-        self._watch.begun(slot, slot.ticket.alone)
+        self._watch.run_started(slot, slot.ticket.alone)
 
     def ended(self, slot, answered):
         """Note the end of a request; a suspect that was answered is cleared."""
-        self._watch.ended(slot)
+        self._watch.run_ended(slot)
         if answered and slot.ticket.alone:
             self._publish(self._known.answered(slot.fingerprint, boottime_s()))
 
@@ -97,7 +97,7 @@
         The caller may send its request again as soon as it has its answer. The
         answer therefore waits for a moment, so that the peers are told first.
         """
-        if self._watch.lost(slot, boottime_s()):
+        if self._watch.connection_lost(slot, boottime_s()):
             gevent.spawn(self._probe, backend).join(wait_s)
 
     def _probe(self, backend):
@@ -110,7 +110,7 @@
     def confirm(self):
         """Take the word that the backend server died or was started anew."""
         now_s = boottime_s()
-        loss = self._watch.confirmed(now_s)
+        loss = self._watch.confirm_crash(now_s)
         if loss is None or not loss.runs:
             return
         node = self._node
--- a/comfreywharf/load/crashes.py
+++ b/comfreywharf/load/crashes.py
@@ -36,18 +36,18 @@
     _at_loss: dict[object, bool] = attrs.Factory(dict)
     _lost_s: float = float("-inf")
 
-    def begun(self, run, alone):
+    def run_started(self, run, alone):
         """Record the start of a run; ``run`` is any hashable object for it."""
         self._in_flight[run] = alone
 
-    def ended(self, run):
+    def run_ended(self, run):
         """Record the end of a run."""
         self._in_flight.pop(run, None)
 
-    def lost(self, run, now_s):
+    def connection_lost(self, run, now_s):
         """Record a lost connection; return whether to check if the server is up.
 
-        It has to be called before `ended` of the run that lost its connection. All
+        It has to be called before `run_ended` of the run that lost its connection. All
         runs of a crash lose their connections one after another; at the first
         loss the others are still in flight.
         """
@@ -59,7 +59,7 @@
         self._at_loss = dict(self._in_flight)
         return True
 
-    def confirmed(self, now_s):
+    def confirm_crash(self, now_s):
         """Return the `Loss` of a confirmed crash, or ``None`` without a recent loss.
 
         The runs of a crashed server are removed from those in flight, even if it
@@ -71,5 +71,5 @@
         lost, self._at_loss = self._at_loss, {}
         self._lost_s = float("-inf")
         for run in lost:
-            self.ended(run)
+            self.run_ended(run)
         return Loss(tuple(lost), alone=list(lost.values()) == [True])
--- a/comfreywharf/load/tests/test_quarantine.py
+++ b/comfreywharf/load/tests/test_quarantine.py
@@ -172,22 +172,22 @@
     """Only a confirmed crash names its suspects, and only once."""
     watch = CrashWatch()
     for name in ("a", "b"):
-        watch.begun(name, alone=False)
-    assert watch.lost("a", 1.0)
-    watch.ended("a")
-    assert not watch.lost("b", 1.01)
-    assert watch.confirmed(1.0 + CONFIRM_S + 1) is None
-    assert watch.confirmed(1.1) == Loss(("a", "b"), alone=False)
-    assert watch.confirmed(1.2) is None
+        watch.run_started(name, alone=False)
+    assert watch.connection_lost("a", 1.0)
+    watch.run_ended("a")
+    assert not watch.connection_lost("b", 1.01)
+    assert watch.confirm_crash(1.0 + CONFIRM_S + 1) is None
+    assert watch.confirm_crash(1.1) == Loss(("a", "b"), alone=False)
+    assert watch.confirm_crash(1.2) is None
 
 
 def test_only_a_guarded_run_counts_as_alone():
     """A request that merely happened to be the only one isn't condemned."""
     for guarded in (True, False):
         watch = CrashWatch()
-        watch.begun("a", alone=guarded)
-        watch.lost("a", 1.0)
-        assert watch.confirmed(1.0).alone is guarded
+        watch.run_started("a", alone=guarded)
+        watch.connection_lost("a", 1.0)
+        assert watch.confirm_crash(1.0).alone is guarded
 
 
 def test_fingerprint_separates_its_parts():
