--- a/comfreywharf/daemon/requests/quarantine.py
+++ b/comfreywharf/daemon/requests/quarantine.py
@@ -125,7 +125,7 @@
             in_flight=len(loss.runs),
             alone=crash.alone,
         )
-        self._publish(self._known.crashed(crash_id, service, crash, now_s))
+        self._publish(self._known.record_crash(crash_id, service, crash, now_s))
         if crash.alone:
             node.report("request_condemned", fingerprint=crash.fingerprints[0])
         node.load.backend_died()
@@ -155,7 +155,9 @@
 
     def _learn(self, notice):
         try:
-            self._known.learn(notice.kind, notice.subject, notice.value, boottime_s())
+            self._known.apply_notice(
+                notice.kind, notice.subject, notice.value, boottime_s()
+            )
         except ValueError:
             self._node.report("bad_notice", kind=notice.kind)
 
--- a/comfreywharf/load/quarantine.py
+++ b/comfreywharf/load/quarantine.py
@@ -22,13 +22,13 @@
 
 SUSPECT = "suspect"
 LIFTED = "lifted"
-"""Kinds of notices; `Quarantine.learn` describes their subject."""
+"""Kinds of notices; `Quarantine.apply_notice` describes their subject."""
 
-IN_COMPANY = 1.0
+WITH_OTHERS = 1.0
 ALONE = 2.0
 """Values of a suspect's notice: whether it ran with others or alone at the crash."""
 
-HERE = "here"
+UNCONFIRMED = "here"
 """Crash id of this node's unconfirmed suspicions."""
 
 SUSPECT_S = 60.0
@@ -88,7 +88,7 @@
 
     service: str
     crashes: dict[str, float] = attrs.Factory(dict)
-    forgiven: set[str] = attrs.Factory(set)
+    cleared: set[str] = attrs.Factory(set)
     expires_s: float = 0.0
 
     @property
@@ -112,26 +112,26 @@
 
     def standing(self, fingerprint, now_s):
         """Return how a request may run."""
-        record = self._current(fingerprint, now_s)
+        record = self._unexpired(fingerprint, now_s)
         return record.standing if record else Standing.TRUSTED
 
     def retry_after_s(self, fingerprint, now_s):
         """Return the time until a condemned request may run again, in seconds."""
-        record = self._current(fingerprint, now_s)
+        record = self._unexpired(fingerprint, now_s)
         return max(record.expires_s - now_s, 0.0) if record else 0.0
 
     def suspect(self, fingerprint, service, now_s):
         """Make a request a suspect on this node only; peers aren't notified."""
-        self._add(fingerprint, service, HERE, IN_COMPANY, now_s)
+        self._add(fingerprint, service, UNCONFIRMED, WITH_OTHERS, now_s)
 
-    def crashed(self, crash_id, service, crash, now_s):
+    def record_crash(self, crash_id, service, crash, now_s):
         """Record a `Crash` of this node's backend server; return the notices for peers.
 
         Only a suspect that was run alone is condemned. If a request merely happened
         to be the only one in flight, or was started before it became a suspect, the
         crash may have another cause.
         """
-        value = ALONE if crash.alone else IN_COMPANY
+        value = ALONE if crash.alone else WITH_OTHERS
         notices = []
         for name in sorted(set(crash.fingerprints)):
             self._add(name, service, crash_id, value, now_s)
@@ -150,15 +150,15 @@
 
         It is called on an operator's order, and when a suspect was answered.
         """
-        record = self._current(fingerprint, now_s)
+        record = self._unexpired(fingerprint, now_s)
         if record is None or not record.crashes:
             return []
         crash_ids = ",".join(sorted(record.crashes))
         subject = f"{fingerprint} {crash_ids} {record.service}"
-        self._forgive(record, record.crashes)
+        self._clear_crashes(record, record.crashes)
         return [Notice(LIFTED, subject, 0.0, CONDEMNED_S)]
 
-    def learn(self, kind, subject, value, now_s):
+    def apply_notice(self, kind, subject, value, now_s):
         """Apply a notice received from a peer.
 
         The subject is ``FINGERPRINT CRASH_ID SERVICE``; in a notice of kind
@@ -168,13 +168,13 @@
         """
         fingerprint, crash_ids, service = subject.split(" ", 2)
         if kind == SUSPECT:
-            value = ALONE if value >= ALONE else IN_COMPANY
+            value = ALONE if value >= ALONE else WITH_OTHERS
             self._add(fingerprint, service, crash_ids, value, now_s)
         elif kind == LIFTED:
             record = self._records.setdefault(fingerprint, _Record(service))
             record.expires_s = max(record.expires_s, now_s + CONDEMNED_S)
-            self._forgive(record, crash_ids.split(","))
-            self._keep_bound(now_s)
+            self._clear_crashes(record, crash_ids.split(","))
+            self._evict_excess(now_s)
 
     def list(self, now_s):
         """Return the entries that haven't expired, condemned ones first."""
@@ -192,7 +192,7 @@
         entries.sort(key=lambda entry: (entry.standing.value, entry.fingerprint))
         return entries
 
-    def _current(self, fingerprint, now_s):
+    def _unexpired(self, fingerprint, now_s):
         if not self._records:
             return None
         record = self._records.get(fingerprint)
@@ -202,34 +202,34 @@
         return record
 
     def _add(self, fingerprint, service, crash_id, value, now_s):
-        record = self._current(fingerprint, now_s)
+        record = self._unexpired(fingerprint, now_s)
         if record is None:
             record = self._records[fingerprint] = _Record(service)
-        if crash_id == HERE:
-            record.forgiven.discard(HERE)
-        if crash_id in record.forgiven or crash_id in record.crashes:
+        if crash_id == UNCONFIRMED:
+            record.cleared.discard(UNCONFIRMED)
+        if crash_id in record.cleared or crash_id in record.crashes:
             return
         record.crashes[crash_id] = value
         record.expires_s = max(record.expires_s, now_s + _ttl_s(value))
-        self._keep_bound(now_s)
+        self._evict_excess(now_s)
 
-    def _forgive(self, record, crash_ids):
-        record.forgiven.update(crash_ids)
-        for crash_id in record.forgiven:
+    def _clear_crashes(self, record, crash_ids):
+        record.cleared.update(crash_ids)
+        for crash_id in record.cleared:
             record.crashes.pop(crash_id, None)
 
-    def _keep_bound(self, now_s):
+    def _evict_excess(self, now_s):
         if len(self._records) <= MAX_ENTRIES:
             return
         expired = [n for n, r in self._records.items() if r.expires_s <= now_s]
         for name in expired:
             del self._records[name]
         if len(self._records) > MAX_ENTRIES:
-            by_worth = sorted(self._records, key=self._worth)
-            for name in by_worth[: MAX_ENTRIES // 8]:
+            by_eviction_key = sorted(self._records, key=self._eviction_key)
+            for name in by_eviction_key[: MAX_ENTRIES // 8]:
                 del self._records[name]
 
-    def _worth(self, fingerprint):
+    def _eviction_key(self, fingerprint):
         record = self._records[fingerprint]
         return record.standing is Standing.CONDEMNED, record.expires_s
 
--- a/comfreywharf/load/tests/test_quarantine.py
+++ b/comfreywharf/load/tests/test_quarantine.py
@@ -39,7 +39,7 @@
         self.crashes += 1
         crash_id = f"crash-{self.crashes}"
         crash = Crash(tuple(names), alone)
-        notices = self.nodes[node].crashed(crash_id, "files", crash, self.now_s)
+        notices = self.nodes[node].record_crash(crash_id, "files", crash, self.now_s)
         self.spread(notices)
 
     def spread(self, notices):
@@ -77,7 +77,9 @@
         notice, node = self.under_way[index]
         if not again:
             del self.under_way[index]
-        self.nodes[node].learn(notice.kind, notice.subject, notice.value, self.now_s)
+        self.nodes[node].apply_notice(
+            notice.kind, notice.subject, notice.value, self.now_s
+        )
 
     @rule(elapsed_s=st.floats(0.0, 5.0))
     def wait(self, elapsed_s):
@@ -93,7 +95,7 @@
     def teardown(self):
         """Once everyone was told, all agree; in the end all is forgiven."""
         for notice, node in self.under_way:
-            self.nodes[node].learn(
+            self.nodes[node].apply_notice(
                 notice.kind, notice.subject, notice.value, self.now_s
             )
         standings = {node.standing(POISON, self.now_s) for node in self.nodes}
@@ -119,10 +121,10 @@
         crashes += 1
         alone = node.standing(POISON, 1.0) is Standing.SUSPECT
         crash = Crash((POISON,) if alone else (POISON, "innocent"), alone)
-        notices = node.crashed(f"crash-{number}", "files", crash, 1.0)
+        notices = node.record_crash(f"crash-{number}", "files", crash, 1.0)
         for peer in nodes if told else []:
             for notice in notices:
-                peer.learn(notice.kind, notice.subject, notice.value, 1.0)
+                peer.apply_notice(notice.kind, notice.subject, notice.value, 1.0)
     return crashes
 
 
@@ -140,7 +142,7 @@
 def test_lone_request_is_not_condemned_on_one_crash():
     """A server that dies by itself under a single request condemns nobody."""
     node = Quarantine()
-    node.crashed("crash-1", "files", Crash(("only",), alone=False), 0.0)
+    node.record_crash("crash-1", "files", Crash(("only",), alone=False), 0.0)
     assert node.standing("only", 1.0) is Standing.SUSPECT
     assert node.standing("only", SUSPECT_S + 1) is Standing.TRUSTED
 
@@ -148,12 +150,12 @@
 def test_lifted_request_stays_lifted_when_old_notices_arrive():
     """An operator's word isn't undone by a notice that was on its way."""
     first, second = Quarantine(), Quarantine()
-    notices = first.crashed("c1", "files", Crash((POISON, "x"), False), 0.0)
-    notices += first.crashed("c2", "files", Crash((POISON,), True), 1.0)
+    notices = first.record_crash("c1", "files", Crash((POISON, "x"), False), 0.0)
+    notices += first.record_crash("c2", "files", Crash((POISON,), True), 1.0)
     assert first.list(2.0)[0].standing is Standing.CONDEMNED
     assert first.retry_after_s(POISON, 2.0) == CONDEMNED_S - 1
     for notice in first.lift(POISON, 2.0) + notices:
-        second.learn(notice.kind, notice.subject, notice.value, 3.0)
+        second.apply_notice(notice.kind, notice.subject, notice.value, 3.0)
     for node in (first, second):
         assert node.standing(POISON, 4.0) is Standing.TRUSTED
 
@@ -161,9 +163,9 @@
 def test_memory_is_bounded_and_keeps_the_condemned():
     """A flood of suspects doesn't push out what is condemned."""
     node = Quarantine()
-    node.learn(SUSPECT, "bad c0 files", 2.0, 0.0)
+    node.apply_notice(SUSPECT, "bad c0 files", 2.0, 0.0)
     for number in range(2 * MAX_ENTRIES):
-        node.learn(SUSPECT, f"f{number} c{number} files", 1.0, CONDEMNED_S - 5)
+        node.apply_notice(SUSPECT, f"f{number} c{number} files", 1.0, CONDEMNED_S - 5)
     assert len(node) <= MAX_ENTRIES
     assert node.standing("bad", CONDEMNED_S - 4) is Standing.CONDEMNED
 
