--- a/comfreywharf/load/admission.py
+++ b/comfreywharf/load/admission.py
@@ -136,7 +136,7 @@
 
     limit: ConcurrencyLimit
     queue_length: int
-    chance: random.Random
+    rng: random.Random
     times: ServiceTimes = attrs.Factory(ServiceTimes)
     kind_times: dict[object, ServiceTimes] = attrs.Factory(dict)
     queue: RequestQueue = attrs.Factory(FairQueue)
@@ -424,4 +424,4 @@
     least_s, most_s = state.retry_after.least_s, state.retry_after.most_s
     served = max(1 - state.shed_fraction, least_s / most_s)
     wanted_s = min(max(least_s, drain_s) / served, most_s)
-    return max(wanted_s * state.chance.uniform(0.5, 1.5), least_s)
+    return max(wanted_s * state.rng.uniform(0.5, 1.5), least_s)
--- a/comfreywharf/load/choice.py
+++ b/comfreywharf/load/choice.py
@@ -24,10 +24,10 @@
     """Choose among backend servers, from this node's own measurements."""
 
     @abstractmethod
-    def choose(self, members, chance):
+    def choose(self, members, rng):
         """Return one of ``members``, a non-empty list of `MemberLoad`.
 
-        ``chance`` is the `random.Random` to draw from.
+        ``rng`` is the `random.Random` to draw from.
         """
 
 
@@ -37,7 +37,7 @@
     def __init__(self):
         self._turn = 0
 
-    def choose(self, members, chance):
+    def choose(self, members, rng):
         """Return the next member."""
         self._turn += 1
         return members[self._turn % len(members)]
@@ -46,15 +46,13 @@
 class LeastInFlight(Chooser):
     """Choose the server with the fewest requests in flight relative to its weight."""
 
-    def choose(self, members, chance):
+    def choose(self, members, rng):
         """Return the least loaded member; ties are broken at random.
 
         If the first of several equal members were chosen, all ingress nodes would
         send to the same server whenever the load is light.
         """
-        return min(
-            members, key=lambda m: ((m.in_flight + 1) / m.weight, chance.random())
-        )
+        return min(members, key=lambda m: ((m.in_flight + 1) / m.weight, rng.random()))
 
 
 class TwoChoices(Chooser):
@@ -65,11 +63,11 @@
     latency distinguishes a slow server from a fast one before requests queue there.
     """
 
-    def choose(self, members, chance):
+    def choose(self, members, rng):
         """Return the better of two random members."""
         if len(members) == 1:
             return members[0]
-        first, second = chance.sample(members, 2)
+        first, second = rng.sample(members, 2)
         return first if _cost(first) <= _cost(second) else second
 
 
@@ -80,14 +78,14 @@
     refuses or fails isn't preferred, since its requests would be sent twice.
     """
 
-    def choose(self, members, chance):
+    def choose(self, members, rng):
         """Return a near member, or a far one if it is much better."""
         near = [m for m in members if m.near and _is_healthy(m)]
         far = [m for m in members if not m.near]
         if not near or not far:
-            return super().choose(members, chance)
-        first = super().choose(near, chance)
-        second = super().choose(far, chance)
+            return super().choose(members, rng)
+        first = super().choose(near, rng)
+        second = super().choose(far, rng)
         return first if _cost(first) <= NEAR_COST_RATIO * _cost(second) else second
 
 
--- a/comfreywharf/load/tests/builders.py
+++ b/comfreywharf/load/tests/builders.py
@@ -23,7 +23,7 @@
     return AdmissionState(
         limit=warm_limit(slots),
         queue_length=queue_length,
-        chance=random.Random(0),
+        rng=random.Random(0),
         **fields,
     )
 
--- a/comfreywharf/load/tests/test_choice.py
+++ b/comfreywharf/load/tests/test_choice.py
@@ -135,18 +135,18 @@
     busy, idle = member("busy"), member("idle")
     for _ in range(5):
         busy.begin()
-    chance = random.Random(0)
-    assert {chooser.choose([busy, idle], chance) for _ in range(20)} == {idle}
+    rng = random.Random(0)
+    assert {chooser.choose([busy, idle], rng) for _ in range(20)} == {idle}
 
 
 def test_two_choices_avoid_the_slow_and_round_robin_does_not():
     """Only what looks at latency keeps away from a slow server."""
     members = [member("slow", latency_s=0.1), member("fast")]
-    chance = random.Random(0)
-    by_latency = [TwoChoices().choose(members, chance) for _ in range(20)]
+    rng = random.Random(0)
+    by_latency = [TwoChoices().choose(members, rng) for _ in range(20)]
     assert members[0] not in by_latency
     turns = RoundRobin()
-    assert members[0] in [turns.choose(members, chance) for _ in range(2)]
+    assert members[0] in [turns.choose(members, rng) for _ in range(2)]
 
 
 def three_members():
@@ -158,8 +158,8 @@
 
 def choices(members, count=60):
     """Return the set of servers that a node in the near one's domain chooses."""
-    chooser, chance = NearFirst(), random.Random(0)
-    return {chooser.choose(members, chance).node_id for _ in range(count)}
+    chooser, rng = NearFirst(), random.Random(0)
+    return {chooser.choose(members, rng).node_id for _ in range(count)}
 
 
 def test_uploads_stay_in_their_failure_domain_while_its_server_has_room():
@@ -198,7 +198,7 @@
     """A server that has just announced itself is weighed by what it answered."""
     warm, cold = member("warm", samples=60), member("cold", samples=60)
     cold.reset_measurements(announced_offset=7)
-    chance = random.Random(0)
+    rng = random.Random(0)
     for _ in range(2):
         warm.begin()
-    assert LeastInFlight().choose([warm, cold], chance) is warm
+    assert LeastInFlight().choose([warm, cold], rng) is warm
--- a/comfreywharf/load/tests/test_hotkeys.py
+++ b/comfreywharf/load/tests/test_hotkeys.py
@@ -10,11 +10,11 @@
 
     Each hot key gets about 1% of the requests; the others share the rest.
     """
-    chance = random.Random(1)
+    rng = random.Random(1)
     keys = HotKeys(0.0)
     for number in range(40_000):
-        hot = chance.random() < 0.25
-        key = chance.randrange(25) if hot else 25 + chance.randrange(100_000)
+        hot = rng.random() < 0.25
+        key = rng.randrange(25) if hot else 25 + rng.randrange(100_000)
         keys.count("booking", key, WINDOW_S * number / 40_000)
     found = keys.hottest(WINDOW_S)
     assert {item.key_hash for item in found} == set(range(REPORTED_KEYS))
