--- a/comfreywharf/load/admission.py
+++ b/comfreywharf/load/admission.py
@@ -51,7 +51,7 @@
 RANK_WEIGHT = 0.02
 """Weight of the newest request in the moving shares of the ranks."""
 
-LEAST_SHARE = 0.1
+MIN_SLOT_SHARE = 0.1
 """Lower bound on the share of slots that estimates leave to the least urgent rank."""
 
 SHED_WEIGHT = 0.02
@@ -152,7 +152,7 @@
     rank_shares: dict[int, float] = attrs.Factory(dict)
     retry_after: RetryAfter = attrs.Factory(lambda: RetryAfter())
 
-    def urgent_share(self, rank):
+    def more_urgent_share(self, rank):
         """Return the fraction of started requests that were more urgent than a rank."""
         return sum(share for r, share in self.rank_shares.items() if r < rank)
 
@@ -187,10 +187,10 @@
             _finish(state, ticket, result, now_s)
             return _begin_next(state, now_s)
         case GaveUp(ticket=ticket):
-            _forget(state, ticket)
+            _remove_waiting(state, ticket)
             return _begin_next(state, now_s)
         case TimePassed():
-            return _shed_hopeless(state, now_s) + _begin_next(state, now_s)
+            return _shed_missing_deadline(state, now_s) + _begin_next(state, now_s)
     raise TypeError(f"expected an admission event, got {event!r}")
 
 
@@ -200,10 +200,10 @@
     ``ahead`` is the number of earlier requests that wait to send their bodies.
     """
     sent_s = now_s + state.times.wait_s(ahead, state.limit.allowed(), now_s)
-    if not ahead and not state.queue and _free(state):
-        served = not _hopeless(state, ticket, sent_s)
+    if not ahead and not state.queue and _slot_available(state):
+        served = not _misses_deadline(state, ticket, sent_s)
     else:
-        served = _fits_in_queue(state, ticket, sent_s)
+        served = _meets_deadline_queued(state, ticket, sent_s)
     return None if served else _shed(state, ticket, Reason.OVERLOADED, now_s)
 
 
@@ -212,11 +212,15 @@
         ticket.flow = None
     if ticket.alone:
         return _arrive_alone(state, ticket, now_s)
-    if _free(state) and not state.queue and not _held_back(state, ticket.flow):
-        if _hopeless(state, ticket, now_s):
+    if (
+        _slot_available(state)
+        and not state.queue
+        and not _is_flow_at_limit(state, ticket.flow)
+    ):
+        if _misses_deadline(state, ticket, now_s):
             return [_shed(state, ticket, Reason.DEADLINE_BEFORE_START, now_s)]
         return [_begin(state, ticket, now_s)]
-    if not _fits_in_queue(state, ticket, now_s):
+    if not _meets_deadline_queued(state, ticket, now_s):
         return [_shed(state, ticket, Reason.OVERLOADED, now_s)]
     state.queue.push(ticket)
     actions = []
@@ -234,14 +238,14 @@
     return _begin_next(state, now_s)
 
 
-def _free(state):
+def _slot_available(state):
     """Return whether a slot is available for a request that needn't run alone."""
     if state.runs_alone or state.alone_since_s is not None:
         return False
     return len(state.in_flight) < state.limit.allowed()
 
 
-def _held_back(state, flow):
+def _is_flow_at_limit(state, flow):
     """Return whether a flow occupies all the slots that one flow may have."""
     allowed = state.limit.allowed()
     if not state.fair or flow is None or allowed < MIN_SLOTS_FOR_RESERVE:
@@ -249,7 +253,7 @@
     return state.flows_in_flight.get(flow, 0) >= allowed - FLOW_RESERVE
 
 
-def _hopeless(state, ticket, now_s):
+def _misses_deadline(state, ticket, now_s):
     """Return whether a request started now would probably miss its deadline.
 
     If it were started anyway, it would take a slot from a request that can meet
@@ -261,7 +265,7 @@
     return now_s + state.typical_s(ticket.kind, now_s) > ticket.deadline_s
 
 
-def _fits_in_queue(state, ticket, now_s):
+def _meets_deadline_queued(state, ticket, now_s):
     """Return whether a request that waits probably meets its deadline.
 
     A request that would miss its latency target is marked as late, and waits
@@ -271,36 +275,36 @@
     """
     if not state.by_deadline:
         return True
-    done_s = _done_s(state, ticket, now_s)
-    if ticket.target_s is not None and done_s > ticket.target_s:
+    completion_s = _completion_s(state, ticket, now_s)
+    if ticket.target_s is not None and completion_s > ticket.target_s:
         ticket.make_late()
-        done_s = _done_s(state, ticket, now_s)
-    return done_s <= ticket.deadline_s
+        completion_s = _completion_s(state, ticket, now_s)
+    return completion_s <= ticket.deadline_s
 
 
-def _done_s(state, ticket, now_s):
+def _completion_s(state, ticket, now_s):
     """Return the estimated completion time of a request that starts to wait now."""
     ahead = state.queue.ahead_of(ticket) + 1
     wait_s = state.times.wait_s(ahead, state.limit.allowed(), now_s)
     # More urgent requests that arrive later still run before this one.
-    wait_s /= max(1 - state.urgent_share(ticket.turn), LEAST_SHARE)
+    wait_s /= max(1 - state.more_urgent_share(ticket.turn), MIN_SLOT_SHARE)
     return now_s + wait_s + state.typical_s(ticket.kind, now_s)
 
 
 def _begin_next(state, now_s):
     actions = _begin_alone(state, now_s)
-    while state.queue and _free(state):
-        ticket = state.queue.pop(skip=_flows_held_back(state))
+    while state.queue and _slot_available(state):
+        ticket = state.queue.pop(skip=_flows_at_limit(state))
         if ticket is None:
             break
-        if _hopeless(state, ticket, now_s):
+        if _misses_deadline(state, ticket, now_s):
             shed = _shed(state, ticket, Reason.DEADLINE_BEFORE_START, now_s)
             actions.append(shed)
         elif state.queue and _misses_target(state, ticket, now_s):
             # It would miss its target and delay the next request: in a steady
             # overload every answer would then miss its target by a little.
             ticket.make_late()
-            if _fits_in_queue(state, ticket, now_s):
+            if _meets_deadline_queued(state, ticket, now_s):
                 state.queue.push(ticket)
             else:
                 actions.append(_shed(state, ticket, Reason.OVERLOADED, now_s))
@@ -315,10 +319,10 @@
     return now_s + state.typical_s(ticket.kind, now_s) > ticket.target_s
 
 
-def _flows_held_back(state):
+def _flows_at_limit(state):
     if not state.fair:
         return frozenset()
-    return {flow for flow in state.flows_in_flight if _held_back(state, flow)}
+    return {flow for flow in state.flows_in_flight if _is_flow_at_limit(state, flow)}
 
 
 def _begin_alone(state, now_s):
@@ -333,7 +337,7 @@
     if not state.in_flight:
         state.alone_since_s = None
         ticket = state.alone_waiting.pop(0)
-        if _hopeless(state, ticket, now_s):
+        if _misses_deadline(state, ticket, now_s):
             return [_shed(state, ticket, Reason.DEADLINE_BEFORE_START, now_s)]
         return [_begin(state, ticket, now_s)]
     if state.runs_alone:
@@ -387,26 +391,28 @@
         state.limit.answered()
 
 
-def _forget(state, ticket):
+def _remove_waiting(state, ticket):
     if ticket in state.alone_waiting:
         state.alone_waiting.remove(ticket)
     else:
         state.queue.remove(ticket)
-    _end_drain_for_none(state)
+    _stop_unneeded_drain(state)
 
 
-def _end_drain_for_none(state):
+def _stop_unneeded_drain(state):
     if not state.alone_waiting:
         state.alone_since_s = None
 
 
-def _shed_hopeless(state, now_s):
-    hopeless = [ticket for ticket in state.queue if _hopeless(state, ticket, now_s)]
-    hopeless += [t for t in state.alone_waiting if _hopeless(state, t, now_s)]
-    for ticket in hopeless:
-        _forget(state, ticket)
+def _shed_missing_deadline(state, now_s):
+    to_shed = [
+        ticket for ticket in state.queue if _misses_deadline(state, ticket, now_s)
+    ]
+    to_shed += [t for t in state.alone_waiting if _misses_deadline(state, t, now_s)]
+    for ticket in to_shed:
+        _remove_waiting(state, ticket)
     reason = Reason.DEADLINE_BEFORE_START
-    return [_shed(state, ticket, reason, now_s) for ticket in hopeless]
+    return [_shed(state, ticket, reason, now_s) for ticket in to_shed]
 
 
 def _shed(state, ticket, reason, now_s):
