--- a/comfreywharf/load/admission.py
+++ b/comfreywharf/load/admission.py
@@ -28,13 +28,13 @@
     "shed_before_body",
 ]
 
-MAX_ALONE = 16
+MAX_WAITING_SUSPECTS = 16
 """Limit on the suspects that wait to run alone."""
 
-ALONE_DRAIN_S = 0.25
+SUSPECT_DRAIN_S = 0.25
 """Time that the backend server is drained for a suspect before it is refused."""
 
-ALONE_SHARE = 0.2
+SUSPECT_TIME_SHARE = 0.2
 """Limit on the fraction of the backend server's time that suspects take."""
 
 FLOW_RESERVE = 1
@@ -146,9 +146,9 @@
     by_deadline: bool = True
     shed_fraction: float = 0.0
     last_finish_s: float | None = None
-    alone_waiting: list[Ticket] = attrs.Factory(list)
-    alone_since_s: float | None = None
-    alone_not_before_s: float = float("-inf")
+    waiting_suspects: list[Ticket] = attrs.Factory(list)
+    suspect_drain_since_s: float | None = None
+    suspect_not_before_s: float = float("-inf")
     rank_shares: dict[int, float] = attrs.Factory(dict)
     retry_after: RetryAfter = attrs.Factory(lambda: RetryAfter())
 
@@ -167,10 +167,10 @@
     @property
     def waiting(self):
         """Return how many requests wait."""
-        return len(self.queue) + len(self.alone_waiting)
+        return len(self.queue) + len(self.waiting_suspects)
 
     @property
-    def runs_alone(self):
+    def suspect_running(self):
         """Return whether the only request in flight has to run alone."""
         return len(self.in_flight) == 1 and next(iter(self.in_flight)).alone
 
@@ -211,7 +211,7 @@
     if not state.fair:
         ticket.flow = None
     if ticket.alone:
-        return _arrive_alone(state, ticket, now_s)
+        return _arrive_suspect(state, ticket, now_s)
     if (
         _slot_available(state)
         and not state.queue
@@ -230,17 +230,17 @@
     return actions + _begin_next(state, now_s)
 
 
-def _arrive_alone(state, ticket, now_s):
-    if len(state.alone_waiting) >= MAX_ALONE:
+def _arrive_suspect(state, ticket, now_s):
+    if len(state.waiting_suspects) >= MAX_WAITING_SUSPECTS:
         return [_shed(state, ticket, Reason.OVERLOADED, now_s)]
-    state.alone_waiting.append(ticket)
-    state.alone_waiting.sort()
+    state.waiting_suspects.append(ticket)
+    state.waiting_suspects.sort()
     return _begin_next(state, now_s)
 
 
 def _slot_available(state):
     """Return whether a slot is available for a request that needn't run alone."""
-    if state.runs_alone or state.alone_since_s is not None:
+    if state.suspect_running or state.suspect_drain_since_s is not None:
         return False
     return len(state.in_flight) < state.limit.allowed()
 
@@ -292,7 +292,7 @@
 
 
 def _begin_next(state, now_s):
-    actions = _begin_alone(state, now_s)
+    actions = _begin_suspect(state, now_s)
     while state.queue and _slot_available(state):
         ticket = state.queue.pop(skip=_flows_at_limit(state))
         if ticket is None:
@@ -325,35 +325,37 @@
     return {flow for flow in state.flows_in_flight if _is_flow_at_limit(state, flow)}
 
 
-def _begin_alone(state, now_s):
+def _begin_suspect(state, now_s):
     """Drain the backend server for a suspect, start the suspect, or refuse it.
 
     Other requests wait meanwhile, so that a caller who keeps sending suspects
     could block the server. The drain is therefore bounded in length, and the
     suspects' runs in their share of the time.
     """
-    if not state.alone_waiting or now_s < state.alone_not_before_s:
+    if not state.waiting_suspects or now_s < state.suspect_not_before_s:
         return []
     if not state.in_flight:
-        state.alone_since_s = None
-        ticket = state.alone_waiting.pop(0)
+        state.suspect_drain_since_s = None
+        ticket = state.waiting_suspects.pop(0)
         if _misses_deadline(state, ticket, now_s):
             return [_shed(state, ticket, Reason.DEADLINE_BEFORE_START, now_s)]
         return [_begin(state, ticket, now_s)]
-    if state.runs_alone:
+    if state.suspect_running:
         return []
-    if state.alone_since_s is None:
-        state.alone_since_s = now_s
-    if now_s - state.alone_since_s < ALONE_DRAIN_S:
+    if state.suspect_drain_since_s is None:
+        state.suspect_drain_since_s = now_s
+    if now_s - state.suspect_drain_since_s < SUSPECT_DRAIN_S:
         return []
-    ticket = state.alone_waiting.pop(0)
-    _pause_alone(state, state.alone_since_s, now_s)
+    ticket = state.waiting_suspects.pop(0)
+    _pause_suspects(state, state.suspect_drain_since_s, now_s)
     return [_shed(state, ticket, Reason.OVERLOADED, now_s)]
 
 
-def _pause_alone(state, since_s, now_s):
-    state.alone_since_s = None
-    state.alone_not_before_s = now_s + (now_s - since_s) * (1 / ALONE_SHARE - 1)
+def _pause_suspects(state, since_s, now_s):
+    state.suspect_drain_since_s = None
+    state.suspect_not_before_s = now_s + (now_s - since_s) * (
+        1 / SUSPECT_TIME_SHARE - 1
+    )
 
 
 def _begin(state, ticket, now_s):
@@ -376,7 +378,7 @@
     if not flows[ticket.flow]:
         del flows[ticket.flow]
     if ticket.alone:
-        _pause_alone(state, ticket.begun_s, now_s)
+        _pause_suspects(state, ticket.begun_s, now_s)
     if state.queue and state.last_finish_s is not None:
         state.times.add_gap(now_s - state.last_finish_s, now_s)
     state.last_finish_s = now_s if state.queue else None
@@ -392,23 +394,23 @@
 
 
 def _remove_waiting(state, ticket):
-    if ticket in state.alone_waiting:
-        state.alone_waiting.remove(ticket)
+    if ticket in state.waiting_suspects:
+        state.waiting_suspects.remove(ticket)
     else:
         state.queue.remove(ticket)
     _stop_unneeded_drain(state)
 
 
 def _stop_unneeded_drain(state):
-    if not state.alone_waiting:
-        state.alone_since_s = None
+    if not state.waiting_suspects:
+        state.suspect_drain_since_s = None
 
 
 def _shed_missing_deadline(state, now_s):
     to_shed = [
         ticket for ticket in state.queue if _misses_deadline(state, ticket, now_s)
     ]
-    to_shed += [t for t in state.alone_waiting if _misses_deadline(state, t, now_s)]
+    to_shed += [t for t in state.waiting_suspects if _misses_deadline(state, t, now_s)]
     for ticket in to_shed:
         _remove_waiting(state, ticket)
     reason = Reason.DEADLINE_BEFORE_START
--- a/comfreywharf/load/tests/test_admission.py
+++ b/comfreywharf/load/tests/test_admission.py
@@ -4,8 +4,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from comfreywharf.load.admission import (
-    ALONE_DRAIN_S,
-    MAX_ALONE,
+    MAX_WAITING_SUSPECTS,
+    SUSPECT_DRAIN_S,
     Arrived,
     Begin,
     Finished,
@@ -84,14 +84,16 @@
     @invariant()
     def queue_is_bounded(self):
         assert len(self.state.queue) <= QUEUE
-        assert len(self.state.alone_waiting) <= MAX_ALONE
+        assert len(self.state.waiting_suspects) <= MAX_WAITING_SUSPECTS
         assert self.state.waiting == len(self.waiting)
         assert self.state.in_flight == set(self.running)
 
     @invariant()
     def no_slot_is_idle_while_two_flows_wait(self):
         flows = {ticket.flow for ticket in self.state.queue}
-        suspects = self.state.alone_since_s is not None or self.state.runs_alone
+        suspects = (
+            self.state.suspect_drain_since_s is not None or self.state.suspect_running
+        )
         if len(flows) > 1 and not suspects:
             assert len(self.running) >= self.state.limit.allowed()
 
@@ -195,7 +197,7 @@
     assert decide(state, Arrived(suspect), 0.0) == []
     other = make_ticket("other", patience_s=60.0)
     assert decide(state, Arrived(other), 0.1) == []
-    actions = decide(state, TimePassed(), ALONE_DRAIN_S + 0.01)
+    actions = decide(state, TimePassed(), SUSPECT_DRAIN_S + 0.01)
     assert [type(action) for action in actions] == [Shed, Begin]
 
 
