--- a/comfreywharf/daemon/requests/admission.py
+++ b/comfreywharf/daemon/requests/admission.py
@@ -152,7 +152,7 @@
     if request.target_ms == TARGET_PASSED_MS:
         # It came back after a refusal, and is late already. It gets what
         # slots the others leave, which costs them nothing.
-        ticket.make_late()
+        ticket.mark_late()
     return ticket
 
 
--- a/comfreywharf/load/admission.py
+++ b/comfreywharf/load/admission.py
@@ -225,8 +225,8 @@
     state.queue.push(ticket)
     actions = []
     if len(state.queue) > state.queue_length:
-        dropped = state.queue.drop_from_longest()
-        actions.append(_shed(state, dropped, Reason.OVERLOADED, now_s))
+        evicted = state.queue.evict()
+        actions.append(_shed(state, evicted, Reason.OVERLOADED, now_s))
     return actions + _begin_next(state, now_s)
 
 
@@ -277,7 +277,7 @@
         return True
     completion_s = _completion_s(state, ticket, now_s)
     if ticket.target_s is not None and completion_s > ticket.target_s:
-        ticket.make_late()
+        ticket.mark_late()
         completion_s = _completion_s(state, ticket, now_s)
     return completion_s <= ticket.deadline_s
 
@@ -287,7 +287,7 @@
     ahead = state.queue.ahead_of(ticket) + 1
     wait_s = state.times.wait_s(ahead, state.limit.allowed(), now_s)
     # More urgent requests that arrive later still run before this one.
-    wait_s /= max(1 - state.more_urgent_share(ticket.turn), MIN_SLOT_SHARE)
+    wait_s /= max(1 - state.more_urgent_share(ticket.effective_rank), MIN_SLOT_SHARE)
     return now_s + wait_s + state.typical_s(ticket.kind, now_s)
 
 
@@ -303,7 +303,7 @@
         elif state.queue and _misses_target(state, ticket, now_s):
             # It would miss its target and delay the next request: in a steady
             # overload every answer would then miss its target by a little.
-            ticket.make_late()
+            ticket.mark_late()
             if _meets_deadline_queued(state, ticket, now_s):
                 state.queue.push(ticket)
             else:
@@ -359,7 +359,7 @@
 
 
 def _begin(state, ticket, now_s):
-    ticket.begun_s = now_s
+    ticket.started_s = now_s
     state.in_flight.add(ticket)
     flows = state.flows_in_flight
     flows[ticket.flow] = flows.get(ticket.flow, 0) + 1
@@ -367,7 +367,7 @@
     shares = state.rank_shares
     for rank in shares:
         shares[rank] *= 1 - RANK_WEIGHT
-    shares[ticket.turn] = shares.get(ticket.turn, 0.0) + RANK_WEIGHT
+    shares[ticket.effective_rank] = shares.get(ticket.effective_rank, 0.0) + RANK_WEIGHT
     return Begin(ticket)
 
 
@@ -378,7 +378,7 @@
     if not flows[ticket.flow]:
         del flows[ticket.flow]
     if ticket.alone:
-        _pause_suspects(state, ticket.begun_s, now_s)
+        _pause_suspects(state, ticket.started_s, now_s)
     if state.queue and state.last_finish_s is not None:
         state.times.add_gap(now_s - state.last_finish_s, now_s)
     state.last_finish_s = now_s if state.queue else None
@@ -388,7 +388,7 @@
         return
     own_times = state.kind_times.setdefault(ticket.kind, ServiceTimes())
     for times in (state.times, own_times):
-        times.add(now_s - ticket.begun_s, now_s)
+        times.add(now_s - ticket.started_s, now_s)
     if result is Result.ANSWERED:
         state.limit.answered()
 
--- a/comfreywharf/load/fairqueue.py
+++ b/comfreywharf/load/fairqueue.py
@@ -35,15 +35,15 @@
     rank: int = 0
     kind: object = None
     target_s: float | None = None
-    begun_s: float | None = None
+    started_s: float | None = None
     late: bool = False
 
     @property
-    def turn(self):
+    def effective_rank(self):
         """Return the rank in the queue; late requests rank behind all others."""
         return self.rank + LATE_RANK if self.late else self.rank
 
-    def make_late(self):
+    def mark_late(self):
         """Mark as late: it waits behind all requests that can meet their target."""
         self.target_s = None
         self.late = True
@@ -92,7 +92,7 @@
         """Remove a waiting ticket; return false if it doesn't wait here."""
 
     @abstractmethod
-    def drop_from_longest(self):
+    def evict(self):
         """Remove and return the ticket to refuse when the queue is too long."""
 
 
@@ -118,12 +118,14 @@
 
     def push(self, ticket):
         """Add a ticket."""
-        self._ranks.setdefault(ticket.turn, []).append(ticket)
+        self._ranks.setdefault(ticket.effective_rank, []).append(ticket)
 
     def ahead_of(self, ticket):
         """Return how many tickets of the same or a more urgent rank wait."""
         return sum(
-            len(tickets) for turn, tickets in self._ranks.items() if turn <= ticket.turn
+            len(tickets)
+            for effective_rank, tickets in self._ranks.items()
+            if effective_rank <= ticket.effective_rank
         )
 
     def pop(self, skip=frozenset()):
@@ -133,13 +135,13 @@
 
     def remove(self, ticket):
         """Remove a waiting ticket; return false if it doesn't wait here."""
-        tickets = self._ranks.get(ticket.turn, [])
+        tickets = self._ranks.get(ticket.effective_rank, [])
         if ticket not in tickets:
             return False
         tickets.remove(ticket)
         return True
 
-    def drop_from_longest(self):
+    def evict(self):
         """Remove and return the newest ticket of the least urgent rank."""
         waiting = [rank for rank, tickets in self._ranks.items() if tickets]
         return self._ranks[max(waiting)].pop()
@@ -199,12 +201,12 @@
             if name in skip:
                 kept.append(entry)
                 continue
-            taken = self._take(flow, name)
+            taken = self._pop_from_flow(flow, name)
         for entry in kept:
             heapq.heappush(self._heap, entry)
         return taken
 
-    def _take(self, flow, name):
+    def _pop_from_flow(self, flow, name):
         ticket = flow.tickets.pop(0)
         self._length -= 1
         self._virtual_time = max(self._virtual_time, flow.tag)
@@ -226,7 +228,7 @@
             del self._flows[ticket.flow]
         return True
 
-    def drop_from_longest(self):
+    def evict(self):
         """Remove and return the ticket with the latest deadline of the longest flow.
 
         If the new ticket were refused instead, a hot key would fill the queue, and
--- a/comfreywharf/load/tests/test_admission.py
+++ b/comfreywharf/load/tests/test_admission.py
@@ -123,7 +123,7 @@
 
 def _finishes_until_begun(state, ticket):
     for finished in range(1, 100):
-        running = min(state.in_flight, key=lambda t: t.begun_s)
+        running = min(state.in_flight, key=lambda t: t.started_s)
         actions = decide(state, Finished(running, Result.ANSWERED), 0.01 * finished)
         if Begin(ticket) in actions:
             return finished
--- a/comfreywharf/load/tests/test_ranked_queue.py
+++ b/comfreywharf/load/tests/test_ranked_queue.py
@@ -57,9 +57,9 @@
     def run(self, seconds):
         step_s = 0.001
         due = 0.0
-        begun_s = self.now_s
+        started_s = self.now_s
         for tick in range(int(seconds / step_s)):
-            now_s = self.now_s = begun_s + tick * step_s
+            now_s = self.now_s = started_s + tick * step_s
             self._finish(now_s)
             due += self.per_s * step_s
             while due >= 1:
@@ -141,7 +141,7 @@
         queue.push(entry)
     assert queue.ahead_of(ticket(9.0, 0)) == 2
     assert queue.ahead_of(ticket(9.0, 1)) == 4
-    assert queue.drop_from_longest() is tickets[2]
+    assert queue.evict() is tickets[2]
     assert queue.remove(tickets[3]) and not queue.remove(tickets[3])
     assert [queue.pop(), queue.pop(), queue.pop()] == [tickets[1], tickets[0], None]
 
--- a/comfreywharf/load/tests/test_refusing_server.py
+++ b/comfreywharf/load/tests/test_refusing_server.py
@@ -56,7 +56,7 @@
         refused = rng.random() < REFUSED_SHARE
         lasts_s = REFUSAL_S if refused else WORK_S
         result = Result.REFUSED if refused else Result.ANSWERED
-        ends.append((ticket.begun_s + lasts_s, ticket, result))
+        ends.append((ticket.started_s + lasts_s, ticket, result))
     return len(begun)
 
 
