--- a/comfreywharf/load/tests/builders.py
+++ b/comfreywharf/load/tests/builders.py
@@ -11,7 +11,7 @@
 
 
 def warm_limit(slots):
-    """Return the limit of a backend server that has worked for a while."""
+    """Return the limit of a backend server that is warm."""
     limit = ConcurrencyLimit(slots)
     for _ in range(slots * WARM_ROUNDS):
         limit.answered()
@@ -29,14 +29,14 @@
 
 
 def make_ticket(flow="key", now_s=0.0, patience_s=1.0, alone=False):
-    """Return a ticket of a caller with a given patience."""
+    """Return a ticket whose deadline is ``patience_s`` after ``now_s``."""
     return Ticket(
         flow=flow, deadline_s=now_s + patience_s, arrived_s=now_s, alone=alone
     )
 
 
 def member(node_id, latency_s=0.01, failed=False, samples=10):
-    """Return a member with as many equal outcomes."""
+    """Return a member with ``samples`` equal outcomes."""
     measured = MemberLoad(node_id)
     for _ in range(samples):
         measured.begin()
--- a/comfreywharf/load/tests/test_absences.py
+++ b/comfreywharf/load/tests/test_absences.py
@@ -1,4 +1,4 @@
-"""Members that are gone: each test is a way in which they were asked, or weren't."""
+"""Tests of which absent members are excluded, and when they are probed."""
 
 from types import SimpleNamespace
 
@@ -12,11 +12,13 @@
 
 
 def test_two_lost_members_of_three_leave_the_third():
-    """Symptom: each request for a service meets two lost machines and is refused,
-    beside a server with room.
-    Events: two of three servers go for good; the third was met a moment before its
-    server was up.
-    Cause: half of a service's servers at most may be out, which one took up."""
+    """Two lost members are excluded although they are more than half of three.
+
+    Guards against requests that are sent to two lost machines and refused while the
+    third server has idle slots. Ejection excludes at most half of the members, here
+    one; the third server was ejected because a request had reached it just before
+    it was up.
+    """
     absences = Absences()
     for name in "abc":
         absences.record_absent(name, 1.0)
@@ -33,8 +35,10 @@
 
 
 def test_a_lost_member_is_tried_ever_less_and_by_one_request():
-    """Symptom: a request in a few waits for a lost machine's silence.
-    Events: a machine is gone for good."""
+    """The pause between probes of a lost member grows, and each is one request.
+
+    Guards against frequent requests that wait for a lost machine to time out.
+    """
     absences = Absences()
     now_s, probes = 0.0, 0
     absences.record_absent("a", now_s)
@@ -48,7 +52,7 @@
 
 
 def test_a_member_that_comes_back_is_used_at_once():
-    """A server that began again isn't left alone for what was before."""
+    """A server that restarted isn't excluded because of its earlier absence."""
     absences = Absences()
     absences.record_absent("a", 0.0)
     absences.record_sent("a")
@@ -57,7 +61,7 @@
 
 
 def test_a_late_word_from_before_a_loss_doesnt_end_the_try():
-    """Two requests were on their way when the member went; each counts once."""
+    """A second failure of a request sent before the loss doesn't extend the pause."""
     absences = Absences()
     absences.record_absent("a", 0.0)
     absences.record_absent("a", 0.1)
--- a/comfreywharf/load/tests/test_admission.py
+++ b/comfreywharf/load/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: slots, the queue's order and bound, suspects alone, the ramp."""
+"""Tests of admission: slots, queue order and bound, suspects, the ramp."""
 
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
@@ -24,7 +24,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Any order of arrivals, endings, hang-ups and waiting."""
+    """Arrivals, completions, disconnections and waits in any order."""
 
     def __init__(self):
         super().__init__()
@@ -98,7 +98,7 @@
             assert len(self.running) >= self.state.limit.allowed()
 
     def teardown(self):
-        """Every request gets a verdict once those that run have ended."""
+        """Every request is started or refused once the running ones have ended."""
         for _ in range(200):
             for ticket in list(self.running):
                 self.running.remove(ticket)
@@ -131,11 +131,11 @@
 
 
 def test_hot_key_does_not_starve_its_neighbour():
-    """A neighbour's request runs next, whatever the hot key has waiting.
+    """A request for another key runs next, however many a hot key has waiting.
 
-    Symptom: one calendar's rush makes every other calendar on its server time
-    out. Sequence: a hot key fills the queue; a neighbour's request arrives.
-    Cause: one queue for all, in order of arrival.
+    Guards against a hot key whose requests fill the queue of its server, so that
+    requests for all other keys there time out, as in a single queue in order of
+    arrival.
     """
     waits = {}
     for fair in (True, False):
@@ -150,7 +150,7 @@
 
 
 def test_full_queue_refuses_the_hot_key_and_not_its_neighbour():
-    """The one who fills the queue is the one who is refused."""
+    """The flow that fills the queue is the one whose request is refused."""
     state = admission_state(4, 10)
     _fill(state, 20)
     neighbour = make_ticket("neighbour", patience_s=60.0)
@@ -160,11 +160,10 @@
 
 
 def test_hopeless_work_is_refused_on_arrival_and_not_begun():
-    """A request whose turn comes too late is refused as soon as that is known.
+    """A request that can't meet its deadline is refused on arrival.
 
-    Symptom: under load every answer comes after its caller has gone. Sequence:
-    requests wait until their deadline and are then begun. Cause: the slots work
-    on requests that can't be done in time.
+    Guards against slots that are occupied by requests whose callers have given up:
+    under load, requests would wait until their deadline and be started then.
     """
     state = admission_state(2, 100)
     state.times.add(0.1, 0.0)
@@ -175,11 +174,11 @@
 
 
 def test_estimate_that_was_too_high_is_forgotten():
-    """A server that was slow once is tried again, though nobody measures it.
+    """An estimate that is too high decays, so that a recovered server is used again.
 
-    Symptom: a healthy, idle server refuses everyone for ever. Sequence: some
-    requests take longer than any caller waits; then the server is well again.
-    Cause: nothing is begun, so nothing corrects the estimate.
+    Guards against a healthy, idle server for which every request is refused: some
+    requests took longer than any caller waits, and since no request is started, no
+    sample corrects the estimate.
     """
     state = admission_state(2)
     state.times.add(10.0, 0.0)
@@ -190,7 +189,7 @@
 
 
 def test_suspect_gives_up_on_a_server_that_never_empties():
-    """A long upload doesn't let a suspect stop the server for its whole length."""
+    """A suspect doesn't block the server for the whole length of a long upload."""
     state = admission_state(4)
     _fill(state, 2)
     suspect = make_ticket(alone=True, patience_s=60.0)
@@ -202,7 +201,7 @@
 
 
 def test_cold_server_gets_a_part_of_its_slots_until_it_has_answered():
-    """Slots ramp with the answers that a backend server gave since its start."""
+    """Slots ramp up with the answers of a backend server since its start."""
     limit = ConcurrencyLimit(12)
     seen = [limit.allowed()]
     for _ in range(500):
@@ -214,7 +213,7 @@
 
 
 def test_refusals_of_the_server_outrank_the_slots_it_announced():
-    """A server that refuses within its slots is given fewer, and climbs again."""
+    """Refusals within the announced slots cut the limit; answers raise it again."""
     state = admission_state(10)
     tickets = _fill(state, 9)
     for number, ticket in enumerate(tickets):
--- a/comfreywharf/load/tests/test_choice.py
+++ b/comfreywharf/load/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Choice among backend servers, and the ejection of failing and slow ones."""
+"""Tests of the choice among backend servers, and of ejection."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 class EjectionMachine(RuleBasedStateMachine):
-    """Servers that come, go, fail, slow down and recover in any order."""
+    """Servers join, leave, fail, slow down and recover in any order."""
 
     def __init__(self):
         super().__init__()
@@ -59,7 +59,7 @@
 
     @rule()
     def use_all(self):
-        """Send a few requests to each server that is in."""
+        """Send a few requests to each server that isn't ejected."""
         usable = self.ejector.usable(self.members, self.now_s)
         for chosen in usable * 6:
             if not self.ejector.is_ejected(chosen.node_id):
@@ -97,7 +97,7 @@
         assert len(out) <= len(self.members) // 2
 
     def teardown(self):
-        """Servers that recovered come back in."""
+        """All servers are reinstated once they have recovered."""
         self.failing.clear()
         self.latency_s.clear()
         while self.in_flight:
@@ -116,7 +116,7 @@
 
 
 def test_server_that_fails_every_request_is_ejected():
-    """What was measured decides, whatever the server says of itself."""
+    """Ejection follows from measurements, not from the server's own reports."""
     bad = member("bad", failed=True)
     members = [bad, member("good"), member("well")]
     ejector = Ejector()
@@ -131,7 +131,7 @@
 
 @pytest.mark.parametrize("chooser", [LeastInFlight(), TwoChoices()])
 def test_chooser_prefers_the_less_loaded(chooser):
-    """Of two equally fast servers the busy one is left alone."""
+    """Of two equally fast servers the idle one is chosen."""
     busy, idle = member("busy"), member("idle")
     for _ in range(5):
         busy.begin()
@@ -140,7 +140,7 @@
 
 
 def test_two_choices_avoid_the_slow_and_round_robin_does_not():
-    """Only what looks at latency keeps away from a slow server."""
+    """`TwoChoices` avoids a slow server; `RoundRobin` ignores latency."""
     members = [member("slow", latency_s=0.1), member("fast")]
     rng = random.Random(0)
     by_latency = [TwoChoices().choose(members, rng) for _ in range(20)]
@@ -150,20 +150,23 @@
 
 
 def three_members():
-    """Return a near server and two far ones, all measured as alike."""
+    """Return a near server and two far ones with equal measurements."""
     members = [member("near"), member("far"), member("away")]
     members[0].near = True
     return members
 
 
 def choices(members, count=60):
-    """Return the set of servers that a node in the near one's domain chooses."""
+    """Return the servers chosen by a node in the near server's failure domain."""
     chooser, rng = NearFirst(), random.Random(0)
     return {chooser.choose(members, rng).node_id for _ in range(count)}
 
 
 def test_uploads_stay_in_their_failure_domain_while_its_server_has_room():
-    """Two thirds of all bytes went between failure domains for no gain."""
+    """Guards against needless traffic between failure domains.
+
+    It was two thirds of all bytes when a near server wasn't preferred.
+    """
     members = three_members()
     members[0].begin()
     assert choices(members) == {"near"}
@@ -171,9 +174,11 @@
 
 @pytest.mark.parametrize("trouble", ["in flight", "slow", "refuses", "fails"])
 def test_a_near_server_in_trouble_is_not_preferred(trouble):
-    """Symptom: callers of one domain are refused beside idle servers.
-    Sequence: the callers move to one domain; its server has no slot to spare.
-    Cause: being near counted for more than the queue."""
+    """A near server that is busy, slow, refusing or failing isn't preferred.
+
+    Guards against refusals while servers in other failure domains are idle: all
+    callers move to one failure domain, and its server has no idle slot.
+    """
     members = three_members()
     near = members[0]
     for _ in range(5 if trouble == "in flight" else 1):
@@ -195,7 +200,7 @@
 
 
 def test_cold_server_gets_a_part_of_the_load():
-    """A server that has just announced itself is weighed by what it answered."""
+    """The weight of a server that has just restarted follows its answers."""
     warm, cold = member("warm", samples=60), member("cold", samples=60)
     cold.reset_measurements(announced_offset=7)
     rng = random.Random(0)
--- a/comfreywharf/load/tests/test_hotkeys.py
+++ b/comfreywharf/load/tests/test_hotkeys.py
@@ -1,4 +1,4 @@
-"""Hot keys: found within a window, forgotten, bounded."""
+"""Tests of the hot key counter: found within a window, and forgotten."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 def test_key_that_cooled_is_forgotten():
-    """A key that nobody asks for any more leaves the report."""
+    """A key without further requests is no longer reported."""
     keys = HotKeys(0.0)
     for _ in range(100):
         keys.count("booking", 7, 0.1)
--- a/comfreywharf/load/tests/test_quarantine.py
+++ b/comfreywharf/load/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Suspects over several nodes: who is condemned, who isn't, and for how long."""
+"""Tests of the quarantine over several nodes, and of the crash watch."""
 
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
@@ -21,10 +21,11 @@
 
 
 class QuarantineMachine(RuleBasedStateMachine):
-    """A poisonous request beside innocents; notices late, doubled, reordered.
+    """One request crashes servers, others don't; notices are late or repeated.
 
-    Backend servers also die for reasons of their own while others run in
-    company. Each run is decided by the node's own knowledge alone.
+    Notices are also reordered, and backend servers crash for other reasons while
+    several requests are in flight. Each node decides on a run from its own
+    quarantine only.
     """
 
     def __init__(self):
@@ -67,7 +68,7 @@
 
     @rule(node=st.integers(0, NODES - 1), names=st.sets(st.sampled_from(INNOCENTS)))
     def server_dies_by_itself(self, node, names):
-        """Those in flight may have been begun before they became suspects."""
+        """The requests in flight may have started before they became suspects."""
         self.crash(node, sorted(names))
 
     @precondition(lambda self: self.under_way)
@@ -93,7 +94,7 @@
         assert self.lone_crashes <= NODES
 
     def teardown(self):
-        """Once everyone was told, all agree; in the end all is forgiven."""
+        """All nodes agree after all notices, and all entries expire in the end."""
         for notice, node in self.under_way:
             self.nodes[node].apply_notice(
                 notice.kind, notice.subject, notice.value, self.now_s
@@ -131,16 +132,16 @@
 def test_poison_sent_again_and_again_crashes_few_servers():
     """Fifty resends through seven nodes crash two servers, not fourteen.
 
-    Symptom: one request takes down server after server. Sequence: its caller,
-    who gets no answer, sends it again through another node. Cause: each node
-    knows only of the crash beside it.
+    Guards against a request that crashes one server after another: its caller gets
+    no answer and sends it again through another node. Without notices, each node
+    knows only of the crashes of its own server.
     """
     assert _crashes_of_resends(50, told=True) == 2
     assert _crashes_of_resends(50, told=False) == 14
 
 
 def test_lone_request_is_not_condemned_on_one_crash():
-    """A server that dies by itself under a single request condemns nobody."""
+    """A crash during a single request makes it a suspect, but doesn't condemn it."""
     node = Quarantine()
     node.record_crash("crash-1", "files", Crash(("only",), alone=False), 0.0)
     assert node.standing("only", 1.0) is Standing.SUSPECT
@@ -148,7 +149,7 @@
 
 
 def test_lifted_request_stays_lifted_when_old_notices_arrive():
-    """An operator's word isn't undone by a notice that was on its way."""
+    """A notice that is received late doesn't undo an operator's order."""
     first, second = Quarantine(), Quarantine()
     notices = first.record_crash("c1", "files", Crash((POISON, "x"), False), 0.0)
     notices += first.record_crash("c2", "files", Crash((POISON,), True), 1.0)
@@ -161,7 +162,7 @@
 
 
 def test_memory_is_bounded_and_keeps_the_condemned():
-    """A flood of suspects doesn't push out what is condemned."""
+    """A large number of suspects doesn't evict a condemned request."""
     node = Quarantine()
     node.apply_notice(SUSPECT, "bad c0 files", 2.0, 0.0)
     for number in range(2 * MAX_ENTRIES):
@@ -171,7 +172,7 @@
 
 
 def test_cut_connection_alone_is_no_crash():
-    """Only a confirmed crash names its suspects, and only once."""
+    """The loss is returned only for a confirmed crash, and only once."""
     watch = CrashWatch()
     for name in ("a", "b"):
         watch.run_started(name, alone=False)
@@ -184,7 +185,7 @@
 
 
 def test_only_a_guarded_run_counts_as_alone():
-    """A request that merely happened to be the only one isn't condemned."""
+    """A loss is ``alone`` only if its run was started as one that runs alone."""
     for guarded in (True, False):
         watch = CrashWatch()
         watch.run_started("a", alone=guarded)
@@ -193,7 +194,7 @@
 
 
 def test_fingerprint_separates_its_parts():
-    """Moving a byte from one part to the next makes another request."""
+    """Moving a byte from one part to the next changes the fingerprint."""
     assert fingerprint("s", b"ab", "GET", "/c", b"") != fingerprint(
         "s", b"a", "GET", "b/c", b""
     )
--- a/comfreywharf/load/tests/test_ranked_queue.py
+++ b/comfreywharf/load/tests/test_ranked_queue.py
@@ -1,4 +1,4 @@
-"""Admission by priority and latency target, with the load played in simulated time."""
+"""Tests of admission by rank and latency target under load in simulated time."""
 
 import random
 
@@ -33,7 +33,7 @@
 
 
 class Play:
-    """One server with ten slots; arrivals of two ranks at a steady rate."""
+    """Simulate a server with ten slots; two ranks arrive at a steady rate."""
 
     work_s = {0: WORK_S, 1: WORK_S}
 
@@ -92,9 +92,11 @@
 
 
 def test_in_an_overload_answers_stay_within_their_target():
-    """Symptom: in an overload nearly every answer is late.
-    Sequence: 1.5 times what the server can do, for 10 s.
-    Cause: requests queued up to their deadline, 2.5 times their target away."""
+    """Most answers meet their latency target in an overload.
+
+    Guards against late answers at 1.5 times the server's capacity for 10 s: without
+    the target, requests queue up to their deadline, 2.5 times the target.
+    """
     with_target = Play(150).run(10)
     without = Play(150, with_target=False).run(10)
     assert with_target.in_time() > 0.9 * 10 * SLOTS / WORK_S
@@ -102,7 +104,7 @@
 
 
 def test_a_refusal_comes_at_once_and_says_to_come_back_soon():
-    """A refused caller can still be served within its target elsewhere or later."""
+    """A refused caller can retry soon enough to be served within its target."""
     refused = [
         entry for entries in Play(150).run(10).shed.values() for entry in entries
     ]
@@ -112,8 +114,11 @@
 
 
 def test_the_more_urgent_rank_is_served_first():
-    """Symptom: a booking is refused while lookups are served.
-    Sequence: an overload of both. Cause: one queue in the order of arrival."""
+    """The more urgent rank is served first in an overload of both ranks.
+
+    Guards against urgent requests that are refused while less urgent ones are
+    served, as in a single queue in order of arrival.
+    """
     play = Play(150).run(10)
     served = {r: len(d) / (len(d) + len(play.shed[r])) for r, d in play.done.items()}
     assert served[0] > 0.98
@@ -121,20 +126,20 @@
 
 
 def test_nothing_is_refused_below_the_servers_capacity():
-    """The target is no reason to refuse while there is room."""
+    """The latency target causes no refusals below the server's capacity."""
     play = Play(90).run(10)
     assert play.shed == {0: [], 1: []}
 
 
 def test_a_request_behind_its_target_gets_a_free_slot():
-    """Late is better than never where nobody else wants the slot."""
+    """A request that would miss its target is started if no other one waits."""
     play = Play(0)
     late = ticket(0.0, 1, target_s=0.001)
     assert decide(play.state, Arrived(late), 0.0) == [Begin(late)]
 
 
 def test_the_queue_is_ordered_by_rank_and_then_by_arrival():
-    """And what is given up first is the newest of the least urgent."""
+    """The first ticket to be evicted is the newest of the least urgent rank."""
     queue = RankedQueue()
     tickets = [ticket(float(n), rank) for n, rank in enumerate((1, 0, 1, 0))]
     for entry in tickets:
@@ -147,9 +152,12 @@
 
 
 def test_late_requests_take_only_what_the_others_leave():
-    """Symptom: callers who came back are refused although the server has idle slots.
-    Sequence: an overload of a second; its refused callers come back when it is over.
-    Cause: a request behind its target was refused wherever anyone waited."""
+    """Late requests wait behind all others instead of being refused.
+
+    Guards against refused retries while the server has idle slots: after an overload
+    of a second its refused callers retry, and requests past their target were
+    refused whenever another request waited.
+    """
     queue = RankedQueue()
     late, fresh = ticket(0.0, 101, None), ticket(0.0, 1)
     queue.push(late)
@@ -158,7 +166,7 @@
 
 
 def test_late_requests_are_refused_while_the_others_fill_the_server():
-    """They would only wait in vain."""
+    """A late request is refused at once if it would wait beyond its deadline."""
     play = Play(150).run(5)
     late = ticket(5.0, 101, None)
     (shed,) = decide(play.state, Arrived(late), 5.0)
@@ -166,10 +174,11 @@
 
 
 def test_a_burst_is_answered_late_rather_than_refused():
-    """Symptom: a third of the callers of a short burst are refused, come back late,
-    and are refused again.
-    Sequence: 2.2 times what the server can do for 0.6 s, and little after it.
-    Cause: what would miss its target was refused, though its deadline was far away.
+    """Requests of a short burst miss their target rather than being refused.
+
+    Guards against refusing what would miss its target but not its deadline. In a
+    burst of 2.2 times the server's capacity for 0.6 s, followed by low load, a third
+    of the callers were refused, retried late, and were refused again.
     """
     play = Play(220).run(0.6)
     play.per_s = 30
@@ -180,13 +189,13 @@
 
 
 class MixedPlay(Play):
-    """Short calls of the urgent rank, and long uploads, which fill the server."""
+    """Simulate short calls of the urgent rank and long uploads on one server."""
 
     work_s = {0: 0.03, 1: 0.35}
 
 
 def test_short_calls_are_served_beside_long_uploads():
-    """Guards against calls that look hopeless by the time that uploads take."""
+    """Guards against short calls that are refused by the service time of uploads."""
     play = MixedPlay(60).run(10)
     served, refused = len(play.done[0]), len(play.shed[0])
     assert served > 0.95 * (served + refused)
--- a/comfreywharf/load/tests/test_refusing_server.py
+++ b/comfreywharf/load/tests/test_refusing_server.py
@@ -1,4 +1,4 @@
-"""A server that refuses a part of its requests whatever its load."""
+"""Test of a server that refuses part of its requests regardless of its load."""
 
 import random
 
@@ -24,10 +24,10 @@
 
 
 def play(limit):
-    """Return the share of requests that the server was asked to run.
+    """Return the fraction of requests that are forwarded to the server.
 
-    80 requests a second come to 12 slots of 130 ms each, so that nine tenths of the
-    slots would be in use if nothing were refused.
+    80 requests per second arrive for 12 slots of 130 ms each, so that nine tenths of
+    the slots would be in use if nothing were refused.
     """
     rng = random.Random(7)
     state = AdmissionState(limit, 256, random.Random(1), queue=RankedQueue())
@@ -62,9 +62,12 @@
 
 @pytest.mark.parametrize(("cuts", "least", "most"), [(True, 0, 0.6), (False, 0.99, 1)])
 def test_a_server_that_refuses_at_any_load_is_still_asked(cuts, least, most):
-    """Symptom: a third of the requests is served while the servers refuse half.
-    Sequence: each server refuses 55 in 100 requests, whatever its load.
-    Cause: each refusal lowered the number of slots, down to a single one, and the
-    node itself then refused most of what the server would have run."""
+    """Without cuts, refusals at any load don't stop requests from being forwarded.
+
+    Guards against a node that refuses most of what its server would run. The server
+    refuses 55 of 100 requests at any load; with ``cuts`` each refusal lowers the
+    limit, down to a single slot. Only a third of the requests was served then,
+    although the servers refused about half.
+    """
     share = play(ConcurrencyLimit(SLOTS, cold=False, cuts=cuts))
     assert least <= share <= most
