--- a/comfreywharf/load/tests/test_absences.py
+++ b/comfreywharf/load/tests/test_absences.py
@@ -11,7 +11,7 @@
     return [member.node_id for member in members]
 
 
-def test_two_lost_members_of_three_leave_the_third():
+def test_absent_members_are_excluded_even_if_they_are_a_majority():
     """Two lost members are excluded although they are more than half of three.
 
     Guards against requests that are sent to two lost machines and refused while the
@@ -34,7 +34,7 @@
     assert names(absences.usable(MEMBERS, 1.7)) == ["c"]
 
 
-def test_a_lost_member_is_tried_ever_less_and_by_one_request():
+def test_an_absent_member_is_probed_less_and_less_often():
     """The pause between probes of a lost member grows, and each is one request.
 
     Guards against frequent requests that wait for a lost machine to time out.
@@ -51,7 +51,7 @@
     assert probes <= 8
 
 
-def test_a_member_that_comes_back_is_used_at_once():
+def test_a_member_that_answers_its_probe_is_used_at_once():
     """A server that restarted isn't excluded because of its earlier absence."""
     absences = Absences()
     absences.record_absent("a", 0.0)
@@ -60,7 +60,7 @@
     assert names(absences.usable(MEMBERS, 0.32)) == ["a", "b", "c"]
 
 
-def test_a_late_word_from_before_a_loss_doesnt_end_the_try():
+def test_a_second_failure_from_before_a_loss_doesnt_extend_the_pause():
     """A second failure of a request sent before the loss doesn't extend the pause."""
     absences = Absences()
     absences.record_absent("a", 0.0)
--- a/comfreywharf/load/tests/test_admission.py
+++ b/comfreywharf/load/tests/test_admission.py
@@ -32,14 +32,14 @@
         self.now_s = 0.0
         self.waiting = []
         self.running = []
-        self.told = set()
+        self.decided = set()
 
     def apply(self, event):
         allowed = self.state.limit.allowed()
         for action in decide(self.state, event, self.now_s):
             ticket = action.ticket
-            assert ticket not in self.told, "a request got two verdicts"
-            self.told.add(ticket)
+            assert ticket not in self.decided, "a request got two verdicts"
+            self.decided.add(ticket)
             if ticket in self.waiting:
                 self.waiting.remove(ticket)
             if isinstance(action, Shed):
@@ -130,7 +130,7 @@
     return 100
 
 
-def test_hot_key_does_not_starve_its_neighbour():
+def test_hot_key_does_not_starve_another_key():
     """A request for another key runs next, however many a hot key has waiting.
 
     Guards against a hot key whose requests fill the queue of its server, so that
@@ -149,7 +149,7 @@
     assert waits[False] > 50
 
 
-def test_full_queue_refuses_the_hot_key_and_not_its_neighbour():
+def test_full_queue_refuses_the_hot_key_and_not_another_key():
     """The flow that fills the queue is the one whose request is refused."""
     state = admission_state(4, 10)
     _fill(state, 20)
@@ -159,7 +159,7 @@
     assert [action.ticket.flow for action in shed] == ["hot"]
 
 
-def test_hopeless_work_is_refused_on_arrival_and_not_begun():
+def test_request_that_cannot_meet_its_deadline_is_refused_on_arrival():
     """A request that can't meet its deadline is refused on arrival.
 
     Guards against slots that are occupied by requests whose callers have given up:
@@ -173,7 +173,7 @@
     assert (action.ticket, action.reason) == (late, Reason.OVERLOADED)
 
 
-def test_estimate_that_was_too_high_is_forgotten():
+def test_estimate_that_is_too_high_decays():
     """An estimate that is too high decays, so that a recovered server is used again.
 
     Guards against a healthy, idle server for which every request is refused: some
@@ -188,7 +188,7 @@
     assert decide(state, Arrived(later), 6.0) == [Begin(later)]
 
 
-def test_suspect_gives_up_on_a_server_that_never_empties():
+def test_suspect_is_refused_if_the_server_does_not_drain():
     """A suspect doesn't block the server for the whole length of a long upload."""
     state = admission_state(4)
     _fill(state, 2)
@@ -212,7 +212,7 @@
     assert seen[30] < 12 == seen[-1]
 
 
-def test_refusals_of_the_server_outrank_the_slots_it_announced():
+def test_refusals_within_the_announced_slots_cut_the_limit():
     """Refusals within the announced slots cut the limit; answers raise it again."""
     state = admission_state(10)
     tickets = _fill(state, 9)
--- a/comfreywharf/load/tests/test_choice.py
+++ b/comfreywharf/load/tests/test_choice.py
@@ -90,7 +90,7 @@
         self.now_s += elapsed_s
 
     @invariant()
-    def floor_holds(self):
+    def ejected_fraction_is_bounded(self):
         usable = self.ejector.usable(self.members, self.now_s)
         out = [m for m in self.members if self.ejector.is_ejected(m.node_id)]
         assert usable
@@ -162,7 +162,7 @@
     return {chooser.choose(members, rng).node_id for _ in range(count)}
 
 
-def test_uploads_stay_in_their_failure_domain_while_its_server_has_room():
+def test_near_server_is_preferred_while_it_has_idle_slots():
     """Guards against needless traffic between failure domains.
 
     It was two thirds of all bytes when a near server wasn't preferred.
--- a/comfreywharf/load/tests/test_hotkeys.py
+++ b/comfreywharf/load/tests/test_hotkeys.py
@@ -21,7 +21,7 @@
     assert all(100 < item.requests_per_s < 300 for item in found)
 
 
-def test_key_that_cooled_is_forgotten():
+def test_key_without_further_requests_is_forgotten():
     """A key without further requests is no longer reported."""
     keys = HotKeys(0.0)
     for _ in range(100):
--- a/comfreywharf/load/tests/test_quarantine.py
+++ b/comfreywharf/load/tests/test_quarantine.py
@@ -31,10 +31,10 @@
     def __init__(self):
         super().__init__()
         self.nodes = [Quarantine() for _ in range(NODES)]
-        self.under_way = []
+        self.in_transit = []
         self.crashes = 0
         self.now_s = 0.0
-        self.lone_crashes = 0
+        self.crashes_alone = 0
 
     def crash(self, node, names, alone=False):
         self.crashes += 1
@@ -44,7 +44,7 @@
         self.spread(notices)
 
     def spread(self, notices):
-        self.under_way += [(n, node) for n in notices for node in range(NODES)]
+        self.in_transit += [(n, node) for n in notices for node in range(NODES)]
 
     @rule(
         node=st.integers(0, NODES - 1),
@@ -52,32 +52,34 @@
         beside=st.sets(st.sampled_from(INNOCENTS), max_size=2),
     )
     def send(self, node, name, beside):
-        known = self.nodes[node]
-        standing = known.standing(name, self.now_s)
+        quarantine = self.nodes[node]
+        standing = quarantine.standing(name, self.now_s)
         if standing is Standing.CONDEMNED:
             return
         if standing is Standing.SUSPECT and name == POISON:
-            self.lone_crashes += 1
+            self.crashes_alone += 1
             self.crash(node, [name], alone=True)
         elif standing is Standing.SUSPECT:
-            self.spread(known.answered(name, self.now_s))
+            self.spread(quarantine.answered(name, self.now_s))
         elif name == POISON:
             trusted = Standing.TRUSTED
-            company = [b for b in beside if known.standing(b, self.now_s) is trusted]
-            self.crash(node, [name, *sorted(company)])
+            beside_trusted = [
+                b for b in beside if quarantine.standing(b, self.now_s) is trusted
+            ]
+            self.crash(node, [name, *sorted(beside_trusted)])
 
     @rule(node=st.integers(0, NODES - 1), names=st.sets(st.sampled_from(INNOCENTS)))
     def server_dies_by_itself(self, node, names):
         """The requests in flight may have started before they became suspects."""
         self.crash(node, sorted(names))
 
-    @precondition(lambda self: self.under_way)
+    @precondition(lambda self: self.in_transit)
     @rule(data=st.data(), again=st.booleans())
     def deliver(self, data, again):
-        index = data.draw(st.integers(0, len(self.under_way) - 1))
-        notice, node = self.under_way[index]
+        index = data.draw(st.integers(0, len(self.in_transit) - 1))
+        notice, node = self.in_transit[index]
         if not again:
-            del self.under_way[index]
+            del self.in_transit[index]
         self.nodes[node].apply_notice(
             notice.kind, notice.subject, notice.value, self.now_s
         )
@@ -91,16 +93,16 @@
         for node in self.nodes:
             for name in INNOCENTS:
                 assert node.standing(name, self.now_s) is not Standing.CONDEMNED
-        assert self.lone_crashes <= NODES
+        assert self.crashes_alone <= NODES
 
     def teardown(self):
         """All nodes agree after all notices, and all entries expire in the end."""
-        for notice, node in self.under_way:
+        for notice, node in self.in_transit:
             self.nodes[node].apply_notice(
                 notice.kind, notice.subject, notice.value, self.now_s
             )
         standings = {node.standing(POISON, self.now_s) for node in self.nodes}
-        if self.lone_crashes:
+        if self.crashes_alone:
             assert standings == {Standing.CONDEMNED}
         end_s = self.now_s + CONDEMNED_S + 1
         assert not any(node.list(end_s) for node in self.nodes)
@@ -112,7 +114,7 @@
 )
 
 
-def _crashes_of_resends(count, told):
+def _crashes_of_resends(count, with_notices):
     nodes = [Quarantine() for _ in range(7)]
     crashes = 0
     for number in range(count):
@@ -123,21 +125,21 @@
         alone = node.standing(POISON, 1.0) is Standing.SUSPECT
         crash = Crash((POISON,) if alone else (POISON, "innocent"), alone)
         notices = node.record_crash(f"crash-{number}", "files", crash, 1.0)
-        for peer in nodes if told else []:
+        for peer in nodes if with_notices else []:
             for notice in notices:
                 peer.apply_notice(notice.kind, notice.subject, notice.value, 1.0)
     return crashes
 
 
-def test_poison_sent_again_and_again_crashes_few_servers():
+def test_repeated_poison_request_crashes_few_servers():
     """Fifty resends through seven nodes crash two servers, not fourteen.
 
     Guards against a request that crashes one server after another: its caller gets
     no answer and sends it again through another node. Without notices, each node
     knows only of the crashes of its own server.
     """
-    assert _crashes_of_resends(50, told=True) == 2
-    assert _crashes_of_resends(50, told=False) == 14
+    assert _crashes_of_resends(50, with_notices=True) == 2
+    assert _crashes_of_resends(50, with_notices=False) == 14
 
 
 def test_lone_request_is_not_condemned_on_one_crash():
@@ -171,7 +173,7 @@
     assert node.standing("bad", CONDEMNED_S - 4) is Standing.CONDEMNED
 
 
-def test_cut_connection_alone_is_no_crash():
+def test_lost_connection_is_a_crash_only_once_confirmed():
     """The loss is returned only for a confirmed crash, and only once."""
     watch = CrashWatch()
     for name in ("a", "b"):
@@ -184,13 +186,13 @@
     assert watch.confirm_crash(1.2) is None
 
 
-def test_only_a_guarded_run_counts_as_alone():
+def test_only_a_run_started_as_a_suspect_counts_as_alone():
     """A loss is ``alone`` only if its run was started as one that runs alone."""
-    for guarded in (True, False):
+    for as_suspect in (True, False):
         watch = CrashWatch()
-        watch.run_started("a", alone=guarded)
+        watch.run_started("a", alone=as_suspect)
         watch.connection_lost("a", 1.0)
-        assert watch.confirm_crash(1.0).alone is guarded
+        assert watch.confirm_crash(1.0).alone is as_suspect
 
 
 def test_fingerprint_separates_its_parts():
--- a/comfreywharf/load/tests/test_ranked_queue.py
+++ b/comfreywharf/load/tests/test_ranked_queue.py
@@ -32,7 +32,7 @@
     )
 
 
-class Play:
+class SimulatedServer:
     """Simulate a server with ten slots; two ranks arrive at a steady rate."""
 
     work_s = {0: WORK_S, 1: WORK_S}
@@ -67,7 +67,7 @@
                 self.arrived += 1
                 rank = 0 if self.arrived % 3 == 0 else 1
                 arrived = ticket(now_s, rank, self.target_s)
-                self._carry_out(decide(self.state, Arrived(arrived), now_s), now_s)
+                self._apply_actions(decide(self.state, Arrived(arrived), now_s), now_s)
         return self
 
     def _finish(self, now_s):
@@ -76,9 +76,9 @@
             done = entry[1]
             self.done[done.rank].append(now_s - done.arrived_s)
             event = Finished(done, Result.ANSWERED)
-            self._carry_out(decide(self.state, event, now_s), now_s)
+            self._apply_actions(decide(self.state, event, now_s), now_s)
 
-    def _carry_out(self, actions, now_s):
+    def _apply_actions(self, actions, now_s):
         for action in actions:
             if isinstance(action, Begin):
                 ends_s = now_s + self.work_s[action.ticket.rank]
@@ -91,22 +91,24 @@
         return sum(t <= TARGET_S for times in self.done.values() for t in times)
 
 
-def test_in_an_overload_answers_stay_within_their_target():
+def test_most_answers_meet_their_target_in_an_overload():
     """Most answers meet their latency target in an overload.
 
     Guards against late answers at 1.5 times the server's capacity for 10 s: without
     the target, requests queue up to their deadline, 2.5 times the target.
     """
-    with_target = Play(150).run(10)
-    without = Play(150, with_target=False).run(10)
+    with_target = SimulatedServer(150).run(10)
+    without = SimulatedServer(150, with_target=False).run(10)
     assert with_target.in_time() > 0.9 * 10 * SLOTS / WORK_S
     assert with_target.in_time() > 1.5 * without.in_time()
 
 
-def test_a_refusal_comes_at_once_and_says_to_come_back_soon():
+def test_a_refusal_is_immediate_and_its_retry_delay_is_short():
     """A refused caller can retry soon enough to be served within its target."""
     refused = [
-        entry for entries in Play(150).run(10).shed.values() for entry in entries
+        entry
+        for entries in SimulatedServer(150).run(10).shed.values()
+        for entry in entries
     ]
     assert refused
     assert sum(held_s < 0.05 for held_s, _ in refused) > 0.85 * len(refused)
@@ -119,23 +121,25 @@
     Guards against urgent requests that are refused while less urgent ones are
     served, as in a single queue in order of arrival.
     """
-    play = Play(150).run(10)
-    served = {r: len(d) / (len(d) + len(play.shed[r])) for r, d in play.done.items()}
+    server = SimulatedServer(150).run(10)
+    served = {
+        r: len(d) / (len(d) + len(server.shed[r])) for r, d in server.done.items()
+    }
     assert served[0] > 0.98
     assert served[0] > served[1]
 
 
 def test_nothing_is_refused_below_the_servers_capacity():
     """The latency target causes no refusals below the server's capacity."""
-    play = Play(90).run(10)
-    assert play.shed == {0: [], 1: []}
+    server = SimulatedServer(90).run(10)
+    assert server.shed == {0: [], 1: []}
 
 
-def test_a_request_behind_its_target_gets_a_free_slot():
+def test_a_request_past_its_target_gets_an_idle_slot():
     """A request that would miss its target is started if no other one waits."""
-    play = Play(0)
+    server = SimulatedServer(0)
     late = ticket(0.0, 1, target_s=0.001)
-    assert decide(play.state, Arrived(late), 0.0) == [Begin(late)]
+    assert decide(server.state, Arrived(late), 0.0) == [Begin(late)]
 
 
 def test_the_queue_is_ordered_by_rank_and_then_by_arrival():
@@ -151,7 +155,7 @@
     assert [queue.pop(), queue.pop(), queue.pop()] == [tickets[1], tickets[0], None]
 
 
-def test_late_requests_take_only_what_the_others_leave():
+def test_late_requests_wait_behind_all_others():
     """Late requests wait behind all others instead of being refused.
 
     Guards against refused retries while the server has idle slots: after an overload
@@ -167,9 +171,9 @@
 
 def test_late_requests_are_refused_while_the_others_fill_the_server():
     """A late request is refused at once if it would wait beyond its deadline."""
-    play = Play(150).run(5)
+    server = SimulatedServer(150).run(5)
     late = ticket(5.0, 101, None)
-    (shed,) = decide(play.state, Arrived(late), 5.0)
+    (shed,) = decide(server.state, Arrived(late), 5.0)
     assert isinstance(shed, Shed)
 
 
@@ -180,15 +184,15 @@
     burst of 2.2 times the server's capacity for 0.6 s, followed by low load, a third
     of the callers were refused, retried late, and were refused again.
     """
-    play = Play(220).run(0.6)
-    play.per_s = 30
-    play.run(3)
-    refused = sum(map(len, play.shed.values()))
-    assert refused <= 0.2 * play.arrived
-    assert play.in_time() > 0.6 * play.arrived
+    server = SimulatedServer(220).run(0.6)
+    server.per_s = 30
+    server.run(3)
+    refused = sum(map(len, server.shed.values()))
+    assert refused <= 0.2 * server.arrived
+    assert server.in_time() > 0.6 * server.arrived
 
 
-class MixedPlay(Play):
+class MixedLoadServer(SimulatedServer):
     """Simulate short calls of the urgent rank and long uploads on one server."""
 
     work_s = {0: 0.03, 1: 0.35}
@@ -196,7 +200,7 @@
 
 def test_short_calls_are_served_beside_long_uploads():
     """Guards against short calls that are refused by the service time of uploads."""
-    play = MixedPlay(60).run(10)
-    served, refused = len(play.done[0]), len(play.shed[0])
+    server = MixedLoadServer(60).run(10)
+    served, refused = len(server.done[0]), len(server.shed[0])
     assert served > 0.95 * (served + refused)
-    assert sum(time_s <= TARGET_S for time_s in play.done[0]) > 0.95 * served
+    assert sum(time_s <= TARGET_S for time_s in server.done[0]) > 0.95 * served
--- a/comfreywharf/load/tests/test_refusing_server.py
+++ b/comfreywharf/load/tests/test_refusing_server.py
@@ -23,7 +23,7 @@
 SECONDS = 8
 
 
-def play(limit):
+def forwarded_fraction(limit):
     """Return the fraction of requests that are forwarded to the server.
 
     80 requests per second arrive for 12 slots of 130 ms each, so that nine tenths of
@@ -31,14 +31,16 @@
     """
     rng = random.Random(7)
     state = AdmissionState(limit, 256, random.Random(1), queue=RankedQueue())
-    ends, asked, arrivals = [], 0, PER_S * SECONDS
+    ends, forwarded, arrivals = [], 0, PER_S * SECONDS
     now_s = 0.0
     for number in range(arrivals):
         arrives_s = number / PER_S
         while ends and min(ends, key=lambda end: end[0])[0] <= arrives_s:
             end = min(ends, key=lambda end: end[0])
             ends.remove(end)
-            asked += _begin(decide(state, Finished(end[1], end[2]), end[0]), ends, rng)
+            forwarded += _begin(
+                decide(state, Finished(end[1], end[2]), end[0]), ends, rng
+            )
         now_s = arrives_s
         ticket = Ticket(
             flow=None,
@@ -46,8 +48,8 @@
             arrived_s=now_s,
             target_s=now_s + 0.4,
         )
-        asked += _begin(decide(state, Arrived(ticket), now_s), ends, rng)
-    return asked / arrivals
+        forwarded += _begin(decide(state, Arrived(ticket), now_s), ends, rng)
+    return forwarded / arrivals
 
 
 def _begin(actions, ends, rng):
@@ -61,7 +63,7 @@
 
 
 @pytest.mark.parametrize(("cuts", "least", "most"), [(True, 0, 0.6), (False, 0.99, 1)])
-def test_a_server_that_refuses_at_any_load_is_still_asked(cuts, least, most):
+def test_a_server_that_refuses_at_any_load_still_gets_requests(cuts, least, most):
     """Without cuts, refusals at any load don't stop requests from being forwarded.
 
     Guards against a node that refuses most of what its server would run. The server
@@ -69,5 +71,5 @@
     limit, down to a single slot. Only a third of the requests was served then,
     although the servers refused about half.
     """
-    share = play(ConcurrencyLimit(SLOTS, cold=False, cuts=cuts))
+    share = forwarded_fraction(ConcurrencyLimit(SLOTS, cold=False, cuts=cuts))
     assert least <= share <= most
