--- a/comfreywharf/load/crashes.py
+++ b/comfreywharf/load/crashes.py
@@ -47,8 +47,8 @@
     def connection_lost(self, run, now_s):
         """Record a lost connection; return whether to check if the server is up.
 
-        It has to be called before `run_ended` of the run that lost its connection. All
-        runs of a crash lose their connections one after another; at the first
+        It has to be called before `run_ended` of the run that lost its connection.
+        All runs of a crash lose their connections one after another; at the first
         loss the others are still in flight.
         """
         if now_s - self._lost_s <= SAME_LOSS_S and run in self._at_loss:
--- a/comfreywharf/load/tests/test_admission.py
+++ b/comfreywharf/load/tests/test_admission.py
@@ -38,7 +38,7 @@
         allowed = self.state.limit.allowed()
         for action in decide(self.state, event, self.now_s):
             ticket = action.ticket
-            assert ticket not in self.decided, "a request got two verdicts"
+            assert ticket not in self.decided, "a request got two decisions"
             self.decided.add(ticket)
             if ticket in self.waiting:
                 self.waiting.remove(ticket)
--- a/comfreywharf/load/tests/test_choice.py
+++ b/comfreywharf/load/tests/test_choice.py
@@ -30,7 +30,7 @@
         chosen = usable[index % len(usable)]
         if self.ejector.is_ejected(chosen.node_id):
             probes = [m for m, probe in self.in_flight if probe and m is chosen]
-            assert not probes, "a server that is out got two requests"
+            assert not probes, "an ejected server got two requests"
         return chosen
 
     @rule(index=st.integers(0, 9))
