--- a/comfreywharf/daemon/tests/test_planner_rounds.py
+++ b/comfreywharf/daemon/tests/test_planner_rounds.py
@@ -37,7 +37,7 @@
 
 def slices_added(cluster, per_slice_s, first_s):
     """Return how many slices one round adds when the first one is asked for more."""
-    cluster.settle()
+    cluster.run_rounds()
     rates = {piece.start: per_slice_s for piece in cluster.pieces}
     rates[0] = first_s
     cluster.now_s += 1.0
--- a/comfreywharf/placement/tests/builders.py
+++ b/comfreywharf/placement/tests/builders.py
@@ -152,7 +152,7 @@
                     epoch=piece.epoch,
                 )
 
-    def settle(self, rounds=5, rates=None, step_s=1.0):
+    def run_rounds(self, rounds=5, rates=None, step_s=1.0):
         """Report, plan and complete all moves for a number of rounds."""
         for _ in range(rounds):
             self.now_s += step_s
--- a/comfreywharf/placement/tests/test_planning.py
+++ b/comfreywharf/placement/tests/test_planning.py
@@ -110,7 +110,7 @@
         """After a minute without events each slice has a live owner and standby."""
         for node_id in self.cluster.live:
             self.cluster.drain(node_id, draining=False)
-        self.cluster.settle(30, self.rates, step_s=2.0)
+        self.cluster.run_rounds(30, self.rates, step_s=2.0)
         for piece in self.cluster.pieces:
             assert piece.owner in self.cluster.live
             assert piece.standby in self.cluster.live or len(self.cluster.live) == 1
@@ -141,7 +141,7 @@
     until the next takeover.
     """
     cluster = PlannedCluster(nodes=6, slices=24)
-    cluster.settle(8, dict.fromkeys([p.start for p in cluster.pieces], 50.0))
+    cluster.run_rounds(8, dict.fromkeys([p.start for p in cluster.pieces], 50.0))
     cluster.lose("node-0")
     cluster.now_s += 0.1
     for _ in range(20):
@@ -161,7 +161,7 @@
     cluster.now_s = 1.0
     cluster.report()
     late = cluster.plan()
-    cluster.settle(3)
+    cluster.run_rounds(3)
     before = list(cluster.pieces)
     assert late
     assert not any(cluster.apply(late))
@@ -171,7 +171,7 @@
 def test_standbys_of_one_owner_are_spread():
     """No node is standby for more of an owner's slices than an even share."""
     cluster = PlannedCluster(nodes=9, slices=54)
-    cluster.settle(5)
+    cluster.run_rounds(5)
     for owner in owners(cluster):
         standbys = [p.standby for p in cluster.pieces if p.owner == owner]
         candidates = 6
@@ -184,11 +184,11 @@
     """Load that varies by a few percent, as counts do, causes no moves."""
     cluster = PlannedCluster(nodes=7, slices=70, churn_weight=churn_weight)
     starts = [p.start for p in cluster.pieces]
-    cluster.settle(10, dict.fromkeys(starts, 100.0))
+    cluster.run_rounds(10, dict.fromkeys(starts, 100.0))
     before = {p.start: p.owner for p in cluster.pieces}
     for step in range(60):
         rates = {s: 100.0 + (step * 7 + i * 3) % 11 for i, s in enumerate(starts)}
-        cluster.settle(1, rates)
+        cluster.run_rounds(1, rates)
     assert {p.start: p.owner for p in cluster.pieces} == before
 
 
@@ -216,7 +216,7 @@
     for the release of the second node only.
     """
     cluster = PlannedCluster(nodes=4, slices=16)
-    cluster.settle(3)
+    cluster.run_rounds(3)
     cluster.drain("node-0")
     cluster.apply(cluster.plan())
     cluster.drain("node-1")
@@ -227,7 +227,7 @@
     """The same if the new owner becomes overloaded before the release."""
     cluster = PlannedCluster(nodes=4, slices=40)
     rates = dict.fromkeys([p.start for p in cluster.pieces], 100.0)
-    cluster.settle(8, rates)
+    cluster.run_rounds(8, rates)
     rates.update({p.start: 300.0 for p in cluster.pieces if p.owner == "node-0"})
     while not awaited(cluster):
         cluster.now_s += 2.0
@@ -243,10 +243,10 @@
     cluster = PlannedCluster(slices=8)
     for node_id in ("node-0", "node-3"):
         cluster.start(node_id, "teika")
-    cluster.settle(3)
+    cluster.run_rounds(3)
     assert {p.standby for p in cluster.pieces} == {"node-0", "node-3"}
     cluster.start("node-1", "agenskalns")
-    cluster.settle(3)
+    cluster.run_rounds(3)
     for piece in cluster.pieces:
         domains = {
             cluster.state.members[n].failure_domain
@@ -261,7 +261,7 @@
     for _ in range(80):
         rates = {p.start: 20.0 for p in cluster.pieces}
         rates[0] = 40.0 * len(rates)
-        cluster.settle(1, rates)
+        cluster.run_rounds(1, rates)
     state = cluster.state
     limit = slice_limit(state.config.services[SERVICE], len(state.members))
     assert 16 < len(cluster.pieces) <= limit
@@ -270,14 +270,14 @@
 def is_rebalanced(cluster, per_slice_s, heavier, rounds):
     """Return whether slices move when one server has ``heavier`` times the load."""
     cluster.service_ms = 130.0
-    cluster.settle()
+    cluster.run_rounds()
     before = {piece.start: piece.owner for piece in cluster.pieces}
     heavy = before[0]
     rates = {
         start: per_slice_s * (heavier if owner == heavy else 1.0)
         for start, owner in before.items()
     }
-    cluster.settle(rounds=rounds, rates=rates)
+    cluster.run_rounds(rounds=rounds, rates=rates)
     after = {p.start: p.owner for p in cluster.pieces if p.start in before}
     return any(after[start] != before[start] for start in after)
 
