--- a/comfreywharf/placement/meter.py
+++ b/comfreywharf/placement/meter.py
@@ -29,7 +29,7 @@
     service: str
     end: int
     count: int = 0
-    smooth_per_s: float = -1.0
+    average_per_s: float = -1.0
     reported_per_s: float = -1.0
 
 
@@ -44,7 +44,7 @@
 
     smoothing_s: float = SMOOTHING_S
     _rates: dict[tuple[str, int], _Rate] = attrs.Factory(dict)
-    _since_s: float | None = None
+    _window_start_s: float | None = None
 
     def count(self, service, start, requests=1):
         """Count requests for a slice that the node owns."""
@@ -68,25 +68,29 @@
 
     def close_window(self, now_s):
         """Close the counting window at ``now_s`` and update the smoothed rates."""
-        window_s = now_s - self._since_s if self._since_s is not None else 0.0
-        self._since_s = now_s
+        window_s = (
+            now_s - self._window_start_s if self._window_start_s is not None else 0.0
+        )
+        self._window_start_s = now_s
         if window_s <= 0:
             return
         weight = 1 - math.exp(-window_s / self.smoothing_s)
         for rate in self._rates.values():
             measured = rate.count / window_s
-            if rate.smooth_per_s < 0:
-                rate.smooth_per_s = measured
+            if rate.average_per_s < 0:
+                rate.average_per_s = measured
             elif _is_noise(rate, window_s):
-                rate.smooth_per_s += weight * (measured - rate.smooth_per_s)
+                rate.average_per_s += weight * (measured - rate.average_per_s)
             else:
-                rate.smooth_per_s += RATE_CHANGE_WEIGHT * (measured - rate.smooth_per_s)
+                rate.average_per_s += RATE_CHANGE_WEIGHT * (
+                    measured - rate.average_per_s
+                )
             rate.count = 0
 
     def everything(self):
         """Return every rate as a `SliceRate`, for a planner without earlier reports."""
         return self._entries(
-            place for place, rate in self._rates.items() if rate.smooth_per_s >= 0
+            place for place, rate in self._rates.items() if rate.average_per_s >= 0
         )
 
     def changed(self, limit):
@@ -103,10 +107,10 @@
         entries = []
         for service, start in places:
             rate = self._rates[service, start]
-            rate.reported_per_s = rate.smooth_per_s
+            rate.reported_per_s = rate.average_per_s
             entries.append(
                 SliceRate(
-                    service=service, start=start, requests_per_s=rate.smooth_per_s
+                    service=service, start=start, requests_per_s=rate.average_per_s
                 )
             )
         return tuple(entries)
@@ -117,12 +121,12 @@
 
     The standard deviation of a Poisson count is the square root of its mean.
     """
-    expected = rate.smooth_per_s * window_s
+    expected = rate.average_per_s * window_s
     return abs(rate.count - expected) <= MAX_DEVIATIONS * math.sqrt(expected + 1)
 
 
 def _needs_report(rate):
-    if rate.smooth_per_s < 0:
+    if rate.average_per_s < 0:
         return False
     if rate.reported_per_s < 0:
         return True
@@ -134,4 +138,4 @@
 
 
 def _difference(rate):
-    return abs(rate.smooth_per_s - max(0.0, rate.reported_per_s))
+    return abs(rate.average_per_s - max(0.0, rate.reported_per_s))
