--- a/comfreywharf/daemon/owning/planner.py
+++ b/comfreywharf/daemon/owning/planner.py
@@ -105,8 +105,8 @@
         if state.planner_id != self._node_id:
             self._planning = None
         elif self._planning is None or self._planned_term != state.planner_term:
-            pace = self._node.ports.placement
-            self._planning = PlanningState.begin(now_s, pace=pace)
+            tuning = self._node.ports.placement
+            self._planning = PlanningState.begin(now_s, tuning=tuning)
             self._planned_term = state.planner_term
             self._next_round_s = now_s
 
@@ -143,7 +143,7 @@
         Machines come and go here without a word to anybody. Kept, the lost would
         go on being chosen as witnesses and for requests without a key.
         """
-        lost = planning.long_lost(self._planning, state, now_s)
+        lost = planning.removable_member(self._planning, state, now_s)
         if lost is not None:
             record = NodeRemoved(
                 record_id=new_record_id(),
--- a/comfreywharf/daemon/requests/admission.py
+++ b/comfreywharf/daemon/requests/admission.py
@@ -154,7 +154,7 @@
     if request.target_ms == TARGET_PASSED_MS:
         # The request was refused before, and its latency target has passed. It gets
         # only slots that other requests leave unused, so that it delays none of them.
-        ticket.make_late()
+        ticket.mark_late()
     return ticket
 
 
--- a/comfreywharf/daemon/requests/members.py
+++ b/comfreywharf/daemon/requests/members.py
@@ -91,10 +91,10 @@
         if member is None:
             return None
         now_s = boottime_s()
-        sent = SentRequest(service, member, now_s, group.ejector.is_out(node_id))
+        sent = SentRequest(service, member, now_s, group.ejector.is_ejected(node_id))
         member.begin()
-        group.absences.asked(node_id)
-        group.ejector.begun(member, now_s)
+        group.absences.record_sent(node_id)
+        group.ejector.record_sent(member, now_s)
         return sent
 
     def record_outcome(self, sent, reply):
@@ -106,15 +106,15 @@
         failed = _failed(reply)
         if failed is None:
             if reply is not None and reply.reason == Reason.OVERLOADED:
-                sent.member.crowded()
+                sent.member.finish_refused()
             else:
                 sent.member.drop()
-            group.ejector.dropped(sent.member, sent.probe)
+            group.ejector.record_no_outcome(sent.member, sent.probe)
             return
         now_s = boottime_s()
         latency_s = now_s - sent.sent_s
         sent.member.finish(latency_s, failed)
-        changed = group.ejector.finished(
+        changed = group.ejector.record_outcome(
             sent.member,
             list(group.members.values()),
             latency_s,
@@ -128,11 +128,11 @@
     @staticmethod
     def _update_absences(group, sent, reply):
         if reply is None:
-            group.absences.dropped(sent.member.node_id)
+            group.absences.record_no_outcome(sent.member.node_id)
         elif reply.reason and Reason(reply.reason) in _ABSENT:
-            group.absences.missed(sent.member.node_id, boottime_s())
+            group.absences.record_absent(sent.member.node_id, boottime_s())
         else:
-            group.absences.met(sent.member.node_id, boottime_s())
+            group.absences.record_present(sent.member.node_id, boottime_s())
 
     def _report_ejection(self, sent, node_id, out):
         if not out:
@@ -170,7 +170,7 @@
         for entry in entries:
             member = group.members.get(entry.node_id) or MemberLoad(entry.node_id)
             if member.announced_offset != entry.announced_offset:
-                member.started_again(entry.announced_offset)
+                member.reset_measurements(entry.announced_offset)
             member.near = entry.failure_domain == own_domain
             members[entry.node_id] = member
         group.members = members
--- a/comfreywharf/daemon/requests/quarantine.py
+++ b/comfreywharf/daemon/requests/quarantine.py
@@ -85,11 +85,11 @@
 
     def record_start(self, slot):
         """Record a request that is about to be forwarded."""
-        self._crash_watch.begun(slot, slot.ticket.alone)
+        self._crash_watch.run_started(slot, slot.ticket.alone)
 
     def record_end(self, slot, answered):
         """Record the end of a request; a suspect that was answered is cleared."""
-        self._crash_watch.ended(slot)
+        self._crash_watch.run_ended(slot)
         if answered and slot.ticket.alone:
             self._publish(self._quarantine.answered(slot.fingerprint, boottime_s()))
 
@@ -99,7 +99,7 @@
         The caller may send its request again as soon as it has a reply. The reply is
         therefore delayed by up to ``wait_s``, so that the peers are notified first.
         """
-        if self._crash_watch.lost(slot, boottime_s()):
+        if self._crash_watch.connection_lost(slot, boottime_s()):
             gevent.spawn(self._probe, backend).join(wait_s)
 
     def _probe(self, backend):
@@ -112,7 +112,7 @@
     def confirm(self):
         """Handle the confirmation that the backend server crashed or was restarted."""
         now_s = boottime_s()
-        loss = self._crash_watch.confirmed(now_s)
+        loss = self._crash_watch.confirm_crash(now_s)
         if loss is None or not loss.runs:
             return
         node = self._node
@@ -127,7 +127,7 @@
             in_flight=len(loss.runs),
             alone=crash.alone,
         )
-        self._publish(self._quarantine.crashed(crash_id, service, crash, now_s))
+        self._publish(self._quarantine.record_crash(crash_id, service, crash, now_s))
         if crash.alone:
             node.report("request_condemned", fingerprint=crash.fingerprints[0])
         node.load.reset_admission()
@@ -157,7 +157,7 @@
 
     def _receive_notice(self, notice):
         try:
-            self._quarantine.learn(
+            self._quarantine.apply_notice(
                 notice.kind, notice.subject, notice.value, boottime_s()
             )
         except ValueError:
--- a/comfreywharf/load/tests/test_admission.py
+++ b/comfreywharf/load/tests/test_admission.py
@@ -1,11 +1,11 @@
-"""Admission: slots, the queue's order and bound, suspects alone, the ramp."""
+"""Tests of admission: slots, queue order and bound, suspects, the ramp."""
 
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from comfreywharf.load.admission import (
-    ALONE_DRAIN_S,
-    MAX_ALONE,
+    MAX_WAITING_SUSPECTS,
+    SUSPECT_DRAIN_S,
     Arrived,
     Begin,
     Finished,
@@ -24,7 +24,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Any order of arrivals, endings, hang-ups and waiting."""
+    """Arrivals, completions, disconnections and waits in any order."""
 
     def __init__(self):
         super().__init__()
@@ -32,14 +32,14 @@
         self.now_s = 0.0
         self.waiting = []
         self.running = []
-        self.told = set()
+        self.decided = set()
 
     def apply(self, event):
         allowed = self.state.limit.allowed()
         for action in decide(self.state, event, self.now_s):
             ticket = action.ticket
-            assert ticket not in self.told, "a request got two verdicts"
-            self.told.add(ticket)
+            assert ticket not in self.decided, "a request got two decisions"
+            self.decided.add(ticket)
             if ticket in self.waiting:
                 self.waiting.remove(ticket)
             if isinstance(action, Shed):
@@ -84,19 +84,21 @@
     @invariant()
     def queue_is_bounded(self):
         assert len(self.state.queue) <= QUEUE
-        assert len(self.state.alone_waiting) <= MAX_ALONE
+        assert len(self.state.waiting_suspects) <= MAX_WAITING_SUSPECTS
         assert self.state.waiting == len(self.waiting)
         assert self.state.in_flight == set(self.running)
 
     @invariant()
     def no_slot_is_idle_while_two_flows_wait(self):
         flows = {ticket.flow for ticket in self.state.queue}
-        suspects = self.state.alone_since_s is not None or self.state.runs_alone
+        suspects = (
+            self.state.suspect_drain_since_s is not None or self.state.suspect_running
+        )
         if len(flows) > 1 and not suspects:
             assert len(self.running) >= self.state.limit.allowed()
 
     def teardown(self):
-        """Every request gets a verdict once those that run have ended."""
+        """Every request is started or refused once the running ones have ended."""
         for _ in range(200):
             for ticket in list(self.running):
                 self.running.remove(ticket)
@@ -121,19 +123,19 @@
 
 def _finishes_until_begun(state, ticket):
     for finished in range(1, 100):
-        running = min(state.in_flight, key=lambda t: t.begun_s)
+        running = min(state.in_flight, key=lambda t: t.started_s)
         actions = decide(state, Finished(running, Result.ANSWERED), 0.01 * finished)
         if Begin(ticket) in actions:
             return finished
     return 100
 
 
-def test_hot_key_does_not_starve_its_neighbour():
-    """A neighbour's request runs next, whatever the hot key has waiting.
+def test_hot_key_does_not_starve_another_key():
+    """A request for another key runs next, however many a hot key has waiting.
 
-    Symptom: one calendar's rush makes every other calendar on its server time
-    out. Sequence: a hot key fills the queue; a neighbour's request arrives.
-    Cause: one queue for all, in order of arrival.
+    Guards against a hot key whose requests fill the queue of its server, so that
+    requests for all other keys there time out, as in a single queue in order of
+    arrival.
     """
     waits = {}
     for fair in (True, False):
@@ -147,8 +149,8 @@
     assert waits[False] > 50
 
 
-def test_full_queue_refuses_the_hot_key_and_not_its_neighbour():
-    """The one who fills the queue is the one who is refused."""
+def test_full_queue_refuses_the_hot_key_and_not_another_key():
+    """The flow that fills the queue is the one whose request is refused."""
     state = admission_state(4, 10)
     _fill(state, 20)
     neighbour = make_ticket("neighbour", patience_s=60.0)
@@ -157,12 +159,11 @@
     assert [action.ticket.flow for action in shed] == ["hot"]
 
 
-def test_hopeless_work_is_refused_on_arrival_and_not_begun():
-    """A request whose turn comes too late is refused as soon as that is known.
+def test_request_that_cannot_meet_its_deadline_is_refused_on_arrival():
+    """A request that can't meet its deadline is refused on arrival.
 
-    Symptom: under load every answer comes after its caller has gone. Sequence:
-    requests wait until their deadline and are then begun. Cause: the slots work
-    on requests that can't be done in time.
+    Guards against slots that are occupied by requests whose callers have given up:
+    under load, requests would wait until their deadline and be started then.
     """
     state = admission_state(2, 100)
     state.times.add(0.1, 0.0)
@@ -172,12 +173,12 @@
     assert (action.ticket, action.reason) == (late, Reason.OVERLOADED)
 
 
-def test_estimate_that_was_too_high_is_forgotten():
-    """A server that was slow once is tried again, though nobody measures it.
+def test_estimate_that_is_too_high_decays():
+    """An estimate that is too high decays, so that a recovered server is used again.
 
-    Symptom: a healthy, idle server refuses everyone for ever. Sequence: some
-    requests take longer than any caller waits; then the server is well again.
-    Cause: nothing is begun, so nothing corrects the estimate.
+    Guards against a healthy, idle server for which every request is refused: some
+    requests took longer than any caller waits, and since no request is started, no
+    sample corrects the estimate.
     """
     state = admission_state(2)
     state.times.add(10.0, 0.0)
@@ -187,20 +188,20 @@
     assert decide(state, Arrived(later), 6.0) == [Begin(later)]
 
 
-def test_suspect_gives_up_on_a_server_that_never_empties():
-    """A long upload doesn't let a suspect stop the server for its whole length."""
+def test_suspect_is_refused_if_the_server_does_not_drain():
+    """A suspect doesn't block the server for the whole length of a long upload."""
     state = admission_state(4)
     _fill(state, 2)
     suspect = make_ticket(alone=True, patience_s=60.0)
     assert decide(state, Arrived(suspect), 0.0) == []
     other = make_ticket("other", patience_s=60.0)
     assert decide(state, Arrived(other), 0.1) == []
-    actions = decide(state, TimePassed(), ALONE_DRAIN_S + 0.01)
+    actions = decide(state, TimePassed(), SUSPECT_DRAIN_S + 0.01)
     assert [type(action) for action in actions] == [Shed, Begin]
 
 
 def test_cold_server_gets_a_part_of_its_slots_until_it_has_answered():
-    """Slots ramp with the answers that a backend server gave since its start."""
+    """Slots ramp up with the answers of a backend server since its start."""
     limit = ConcurrencyLimit(12)
     seen = [limit.allowed()]
     for _ in range(500):
@@ -211,8 +212,8 @@
     assert seen[30] < 12 == seen[-1]
 
 
-def test_refusals_of_the_server_outrank_the_slots_it_announced():
-    """A server that refuses within its slots is given fewer, and climbs again."""
+def test_refusals_within_the_announced_slots_cut_the_limit():
+    """Refusals within the announced slots cut the limit; answers raise it again."""
     state = admission_state(10)
     tickets = _fill(state, 9)
     for number, ticket in enumerate(tickets):
--- a/comfreywharf/load/tests/test_choice.py
+++ b/comfreywharf/load/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Choice among backend servers, and the ejection of failing and slow ones."""
+"""Tests of the choice among backend servers, and of ejection."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 class EjectionMachine(RuleBasedStateMachine):
-    """Servers that come, go, fail, slow down and recover in any order."""
+    """Servers join, leave, fail, slow down and recover in any order."""
 
     def __init__(self):
         super().__init__()
@@ -28,17 +28,17 @@
         usable = self.ejector.usable(self.members, self.now_s)
         assert usable
         chosen = usable[index % len(usable)]
-        if self.ejector.is_out(chosen.node_id):
+        if self.ejector.is_ejected(chosen.node_id):
             probes = [m for m, probe in self.in_flight if probe and m is chosen]
-            assert not probes, "a server that is out got two requests"
+            assert not probes, "an ejected server got two requests"
         return chosen
 
     @rule(index=st.integers(0, 9))
     def begin(self, index):
         chosen = self.pick(index)
-        self.in_flight.append((chosen, self.ejector.is_out(chosen.node_id)))
+        self.in_flight.append((chosen, self.ejector.is_ejected(chosen.node_id)))
         chosen.begin()
-        self.ejector.begun(chosen, self.now_s)
+        self.ejector.record_sent(chosen, self.now_s)
 
     @precondition(lambda self: self.in_flight)
     @rule(data=st.data())
@@ -50,19 +50,19 @@
         failed = chosen.node_id in self.failing
         latency_s = self.latency_s.get(chosen.node_id, 0.01)
         chosen.finish(latency_s, failed)
-        changed = self.ejector.finished(
+        changed = self.ejector.record_outcome(
             chosen, self.members, latency_s, failed, self.now_s, probe
         )
         if changed == (chosen.node_id, True):
-            out = [m for m in self.members if self.ejector.is_out(m.node_id)]
+            out = [m for m in self.members if self.ejector.is_ejected(m.node_id)]
             assert len(out) <= len(self.members) // 2
 
     @rule()
     def use_all(self):
-        """Send a few requests to each server that is in."""
+        """Send a few requests to each server that isn't ejected."""
         usable = self.ejector.usable(self.members, self.now_s)
         for chosen in usable * 6:
-            if not self.ejector.is_out(chosen.node_id):
+            if not self.ejector.is_ejected(chosen.node_id):
                 chosen.begin()
                 self.end(chosen, False)
 
@@ -90,14 +90,14 @@
         self.now_s += elapsed_s
 
     @invariant()
-    def floor_holds(self):
+    def ejected_fraction_is_bounded(self):
         usable = self.ejector.usable(self.members, self.now_s)
-        out = [m for m in self.members if self.ejector.is_out(m.node_id)]
+        out = [m for m in self.members if self.ejector.is_ejected(m.node_id)]
         assert usable
         assert len(out) <= len(self.members) // 2
 
     def teardown(self):
-        """Servers that recovered come back in."""
+        """All servers are reinstated once they have recovered."""
         self.failing.clear()
         self.latency_s.clear()
         while self.in_flight:
@@ -106,7 +106,7 @@
             self.begin(number)
             self.end(*self.in_flight.pop())
             self.now_s += MAX_PAUSE_S / 10
-        assert not any(self.ejector.is_out(m.node_id) for m in self.members)
+        assert not any(self.ejector.is_ejected(m.node_id) for m in self.members)
 
 
 TestEjectionMachine = EjectionMachine.TestCase
@@ -116,11 +116,14 @@
 
 
 def test_server_that_fails_every_request_is_ejected():
-    """What was measured decides, whatever the server says of itself."""
+    """Ejection follows from measurements, not from the server's own reports."""
     bad = member("bad", failed=True)
     members = [bad, member("good"), member("well")]
     ejector = Ejector()
-    assert ejector.finished(bad, members, 0.001, True, 0.0, False) == ("bad", True)
+    assert ejector.record_outcome(bad, members, 0.001, True, 0.0, False) == (
+        "bad",
+        True,
+    )
     assert bad not in ejector.usable(members, 0.5)
     assert ejector.usable(members, 1.5) == [bad]
     assert bad not in ejector.usable(members, 1.5, idempotent=False)
@@ -128,39 +131,42 @@
 
 @pytest.mark.parametrize("chooser", [LeastInFlight(), TwoChoices()])
 def test_chooser_prefers_the_less_loaded(chooser):
-    """Of two equally fast servers the busy one is left alone."""
+    """Of two equally fast servers the idle one is chosen."""
     busy, idle = member("busy"), member("idle")
     for _ in range(5):
         busy.begin()
-    chance = random.Random(0)
-    assert {chooser.choose([busy, idle], chance) for _ in range(20)} == {idle}
+    rng = random.Random(0)
+    assert {chooser.choose([busy, idle], rng) for _ in range(20)} == {idle}
 
 
 def test_two_choices_avoid_the_slow_and_round_robin_does_not():
-    """Only what looks at latency keeps away from a slow server."""
+    """`TwoChoices` avoids a slow server; `RoundRobin` ignores latency."""
     members = [member("slow", latency_s=0.1), member("fast")]
-    chance = random.Random(0)
-    by_latency = [TwoChoices().choose(members, chance) for _ in range(20)]
+    rng = random.Random(0)
+    by_latency = [TwoChoices().choose(members, rng) for _ in range(20)]
     assert members[0] not in by_latency
     turns = RoundRobin()
-    assert members[0] in [turns.choose(members, chance) for _ in range(2)]
+    assert members[0] in [turns.choose(members, rng) for _ in range(2)]
 
 
 def three_members():
-    """Return a near server and two far ones, all measured as alike."""
+    """Return a near server and two far ones with equal measurements."""
     members = [member("near"), member("far"), member("away")]
     members[0].near = True
     return members
 
 
 def choices(members, count=60):
-    """Return the set of servers that a node in the near one's domain chooses."""
-    chooser, chance = NearFirst(), random.Random(0)
-    return {chooser.choose(members, chance).node_id for _ in range(count)}
+    """Return the servers chosen by a node in the near server's failure domain."""
+    chooser, rng = NearFirst(), random.Random(0)
+    return {chooser.choose(members, rng).node_id for _ in range(count)}
 
 
-def test_uploads_stay_in_their_failure_domain_while_its_server_has_room():
-    """Two thirds of all bytes went between failure domains for no gain."""
+def test_near_server_is_preferred_while_it_has_idle_slots():
+    """Guards against needless traffic between failure domains.
+
+    It was two thirds of all bytes when a near server wasn't preferred.
+    """
     members = three_members()
     members[0].begin()
     assert choices(members) == {"near"}
@@ -168,9 +174,11 @@
 
 @pytest.mark.parametrize("trouble", ["in flight", "slow", "refuses", "fails"])
 def test_a_near_server_in_trouble_is_not_preferred(trouble):
-    """Symptom: callers of one domain are refused beside idle servers.
-    Sequence: the callers move to one domain; its server has no slot to spare.
-    Cause: being near counted for more than the queue."""
+    """A near server that is busy, slow, refusing or failing isn't preferred.
+
+    Guards against refusals while servers in other failure domains are idle: all
+    callers move to one failure domain, and its server has no idle slot.
+    """
     members = three_members()
     near = members[0]
     for _ in range(5 if trouble == "in flight" else 1):
@@ -179,7 +187,7 @@
         near.mean_latency_s *= 4
     if trouble in ("refuses", "fails"):
         if trouble == "refuses":
-            near.crowded()
+            near.finish_refused()
         else:
             near.finish(0.001, True)
         assert "far" in choices(members)
@@ -192,10 +200,10 @@
 
 
 def test_cold_server_gets_a_part_of_the_load():
-    """A server that has just announced itself is weighed by what it answered."""
+    """The weight of a server that has just restarted follows its answers."""
     warm, cold = member("warm", samples=60), member("cold", samples=60)
-    cold.started_again(announced_offset=7)
-    chance = random.Random(0)
+    cold.reset_measurements(announced_offset=7)
+    rng = random.Random(0)
     for _ in range(2):
         warm.begin()
-    assert LeastInFlight().choose([warm, cold], chance) is warm
+    assert LeastInFlight().choose([warm, cold], rng) is warm
--- a/comfreywharf/load/tests/test_ranked_queue.py
+++ b/comfreywharf/load/tests/test_ranked_queue.py
@@ -1,4 +1,4 @@
-"""Admission by priority and latency target, with the load played in simulated time."""
+"""Tests of admission by rank and latency target under load in simulated time."""
 
 import random
 
@@ -32,8 +32,8 @@
     )
 
 
-class Play:
-    """One server with ten slots; arrivals of two ranks at a steady rate."""
+class SimulatedServer:
+    """Simulate a server with ten slots; two ranks arrive at a steady rate."""
 
     work_s = {0: WORK_S, 1: WORK_S}
 
@@ -57,9 +57,9 @@
     def run(self, seconds):
         step_s = 0.001
         due = 0.0
-        begun_s = self.now_s
+        started_s = self.now_s
         for tick in range(int(seconds / step_s)):
-            now_s = self.now_s = begun_s + tick * step_s
+            now_s = self.now_s = started_s + tick * step_s
             self._finish(now_s)
             due += self.per_s * step_s
             while due >= 1:
@@ -67,7 +67,7 @@
                 self.arrived += 1
                 rank = 0 if self.arrived % 3 == 0 else 1
                 arrived = ticket(now_s, rank, self.target_s)
-                self._carry_out(decide(self.state, Arrived(arrived), now_s), now_s)
+                self._apply_actions(decide(self.state, Arrived(arrived), now_s), now_s)
         return self
 
     def _finish(self, now_s):
@@ -76,9 +76,9 @@
             done = entry[1]
             self.done[done.rank].append(now_s - done.arrived_s)
             event = Finished(done, Result.ANSWERED)
-            self._carry_out(decide(self.state, event, now_s), now_s)
+            self._apply_actions(decide(self.state, event, now_s), now_s)
 
-    def _carry_out(self, actions, now_s):
+    def _apply_actions(self, actions, now_s):
         for action in actions:
             if isinstance(action, Begin):
                 ends_s = now_s + self.work_s[action.ticket.rank]
@@ -91,20 +91,24 @@
         return sum(t <= TARGET_S for times in self.done.values() for t in times)
 
 
-def test_in_an_overload_answers_stay_within_their_target():
-    """Symptom: in an overload nearly every answer is late.
-    Sequence: 1.5 times what the server can do, for 10 s.
-    Cause: requests queued up to their deadline, 2.5 times their target away."""
-    with_target = Play(150).run(10)
-    without = Play(150, with_target=False).run(10)
+def test_most_answers_meet_their_target_in_an_overload():
+    """Most answers meet their latency target in an overload.
+
+    Guards against late answers at 1.5 times the server's capacity for 10 s: without
+    the target, requests queue up to their deadline, 2.5 times the target.
+    """
+    with_target = SimulatedServer(150).run(10)
+    without = SimulatedServer(150, with_target=False).run(10)
     assert with_target.in_time() > 0.9 * 10 * SLOTS / WORK_S
     assert with_target.in_time() > 1.5 * without.in_time()
 
 
-def test_a_refusal_comes_at_once_and_says_to_come_back_soon():
-    """A refused caller can still be served within its target elsewhere or later."""
+def test_a_refusal_is_immediate_and_its_retry_delay_is_short():
+    """A refused caller can retry soon enough to be served within its target."""
     refused = [
-        entry for entries in Play(150).run(10).shed.values() for entry in entries
+        entry
+        for entries in SimulatedServer(150).run(10).shed.values()
+        for entry in entries
     ]
     assert refused
     assert sum(held_s < 0.05 for held_s, _ in refused) > 0.85 * len(refused)
@@ -112,44 +116,52 @@
 
 
 def test_the_more_urgent_rank_is_served_first():
-    """Symptom: a booking is refused while lookups are served.
-    Sequence: an overload of both. Cause: one queue in the order of arrival."""
-    play = Play(150).run(10)
-    served = {r: len(d) / (len(d) + len(play.shed[r])) for r, d in play.done.items()}
+    """The more urgent rank is served first in an overload of both ranks.
+
+    Guards against urgent requests that are refused while less urgent ones are
+    served, as in a single queue in order of arrival.
+    """
+    server = SimulatedServer(150).run(10)
+    served = {
+        r: len(d) / (len(d) + len(server.shed[r])) for r, d in server.done.items()
+    }
     assert served[0] > 0.98
     assert served[0] > served[1]
 
 
 def test_nothing_is_refused_below_the_servers_capacity():
-    """The target is no reason to refuse while there is room."""
-    play = Play(90).run(10)
-    assert play.shed == {0: [], 1: []}
+    """The latency target causes no refusals below the server's capacity."""
+    server = SimulatedServer(90).run(10)
+    assert server.shed == {0: [], 1: []}
 
 
-def test_a_request_behind_its_target_gets_a_free_slot():
-    """Late is better than never where nobody else wants the slot."""
-    play = Play(0)
+def test_a_request_past_its_target_gets_an_idle_slot():
+    """A request that would miss its target is started if no other one waits."""
+    server = SimulatedServer(0)
     late = ticket(0.0, 1, target_s=0.001)
-    assert decide(play.state, Arrived(late), 0.0) == [Begin(late)]
+    assert decide(server.state, Arrived(late), 0.0) == [Begin(late)]
 
 
 def test_the_queue_is_ordered_by_rank_and_then_by_arrival():
-    """And what is given up first is the newest of the least urgent."""
+    """The first ticket to be evicted is the newest of the least urgent rank."""
     queue = RankedQueue()
     tickets = [ticket(float(n), rank) for n, rank in enumerate((1, 0, 1, 0))]
     for entry in tickets:
         queue.push(entry)
     assert queue.ahead_of(ticket(9.0, 0)) == 2
     assert queue.ahead_of(ticket(9.0, 1)) == 4
-    assert queue.drop_from_longest() is tickets[2]
+    assert queue.evict() is tickets[2]
     assert queue.remove(tickets[3]) and not queue.remove(tickets[3])
     assert [queue.pop(), queue.pop(), queue.pop()] == [tickets[1], tickets[0], None]
 
 
-def test_late_requests_take_only_what_the_others_leave():
-    """Symptom: callers who came back are refused although the server has idle slots.
-    Sequence: an overload of a second; its refused callers come back when it is over.
-    Cause: a request behind its target was refused wherever anyone waited."""
+def test_late_requests_wait_behind_all_others():
+    """Late requests wait behind all others instead of being refused.
+
+    Guards against refused retries while the server has idle slots: after an overload
+    of a second its refused callers retry, and requests past their target were
+    refused whenever another request waited.
+    """
     queue = RankedQueue()
     late, fresh = ticket(0.0, 101, None), ticket(0.0, 1)
     queue.push(late)
@@ -158,36 +170,37 @@
 
 
 def test_late_requests_are_refused_while_the_others_fill_the_server():
-    """They would only wait in vain."""
-    play = Play(150).run(5)
+    """A late request is refused at once if it would wait beyond its deadline."""
+    server = SimulatedServer(150).run(5)
     late = ticket(5.0, 101, None)
-    (shed,) = decide(play.state, Arrived(late), 5.0)
+    (shed,) = decide(server.state, Arrived(late), 5.0)
     assert isinstance(shed, Shed)
 
 
 def test_a_burst_is_answered_late_rather_than_refused():
-    """Symptom: a third of the callers of a short burst are refused, come back late,
-    and are refused again.
-    Sequence: 2.2 times what the server can do for 0.6 s, and little after it.
-    Cause: what would miss its target was refused, though its deadline was far away.
+    """Requests of a short burst miss their target rather than being refused.
+
+    Guards against refusing what would miss its target but not its deadline. In a
+    burst of 2.2 times the server's capacity for 0.6 s, followed by low load, a third
+    of the callers were refused, retried late, and were refused again.
     """
-    play = Play(220).run(0.6)
-    play.per_s = 30
-    play.run(3)
-    refused = sum(map(len, play.shed.values()))
-    assert refused <= 0.2 * play.arrived
-    assert play.in_time() > 0.6 * play.arrived
+    server = SimulatedServer(220).run(0.6)
+    server.per_s = 30
+    server.run(3)
+    refused = sum(map(len, server.shed.values()))
+    assert refused <= 0.2 * server.arrived
+    assert server.in_time() > 0.6 * server.arrived
 
 
-class MixedPlay(Play):
-    """Short calls of the urgent rank, and long uploads, which fill the server."""
+class MixedLoadServer(SimulatedServer):
+    """Simulate short calls of the urgent rank and long uploads on one server."""
 
     work_s = {0: 0.03, 1: 0.35}
 
 
 def test_short_calls_are_served_beside_long_uploads():
-    """Guards against calls that look hopeless by the time that uploads take."""
-    play = MixedPlay(60).run(10)
-    served, refused = len(play.done[0]), len(play.shed[0])
+    """Guards against short calls that are refused by the service time of uploads."""
+    server = MixedLoadServer(60).run(10)
+    served, refused = len(server.done[0]), len(server.shed[0])
     assert served > 0.95 * (served + refused)
-    assert sum(time_s <= TARGET_S for time_s in play.done[0]) > 0.95 * served
+    assert sum(time_s <= TARGET_S for time_s in server.done[0]) > 0.95 * served
--- a/comfreywharf/placement/__init__.py
+++ b/comfreywharf/placement/__init__.py
@@ -1,8 +1,8 @@
-"""Which slice goes to which backend server, and who decides it.
+"""Placement of slices on backend servers, and election of the planner.
 
 `planning.decide` turns load reports and the folded state into moves, splits and
-merges; `terms.decide` settles which node plans; `SliceMeter` counts what a node
-reports.
+merges; `terms.decide` determines when a node starts a planner's term;
+`SliceMeter` measures the rates that a node reports.
 """
 
 from comfreywharf.placement.loads import (
@@ -15,7 +15,6 @@
     report_interval_s,
 )
 from comfreywharf.placement.meter import SliceMeter
-from comfreywharf.placement.pace import PlacementPace
 from comfreywharf.placement.planning import (
     LoadReported,
     Move,
@@ -33,9 +32,10 @@
     policy_for,
 )
 from comfreywharf.placement.resize import Merge, Split, slice_limit
+from comfreywharf.placement.tuning import PlacementTuning
 
 __all__ = [
-    "PlacementPace",
+    "PlacementTuning",
     "BoundedRebalance",
     "HotKeyRate",
     "LoadReported",
--- a/comfreywharf/placement/loads.py
+++ b/comfreywharf/placement/loads.py
@@ -1,4 +1,4 @@
-"""What the planner knows of load and liveness: the nodes' own reports."""
+"""Load and liveness of the nodes, as the planner derives them from reports."""
 
 import attrs
 
@@ -10,54 +10,56 @@
     "rates_per_report",
     "report_delay_s",
     "report_interval_s",
-    "silence_s",
+    "report_timeout_s",
 ]
 
 MAX_REPORTS_PER_S = 64
-"""What all nodes together send to the planner, however many they are."""
+"""Limit on the reports that all nodes together send to the planner."""
 
 MAX_RATES_PER_S = 100
-"""How many slices' rates all of these reports together may name."""
+"""Limit on the slice rates that all nodes together report each second."""
 
-LEAST_RATES = 2
+MIN_RATES_PER_REPORT = 2
 
 MIN_INTERVAL_S = 1.0
-MIN_SILENCE_S = 3.0
-SILENT_REPORTS = 3
-"""How many reports may be missing before a node counts as lost."""
+MIN_REPORT_TIMEOUT_S = 3.0
+MISSING_REPORTS = 3
+"""Number of report intervals without a report after which a node is lost."""
 
-JUST_LOST_S = 0.001
+MIN_LOST_S = 0.001
 
-HOT_KEY_KEPT_S = 30.0
+HOT_KEY_RETENTION_S = 30.0
 MAX_HOT_KEYS = 256
-"""How many hot keys of a service the planner remembers."""
+"""Limit on the hot keys that the planner keeps for each service."""
 
 
 def report_interval_s(member_count):
     """Return the time between two reports of one node, in seconds.
 
-    It grows with the number of members, so that the planner's share of reports
-    stays bounded: one second up to 64 nodes, 10 s at 640.
+    It grows with the number of members, which bounds the rate of reports that the
+    planner receives: 1 s up to 64 nodes, 10 s at 640.
     """
     return max(MIN_INTERVAL_S, member_count / MAX_REPORTS_PER_S)
 
 
 def rates_per_report(member_count):
-    """Return how many slices' rates one report may name.
+    """Return how many slice rates one report may contain.
 
-    More than enough for all at 7 nodes, 2 at 640, where a planner that was told
-    everything each time would receive more bytes than control may take.
+    The limit exceeds the number of slices at 7 nodes, and is 2 at 640 nodes. If
+    640 nodes reported all rates each time, the planner would receive more bytes
+    than the budget for control traffic allows.
     """
     interval_s = report_interval_s(member_count)
     share = MAX_RATES_PER_S * interval_s / max(1, member_count)
-    return max(LEAST_RATES, round(share))
+    return max(MIN_RATES_PER_REPORT, round(share))
 
 
 def report_delay_s(member_count, planner_changed, rng, least_s=MIN_INTERVAL_S):
-    """Return how long a node waits before its next report, in seconds.
+    """Return the delay before a node's next report, in seconds.
 
-    A new planner needs to hear of everyone soon, but not of all 640 at once:
-    the wait is then drawn from ``rng`` over the whole interval.
+    A new planner needs a report from every node soon, but not from all 640 at
+    once. After a change of planner the delay is therefore drawn from ``rng``,
+    spread over the interval.
     """
     interval_s = max(least_s, member_count / MAX_REPORTS_PER_S)
     if planner_changed:
@@ -65,14 +67,14 @@
     return interval_s
 
 
-def silence_s(member_count):
-    """Return how long a live node may go unheard, in seconds."""
-    return max(MIN_SILENCE_S, SILENT_REPORTS * report_interval_s(member_count))
+def report_timeout_s(member_count):
+    """Return how long a live node may go without a report, in seconds."""
+    return max(MIN_REPORT_TIMEOUT_S, MISSING_REPORTS * report_interval_s(member_count))
 
 
 @attrs.frozen(kw_only=True)
 class SliceRate:
-    """The requests a second that a node counted for one of its slices."""
+    """The request rate that a node measured for one of its slices."""
 
     service: str
     start: int
@@ -81,7 +83,7 @@
 
 @attrs.frozen(kw_only=True)
 class HotKeyRate:
-    """The requests a second that a node estimates for one key."""
+    """The request rate that a node estimates for one key."""
 
     service: str
     key_hash: int
@@ -90,7 +92,7 @@
 
 @attrs.frozen(kw_only=True)
 class NodeReport:
-    """One node's report; it names only the slices whose rate has changed."""
+    """One node's load report; ``slices`` holds only rates that changed."""
 
     node_id: str
     incarnation: int
@@ -103,81 +105,82 @@
 
     @property
     def well(self):
-        """Return whether the node may serve: a lease and a backend server."""
+        """Return whether the node can serve: it holds a lease and its server is up."""
         return self.backend_up and self.lease_held
 
 
 @attrs.frozen(kw_only=True)
-class _Standing:
-    """A node as its last report showed it; times are the planner's own."""
+class _NodeState:
+    """State of a node from its last report; times are of the planner's clock."""
 
     incarnation: int
-    heard_s: float
+    reported_s: float
     well: bool
     backend_up: bool
     changed_s: float
     warm_from_s: float
     busy_fraction: float
     service_ms: float = 0.0
-    lapsed_s: float | None = None
+    taken_over_s: float | None = None
 
 
 @attrs.frozen(kw_only=True)
-class _Seen:
+class _HotKeySample:
     requests_per_s: float
     seen_s: float
 
 
 @attrs.define(kw_only=True)
 class LoadTable:
-    """The latest loads, and who is live. It is rebuilt by each new planner.
+    """Latest loads and liveness of the nodes, rebuilt by each new planner.
 
-    ``started_s`` is when this planner's term began: a node first heard soon
-    after it isn't cold, only new to the planner.
+    ``started_s`` is the start of this planner's term. A node whose first report
+    arrives soon after it is treated as warm: it is probably new only to the
+    planner.
     """
 
     started_s: float
     rates: dict[str, dict[int, float]] = attrs.Factory(dict)
-    _nodes: dict[str, _Standing] = attrs.Factory(dict)
-    _noticed_s: dict[str, float] = attrs.Factory(dict)
-    _hot: dict[str, dict[int, _Seen]] = attrs.Factory(dict)
+    _nodes: dict[str, _NodeState] = attrs.Factory(dict)
+    _first_seen_s: dict[str, float] = attrs.Factory(dict)
+    _hot: dict[str, dict[int, _HotKeySample]] = attrs.Factory(dict)
 
-    def take(self, report, now_s):
-        """Take a report into account; one of an earlier incarnation is dropped."""
+    def record_report(self, report, now_s):
+        """Record a report; drop it if it is from an earlier incarnation."""
         earlier = self._nodes.get(report.node_id)
         if earlier and report.incarnation < earlier.incarnation:
             return
-        self._nodes[report.node_id] = self._standing(earlier, report, now_s)
+        self._nodes[report.node_id] = self._next_state(earlier, report, now_s)
         for entry in report.slices:
             rates = self.rates.setdefault(entry.service, {})
             rates[entry.start] = entry.requests_per_s
         for entry in report.hot_keys:
-            self._take_hot_key(entry, now_s)
+            self._record_hot_key(entry, now_s)
 
-    def lapse(self, node_id, now_s):
-        """Take note that a standby took over from a node.
+    def mark_taken_over(self, node_id, now_s):
+        """Mark a node as lost because a standby took over from it.
 
-        Its silence alone shows only after several reports, half a minute at 640
-        nodes. For that time the lost node would look like the emptiest one, and
-        the planner would move slices to it.
+        Missing reports alone show the loss only after several report intervals,
+        half a minute at 640 nodes. Until then the lost node would appear to be
+        the least loaded one, and the planner would move slices to it.
         """
         node = self._nodes.get(node_id)
-        if node is not None and node.lapsed_s is None:
-            self._nodes[node_id] = attrs.evolve(node, well=False, lapsed_s=now_s)
+        if node is not None and node.taken_over_s is None:
+            self._nodes[node_id] = attrs.evolve(node, well=False, taken_over_s=now_s)
 
-    def _standing(self, earlier, report, now_s):
+    def _next_state(self, earlier, report, now_s):
         restarted = earlier is None or earlier.incarnation != report.incarnation
         changed = restarted or earlier.well != report.well
-        # A lease that lapsed for a moment leaves the backend server warm.
+        # An expired lease doesn't restart the backend server, which stays warm.
         if not restarted and earlier.backend_up >= report.backend_up:
             warm_from_s = earlier.warm_from_s
-        elif earlier is None and now_s - self.started_s < 2 * MIN_SILENCE_S:
+        elif earlier is None and now_s - self.started_s < 2 * MIN_REPORT_TIMEOUT_S:
             warm_from_s = float("-inf")
         else:
             warm_from_s = now_s
-        return _Standing(
+        return _NodeState(
             incarnation=report.incarnation,
-            heard_s=now_s,
+            reported_s=now_s,
             well=report.well,
             backend_up=report.backend_up,
             changed_s=now_s if changed else earlier.changed_s,
@@ -186,85 +189,92 @@
             service_ms=report.service_ms,
         )
 
-    def _take_hot_key(self, entry, now_s):
+    def _record_hot_key(self, entry, now_s):
         seen = self._hot.setdefault(entry.service, {})
-        seen[entry.key_hash] = _Seen(requests_per_s=entry.requests_per_s, seen_s=now_s)
+        seen[entry.key_hash] = _HotKeySample(
+            requests_per_s=entry.requests_per_s, seen_s=now_s
+        )
         if len(seen) > MAX_HOT_KEYS:
             coldest = min(seen, key=lambda value: seen[value].requests_per_s)
             del seen[coldest]
 
-    def notice(self, members, now_s):
-        """Start the wait for members that haven't reported; forget the removed."""
+    def update_members(self, members, now_s):
+        """Track newly added members and forget removed ones.
+
+        A member that never reports counts as lost after a timeout from this call.
+        """
         for node_id in members:
-            self._noticed_s.setdefault(node_id, now_s)
-        if len(self._noticed_s) > len(members):
-            for node_id in set(self._noticed_s) - set(members):
-                del self._noticed_s[node_id]
+            self._first_seen_s.setdefault(node_id, now_s)
+        if len(self._first_seen_s) > len(members):
+            for node_id in set(self._first_seen_s) - set(members):
+                del self._first_seen_s[node_id]
                 self._nodes.pop(node_id, None)
 
-    def is_live(self, member, now_s, silence_s):
-        """Return whether a member may be given slices.
+    def is_live(self, member, now_s, report_timeout_s):
+        """Return whether slices may be assigned to a member.
 
-        A report from before the member's newest announcement says nothing of
-        the process that runs now.
+        A report from before the member's latest announcement is ignored: it came
+        from an earlier incarnation.
         """
         node = self._nodes.get(member.node_id)
         return (
             node is not None
             and node.well
             and node.incarnation >= member.incarnation
-            and now_s - node.heard_s <= silence_s
+            and now_s - node.reported_s <= report_timeout_s
         )
 
-    def lost_for_s(self, member, now_s, silence_s):
+    def lost_for_s(self, member, now_s, report_timeout_s):
         """Return how long a member has been lost, in seconds; 0 if it isn't.
 
-        A member that was never heard is given the same time from when the
-        planner first saw it, since a new planner hears of nobody at first.
+        For a member that never reported, the timeout runs from when the planner
+        first saw it, since a new planner has no reports at first.
         """
         node = self._nodes.get(member.node_id)
         if node is None:
-            noticed_s = self._noticed_s.get(member.node_id, now_s)
-            return max(0.0, now_s - noticed_s - silence_s)
-        if node.lapsed_s is not None:
-            return max(JUST_LOST_S, now_s - node.lapsed_s)
-        unheard_s = now_s - node.heard_s - silence_s
-        unwell_s = 0.0 if node.well else now_s - node.changed_s - silence_s
-        return max(0.0, unheard_s, unwell_s)
+            first_seen_s = self._first_seen_s.get(member.node_id, now_s)
+            return max(0.0, now_s - first_seen_s - report_timeout_s)
+        if node.taken_over_s is not None:
+            return max(MIN_LOST_S, now_s - node.taken_over_s)
+        overdue_s = now_s - node.reported_s - report_timeout_s
+        unable_s = 0.0 if node.well else now_s - node.changed_s - report_timeout_s
+        return max(0.0, overdue_s, unable_s)
 
     def warm_for_s(self, node_id, now_s):
-        """Return for how long a node's backend server has been serving."""
+        """Return how long a node's backend server has been up, in seconds."""
         node = self._nodes.get(node_id)
         return now_s - node.warm_from_s if node else 0.0
 
     def busy_fraction(self, node_id):
-        """Return the share of a node's slots that its last report showed in use."""
+        """Return the fraction of a node's slots in use, from its last report."""
         node = self._nodes.get(node_id)
         return node.busy_fraction if node else 0.0
 
     def service_ms(self, node_id):
-        """Return a request's mean time at a node's server; 0 if unknown."""
+        """Return the mean service time at a node, in milliseconds; 0 if unknown."""
         node = self._nodes.get(node_id)
         return node.service_ms if node else 0.0
 
     def hot_keys(self, service, now_s):
-        """Return ``{key_hash: requests_per_s}`` of keys that were hot lately."""
+        """Return ``{key_hash: requests_per_s}`` of the recently reported hot keys."""
         seen = self._hot.get(service, {})
-        for value in [v for v, s in seen.items() if now_s - s.seen_s > HOT_KEY_KEPT_S]:
+        for value in [
+            v for v, s in seen.items() if now_s - s.seen_s > HOT_KEY_RETENTION_S
+        ]:
             del seen[value]
         return {value: entry.requests_per_s for value, entry in seen.items()}
 
-    def divided(self, service, start, at, right_per_s):
-        """Share out a slice's rate between the two parts that a split made.
+    def record_split(self, service, start, at, right_per_s):
+        """Divide a slice's rate between the two parts of a split.
 
-        Without it both parts would count as unmeasured until their owner's next
-        report, and the planner would move their neighbours for nothing.
+        Otherwise both parts would count as unmeasured until their owner's next
+        report, and the planner would move other slices unnecessarily.
         """
         rates = self.rates.setdefault(service, {})
         rates[start] = max(0.0, rates.get(start, 0.0) - right_per_s)
         rates[at] = right_per_s
 
-    def joined(self, service, start, next_start):
+    def record_merge(self, service, start, next_start):
         """Add the rates of two slices that were merged."""
         rates = self.rates.setdefault(service, {})
         rates[start] = rates.get(start, 0.0) + rates.pop(next_start, 0.0)
--- a/comfreywharf/placement/planning.py
+++ b/comfreywharf/placement/planning.py
@@ -1,18 +1,18 @@
-"""The planner's decisions as a whole: reports in, rounds, actions out."""
+"""The planner's decisions: turn load reports and the folded state into actions."""
 
 import attrs
 
-from comfreywharf.placement.homes import find_homes
-from comfreywharf.placement.loads import LoadTable, NodeReport, silence_s
-from comfreywharf.placement.pace import PlacementPace
+from comfreywharf.placement.loads import LoadTable, NodeReport, report_timeout_s
+from comfreywharf.placement.mandatory import plan_mandatory_moves
 from comfreywharf.placement.rebalance import (
     RebalancePolicy,
-    brisk_policy,
+    cheap_move_policy,
     policy_for,
 )
 from comfreywharf.placement.resize import Merge, Split, plan_resizes
 from comfreywharf.placement.standbys import choose_standbys
-from comfreywharf.placement.view import look
+from comfreywharf.placement.tuning import PlacementTuning
+from comfreywharf.placement.view import build_view
 from comfreywharf.records import (
     ClusterState,
     ServiceConfig,
@@ -35,19 +35,21 @@
 ]
 
 MAX_MOVES_PER_RECORD = 400
-"""A record of this many moves stays well below the log's 256 KiB."""
+"""Keeps a record of moves well below the log's limit of 256 KiB."""
 
 MIN_ROUND_S = 0.5
 REMOVE_AFTER_S = 6.0
-"""Longer than a restart takes, and than most partitions last."""
+"""Time after which a lost member may be removed; longer than a restart takes and
+than most network partitions last."""
 
 SLICES_PER_S = 2000
-"""How many slices a planner looks at in a second, however many there are."""
+"""Limit on the slices that a planner examines per second, which sets the interval
+between rounds."""
 
 
 @attrs.frozen(kw_only=True)
 class LoadReported:
-    """A node's report arrived."""
+    """A node's load report was received."""
 
     report: NodeReport
 
@@ -61,7 +63,7 @@
 
 @attrs.frozen(kw_only=True)
 class RoundDue:
-    """It is time to plan against the folded state."""
+    """A planning round is due on the given folded state."""
 
     cluster: ClusterState
 
@@ -75,7 +77,7 @@
 
 @attrs.frozen(kw_only=True)
 class Switches:
-    """Parts of the planner that a replay may turn off to show what they do."""
+    """Parts of the planner that a replay can disable to measure their effect."""
 
     resize: bool = True
     spread_standbys: bool = True
@@ -85,27 +87,27 @@
 
 @attrs.define(kw_only=True)
 class PlanningState:
-    """What a planner remembers during its term; nothing of it must last.
+    """State of a planner during its term; none of it needs to be stored.
 
     ``make_policy`` returns the `RebalancePolicy` for a `ServiceConfig`.
     """
 
     table: LoadTable
-    pace: PlacementPace = attrs.Factory(PlacementPace)
+    tuning: PlacementTuning = attrs.Factory(PlacementTuning)
     make_policy: object = policy_for
     switches: Switches = attrs.Factory(Switches)
     policies: dict[str, tuple[ServiceConfig, RebalancePolicy]] = attrs.Factory(dict)
 
     @classmethod
     def begin(cls, now_s, **fields):
-        """Return the state of a planner whose term begins."""
-        pace = fields.get("pace")
-        if pace is not None and pace.brisk:
-            fields.setdefault("make_policy", brisk_policy)
+        """Return the state of a planner whose term starts at ``now_s``."""
+        tuning = fields.get("tuning")
+        if tuning is not None and tuning.cheap_moves:
+            fields.setdefault("make_policy", cheap_move_policy)
         return cls(table=LoadTable(started_s=now_s), **fields)
 
     def policy(self, service):
-        """Return the policy of a service; a changed declaration gets a new one."""
+        """Return the policy of a service; create one if its declaration changed."""
         known = self.policies.get(service.name)
         if known is None or known[0] != service:
             known = (service, self.make_policy(service))
@@ -122,18 +124,18 @@
     """Return ``(state, actions)`` for an event at ``now_s``, in seconds.
 
     The state is changed in place. Actions are `Move`, `Split` and `Merge`;
-    each names the epochs it builds on, so that one that comes too late is
-    refused by the fold.
+    each names the slice epochs it is based on, so that the fold refuses an
+    outdated one.
     """
     if isinstance(event, LoadReported):
-        state.table.take(event.report, now_s)
+        state.table.record_report(event.report, now_s)
         return state, []
     if isinstance(event, TakeoverFolded):
         if state.switches.notice_takeovers:
-            state.table.lapse(event.owner_id, now_s)
+            state.table.mark_taken_over(event.owner_id, now_s)
         return state, []
     cluster = event.cluster
-    state.table.notice(cluster.members, now_s)
+    state.table.update_members(cluster.members, now_s)
     moves = []
     resizes = []
     for name, service in cluster.config.services.items():
@@ -148,22 +150,22 @@
     pieces = cluster.slices[service.name].slices
     state.table.prune(service.name, [piece.start for piece in pieces])
     warm_up = state.switches.warm_up
-    view = look(cluster, state.table, service.name, now_s, warm_up, state.pace)
-    if _gathers(state, pieces, now_s):
+    view = build_view(cluster, state.table, service.name, now_s, warm_up, state.tuning)
+    if _awaits_first_nodes(state, pieces, now_s):
         return view
-    find_homes(view)
+    plan_mandatory_moves(view)
     state.policy(service).plan(view, now_s)
     choose_standbys(view, spread=state.switches.spread_standbys)
     return view
 
 
-def _gathers(state, pieces, now_s):
+def _awaits_first_nodes(state, pieces, now_s):
     """Return whether the first assignment still waits for nodes to come up.
 
-    Given to those that came first, nearly all slices would move again within
-    seconds, each with a record that every node reads.
+    If all slices were assigned to the first few nodes, nearly all would move
+    again within seconds, each with a record that every node reads.
     """
-    if now_s - state.table.started_s >= state.pace.gather_s:
+    if now_s - state.table.started_s >= state.tuning.gather_s:
         return False
     return not any(piece.owner for piece in pieces)
 
@@ -174,11 +176,11 @@
     actions = plan_resizes(view)
     for action in actions:
         if isinstance(action, Split):
-            state.table.divided(
+            state.table.record_split(
                 action.service, action.start, action.at, action.right_per_s
             )
         else:
-            state.table.joined(action.service, action.start, action.next_start)
+            state.table.record_merge(action.service, action.start, action.next_start)
     return actions
 
 
@@ -189,12 +191,13 @@
     ]
 
 
-def long_lost(state, cluster, now_s):
+def removable_member(state, cluster, now_s):
     """Return a member that may be removed, or ``None``.
 
-    It was lost for `REMOVE_AFTER_S`, and no slice waits for it in any way.
+    It has been lost for more than `REMOVE_AFTER_S`, owns no slice, and no slice
+    awaits its release.
     """
-    silence = silence_s(len(cluster.members))
+    report_timeout = report_timeout_s(len(cluster.members))
     needed = {
         node_id
         for pieces in cluster.slices.values()
@@ -204,13 +207,13 @@
     for member in cluster.members.values():
         if member.node_id in needed:
             continue
-        if state.table.lost_for_s(member, now_s, silence) > REMOVE_AFTER_S:
+        if state.table.lost_for_s(member, now_s, report_timeout) > REMOVE_AFTER_S:
             return member
     return None
 
 
 def to_record(action, record_id, term):
-    """Return the log's record for an action."""
+    """Return the log record for an action."""
     if isinstance(action, Move):
         return SlicesMoved(record_id=record_id, term=term, moves=action.moves)
     if isinstance(action, Merge):
--- a/comfreywharf/placement/resize.py
+++ b/comfreywharf/placement/resize.py
@@ -1,4 +1,4 @@
-"""Splitting, pinning and merging slices; none of it moves a key by itself."""
+"""Split, pin and merge slices; no key changes owner by a resize itself."""
 
 import attrs
 
@@ -6,31 +6,32 @@
 
 MAX_RESIZES_PER_ROUND = 8
 PIN_SHARE = 0.2
-"""A key is pinned when its rate is this share of a server's fair load."""
+"""Share of a server's fair load from which on a key is pinned to its own slice."""
 
-REST_SHARE = 0.15
-"""A key isn't pinned if the rest of its slice weighs less than this share."""
+MIN_REST_SHARE = 0.15
+"""Share of a server's fair load that the rest of a slice must exceed for a key of it
+to be pinned."""
 
 SPLIT_SHARE = 0.35
-"""A slice is split when its weight is this share of a server's fair load."""
+"""Share of a server's fair load above which a slice is split."""
 
-KNOWN_SHARE = 0.1
-"""How much of a slice's weight its hottest keys must have to show its middle."""
+MIN_HOT_SHARE = 0.1
+"""Share of a slice's weight that its hot keys must have to locate its middle."""
 
 MERGE_SHARE = 0.02
-"""Two slices are merged when both together weigh at most this share."""
+"""Share of a server's fair load up to which two slices together are merged."""
 
-LEAST_SLOTS = 0.25
-"""How much of a slot a slice must need before it is divided. Of a server that is
-hardly used, any slice can be a third of the load: a few requests a second then
-divided the slices until none were left to divide, and moved the parts about."""
+MIN_SLOTS_TO_SPLIT = 0.25
+"""Slots that a slice's load must need before the slice is split. On a nearly idle
+server any slice can be a third of the load; without this bound a few requests per
+second split slices until none could be split, and the parts were moved around."""
 
 SLICES_PER_MEMBER = 24
 
 
 @attrs.frozen(kw_only=True)
 class Split:
-    """Divide a slice; ``right_per_s`` is the rate expected of the right part."""
+    """Split a slice at ``at``; ``right_per_s`` is the right part's expected rate."""
 
     service: str
     start: int
@@ -41,7 +42,7 @@
 
 @attrs.frozen(kw_only=True)
 class Merge:
-    """Join a slice with the one behind it."""
+    """Merge a slice with the next one."""
 
     service: str
     start: int
@@ -58,38 +59,38 @@
 def plan_resizes(view):
     """Return the `Split` and `Merge` actions of a round, the urgent ones first.
 
-    Slices that have a planned move, or whose release is awaited, are left
-    alone: the fold would refuse one of the two changes.
+    Slices with a planned move or an awaited release are skipped, since the fold
+    would refuse one of the two changes.
     """
     if not view.targets or view.total <= 0:
         return []
-    fair = view.total / len(view.targets)
-    room = slice_limit(view.config, len(view.members)) - len(view.pieces)
-    splits = _splits(view, fair)[: max(0, min(room, MAX_RESIZES_PER_ROUND))]
-    touched = {split.start for split in splits}
-    left = MAX_RESIZES_PER_ROUND - len(splits)
-    return splits + _merges(view, fair, touched)[:left]
+    fair_load = view.total / len(view.targets)
+    max_splits = slice_limit(view.config, len(view.members)) - len(view.pieces)
+    splits = _splits(view, fair_load)[: max(0, min(max_splits, MAX_RESIZES_PER_ROUND))]
+    split_starts = {split.start for split in splits}
+    merges_left = MAX_RESIZES_PER_ROUND - len(splits)
+    return splits + _merges(view, fair_load, split_starts)[:merges_left]
 
 
-def _splits(view, fair):
+def _splits(view, fair_load):
     hot = sorted(
-        value for value, rate in view.hot_keys.items() if rate >= PIN_SHARE * fair
+        value for value, rate in view.hot_keys.items() if rate >= PIN_SHARE * fair_load
     )
     splits = []
     for piece in view.pieces:
-        if piece.end - piece.start == 1 or not _at_rest(view, piece):
+        if piece.end - piece.start == 1 or not _is_stable(view, piece):
             continue
         weight = view.weights[piece.start]
-        if view.slots_needed(piece) < LEAST_SLOTS:
+        if view.slots_needed(piece) < MIN_SLOTS_TO_SPLIT:
             continue
         while hot and hot[0] < piece.start:
             hot.pop(0)
         if hot and hot[0] < piece.end:
-            # A slice that holds little besides its hot key moves as well as the
-            # key alone would.
-            if weight - view.hot_keys[hot[0]] > REST_SHARE * fair:
+            # A slice with little load besides its hot key can be moved as a
+            # whole; pinning the key would gain nothing.
+            if weight - view.hot_keys[hot[0]] > MIN_REST_SHARE * fair_load:
                 splits.append((weight, _pin(view, piece, hot[0])))
-        elif weight > SPLIT_SHARE * fair:
+        elif weight > SPLIT_SHARE * fair_load:
             middle = _middle(view, piece)
             splits.append((weight, _split(view, piece, middle, weight / 2)))
     splits.sort(key=lambda entry: (-entry[0], entry[1].start))
@@ -97,36 +98,36 @@
 
 
 def _middle(view, piece):
-    """Return where to divide a slice so that its load is divided.
+    """Return the key hash at which to split a slice so that its load is halved.
 
-    Busy keys lie close together. Divided in the middle of its range, a slice of
-    2,000 keys takes five rounds until the busy 60 are apart, and their server
-    refuses callers for as long. The hottest keys show where the load lies.
+    Busy keys are adjacent. If a slice of 2,000 keys is split in the middle of its
+    range, it takes five rounds to separate its 60 busy keys, and their server
+    refuses requests until then. The hot keys show where the load lies.
     """
-    inside = sorted(
+    hot_inside = sorted(
         (value, rate)
         for value, rate in view.hot_keys.items()
         if piece.start < value < piece.end
     )
-    hot = sum(rate for _, rate in inside)
-    if hot < KNOWN_SHARE * view.weights[piece.start]:
+    hot = sum(rate for _, rate in hot_inside)
+    if hot < MIN_HOT_SHARE * view.weights[piece.start]:
         return (piece.start + piece.end) // 2
-    passed = 0.0
-    for value, rate in inside:
-        passed += rate
-        if passed >= hot / 2:
+    cumulative = 0.0
+    for value, rate in hot_inside:
+        cumulative += rate
+        if cumulative >= hot / 2:
             return value
     return (piece.start + piece.end) // 2
 
 
 def _pin(view, piece, value):
-    """Return the next of the two splits that leave a key a slice of its own."""
+    """Return the next of the two splits that isolate a key in its own slice."""
     rate = view.hot_keys[value]
     weight = view.weights[piece.start]
     if value > piece.start:
         rest = max(0.0, weight - rate)
-        behind = (piece.end - value) / (piece.end - piece.start)
-        return _split(view, piece, value, rate + rest * behind)
+        right_fraction = (piece.end - value) / (piece.end - piece.start)
+        return _split(view, piece, value, rate + rest * right_fraction)
     return _split(view, piece, value + 1, max(0.0, weight - rate))
 
 
@@ -140,13 +141,13 @@
     )
 
 
-def _merges(view, fair, touched):
+def _merges(view, fair_load, split_starts):
     surplus = len(view.pieces) - view.config.slices
     merges = []
     index = 0
     while index + 1 < len(view.pieces) and len(merges) < surplus:
         left, right = view.pieces[index : index + 2]
-        if _mergeable(view, left, right, fair, touched):
+        if _mergeable(view, left, right, fair_load, split_starts):
             merges.append(
                 Merge(
                     service=view.config.name,
@@ -161,20 +162,20 @@
     return merges
 
 
-def _mergeable(view, left, right, fair, touched):
-    if left.start in touched or right.start in touched:
+def _mergeable(view, left, right, fair_load, split_starts):
+    if left.start in split_starts or right.start in split_starts:
         return False
     if (left.owner, left.standby) != (right.owner, right.standby):
         return False
-    if not (_at_rest(view, left) and _at_rest(view, right)):
+    if not (_is_stable(view, left) and _is_stable(view, right)):
         return False
     weight = view.weights[left.start] + view.weights[right.start]
-    if weight > MERGE_SHARE * fair:
+    if weight > MERGE_SHARE * fair_load:
         return False
     return not any(left.start <= value < right.end for value in view.hot_keys)
 
 
-def _at_rest(view, piece):
+def _is_stable(view, piece):
     if piece.previous or not piece.owner:
         return False
     return piece.start not in view.owners and piece.start not in view.standbys
--- a/comfreywharf/placement/standbys.py
+++ b/comfreywharf/placement/standbys.py
@@ -1,4 +1,4 @@
-"""Which node stands by for a slice: another failure domain, spread widely."""
+"""Choose the standby of each slice: in another failure domain, spread over nodes."""
 
 from collections import Counter, defaultdict
 from functools import partial
@@ -9,81 +9,84 @@
 
 
 @attrs.define
-class _Carried:
-    """The load that each node stands by for, in all, and by where it comes from."""
+class _StandbyLoads:
+    """Load that each node would take over as standby, in total and by owner."""
 
-    of_all: Counter = attrs.Factory(Counter)
-    of_owner: Counter = attrs.Factory(Counter)
+    total: Counter = attrs.Factory(Counter)
+    by_owner: Counter = attrs.Factory(Counter)
 
     def add(self, owner, standby, weight):
-        """Count a slice's weight."""
-        self.of_all[standby] += weight
-        self.of_owner[owner, standby] += weight
+        """Add a slice's weight."""
+        self.total[standby] += weight
+        self.by_owner[owner, standby] += weight
 
-    def burden(self, owner, standby, members):
-        """Return a key that is lowest for the standby that should carry more.
+    def sort_key(self, owner, standby, members):
+        """Return a sort key; the candidate with the lowest key is preferred.
 
-        What it would take over if this owner is lost comes first.
+        The load that it would take over from this owner counts before the total
+        for each of its slots.
         """
         slots = max(1, members[standby].slots)
         return (
-            self.of_owner[owner, standby],
-            self.of_all[standby] / slots,
+            self.by_owner[owner, standby],
+            self.total[standby] / slots,
             standby,
         )
 
 
 def choose_standbys(view, spread=True):
-    """Plan a standby for each slice whose standby couldn't take over well.
+    """Plan a standby for each slice that lacks a suitable one.
 
-    A standby is in another failure domain than the owner wherever a member of
-    another one is fit, in the same region if possible. The standbys of one
-    owner are spread over many nodes: were they a single node, the loss of the
-    owner would double that node's load at once. ``spread`` is off only in
-    replays that show this.
+    A standby is in another failure domain than the owner if an eligible member
+    exists there, and in the same region if possible. The standbys of one owner
+    are spread over many nodes: with a single one, the loss of the owner would
+    double that node's load at once. ``spread`` is false only in replays that
+    show this effect.
     """
-    fit = {
+    eligible = {
         node_id
         for node_id, member in view.members.items()
         if not member.draining and view.lost_s.get(node_id, 0.0) == 0.0
     }
-    domains = {view.members[node_id].failure_domain for node_id in fit}
-    needy = _needy(view, fit, domains)
-    carried = _survey(view, needy) if needy else None
-    for owner in sorted(needy):
-        candidates = _candidates(view, owner, fit)
+    domains = {view.members[node_id].failure_domain for node_id in eligible}
+    to_assign = _slices_to_assign(view, eligible, domains)
+    standby_loads = _kept_standby_loads(view, to_assign) if to_assign else None
+    for owner in sorted(to_assign):
+        candidates = _candidates(view, owner, eligible)
         if spread:
-            candidates.sort(key=partial(carried.burden, owner, members=view.members))
+            candidates.sort(
+                key=partial(standby_loads.sort_key, owner, members=view.members)
+            )
         else:
             candidates = sorted(candidates)[:1]
-        _deal_out(view, owner, needy[owner], candidates, carried)
+        _assign_round_robin(view, owner, to_assign[owner], candidates, standby_loads)
 
 
-def _needy(view, fit, domains):
-    """Return, by owner, the slices that need another standby."""
-    needy = defaultdict(list)
+def _slices_to_assign(view, eligible, domains):
+    """Return the slices that need another standby, by owner."""
+    to_assign = defaultdict(list)
     for piece in view.pieces:
         owner = view.owner(piece)
-        if owner in view.members and not _serves_well(
-            view, owner, view.standby(piece), fit, domains
+        if owner in view.members and not _is_suitable(
+            view, owner, view.standby(piece), eligible, domains
         ):
-            needy[owner].append(piece)
-    return needy
+            to_assign[owner].append(piece)
+    return to_assign
 
 
-def _survey(view, needy):
-    """Return what standbys carry for the slices that keep theirs."""
-    changing = {piece.start for pieces in needy.values() for piece in pieces}
-    carried = _Carried()
+def _kept_standby_loads(view, to_assign):
+    """Return the standby load of the slices that keep their standby."""
+    changing = {piece.start for pieces in to_assign.values() for piece in pieces}
+    standby_loads = _StandbyLoads()
     for piece in view.pieces:
         owner = view.owner(piece)
         if owner in view.members and piece.start not in changing:
-            carried.add(owner, view.standby(piece), view.weights[piece.start])
-    return carried
+            standby_loads.add(owner, view.standby(piece), view.weights[piece.start])
+    return standby_loads
 
 
-def _serves_well(view, owner, standby, fit, domains):
-    if standby == owner or standby not in fit:
+def _is_suitable(view, owner, standby, eligible, domains):
+    if standby == owner or standby not in eligible:
         return False
     domain = view.members[owner].failure_domain
     if view.members[standby].failure_domain != domain:
@@ -91,22 +94,26 @@
     return domains <= {domain}
 
 
-def _deal_out(view, owner, pieces, candidates, carried):
-    """Give slices to candidates in turn, the heaviest slice first."""
+def _assign_round_robin(view, owner, pieces, candidates, standby_loads):
+    """Assign slices to candidates round-robin, the heaviest slice first."""
     pieces.sort(key=lambda piece: (-view.weights[piece.start], piece.start))
     for number, piece in enumerate(pieces):
         standby = candidates[number % len(candidates)] if candidates else ""
         view.set_standby(piece, standby)
-        carried.add(owner, standby, view.weights[piece.start])
+        standby_loads.add(owner, standby, view.weights[piece.start])
 
 
-def _candidates(view, owner, fit):
-    """Return the fit nodes of the best class that has any."""
-    home = view.members[owner]
+def _candidates(view, owner, eligible):
+    """Return the eligible nodes of the most preferred class that has any.
+
+    Another failure domain than the owner's comes before the same one, then the
+    same region before another one.
+    """
+    owner_member = view.members[owner]
     classes = defaultdict(list)
-    for node_id in fit:
+    for node_id in eligible:
         if node_id != owner:
             member = view.members[node_id]
-            same_domain = member.failure_domain == home.failure_domain
-            classes[same_domain, member.region != home.region].append(node_id)
+            same_domain = member.failure_domain == owner_member.failure_domain
+            classes[same_domain, member.region != owner_member.region].append(node_id)
     return classes[min(classes)] if classes else []
--- a/comfreywharf/placement/tests/test_planning.py
+++ b/comfreywharf/placement/tests/test_planning.py
@@ -1,4 +1,4 @@
-"""What a planner may and may not do, whatever happens around it."""
+"""Tests of the planner's rules under any order of events."""
 
 import pytest
 from hypothesis import settings, strategies as st
@@ -9,22 +9,22 @@
     rule,
 )
 
-from comfreywharf.placement import Move, PlacementPace, slice_limit
-from comfreywharf.placement.loads import silence_s
+from comfreywharf.placement import Move, PlacementTuning, slice_limit
+from comfreywharf.placement.loads import report_timeout_s
 from comfreywharf.placement.tests.builders import DOMAINS, SERVICE, PlannedCluster
 
-SILENCE_S = silence_s(8)
+REPORT_TIMEOUT_S = report_timeout_s(8)
 NODES = st.integers(0, 7)
 
 
 class PlannerMachine(RuleBasedStateMachine):
-    """Nodes come, drain, are lost and return, under changing load, while it plans.
+    """Nodes join, drain, are lost and return, under changing load, while it plans.
 
-    After each round: no slice goes to a node that drains, was taken over or has
-    been silent for long, none is moved while a release is awaited, each action
-    counts in the fold, and standbys lie in another failure domain wherever there
-    is a node in one. A node that owned nothing when it was lost can be noticed
-    only by its silence.
+    After each round: no slice moves to a node that is draining, was taken over or
+    hasn't reported for longer than the timeout; no slice moves while its release
+    is awaited; the fold accepts each action; and standbys are in another failure
+    domain if a node exists there. The loss of a node that owned nothing can be
+    detected only by its missing reports.
     """
 
     def __init__(self):
@@ -80,7 +80,7 @@
         moves = [m for a in actions if isinstance(a, Move) for m in a.moves]
         for move in moves:
             self.check_move(before[move.start], move)
-        # A plan whose record never reaches the log must not confuse the next.
+        # A plan whose records don't reach the log must not affect the next one.
         if not lost:
             assert all(self.cluster.apply(actions))
 
@@ -91,26 +91,26 @@
             assert not members[move.owner].draining
             if move.owner not in self.cluster.live:
                 silent_s = self.cluster.now_s - self.lost_s[move.owner]
-                assert silent_s <= SILENCE_S
+                assert silent_s <= REPORT_TIMEOUT_S
             assert move.owner not in self.gone
         if move.standby:
             domain = members[move.owner].failure_domain
-            fit = {
+            eligible = {
                 node_id
                 for node_id in self.cluster.live
                 if not members[node_id].draining
             }
-            if any(members[n].failure_domain != domain for n in fit):
+            if any(members[n].failure_domain != domain for n in eligible):
                 assert members[move.standby].failure_domain != domain
             assert move.standby != move.owner
 
     @precondition(lambda self: self.cluster.live)
     @rule()
     def settle(self):
-        """Whatever came before, a quiet minute leaves nothing undone."""
+        """After a minute without events each slice has a live owner and standby."""
         for node_id in self.cluster.live:
             self.cluster.drain(node_id, draining=False)
-        self.cluster.settle(30, self.rates, step_s=2.0)
+        self.cluster.run_rounds(30, self.rates, step_s=2.0)
         for piece in self.cluster.pieces:
             assert piece.owner in self.cluster.live
             assert piece.standby in self.cluster.live or len(self.cluster.live) == 1
@@ -133,15 +133,15 @@
 
 
 def test_nothing_moves_to_a_node_that_was_taken_over():
-    """A lost node isn't taken for an idle one while its silence is short.
+    """A lost node isn't a target before its reports time out.
 
-    Symptom: after a loss, keys that were served go dead one after another, and
-    standbys take over again and again. Sequence: an owner is lost, its standbys
-    take its slices, and it now owns nothing. Cause: until it has been silent for
-    long enough the planner holds it for live, and for the least loaded of all.
+    Guards against moves of slices to a node whose standbys have taken over. The
+    node then owns nothing, and until its reports time out it would count as live
+    and least loaded: served keys would become unavailable one after another, each
+    until the next takeover.
     """
     cluster = PlannedCluster(nodes=6, slices=24)
-    cluster.settle(8, dict.fromkeys([p.start for p in cluster.pieces], 50.0))
+    cluster.run_rounds(8, dict.fromkeys([p.start for p in cluster.pieces], 50.0))
     cluster.lose("node-0")
     cluster.now_s += 0.1
     for _ in range(20):
@@ -150,18 +150,18 @@
         assert "node-0" not in owners(cluster)
 
 
-def test_a_plan_that_is_late_changes_nothing():
-    """A planner of an earlier term, or a plan on old epochs, is refused.
+def test_an_outdated_plan_is_refused():
+    """The fold refuses a plan of an earlier term or on outdated epochs.
 
-    Symptom: a slice goes back to a server that gave it up. Sequence: a planner
-    pauses between planning and appending; another plans meanwhile. Cause: the
-    late record names no term or epoch that it builds on.
+    Guards against a slice that returns to a server that released it: a planner
+    pauses between planning and appending, while another one plans. Its late
+    records are refused because of the term and epochs that they are based on.
     """
     cluster = PlannedCluster(nodes=4, slices=8)
     cluster.now_s = 1.0
     cluster.report()
     late = cluster.plan()
-    cluster.settle(3)
+    cluster.run_rounds(3)
     before = list(cluster.pieces)
     assert late
     assert not any(cluster.apply(late))
@@ -169,9 +169,9 @@
 
 
 def test_standbys_of_one_owner_are_spread():
-    """No node stands by for more of an owner than an even share, rounded up."""
+    """No node is standby for more of an owner's slices than an even share."""
     cluster = PlannedCluster(nodes=9, slices=54)
-    cluster.settle(5)
+    cluster.run_rounds(5)
     for owner in owners(cluster):
         standbys = [p.standby for p in cluster.pieces if p.owner == owner]
         candidates = 6
@@ -181,14 +181,14 @@
 
 @pytest.mark.parametrize("churn_weight", [0.3, 3.0])
 def test_small_differences_move_nothing(churn_weight):
-    """Load that varies by a few percent, as counting does, costs no churn."""
+    """Load that varies by a few percent, as counts do, causes no moves."""
     cluster = PlannedCluster(nodes=7, slices=70, churn_weight=churn_weight)
     starts = [p.start for p in cluster.pieces]
-    cluster.settle(10, dict.fromkeys(starts, 100.0))
+    cluster.run_rounds(10, dict.fromkeys(starts, 100.0))
     before = {p.start: p.owner for p in cluster.pieces}
     for step in range(60):
         rates = {s: 100.0 + (step * 7 + i * 3) % 11 for i, s in enumerate(starts)}
-        cluster.settle(1, rates)
+        cluster.run_rounds(1, rates)
     assert {p.start: p.owner for p in cluster.pieces} == before
 
 
@@ -209,14 +209,14 @@
 
 
 def test_a_drain_doesnt_move_a_slice_whose_release_is_awaited():
-    """A second move waits for the first one's release.
+    """A second move waits for the release of the first one.
 
-    Symptom: two nodes serve a key. Sequence: a slice moves from a slow node, and
-    its new owner drains before the release came. Cause: a third owner is named,
-    which waits for the second node's release only.
+    Guards against two nodes that serve one key: a slice moves away from a slow
+    node, and its new owner is drained before the release. A third owner would wait
+    for the release of the second node only.
     """
     cluster = PlannedCluster(nodes=4, slices=16)
-    cluster.settle(3)
+    cluster.run_rounds(3)
     cluster.drain("node-0")
     cluster.apply(cluster.plan())
     cluster.drain("node-1")
@@ -224,29 +224,29 @@
 
 
 def test_balance_doesnt_move_a_slice_whose_release_is_awaited():
-    """The same when the new owner is overloaded before the release came."""
+    """The same if the new owner becomes overloaded before the release."""
     cluster = PlannedCluster(nodes=4, slices=40)
     rates = dict.fromkeys([p.start for p in cluster.pieces], 100.0)
-    cluster.settle(8, rates)
+    cluster.run_rounds(8, rates)
     rates.update({p.start: 300.0 for p in cluster.pieces if p.owner == "node-0"})
     while not awaited(cluster):
         cluster.now_s += 2.0
         cluster.report(rates)
         cluster.apply(cluster.plan())
-    gainer = next(p.owner for p in cluster.pieces if p.previous)
-    rates = {p.start: 500.0 if p.owner == gainer else 50.0 for p in cluster.pieces}
+    new_owner = next(p.owner for p in cluster.pieces if p.previous)
+    rates = {p.start: 500.0 if p.owner == new_owner else 50.0 for p in cluster.pieces}
     assert_awaited_stay(cluster, rates)
 
 
 def test_a_standby_goes_to_another_domain_once_there_is_one():
-    """Where only one domain was up, standbys leave it when another comes up."""
+    """Standbys leave the only failure domain as soon as another one is up."""
     cluster = PlannedCluster(slices=8)
     for node_id in ("node-0", "node-3"):
         cluster.start(node_id, "teika")
-    cluster.settle(3)
+    cluster.run_rounds(3)
     assert {p.standby for p in cluster.pieces} == {"node-0", "node-3"}
     cluster.start("node-1", "agenskalns")
-    cluster.settle(3)
+    cluster.run_rounds(3)
     for piece in cluster.pieces:
         domains = {
             cluster.state.members[n].failure_domain
@@ -255,50 +255,54 @@
         assert len(domains) == 2
 
 
-def test_a_key_that_is_always_hot_cannot_raise_the_number_of_slices_for_ever():
-    """Splitting in search of an unknown hot key stops at the service's limit."""
+def test_an_always_hot_key_does_not_split_slices_beyond_the_limit():
+    """Splits that try to isolate an unknown hot key stop at the service's limit."""
     cluster = PlannedCluster(nodes=1, slices=16)
     for _ in range(80):
         rates = {p.start: 20.0 for p in cluster.pieces}
         rates[0] = 40.0 * len(rates)
-        cluster.settle(1, rates)
+        cluster.run_rounds(1, rates)
     state = cluster.state
     limit = slice_limit(state.config.services[SERVICE], len(state.members))
     assert 16 < len(cluster.pieces) <= limit
 
 
-def moves_for_balance(cluster, per_slice_s, heavier, rounds):
+def is_rebalanced(cluster, per_slice_s, heavier, rounds):
     """Return whether slices move when one server has ``heavier`` times the load."""
     cluster.service_ms = 130.0
-    cluster.settle()
+    cluster.run_rounds()
     before = {piece.start: piece.owner for piece in cluster.pieces}
     heavy = before[0]
     rates = {
         start: per_slice_s * (heavier if owner == heavy else 1.0)
         for start, owner in before.items()
     }
-    cluster.settle(rounds=rounds, rates=rates)
+    cluster.run_rounds(rounds=rounds, rates=rates)
     after = {p.start: p.owner for p in cluster.pieces if p.start in before}
     return any(after[start] != before[start] for start in after)
 
 
 @pytest.mark.parametrize(("per_slice_s", "moves"), [(0.6, False), (3.0, True)])
-def test_a_brisk_planner_leaves_differences_alone_that_no_request_feels(
-    per_slice_s, moves
-):
-    """Symptom: all keys move four times within a calm minute.
-    Sequence: one server has twice the load of the others, and slots to spare.
-    Cause: the planner moved for any difference, whether a request waited or not."""
-    pace = PlacementPace(brisk=True, by_speed=True)
-    cluster = PlannedCluster(nodes=4, pace=pace, slices=40)
-    assert moves_for_balance(cluster, per_slice_s, heavier=2.0, rounds=6) is moves
+def test_cheap_moves_need_a_noticeable_imbalance(per_slice_s, moves):
+    """An imbalance doesn't move slices while all servers have idle slots.
+
+    Guards against moves for any difference in load, whether requests wait or not:
+    with twice the load on one of several nearly idle servers, all keys moved four
+    times within a minute.
+    """
+    tuning = PlacementTuning(cheap_moves=True, scale_by_speed=True)
+    cluster = PlannedCluster(nodes=4, tuning=tuning, slices=40)
+    assert is_rebalanced(cluster, per_slice_s, heavier=2.0, rounds=6) is moves
 
 
 @pytest.mark.parametrize(("per_slice_s", "moves"), [(0.1, False), (2.0, True)])
-def test_a_service_that_is_hardly_used_is_left_as_it_is(per_slice_s, moves):
-    """Symptom: a key is refused for seconds though hardly anybody asks for anything.
-    Sequence: one server has three times the load of the others, a few requests a
-    second; its slices are moved, and one is held by a request that was given up.
-    Cause: the planner moved for any difference that lasted."""
+def test_a_nearly_idle_service_is_not_rebalanced(per_slice_s, moves):
+    """A lasting imbalance doesn't move slices of a nearly idle service.
+
+    Guards against moves for any lasting difference in load. One server had three
+    times the load of the others, a few requests per second. Its slices were moved,
+    and a key was refused for seconds, because an abandoned request delayed the
+    release of its slice.
+    """
     cluster = PlannedCluster(nodes=4, slices=40)
-    assert moves_for_balance(cluster, per_slice_s, heavier=3.0, rounds=20) is moves
+    assert is_rebalanced(cluster, per_slice_s, heavier=3.0, rounds=20) is moves
--- a/comfreywharf/placement/view.py
+++ b/comfreywharf/placement/view.py
@@ -1,37 +1,39 @@
-"""One service as a round of planning sees it, and the moves planned so far."""
+"""View of one service during a planning round, with the moves planned so far."""
 
 import math
 from heapq import heapify, heappop, heappush
 
 import attrs
 
-from comfreywharf.placement.loads import silence_s
-from comfreywharf.placement.pace import PlacementPace
+from comfreywharf.placement.loads import report_timeout_s
+from comfreywharf.placement.tuning import PlacementTuning
 from comfreywharf.records import SliceMove
 
-__all__ = ["ServiceView", "look"]
+__all__ = ["ServiceView", "build_view"]
 
 COLD_SHARE = 0.2
-"""What a backend server gets at first, as a share of what its slots would take."""
+"""Share of its capacity that a backend server gets right after its start."""
 
-SLOWEST = 0.3
-FASTEST = 2.0
-"""Bounds on a measured speed: a few slow requests aren't a slow server."""
+MIN_SPEED = 0.3
+MAX_SPEED = 2.0
+"""Bounds on a measured relative speed; a few slow requests don't make a slow server."""
 
 IDLE_PER_S = 1e-6
-"""Below this mean rate a service is idle and its slices weigh the same."""
+"""Mean rate up to which a service counts as idle and its slices weigh the same."""
 
-LEAST_SHARE = 0.02
-"""What an idle slice weighs, as a share of the mean slice: keys may come alive."""
+MIN_WEIGHT_SHARE = 0.02
+"""Weight added to each slice, as a share of the mean rate, so that an idle slice has
+some weight: its keys may become busy."""
 
 
 @attrs.define(kw_only=True)
 class ServiceView:
-    """A service's members, slices and weights; moves change it as they are planned.
+    """Members, slices and weights of a service, updated with each planned move.
 
-    ``targets`` may be given slices, with their capacity in slots, scaled down
-    while they are cold. ``lost_s`` holds, for members that aren't live, how long
-    they have been lost. ``loads`` are requests a second by owner.
+    ``targets`` holds the nodes to which slices may be assigned and their capacity
+    in slots, scaled down while they are cold and, where the tuning asks for it, by
+    their speed. ``lost_s`` holds how long each member that isn't live has been
+    lost, in seconds. ``loads`` are requests per second by owner.
     """
 
     config: object
@@ -48,23 +50,25 @@
     standbys: dict[int, str] = attrs.Factory(dict)
     total: float = attrs.field(init=False)
     mean: float = attrs.field(init=False)
-    _order: list = attrs.field(init=False, repr=False)
+    _load_heap: list = attrs.field(init=False, repr=False)
 
     def __attrs_post_init__(self):
-        """Work out the totals: requests a second, and those for a unit of capacity."""
+        """Compute the total rate, the mean rate per unit of capacity and the order."""
         self.total = sum(self.weights.values())
         self.mean = self.total / max(sum(self.targets.values()), 1e-9)
-        self._order = [(self.relative(node_id), node_id) for node_id in self.targets]
-        heapify(self._order)
+        self._load_heap = [
+            (self.relative_load(node_id), node_id) for node_id in self.targets
+        ]
+        heapify(self._load_heap)
 
-    def relative(self, node_id):
-        """Return a target's load for each unit of its capacity."""
+    def relative_load(self, node_id):
+        """Return a target's load per unit of its capacity."""
         return self.loads[node_id] / self.targets[node_id]
 
-    def most_used(self):
-        """Return the largest share of its slots that a target's load needs.
+    def max_utilisation(self):
+        """Return the highest utilisation of a target's slots by its load.
 
-        It is infinite where no target's time for a request is known.
+        It is infinite if no target's service time is known.
         """
         shares = [
             self.loads[node_id] * service_s / max(1, self.members[node_id].slots)
@@ -74,22 +78,22 @@
         return max(shares, default=math.inf)
 
     def slots_needed(self, piece):
-        """Return how many slots a slice's load needs; infinite where unknown."""
+        """Return how many slots a slice's load needs; infinite if unknown."""
         service_s = self.service_s.get(piece.owner, 0.0)
         return self.weights[piece.start] * service_s if service_s > 0 else math.inf
 
     def least_loaded(self):
         """Return the target with the lowest relative load."""
-        while self._order[0][0] != self.relative(self._order[0][1]):
-            heappop(self._order)
-        return self._order[0][1]
+        while self._load_heap[0][0] != self.relative_load(self._load_heap[0][1]):
+            heappop(self._load_heap)
+        return self._load_heap[0][1]
 
     def owner(self, piece):
-        """Return the owner as planned."""
+        """Return a slice's owner with the planned moves applied."""
         return self.owners.get(piece.start, piece.owner)
 
     def standby(self, piece):
-        """Return the standby as planned."""
+        """Return a slice's standby with the planned changes applied."""
         return self.standbys.get(piece.start, piece.standby)
 
     def move(self, piece, owner):
@@ -103,7 +107,7 @@
         if node_id in self.loads:
             self.loads[node_id] += weight
         if node_id in self.targets:
-            heappush(self._order, (self.relative(node_id), node_id))
+            heappush(self._load_heap, (self.relative_load(node_id), node_id))
 
     def set_standby(self, piece, standby):
         """Plan a new standby for a slice."""
@@ -130,19 +134,19 @@
         ]
 
 
-def look(cluster, table, name, now_s, warm_up=True, pace=None):
+def build_view(cluster, table, name, now_s, warm_up=True, tuning=None):
     """Return the `ServiceView` of a service that is divided by key.
 
-    ``warm_up`` is off only in replays that show what it does.
+    ``warm_up`` is false only in replays that show its effect.
     """
-    pace = pace or PlacementPace()
-    silence = silence_s(len(cluster.members))
+    tuning = tuning or PlacementTuning()
+    report_timeout = report_timeout_s(len(cluster.members))
     members = {m.node_id: m for m in cluster.members.values() if m.service == name}
-    live = {i for i, m in members.items() if table.is_live(m, now_s, silence)}
-    speeds = _speeds(table, live) if pace.by_speed else {}
+    live = {i for i, m in members.items() if table.is_live(m, now_s, report_timeout)}
+    speeds = _speeds(table, live) if tuning.scale_by_speed else {}
     targets = {
         node_id: max(1, member.slots)
-        * (_warmth(table.warm_for_s(node_id, now_s), pace) if warm_up else 1.0)
+        * (_warm_up_share(table.warm_for_s(node_id, now_s), tuning) if warm_up else 1.0)
         * speeds.get(node_id, 1.0)
         for node_id, member in sorted(members.items())
         if node_id in live and not member.draining
@@ -158,7 +162,7 @@
         members=members,
         targets=targets,
         lost_s={
-            node_id: table.lost_for_s(member, now_s, silence)
+            node_id: table.lost_for_s(member, now_s, report_timeout)
             for node_id, member in members.items()
             if node_id not in live
         },
@@ -171,24 +175,24 @@
     )
 
 
-def _warmth(warm_s, pace):
-    """Return the share of its capacity that a server is given while it warms up.
+def _warm_up_share(warm_s, tuning):
+    """Return the share of its capacity that a server gets ``warm_s`` after its start.
 
-    A cold server answers several times slower. Were it given its full share at
-    once, its queue would grow for as long as the cold start lasts; one would
-    see shed requests after each restart.
+    A cold server answers several times slower. With its full share from the start,
+    its queue would grow throughout the cold start, and requests would be shed
+    after each restart.
     """
-    if warm_s >= pace.warm_up_s:
+    if warm_s >= tuning.warm_up_s:
         return 1.0
-    return COLD_SHARE + (1 - COLD_SHARE) * max(0.0, warm_s) / pace.warm_up_s
+    return COLD_SHARE + (1 - COLD_SHARE) * max(0.0, warm_s) / tuning.warm_up_s
 
 
 def _speeds(table, node_ids):
-    """Return how fast each backend server is, against the mean of all.
+    """Return the speed of each backend server relative to the mean service time.
 
-    Servers of one service differ by more than twice. Given the same load, the
-    slow ones queue while the fast ones have slots to spare. A server that slows
-    down under its load is given less of it, which is what it needs.
+    Servers of one service can differ by more than a factor of two. At the same
+    load, requests queue at the slow ones while the fast ones have idle slots. A
+    server that slows down under its load is given less load.
     """
     times = {node_id: table.service_ms(node_id) for node_id in node_ids}
     known = [time for time in times.values() if time > 0]
@@ -196,15 +200,18 @@
         return {}
     mean = sum(known) / len(known)
     return {
-        node_id: min(max(mean / time, SLOWEST), FASTEST)
+        node_id: min(max(mean / time, MIN_SPEED), MAX_SPEED)
         for node_id, time in times.items()
         if time > 0
     }
 
 
 def _weights(pieces, rates):
-    """Return a weight by start; a slice not reported yet counts as a mean one."""
+    """Return the weight of each slice by its start.
+
+    A slice without a reported rate gets the mean rate.
+    """
     known = [rates[piece.start] for piece in pieces if piece.start in rates]
     mean = sum(known) / len(known) if known else 0.0
-    least = LEAST_SHARE * mean if mean > IDLE_PER_S else 1.0
+    least = MIN_WEIGHT_SHARE * mean if mean > IDLE_PER_S else 1.0
     return {piece.start: rates.get(piece.start, mean) + least for piece in pieces}
