--- a/comfreywharf/daemon/owning/__init__.py
+++ b/comfreywharf/daemon/owning/__init__.py
@@ -1,5 +1,5 @@
-"""Who may serve a key: leases, witnesses, claims, grants, and the planner's rounds.
+"""Ownership of keys: leases, witnesses, claims, grants and planning rounds.
 
-The others use `Leases`, `Witnessing` and `Planner`, and a `KeyGrants` for how a backend
-server is told what it holds.
+Other subpackages use `Leases`, `Witnessing` and `Planner`, and an implementation of
+`KeyGrants`, which grants keys to the backend server.
 """
--- a/comfreywharf/daemon/owning/declaring.py
+++ b/comfreywharf/daemon/owning/declaring.py
@@ -1,4 +1,4 @@
-"""Declare the services of the routes in the log, so that they get slices."""
+"""Add the services named by the routes to the log's configuration."""
 
 import attrs
 import gevent
@@ -16,10 +16,11 @@
 
 
 class Declaring:
-    """Have the log's configuration name each service that routes lead to.
+    """Keep the configuration in the log in step with the routes' services.
 
-    The planner does it, since it plans by that configuration. A second planner
-    does no harm: a patch on a stale version is refused.
+    Only services in the configuration get slices. The planner adds them, since
+    it plans from that configuration. A second planner does no harm, because a
+    patch based on a stale version is refused.
     """
 
     def __init__(self, node):
@@ -27,7 +28,7 @@
         self._planning_since_s = None
 
     def run(self):
-        """Compare and declare until the greenlet is killed."""
+        """Declare missing or changed services until the greenlet is killed."""
         while True:
             gevent.sleep(CHECK_S)
             if not self._node.planner.is_planning:
@@ -40,11 +41,12 @@
                 self._declare(missing)
 
     def _missing(self, now_s):
-        """Return the services to declare.
+        """Return the services to declare, by name.
 
-        A new one waits for its servers to announce themselves. Counted at the
-        first of them, the whole service was divided into 16 slices, a few of
-        which were more than a server's load.
+        A new service is declared only once its servers had ``gather_s`` to
+        announce themselves, since the number of slices depends on the number of
+        servers. With a single server announced, a service gets 16 slices, a few
+        of which can exceed the load of one server.
         """
         state = self._node.follower.state
         gather_s = self._node.ports.placement.gather_s
@@ -62,9 +64,10 @@
 
     @staticmethod
     def _slices(state, name):
-        """Return into how many slices a service's keys are divided at first.
+        """Return the initial number of slices of a service.
 
-        Each is granted and renewed by itself; hot ones are split later on.
+        Each slice is granted and renewed separately. The planner splits hot
+        slices later.
         """
         servers = sum(member.service == name for member in state.members.values())
         return min(max(SLICES_PER_SERVER * servers, LEAST_SLICES), MOST_SLICES)
@@ -80,5 +83,5 @@
         try:
             self._node.follower.append(record)
         except NotAcknowledged:
-            # The next look compares again, whether it took effect or not.
+            # The next check compares again, whether or not it took effect.
             return
--- a/comfreywharf/daemon/owning/grants.py
+++ b/comfreywharf/daemon/owning/grants.py
@@ -1,4 +1,4 @@
-"""Fenced grants: tell a backend server that checks them what it may serve."""
+"""Grants with fences, for backend servers that check them on each request."""
 
 import attrs
 import orjson
@@ -10,7 +10,7 @@
 __all__ = ["Grants"]
 
 SPARE_S = 0.05
-"""A grant that ends sooner is renewed before a request relies on it."""
+"""A grant with less time left is renewed before a request relies on it."""
 
 
 @attrs.frozen
@@ -20,11 +20,12 @@
 
 
 class Grants(KeyGrants):
-    """Keep the grants of the backend server beside this node up to date.
+    """Keep the grants of this node's backend server up to date.
 
-    Each message carries all grants and replaces those before it, so that a lost
-    or repeated one does no harm. A grant ends with the lease that it rests on:
-    a server that froze and thaws finds it over, whatever lies in its sockets.
+    Each message carries all grants and replaces the previous ones, so that a
+    lost or repeated message does no harm. A grant expires with the lease it is
+    based on: a server that was frozen and resumes finds its grants expired,
+    whatever is still buffered in its sockets.
     """
 
     def __init__(self, node):
@@ -38,10 +39,10 @@
             self.push()
 
     def ensure(self, right, now_s):
-        """Have the backend server hold the grant of a `Right` before it is used.
+        """Send the grants if the one for a `Right` is missing or about to expire.
 
-        ``True`` also where it didn't answer: it then says by itself whether it has
-        the grant.
+        Return ``True`` even if the backend server didn't answer, since it checks
+        the fence of each request and refuses one without a valid grant.
         """
         if not right.key_hash or not self._wanted():
             return True
@@ -52,24 +53,25 @@
         return True
 
     def release(self, service, start, timeout_s):
-        """Return the handover of a slice that is given away; none is needed here.
+        """Return an empty handover for a slice that moves away.
 
-        A grant that isn't in the next message is over.
+        Nothing has to be released: a grant that is missing from the next message
+        ends with it.
         """
         return ""
 
     def take_handover(self, key, handover):
-        """Do nothing: these backend servers give none."""
+        """Do nothing: these backend servers hand nothing over."""
 
     def backend_changed(self):
-        """Begin anew with another instance of the backend server."""
+        """Discard the grants sent to the previous instance of the server."""
         self._pushed = {}
 
     def backend_ended(self):
-        """Do nothing: the next instance's grants replace all that came before."""
+        """Do nothing: grants to the next instance replace all previous ones."""
 
     def held_until_s(self, now_s):
-        """Return ``None``: when these grants end isn't kept, nor waited for."""
+        """Return ``None``: the end of these grants is neither recorded nor awaited."""
         return None
 
     def _wanted(self):
@@ -77,7 +79,7 @@
         return backend is not None and backend.announcement.checks_fences
 
     def push(self):
-        """Send all grants; a second caller waits for the message under way."""
+        """Send all grants; a concurrent caller waits for the message in flight."""
         if self._running is not None:
             self._running.wait()
             return
--- a/comfreywharf/daemon/owning/grants_by_service.py
+++ b/comfreywharf/daemon/owning/grants_by_service.py
@@ -1,4 +1,4 @@
-"""Each service's own way of telling its backend servers what they hold."""
+"""Select how grants reach the backend server, by its service's configuration."""
 
 from comfreywharf.daemon.owning.key_grants import KeyGrants
 from comfreywharf.routes import GrantWay
@@ -7,10 +7,10 @@
 
 
 class GrantsByService(KeyGrants):
-    """Pass each call on to the way that the configuration names for the service.
+    """Delegate to the `KeyGrants` that the configuration selects for the service.
 
-    All ways keep their word in one book, so that a configuration which changes a
-    service's way leaves nothing granted that nobody knows of.
+    All of them record their grants in the same `HoldBook`, so that no grant is
+    lost track of when the configuration changes the way of a service.
     """
 
     def __init__(self, node, ways):
@@ -19,12 +19,12 @@
         self._service = ""
 
     def look(self):
-        """Do what is due."""
+        """Send or prepare the grants that are due."""
         self.in_force.look()
 
     @property
     def in_force(self):
-        """Return the `KeyGrants` for the service of the server beside this node."""
+        """Return the `KeyGrants` in use for this node's backend server."""
         if self._node.backend is not None:
             self._service = self._node.backend.announcement.service
         service = self._node.routes.table.service(self._service)
@@ -35,11 +35,11 @@
         return self.in_force.ensure(right, now_s)
 
     def release(self, service, start, timeout_s):
-        """Return the handover of a slice that is given away, or ``None`` so far."""
+        """Return the handover of a slice that moves away, or ``None`` if pending."""
         return self.in_force.release(service, start, timeout_s)
 
     def take_handover(self, key, handover):
-        """Keep what an earlier owner's server handed over for this node's."""
+        """Store what the previous owner's server handed over."""
         self.in_force.take_handover(key, handover)
 
     def held_until_s(self, now_s):
@@ -47,15 +47,15 @@
         return self.in_force.held_until_s(now_s)
 
     def backend_changed(self):
-        """Take note of another instance of the backend server."""
+        """Handle the announcement of another instance of the backend server."""
         self.in_force.backend_changed()
 
     def backend_ended(self):
-        """Take note that the backend server is dead, and holds nothing any more."""
+        """Handle the end of the backend server, which no longer holds any key."""
         self.in_force.backend_ended()
 
     def refused(self, right):
-        """Take the server's word that it doesn't hold the key of a `Right`."""
+        """Record that the server refused the key of a `Right` as not held."""
         self.in_force.refused(right)
 
     def answer(self, report):
--- a/comfreywharf/daemon/owning/heartbeat_grants.py
+++ b/comfreywharf/daemon/owning/heartbeat_grants.py
@@ -1,4 +1,4 @@
-"""Grants as lists in answers to heartbeats: the shell around `HoldLists`."""
+"""Grants sent as lists in answers to heartbeats; performs the I/O of `HoldLists`."""
 
 from gevent.event import Event
 
@@ -10,29 +10,31 @@
 __all__ = ["HeartbeatGrants"]
 
 WAIT_PART = 0.65
-"""The part of the interval between heartbeats for which an answer waits for news.
+"""Fraction of the heartbeat interval for which an answer waits for changes.
 
-Keys that come while no heartbeat waits for its answer are dark until the next one. What
-is held already is renewed as often as without the wait."""
+Keys assigned while no heartbeat is waiting for its answer can't be served until the
+next one. Keys that are already held are renewed as often as without the wait."""
 
 LONGEST_WAIT_S = 0.6
-"""An answer that comes a second late doesn't count, and the node may be busy."""
+"""Upper bound of that wait. The server drops an answer that comes 1 s after its
+heartbeat; the difference allows for delays in a busy node."""
 
 RENEWAL_WAIT_S = 0.06
-"""How long an answer waits for the witnesses. Nearly all answer within a few ms, and
-without them the hold is shorter by the lease's age."""
+"""How long an answer waits for a lease renewal. Nearly all witnesses answer within a
+few ms. Without the renewal, the hold is shorter by the age of the lease."""
 
 RELEASE_PAUSE_S = 0.1
 
 SETTLING_S = 0.1
-"""A server may get a request before it has read the list that was sent just before."""
+"""How long after a list a refusal is ignored. The server may receive a request before
+it has read the list that was sent just before."""
 
 
 class HeartbeatGrants(BookedGrants):
-    """Answer the heartbeats of the backend server with what it is to hold.
+    """Answer the backend server's heartbeats with the list of ranges to hold.
 
-    An answer waits for news for a part of the interval, so that keys which come or go
-    meanwhile needn't wait for the next heartbeat.
+    An answer is delayed for a part of the heartbeat interval (long polling), so that
+    changes in that time don't have to wait for the next heartbeat.
     """
 
     def __init__(self, node, book, interval_s, room):
@@ -46,11 +48,15 @@
         node.leases.subscribe(self._news.set)
 
     def look(self):
-        """Have an answer that waits look round."""
+        """Wake an answer that is waiting, so that it checks for changes."""
         self._news.set()
 
     def answer(self, report):
-        """Return the `HoldList` for a report, after a wait for news."""
+        """Return the `HoldList` for a report, after waiting for changes.
+
+        Return ``None`` if there is nothing to send, or if a newer report arrived
+        while this one was waiting.
+        """
         self._newest = report
         refused = self.lists.hear(report, boottime_s())
         self._heard.set()
@@ -59,7 +65,7 @@
             self._leave_refused_fences(report)
         self._await_news(report)
         if self._newest is not report:
-            # The server has asked again meanwhile: it waits for that answer.
+            # A newer heartbeat arrived: the server now waits for its answer.
             return None
         if self._node.closed_to_new_work:
             return HoldList(rows=(), hold_s=self.book.terms.shortest_s)
@@ -95,20 +101,21 @@
         )
 
     def _look_at_server(self):
-        """Give a server up whose connection has ended and whose port refuses.
+        """Report the server as refusing if its port refuses connections.
 
-        A process that crashes ends its connections. Waited for until its heartbeats are
-        missed, its keys would be dark for a second more.
+        This is called when the heartbeat's connection has closed, as it does when the
+        server crashes. Detecting the crash by missed heartbeats would leave its keys
+        without a server for a second longer.
         """
         backend = self._node.backend
         if backend is not None and backend.refuses():
             self._node.backend_refused(backend)
 
     def _serving(self):
-        """Return the `Serving` of now, or ``None`` while nothing can be told.
+        """Return the current `Serving`, or ``None`` while it can't be determined.
 
-        Without its lease the node doesn't know who has the keys. A list that leaves
-        them out would have the server drop what it may get again in a moment.
+        Without its lease the node doesn't know who owns the keys. A list without them
+        would make the server drop keys that it may be granted again shortly after.
         """
         leases, state = self._node.leases, self._node.follower.state
         now_s = boottime_s()
@@ -134,8 +141,8 @@
     def ensure(self, right, now_s):
         """Return whether the backend server holds the key of a `Right`.
 
-        Where it doesn't, the next list grants it; a request that is sent before is
-        refused by the server and comes back.
+        If it doesn't, the next list grants it. A request sent before that is refused
+        by the server and returns to this node.
         """
         if not right.key_hash:
             return True
@@ -143,7 +150,7 @@
         return self.book.has(right.service, right.key_hash, now_s, near=place)
 
     def refused(self, right):
-        """Send no further request for a key that the server says it doesn't hold."""
+        """Stop sending requests for a key that the server doesn't hold."""
         if right.key_hash and boottime_s() > self._answered_s + SETTLING_S:
             self.book.doubt(right.service, right.key_hash)
             self._news.set()
@@ -157,12 +164,12 @@
         return self.lists.take_out_handover(*place[1:])
 
     def backend_changed(self):
-        """Take note of another life, which holds nothing of the one before."""
+        """Handle a new incarnation, which holds none of the earlier one's ranges."""
         super().backend_changed()
         self.lists.forget()
         self.book.process_changed()
 
     def backend_ended(self):
-        """Take note that the backend server is dead, and holds nothing any more."""
+        """Handle the end of the backend server, which no longer holds any key."""
         super().backend_ended()
         self.lists.forget()
--- a/comfreywharf/daemon/owning/key_grants.py
+++ b/comfreywharf/daemon/owning/key_grants.py
@@ -1,4 +1,4 @@
-"""How a backend server is told which keys it holds: one interface for all ways."""
+"""The interface for granting keys to a backend server, and a base class for it."""
 
 from abc import ABC, abstractmethod
 
@@ -14,17 +14,17 @@
 
 
 class KeyGrants(ABC):
-    """Keep the grants of the backend server beside a node up to date."""
+    """Keep the grants of a node's backend server up to date."""
 
     def run(self):
-        """Look for what is due until the greenlet is killed."""
+        """Send or prepare due grants until the greenlet is killed."""
         while True:
             gevent.sleep(LOOK_INTERVAL_S)
             self.look()
 
     @abstractmethod
     def look(self):
-        """Do what is due."""
+        """Send or prepare the grants that are due."""
 
     @abstractmethod
     def ensure(self, right, now_s):
@@ -32,29 +32,30 @@
 
     @abstractmethod
     def release(self, service, start, timeout_s):
-        """Return the handover of a slice that is given away, or ``None`` so far.
+        """Return the handover of a slice that moves away, or ``None`` if pending.
 
-        The release goes on when the time is over; the next call waits for it.
+        After ``timeout_s`` the release continues in the background, and the next
+        call waits for the same release.
         """
 
     @abstractmethod
     def take_handover(self, key, handover):
-        """Keep what an earlier owner's server handed over for this node's."""
+        """Store what the previous owner's server handed over."""
 
     @abstractmethod
     def held_until_s(self, now_s):
-        """Return when the last grant of the backend server ends; ``None``: unknown."""
+        """Return when the backend server's last grant ends; ``None`` if unknown."""
 
     @abstractmethod
     def backend_changed(self):
-        """Take note of another instance of the backend server."""
+        """Handle the announcement of another instance of the backend server."""
 
     @abstractmethod
     def backend_ended(self):
-        """Take note that the backend server is dead, and holds nothing any more."""
+        """Handle the end of the backend server, which no longer holds any key."""
 
     def refused(self, right):
-        """Take the server's word that it doesn't hold the key of a `Right`."""
+        """Record that the server refused the key of a `Right` as not held."""
         return
 
     def answer(self, report):
@@ -66,7 +67,7 @@
 
 
 class BookedGrants(KeyGrants):
-    """Grants of ranges, each with its own time, that a `HoldBook` follows."""
+    """Grants of ranges, each with its own expiry, recorded in a `HoldBook`."""
 
     def __init__(self, node, book):
         self._node = node
@@ -75,7 +76,7 @@
         self._anew_not_before_s = float("-inf")
 
     def release(self, service, start, timeout_s):
-        """Return the handover of a slice that is given away, or ``None`` so far."""
+        """Return the handover of a slice that moves away, or ``None`` if pending."""
         pieces = self._node.follower.state.slices.get(service)
         piece = pieces.at_start(start) if pieces else None
         if piece is None:
@@ -92,11 +93,11 @@
         return known[1].value if known[1].successful() else None
 
     def _release(self, place, fence):
-        """Return the handover once the backend server holds a slice no more."""
+        """Return the handover once the backend server no longer holds a slice."""
         handover = self._ask_release(place, fence)
-        # A grant without an answer may be carried out behind the release. Were
-        # the next owner told before its time is over, two servers would hold
-        # the keys.
+        # The server may process an unanswered grant after the release. Wait until
+        # that grant has expired; otherwise the next owner could start while this
+        # server still holds the keys.
         left_s = self.book.lost_until_s(*place) - boottime_s()
         if left_s > 0:
             gevent.sleep(left_s)
@@ -114,23 +115,24 @@
 
     @abstractmethod
     def _try_release(self, place, numbers, fence):
-        """Return the handover of a range that was released, ``None`` for once more.
+        """Return the handover of a released range, or ``None`` to try again.
 
-        It waits a moment before it returns ``None``.
+        Pause before returning ``None``.
         """
 
     def _may_be_held(self, place, fence):
-        """Return whether a range may be held under a fence, or one below.
+        """Return whether a range may still be held under ``fence`` or a lower one.
 
-        Granted anew under a higher one, it isn't released: that would take the keys
-        from the server which has them by right, be it another life or the same.
+        A range that was granted again under a higher fence isn't released: that would
+        take the keys from the server that holds them rightfully, whether it is a newer
+        incarnation or the same one.
         """
         if self.book.granted_above(*place, fence):
             return False
         return boottime_s() < self.book.held_until_s(*place)
 
     def take_handover(self, key, handover):
-        """Keep what an earlier owner's server handed over for this node's."""
+        """Store what the previous owner's server handed over."""
         self.book.take_handover((key.service, key.start), handover)
 
     def held_until_s(self, now_s):
@@ -138,15 +140,15 @@
         return self.book.all_held_until_s(now_s)
 
     def backend_changed(self):
-        """Take note of another instance of the backend server.
+        """Handle the announcement of another instance of the backend server.
 
-        What the book has may be held by it already, and not by the one before: the
-        node was told of it later than its orders reached it.
+        The recorded grants are kept, since the new instance rather than the previous
+        one may hold them: orders may have reached it before its announcement arrived.
         """
         self._releases.clear()
 
     def backend_ended(self):
-        """Take note that the backend server is dead, and holds nothing any more."""
+        """Handle the end of the backend server, which no longer holds any key."""
         self.book.clear()
 
     def _served(self):
@@ -154,11 +156,11 @@
         return list(table.serving(state, boottime_s()))
 
     def _begin_anew(self, reason):
-        """Have the lease begin anew, for fences that no earlier process had.
+        """Reacquire the lease, to get fences above those of any earlier process.
 
-        A frozen server loses one connection after the other. Its node would write a
-        new lease down with each, several times a second; ``False`` is returned where
-        it has just done so.
+        Return ``False`` without doing so if it happened within the last lease
+        duration. A frozen server loses its connections one after the other, and its
+        node would otherwise record a new lease for each, several times a second.
         """
         now_s = boottime_s()
         if now_s < self._anew_not_before_s:
--- a/comfreywharf/daemon/owning/lease_calls.py
+++ b/comfreywharf/daemon/owning/lease_calls.py
@@ -1,4 +1,4 @@
-"""The calls between nodes that carry leases, claims and releases."""
+"""Handlers of the calls between nodes for leases, claims and releases."""
 
 import gevent
 
@@ -13,29 +13,32 @@
 
 
 class LeaseCalls:
-    """Each method is one call of the thrift interface ``Node``."""
+    """Implement the calls of the thrift interface ``Node`` for leases."""
 
     def __init__(self, node):
         self._node = node
 
     def renew(self, request):
-        """Answer an owner as its witness."""
+        """Answer an owner's renewal as its witness."""
         return self._node.witnessing.renew(request)
 
     def claim(self, request):
-        """Answer a taker as the witness of the lapsed lease."""
+        """Answer a taker's claim as a witness of the expired lease."""
         return self._node.witnessing.claim(request)
 
     def unclaim(self, request):
-        """Take a share back from a taker."""
+        """Withdraw the share that a taker claimed."""
         self._node.witnessing.unclaim(request)
 
     def lapsed(self, notice):
-        """Hear from a witness that an owner let its lease lapse."""
+        """Receive a witness's notice that an owner's lease expired."""
         self._node.leases.hear_lapse(notice.owner_id)
 
     def release(self, request):
-        """Release a slice that moved away, with the memory of its requests."""
+        """Release a slice that moved away, and return its remembered answers.
+
+        Wait up to `RELEASE_WAIT_S` for the release, then ask the caller to retry.
+        """
         end_s = boottime_s() + RELEASE_WAIT_S
         while True:
             now_s = boottime_s()
--- a/comfreywharf/daemon/owning/lease_messages.py
+++ b/comfreywharf/daemon/owning/lease_messages.py
@@ -1,4 +1,4 @@
-"""Translate the lease messages between thrift structs and typed values."""
+"""Convert lease messages between thrift structs and typed values."""
 
 import math
 
@@ -16,7 +16,7 @@
 
 
 def _to_ms(seconds):
-    """Return milliseconds, rounded up: a reach must never be told too short."""
+    """Return milliseconds, rounded up so that a reach is never sent too short."""
     return math.ceil(seconds * 1000)
 
 
--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -1,4 +1,4 @@
-"""The shell around the ownership decisions: it carries out what they ask for."""
+"""Carry out the decisions of the `OwnershipAgent`: calls, appends and events."""
 
 import gevent
 from absl import logging
@@ -40,11 +40,11 @@
 
 
 class Leases:
-    """Hold this node's lease, and tell the request path what it may serve.
+    """Hold this node's lease, and decide which requests may be served here.
 
-    Each `acquire` that returned a `Right` without a reason is followed by one
-    `finish`, when the backend server answered, or proved that it did not run
-    the request, or when the right's deadline passed.
+    For each `Right` without a reason that `acquire` returned, call `finish` once:
+    when the backend server has answered, when it is certain that the server did
+    not run the request, or when the right's deadline has passed.
     """
 
     def __init__(self, node):
@@ -80,13 +80,13 @@
         node.follower.subscribe(self._on_folded)
         node.follower.subscribe_loaded(self._on_loaded)
 
-    # What the request path asks.
+    # Called by the request path.
 
     def acquire(self, service, key, now_s, remaining_s):
-        """Return the `Right` to serve one request, or why there is none.
+        """Return the `Right` to serve one request, or one with a refusal reason.
 
-        It may wait a few milliseconds, where a request asks for more time than
-        the lease covers and the witnesses have to be told.
+        This may wait a few milliseconds if the request's deadline exceeds what the
+        lease covers, since the witnesses have to be informed first.
         """
         right = self._ask_right(service, key, now_s, remaining_s)
         if right.reason is Reason.NOT_YET_OWNER and self.holder.owns(now_s):
@@ -105,12 +105,12 @@
         return self.table.right_to_serve(state, service, key, now_s, remaining_s)
 
     def _await_release(self, service, key, now_s, remaining_s):
-        """Hold a request at the new owner until the earlier one has released.
+        """Hold a request at the new owner until the previous owner has released.
 
-        It is held as well until the witnesses know of the slice's new fence. Either
-        takes a few milliseconds. Refused, the request would be held at its ingress
-        node instead, which learns nothing of that and asks again at growing
-        intervals: callers then saw gaps of 75 to 155 ms.
+        The request is also held until the witnesses know the slice's new fence. Both
+        take a few milliseconds. If the request were refused instead, its ingress node
+        would hold it, get no notification of the release, and retry at growing
+        intervals, which causes gaps of 75 to 155 ms for callers.
         """
         deadline_s = now_s + remaining_s
         end_s = min(deadline_s, now_s + RELEASE_HOLD_S)
@@ -122,11 +122,11 @@
         return right
 
     def subscribe(self, listener):
-        """Call ``listener()`` whenever something else may be served than before."""
+        """Call ``listener()`` whenever the set of servable keys may have changed."""
         self._listeners.append(listener)
 
     def _wake_held(self):
-        """Let the requests that are held here ask again."""
+        """Have the requests that are held here check their right again."""
         self._released.set()
         self._released.clear()
         self._tell_listeners()
@@ -136,10 +136,9 @@
             listener()
 
     def renew_now(self, timeout_s):
-        """Ask the witnesses, and wait until the lease counts from now or so.
+        """Renew the lease now, and wait up to ``timeout_s`` for the renewal.
 
-        Whatever is granted for as long as the lease lasts is then granted for nearly a
-        whole lease.
+        Grants that last as long as the lease then last nearly a whole lease.
         """
         asked_s = boottime_s()
         wanted_s = self.terms.held_until_s(asked_s)
@@ -149,10 +148,13 @@
                 self._granted.wait()
 
     def _cover(self, service, key, right):
-        """Tell the witnesses of a long deadline before anything is forwarded.
+        """Inform the witnesses of a long deadline before the request is forwarded.
 
-        They then make a taker wait for it. Were the request forwarded first, a
-        loss at that moment would let a new owner serve beside it.
+        They then make a taker wait until the deadline. If the request were forwarded
+        first and this node were lost before informing them, a new owner could serve
+        the key while the request is still running.
+
+        Return whether the deadline is covered.
         """
         with gevent.Timeout(COVER_TIMEOUT_S, False):
             while True:
@@ -173,22 +175,22 @@
         return False
 
     def finish(self, right):
-        """Say that nothing forwarded under a right can take effect any more."""
+        """Record that nothing forwarded under a right can take effect any more."""
         self.table.finish(right)
 
     def held(self):
-        """Return whether this node holds its lease, read back from the log."""
+        """Return whether this node holds its lease and read it back from the log."""
         return self.holder.phase == "held"
 
     def still_held(self, right, now_s):
         """Return whether an answer that arrived at ``now_s`` may be vouched for.
 
-        A server that checks fences has answered for a key that it held, and its answer
-        is passed on however late it comes.
+        A server that checks fences answers only for a key that it held, so that its
+        answer is forwarded however late it arrives.
         """
         return self._node.ports.fenced or now_s <= right.deadline_s
 
-    # The loop.
+    # The agent's loop.
 
     def run(self):
         """Drive the agent until the greenlet is killed."""
@@ -209,10 +211,10 @@
                 expired_s = now_s
 
     def _wait_s(self, now_s):
-        """Return how long the agent may be left alone.
+        """Return how long the loop may sleep before the agent's next tick.
 
         While the lease is held and nothing is claimed, only the next renewal is
-        due; looking every 20 ms took 0.9% of a core from each idle node.
+        due. Ticking every 20 ms costs each idle node 0.9% of a core.
         """
         if self.holder.phase != "held" or self.agent.claims:
             return TICK_S
@@ -222,7 +224,7 @@
         return self._node.follower.usable and self._node.backend is not None
 
     def force_round(self):
-        """Ask the witnesses now instead of at the next interval."""
+        """Start a renewal round now instead of at the next interval."""
         if boottime_s() < self._forced_s + MIN_ROUND_INTERVAL_S:
             gevent.sleep(MIN_ROUND_INTERVAL_S)
         self._forced_s = boottime_s()
@@ -230,13 +232,13 @@
         self._wake.set()
 
     def hear_lapse(self, owner_id):
-        """Take a witness's word that an owner's lease lapsed."""
+        """Handle a witness's notice that an owner's lease expired."""
         state = self._node.follower.state
         self.carry_out(self.agent.lapsed(state, owner_id, boottime_s()))
         self._wake.set()
 
     def surrender(self, reason, held_until_s=None):
-        """Give the lease up at once, and until `recover`, so that standbys may begin.
+        """Give the lease up at once, until `recover`, so that standbys can take over.
 
         ``held_until_s`` is as in `OwnershipAgent.surrender`.
         """
@@ -248,15 +250,15 @@
         self.carry_out(self.agent.surrender(state, reason, boottime_s(), held_until_s))
 
     def recover(self):
-        """Ask for the lease again after a surrender."""
+        """Acquire the lease again after a surrender."""
         self._wanted = True
         self._follow_log()
 
     def begin_anew(self, reason):
-        """Give the lease up and ask for it again, so that its fence grows.
+        """Give the lease up and acquire it again, so that its fence grows.
 
-        One that was given up for good isn't asked for: it would be renewed beside a
-        server that gets no work, and no standby could claim.
+        Do nothing if the lease was given up by `surrender`: otherwise it would be
+        renewed for a server that gets no work, and no standby could claim the keys.
         """
         if not self._wanted:
             return
@@ -264,12 +266,15 @@
         self._follow_log()
 
     def _follow_log(self):
-        """Ask for a lease that has to be written down only while it can be.
+        """Give up a starting lease while the log is unreachable; reacquire it later.
+
+        A new lease takes effect only once its record is in the log. A node that has a
+        majority of its witnesses but can't append would keep renewing, so that no
+        standby may claim, and its keys would have no server until the store is back,
+        which takes up to 9 s.
 
-        A node that has its witnesses' majority and can't append renews all the same,
-        and no standby may claim: its keys would be dark for as long as the store is
-        away, which is up to 9 s. What its server was granted before may still run:
-        told of no hold, a standby's server would have the keys beside it for a second.
+        The surrender reports how long earlier grants of the server last. Without it, a
+        standby's server could hold the same keys at the same time for a second.
         """
         if not self._wanted:
             return
@@ -281,10 +286,10 @@
             held_until_s = self._node.grants.held_until_s(boottime_s())
             self._give_up("log out of reach", held_until_s)
 
-    # What the agent asks for.
+    # The agent's actions.
 
     def carry_out(self, actions):
-        """Do what the agent asked for."""
+        """Perform the agent's actions."""
         for action in actions:
             self._perform[type(action)](action)
 
@@ -375,7 +380,7 @@
         gevent.spawn(self._fetch_release, action)
 
     def _fetch_release(self, action):
-        """Ask until the slice is released, or isn't this node's any more."""
+        """Request the release until it is done or the slice has moved elsewhere."""
         key, received = action.key, 0
         while self.agent.awaits(self._node.follower.state, key, boottime_s()):
             reply = self._call_release(action.previous, key, received)
--- a/comfreywharf/daemon/owning/load_reports.py
+++ b/comfreywharf/daemon/owning/load_reports.py
@@ -1,4 +1,4 @@
-"""Tell the planner this node's load, and learn from the answers if it is lost."""
+"""Report this node's load to the planner, and detect its loss by missing replies."""
 
 import random
 
@@ -24,11 +24,11 @@
 
 
 class LoadReports:
-    """Count this node's requests by slice and report them.
+    """Count this node's requests by slice and report their rates.
 
     ``hot_keys`` returns ``(service, key_hash, requests_per_s)`` of the keys that
-    are hot here, and ``busy_fraction`` the share of slots in use; both are set
-    by the part of the node that measures them.
+    are hot on this node, ``busy_fraction`` the fraction of slots in use, and
+    ``service_ms`` the time that a request takes. All three are set by `Node`.
     """
 
     def __init__(self, node):
@@ -101,7 +101,7 @@
         return self._meter.changed(rates_per_report(members))
 
     def _send(self, planner_id, report):
-        """Send a report and return whether the planner took it."""
+        """Send a report and return whether the receiver is the planner."""
         client = self._node.peers.client(planner_id)
         event = ReportFailed(planner_id=planner_id)
         if client is not None:
--- a/comfreywharf/daemon/owning/planner.py
+++ b/comfreywharf/daemon/owning/planner.py
@@ -1,4 +1,4 @@
-"""The planner's shell: rounds, terms, and the records they append."""
+"""Run the planner: its terms, its rounds, and the records that they append."""
 
 import gevent
 
@@ -21,12 +21,12 @@
 
 TICK_S = 0.25
 MAX_DIVISIONS = 4
-"""How often the slices are looked at again within a round, after some were divided.
-A slice with the load of three servers is in sixteenths after four times."""
+"""Planning passes within one round; another one follows if slices were split. Four
+passes divide a slice with the load of three servers into sixteenths."""
 
 
 class Planner:
-    """Plan in rounds while this node is the planner; watch for its loss else."""
+    """Plan in rounds while this node is the planner; otherwise detect its loss."""
 
     def __init__(self, node):
         self._node = node
@@ -39,18 +39,18 @@
 
     @property
     def is_planning(self):
-        """Return whether this node plans and can write down what it plans."""
+        """Return whether this node is the planner and the log is reachable."""
         return self._planning is not None and self._node.follower.reachable
 
     def take_report(self, report, now_s):
-        """Take a `NodeReport`; return whether this node is the planner."""
+        """Record a `NodeReport`; return whether this node is the planner."""
         if not self.is_planning:
             return False
         planning.decide(self._planning, LoadReported(report=report), now_s)
         return True
 
     def note(self, event, now_s):
-        """Take `ReportAnswered` or `ReportFailed` into account."""
+        """Handle a `ReportAnswered` or `ReportFailed` event."""
         terms.decide(self._terms, event, now_s)
 
     def run(self):
@@ -60,8 +60,8 @@
             try:
                 self._tick(boottime_s())
             except NotAcknowledged:
-                # Whether it took effect shows in the fold, which the next
-                # round starts from; writing it again here could only double.
+                # The fold shows whether the record took effect, and the next
+                # round starts from the fold. A retry here could duplicate it.
                 pass
             gevent.sleep(TICK_S)
 
@@ -118,15 +118,15 @@
             event = RoundDue(cluster=state)
             _, actions = planning.decide(self._planning, event, now_s)
             self._append_all(actions)
-            # A hot slice is divided in halves, and these again. One division a
-            # round would leave its server overloaded for several rounds.
+            # A split halves a hot slice, and the next pass splits the halves. With
+            # one split per round its server stays overloaded for several rounds.
             if not any(isinstance(action, Split) for action in actions):
                 break
         if self._node.ports.removes_lost:
             self._remove_lost(state, now_s)
 
     def _append_all(self, actions):
-        """Append a record for each action, all at once; they concern other slices."""
+        """Append a record for each action, concurrently, as each has its own slices."""
         append = self._node.follower.append
         records = [
             to_record(action, new_record_id(), self._planned_term) for action in actions
@@ -138,10 +138,10 @@
                 raise NotAcknowledged(self._node_id, sent=True)
 
     def _remove_lost(self, state, now_s):
-        """Drop a member that is long gone and owns nothing.
+        """Remove a member that has been lost for long and owns nothing.
 
-        Machines come and go here without a word to anybody. Kept, the lost would
-        go on being chosen as witnesses and for requests without a key.
+        Machines may be removed from the platform without notice. Lost members that
+        remain would still be chosen as witnesses and for requests without a key.
         """
         lost = planning.long_lost(self._planning, state, now_s)
         if lost is not None:
@@ -154,7 +154,7 @@
 
 
 def _outcome(append, record):
-    """Return a record's outcome, or ``None`` if it wasn't read back in time."""
+    """Append a record; return its outcome, ``None`` if not read back in time."""
     try:
         return append(record)
     except NotAcknowledged:
--- a/comfreywharf/daemon/owning/range_grants.py
+++ b/comfreywharf/daemon/owning/range_grants.py
@@ -1,4 +1,4 @@
-"""Grants of ranges that are sent as orders, one for each: a shell around `HoldBook`."""
+"""Grants of ranges, sent as one order each and recorded in a `HoldBook`."""
 
 from abc import ABC, abstractmethod
 
@@ -16,34 +16,34 @@
 RELEASE_PAUSE_S = 0.05
 ENSURE_S = 0.1
 REFUSED_PAUSE_S = 0.01
-"""A process that crashes ends its connections at once; a loop that is busy learns of it
-within some milliseconds."""
+"""Pause before a refused connection is tried again. The connections of a crashed
+process close at once, and a busy event loop notices it within some milliseconds."""
 
 
 class Orders(ABC):
-    """What a backend server is ordered about the numbers that it holds."""
+    """The orders to a backend server that grant and release hash numbers."""
 
     @abstractmethod
     def reach(self):
-        """Return the number of the server's process that a grant would reach now.
+        """Return the number of the server process that a grant would reach now.
 
-        Raises `ConnectionRefusedError` where nothing listens, `OSError` where it
-        can't be told.
+        Raises `ConnectionRefusedError` if nothing listens on the port, and `OSError`
+        if the process can't be determined.
         """
 
     @abstractmethod
     def grant(self, process, numbers, order):
-        """Return the `GrantAnswer` to a `GrantOrder` on ``numbers``, first and last.
+        """Send a `GrantOrder` on ``numbers``, first and last; return a `GrantAnswer`.
 
-        It reaches no other process than the one of that number, and asks for a hold
-        that fits when it is sent, see `GrantOrder.hold_s_at`.
+        The order reaches only the process with the given number. The duration of the
+        hold is computed when the order is sent, see `GrantOrder.hold_s_at`.
         """
 
     @abstractmethod
     def release(self, first, last, fence, timeout_s):
-        """Return what the server hands over, or ``None`` without an answer.
+        """Release numbers; return the handover, or ``None`` without an answer.
 
-        It answers when its work on these numbers has ended.
+        The server answers once its work on these numbers has ended.
         """
 
 
@@ -55,7 +55,7 @@
 
 
 class RangeGrants(BookedGrants):
-    """Order the backend server beside this node which ranges it holds."""
+    """Grant ranges to this node's backend server by sending it orders."""
 
     def __init__(self, node, book, release_timeout_s):
         super().__init__(node, book)
@@ -70,7 +70,7 @@
         self.push()
 
     def push(self):
-        """Send the grants that are due; return the greenlets that do."""
+        """Send the grants that are due; return the greenlets that send them."""
         backend = self._node.backend
         if backend is None or not self._served():
             return []
@@ -90,9 +90,10 @@
     def _reach(self, backend):
         """Return the number of the process that grants would reach, or zero.
 
-        A refused connection shows at once that the server is dead. Waited for until
-        its heartbeats are missed, its keys would be dark for two seconds more. It is
-        looked at twice, since a server that begins may speak before it listens.
+        A refused connection shows at once that the server has crashed. Detecting the
+        crash by missed heartbeats would leave its keys without a server for two
+        seconds longer. The connection is tried twice, since a starting server may
+        send a heartbeat before it listens.
         """
         for _ in range(2):
             try:
@@ -100,7 +101,7 @@
             except ConnectionRefusedError:
                 gevent.sleep(REFUSED_PAUSE_S)
             except OSError:
-                # Neither dead nor alive: the next push asks again.
+                # The server's state is unknown: the next push tries again.
                 return 0
         self._node.backend_refused(backend)
         return 0
@@ -117,8 +118,8 @@
         try:
             answer = _grant(backend, process, order)
         finally:
-            # Also for a server that was replaced meanwhile: a release of the range
-            # waits for the answers of all its grants.
+            # Recorded even if the server has been replaced in the meantime, since a
+            # release of the range waits for the answers to all its grants.
             self.book.answered(order, answer, boottime_s())
         if backend is self._node.backend:
             self._tell(backend, order, answer)
@@ -129,16 +130,16 @@
         else:
             self._tell_taken(backend, order)
         if answer is GrantAnswer.OUTDATED and not self._is_past(order):
-            # The server has seen a higher fence than this node's. A new term of
-            # the lease takes its number from the log's end, above all earlier.
+            # The server has seen a higher fence than this node's. A reacquired lease
+            # takes its epoch from the end of the log, above all earlier ones.
             self._left_fence = self.book.highest_fence
             self._node.leases.begin_anew("grant outdated")
 
     def _is_past(self, order):
-        """Return whether an order's fence was left for a higher one already.
+        """Return whether the order's fence has been superseded by a higher one.
 
-        Its refusal says nothing of that one. Were the lease to begin anew for it, keys
-        would be dark again that have just been served under a new lease.
+        The refusal then says nothing about the higher fence. Reacquiring the lease
+        because of it would interrupt keys that are served under the newer lease.
         """
         service, start = order.place
         served = (
@@ -163,7 +164,7 @@
         )
 
     def _tell_taken(self, backend, order):
-        """Tell of the first grant that is taken after others weren't."""
+        """Report the first accepted grant after failed ones."""
         if self._failing:
             self._failing = False
             self._node.report(
@@ -176,9 +177,9 @@
     def ensure(self, right, now_s):
         """Return whether the backend server holds the grant of a `Right`.
 
-        One that is due is waited for a moment. A request that is sent without it is
-        refused by the server, comes back, and is sent again: while half of a server's
-        grants went without an answer, it was asked twice for each request.
+        Wait up to `ENSURE_S` for a grant that is due or in flight. The server refuses a
+        request that arrives before its grant, and the request is sent again: with half
+        of the grants unanswered, the server gets each request twice.
         """
         if not right.key_hash:
             return True
--- a/comfreywharf/daemon/owning/witnessing.py
+++ b/comfreywharf/daemon/owning/witnessing.py
@@ -1,4 +1,4 @@
-"""The shell around the witness: calls of owners and takers, notices of lapses."""
+"""Run this node's `Witness`: answer owners and takers, send notices of expiry."""
 
 import gevent
 from absl import logging
@@ -17,11 +17,10 @@
 
 
 class Witnessing:
-    """Stand witness for the leases of other nodes.
+    """Act as a witness for the leases of other nodes.
 
-    It answers only once the fold has caught up with the log after the start: a
-    witness that knew an older state could grant a claim that the log has made
-    void.
+    It grants nothing until, after the start, the fold has caught up with the log:
+    a witness with an older state could grant a claim that the log has made void.
     """
 
     def __init__(self, node, terms):
@@ -30,11 +29,11 @@
         self._witness = None
 
     def begin(self, now_s):
-        """Begin to answer; the silence after a restart counts from here."""
+        """Start to answer; the silent period after a restart begins at ``now_s``."""
         self._witness = Witness(self._terms, now_s, self._node.incarnation)
 
     def run(self):
-        """Tell the standbys of lapsed leases until the greenlet is killed."""
+        """Notify the takers of expired leases until the greenlet is killed."""
         while True:
             gevent.sleep(TICK_S)
             if self._witness is None:
@@ -42,7 +41,7 @@
             self._notify(boottime_s())
 
     def renew(self, request):
-        """Answer an owner."""
+        """Answer an owner's `Renewal`."""
         renewal = renewal_of(request)
         view = self._view(renewal.owner_id)
         if self._is_stale():
@@ -54,7 +53,7 @@
         )
 
     def claim(self, request):
-        """Answer a taker."""
+        """Answer a taker's `Claim`."""
         claim = claim_of(request)
         view = self._view(claim.owner_id)
         if self._is_stale():
@@ -66,12 +65,12 @@
         )
 
     def unclaim(self, request):
-        """Take a share back from a taker."""
+        """Withdraw the share that a taker claimed."""
         if self._witness is not None:
             self._witness.unclaim(claim_of(request), boottime_s())
 
     def _is_stale(self):
-        """Return whether this fold may lack a record that resets witnesses."""
+        """Return whether the fold may lack a record that resets the witnesses."""
         limit_s = self._terms.stale_after_s
         if limit_s is None:
             return False
@@ -90,7 +89,7 @@
         )
 
     def _longest_s(self):
-        """Return the longest deadline that an owner may have outstanding."""
+        """Return the longest time that a request of an owner may take."""
         services = self._node.follower.state.config.services.values()
         limits = [s.longest_request_ms / 1000 for s in services if s.divided_by_key]
         return max(limits, default=LONGEST_REQUEST_S)
@@ -129,7 +128,7 @@
 
 
 def takers_of(state, owner_id):
-    """Return the nodes that may claim a share of an owner's lapsed lease."""
+    """Return the nodes that may claim a share of an owner's expired lease."""
     takers = set()
     for pieces in state.slices.values():
         for piece in pieces.slices:
