--- a/comfreywharf/daemon/belonging/__init__.py
+++ b/comfreywharf/daemon/belonging/__init__.py
@@ -1,5 +1,5 @@
-"""Which nodes there are, and what they tell each other unasked.
+"""Gossip between nodes: records, snapshots, routes and notices, and the connections.
 
-The others use `Gossip`, `Notices`, `Relaying` and `Peers`, the connections to the
-other nodes by their ids.
+Other subpackages use `Gossip`, `Notices`, `Relaying`, and `Peers`, which holds the
+connections to the other nodes by their ids.
 """
--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/belonging/gossip.py
@@ -1,4 +1,4 @@
-"""Exchange news with peers: records of the log, snapshots, notices."""
+"""Exchange log records, snapshots, routes and notices with peers."""
 
 import math
 import random
@@ -28,36 +28,37 @@
 
 EXCHANGE_TIMEOUT_S = 1.0
 LISTEN_MARGIN_S = 0.4
-"""How much longer than it may wait an answer with news is waited for."""
+"""Added to the wait of a long poll for the time-out of its call."""
 
 MAX_WAIT_S = 5.0
-"""The longest that a peer's question is kept without news."""
+"""Upper bound for how long a peer's request is held while there is no news."""
 
 MAX_CONCURRENT = 8
 REACH_TIMEOUT_S = 0.4
 LONGEST_AGE_S = 3600.0
 PUSH_GAP_S = 0.05
-"""Between two rounds of pushes, so that a burst of news travels together."""
+"""Pause between two rounds of pushes, so that a burst of news is sent together."""
 
 
 SPARE_PARTNERS = 2
-"""Peers that are asked instead where the first one doesn't answer."""
+"""Number of further peers that are tried if the first one doesn't answer."""
 
 MAX_REPLY_BYTES = 256 * 1024
-"""Records in one reply; a node further behind asks again at once."""
+"""Limit for the records in one reply; a node further behind repeats its request at
+once."""
 
 MAX_SNAPSHOT_BYTES = 3 << 20
-"""A snapshot in one reply, below the longest thrift frame."""
+"""Limit for a snapshot in one reply, below the maximum size of a thrift frame."""
 
 SNAPSHOT_OFFSET = -1
 """The offset under which a reply carries the parts of a snapshot."""
 
 
 class Gossip:
-    """Ask peers for news at an interval, and tell some at once when there is news.
+    """Exchange news with random peers, at an interval and when there is news.
 
-    Partners are the members that the log names. A node that knows none yet, for
-    instance because it starts while the log is down, asks the settings' seeds.
+    The peers are the members in the folded state. A node without any, for instance
+    because it starts while the log is down, uses the seeds of its settings.
     """
 
     def __init__(self, node, rng=None):
@@ -80,21 +81,21 @@
         node.routes.subscribe(lambda table: self._wake())
 
     def tell(self):
-        """Have some peers told of news as soon as possible."""
+        """Schedule a push of news to some peers as soon as possible."""
         self._pace.news()
         self._news.set()
 
     def push_to(self, node_ids):
-        """Tell certain peers at once; return the greenlets that do.
+        """Push news to the given peers at once; return the greenlets that do so.
 
-        Peers chosen by chance leave some out, who learn by a later exchange.
-        That is too late for news that decide what happens to the next request.
+        Random selection leaves out some peers, which receive the news by a later
+        exchange. That is too late for news that affects the next request.
         """
         clients = [self._node.peers.client(node_id) for node_id in node_ids]
         return [gevent.spawn(self._reaches, client) for client in clients if client]
 
     def run(self):
-        """Exchange until the greenlet is killed."""
+        """Exchange news until the greenlet is killed."""
         while True:
             if self._news.wait(self._pace.wait_s(self._rng)):
                 self._news.clear()
@@ -125,7 +126,7 @@
         )
 
     def _await_news(self, request, until_s):
-        """Wait until there is something that a peer doesn't know."""
+        """Wait until there are records or routes that a peer doesn't have."""
         until_s = min(until_s, boottime_s() + MAX_WAIT_S)
         node = self._node
         while (
@@ -140,7 +141,7 @@
         self._heard.clear()
 
     def reach_all(self):
-        """Return the members that answer an exchange now, or soon enough."""
+        """Return the members that answer an exchange within `REACH_TIMEOUT_S`."""
         asked = {}
         for node_id in self._node.follower.state.members:
             client = self._node.peers.client(node_id)
@@ -158,7 +159,7 @@
         return True
 
     def _ask_if_behind(self, request):
-        """Ask a peer that knows more, where the log can't be asked."""
+        """Exchange with a peer that has more records, if the log is unreachable."""
         follower = self._node.follower
         if follower.reachable or request.next_offset <= follower.state.next_offset:
             return
@@ -166,10 +167,10 @@
             self._calls.spawn(self._exchange_with_first, [self._asker(request)])
 
     def _asker(self, request):
-        """Return the client for a peer that asked, be it known here or not.
+        """Return the client for the sender of a request, even if it isn't a member.
 
-        A node that starts while the log is away knows no member. It would refuse
-        every request until the log is back, beside peers that know all owners.
+        A node that starts while the log is unreachable has no members yet. Without
+        the records of its peers it would refuse every request until the log is back.
         """
         client = self._node.peers.client(request.node_id)
         if client is not None:
@@ -184,10 +185,10 @@
         return [(SNAPSHOT_OFFSET, data) for data in self._parts()]
 
     def _parts(self):
-        """Return the parts of a snapshot that the kept records follow on.
+        """Return the parts of a snapshot that the retained records continue.
 
-        It is encoded once for many peers: as long as the records behind it are
-        kept, a peer gets them with its next question.
+        One encoding serves many peers, for as long as the records that follow it are
+        retained: a peer receives those with its next request.
         """
         replica = self._node.follower.replica
         if self._snapshot_offset < replica.recent.first or not self._snapshot:
@@ -220,9 +221,9 @@
     def _exchange_with_first(self, clients):
         """Exchange with the first peer that answers.
 
-        With a failure domain cut off, many partners don't answer. A node that
-        then waited for its next turn each time could miss a change of
-        configuration for longer than the 8 s that it may take.
+        With a failure domain cut off, many peers don't answer. If the node waited for
+        its next interval after each of them, a change of the configuration could take
+        longer than the 8 s that it may take.
         """
         for client in clients:
             try:
@@ -232,7 +233,7 @@
                 continue
 
     def _exchange_until_equal(self, client):
-        """Exchange with a peer, and again while it has more for this node."""
+        """Exchange with a peer, and repeat while it has more for this node."""
         follower = self._node.follower
         before = follower.state.next_offset
         while self._exchange(client):
@@ -240,18 +241,19 @@
         if follower.reachable:
             self._pace.no_news()
             return
-        # Without the log, peers are all that a node hears from, and others may
-        # hear from it. With pulling alone, news that a single node of 640 has
-        # would need more than half of the 8 s that a change may take.
+        # Without the log, records arrive only from peers, so they are pushed on as
+        # well. By pulling alone, news of a single node out of 640 would take more
+        # than half of the 8 s that a change may take.
         self._pace.news()
         if follower.state.next_offset > before:
             self.tell()
 
     def listen(self, client, wait_s):
-        """Exchange with a peer that answers once it has news, or after a wait.
+        """Exchange with a peer that answers once it has news, or after ``wait_s``.
 
-        Return how old this node's fold and routes are by what the peer says of its own,
-        as a `NewsAge`, or ``None`` where the peer knows that records are missing here.
+        Return the age of this node's fold and routes as a `NewsAge`, derived from the
+        ages that the peer reports for its own. Return ``None`` if the peer reports no
+        age for its records, or if records below its next offset are missing here.
         """
         reply, _ = self._ask(client, wait_s)
         if reply.log_age_ms < 0 or not self._node.follower.knows(reply.next_offset):
@@ -259,12 +261,12 @@
         return NewsAge(reply.log_age_ms / 1000, _age_s(reply.routes_age_ms))
 
     def _exchange(self, client):
-        """Exchange once; return whether there is more to be had at once."""
+        """Exchange once; return whether the peer has more for this node."""
         reply, advanced = self._ask(client)
         return advanced and self._node.follower.state.next_offset < reply.next_offset
 
     def _ask(self, client, wait_s=0.0):
-        """Exchange once; return the reply, and whether its records were news."""
+        """Exchange once; return the reply, and whether it had new records."""
         node = self._node
         request = ExchangeRequest(
             node_id=node.settings.node_id,
@@ -284,15 +286,15 @@
         self._take_routes(reply, client, sent_s)
         advanced = self._take(_records_in(reply))
         if reply.log_age_ms >= 0 and node.follower.knows(reply.next_offset):
-            # The peer's fold was the log's this long before it answered, which
-            # was after the question was sent.
+            # The peer's fold matched the log ``log_age_ms`` before its answer, and
+            # the answer came after the request was sent.
             node.follower.confirm(sent_s - reply.log_age_ms / 1000)
         return reply, advanced
 
     def _take_routes(self, reply, client, sent_s):
-        """Use a peer's routes if they are newer; note until when they were the newest.
+        """Apply a peer's routes if newer; record when they were confirmed as current.
 
-        The age that it tells counts from its answer, which came after the question.
+        The reported age counts from the answer, which came after the request was sent.
         """
         routes = self._node.routes
         if reply.routes and routes.take(reply.routes):
@@ -320,7 +322,7 @@
 
 
 def _records_in(reply):
-    """Return the records in an answer; `CallError` where they can't be read."""
+    """Return the records in a reply; raises `CallError` if they are unreadable."""
     if not reply.records:
         return []
     try:
@@ -334,5 +336,5 @@
 
 
 def _age_ms(age_s):
-    """Return an age as a message carries it: -1 where nothing was ever confirmed."""
+    """Return an age in ms for a message, or -1 if above `LONGEST_AGE_S`."""
     return -1 if age_s > LONGEST_AGE_S else max(0, math.ceil(age_s * 1000))
--- a/comfreywharf/daemon/belonging/gossip_calls.py
+++ b/comfreywharf/daemon/belonging/gossip_calls.py
@@ -1,4 +1,4 @@
-"""The calls between nodes that spread records, notices and load reports."""
+"""Handlers of the calls between nodes for gossip and load reports."""
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.owning.load_reports import node_report
@@ -8,17 +8,17 @@
 
 
 class GossipCalls:
-    """Each method is one call of the thrift interface ``Node``."""
+    """Implement the calls of the thrift interface ``Node`` for gossip and load."""
 
     def __init__(self, node):
         self._node = node
 
     def exchange(self, request):
-        """Take a peer's news and return this node's."""
+        """Receive a peer's news and return this node's."""
         return self._node.gossip.answer(request, boottime_s())
 
     def report_load(self, report):
-        """Take a node's load; say whether this node is the planner."""
+        """Receive a node's load; reply whether this node is the planner."""
         node = self._node
         planning = node.planner.take_report(node_report(report), boottime_s())
         return LoadReportReply(
--- a/comfreywharf/daemon/belonging/news.py
+++ b/comfreywharf/daemon/belonging/news.py
@@ -1,8 +1,8 @@
-"""Records of the log as nodes pass them on to each other: compressed.
+"""Compress log records for the exchange between nodes.
 
-An assignment of all slices is one record of tens of kilobytes. A relay passes it on to
-many members at once, and on a slow link the last of them would have it after the time
-that they wait for an answer, ask the next relay, and fill its link as well.
+The record that assigns all slices of a service has tens of kilobytes. A relay sends it
+to many members at once. Uncompressed on a slow link, it would reach the last of them
+after their time-out, and they would turn to the next relay and fill its link as well.
 """
 
 import struct
@@ -11,7 +11,7 @@
 __all__ = ["MAX_NEWS_BYTES", "NewsError", "pack_records", "unpack_records"]
 
 MAX_NEWS_BYTES = 4 << 20
-"""What is unpacked at the most, above all that one answer may hold."""
+"""Limit for unpacked records, above what a valid answer may hold."""
 
 FASTEST_LEVEL = 1
 
@@ -19,7 +19,7 @@
 
 
 class NewsError(ValueError):
-    """Bytes that aren't records as a peer packs them."""
+    """The bytes aren't records packed by `pack_records`."""
 
 
 def pack_records(records):
--- a/comfreywharf/daemon/belonging/notices.py
+++ b/comfreywharf/daemon/belonging/notices.py
@@ -1,4 +1,4 @@
-"""The node's notices: publish, subscribe, and the form they travel in."""
+"""Publish and subscribe to notices, and convert them to and from messages."""
 
 import uuid
 from collections import defaultdict
@@ -10,17 +10,17 @@
 __all__ = ["Notices"]
 
 MAX_SENT = 128
-"""How many notices one message carries; the newest go first."""
+"""Maximum number of notices in one message; the newest take precedence."""
 
 MIN_REMAINING_S = 0.05
-"""A notice that ends sooner isn't worth sending."""
+"""Notices that expire sooner aren't sent."""
 
 
 class Notices:
-    """What other parts of the node use to spread and hear short-lived news.
+    """Publish short-lived notices to all nodes, and subscribe to theirs.
 
     A listener is called as ``listener(notice)`` once for each notice that is
-    new to this node, whether it was published here or came from a peer.
+    new to this node, whether it was published here or received from a peer.
     """
 
     def __init__(self):
@@ -29,7 +29,7 @@
         self._on_news = []
 
     def publish(self, kind, subject, value, ttl_s):
-        """Tell all nodes; return the notice's id. Peers are told at once."""
+        """Publish a notice to all nodes, starting at once; return its id."""
         now_s = boottime_s()
         notice = Notice(
             notice_id=uuid.uuid4().hex,
@@ -46,15 +46,15 @@
         self._listeners[kind].append(listener)
 
     def current(self, kind, now_s):
-        """Return the live notices of a kind at a monotonic time."""
+        """Return the unexpired notices of a kind at a monotonic time."""
         return self._board.current(kind, now_s)
 
     def on_news(self, listener):
-        """Call ``listener()`` whenever a new notice should be passed on."""
+        """Call ``listener()`` whenever there are new notices to forward."""
         self._on_news.append(listener)
 
     def to_send(self, now_s, known=frozenset()):
-        """Return the newest notices as messages, without those already known."""
+        """Return the newest notices as messages, except those with ``known`` ids."""
         chosen = [
             notice
             for notice in reversed(self._board.live(now_s))
@@ -64,7 +64,7 @@
         return [_to_message(notice, now_s) for notice in chosen[:MAX_SENT]]
 
     def receive(self, messages, now_s):
-        """Take in the notices of a peer and pass on those that are new."""
+        """Add the notices of a peer and forward those that are new."""
         self._add([_from_message(message, now_s) for message in messages], now_s)
 
     def _add(self, notices, now_s):
--- a/comfreywharf/daemon/belonging/peers.py
+++ b/comfreywharf/daemon/belonging/peers.py
@@ -1,4 +1,4 @@
-"""Connections to the other nodes, by node id."""
+"""Connections to the other nodes by node id."""
 
 from comfreywharf.transport import PeerClient
 
@@ -6,10 +6,10 @@
 
 
 class Peers:
-    """Pools of connections, opened when first needed.
+    """Connection pools to other nodes, opened on first use.
 
-    The address of a node may change with its next incarnation; the pool then
-    is replaced.
+    The address of a node may change with its next incarnation; its pool is then
+    replaced.
     """
 
     def __init__(self, follower, stamps):
--- a/comfreywharf/daemon/belonging/relaying.py
+++ b/comfreywharf/daemon/belonging/relaying.py
@@ -1,4 +1,4 @@
-"""Hear the log's news from another node instead of reading the log."""
+"""Receive log records and routes from a relay node instead of reading the log."""
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.membership.relays import Relays
@@ -8,15 +8,16 @@
 __all__ = ["Relaying"]
 
 WAIT_S = 0.5
-"""How long a relay keeps a question without news. A relay that is lost is noticed
-by the end of it."""
+"""How long a relay holds a request while it has no news. The loss of a relay is
+noticed by the end of this time."""
 
 MOST_AGE_MARGIN_S = 0.5
-"""How much older than its reads' wait the news of the log's reader may be."""
+"""Added to the wait of a log read for the maximum age of records at the node that
+reads the log itself."""
 
 
 class Relaying:
-    """Ask the relay that `Relays` chooses, again and again."""
+    """Poll the relay that `Relays` chooses."""
 
     def __init__(self, node, read_wait_s):
         self._node = node
@@ -27,10 +28,10 @@
         )
 
     def listen(self):
-        """Hear from a relay once; return whether its news can be relied on.
+        """Poll a relay once; return whether its news is fresh.
 
-        Where it can't, the log is read before another relay is asked: the time-outs
-        of two relays behind one another would take up what a change may take.
+        Otherwise the caller reads the log before another relay is polled: the
+        time-outs of two relays in a row would use up the time that a change may take.
         """
         members = self._node.follower.state.members
         relay_id = self._relays.choose(members, boottime_s())
