--- a/comfreywharf/daemon/recording/__init__.py
+++ b/comfreywharf/daemon/recording/__init__.py
@@ -1,5 +1,5 @@
-"""The log of records: reading it, appending to it, and the snapshots of its state.
+"""The log of records: reads, appends, and snapshots of the folded state.
 
-The others use `Follower`, which folds what the log says, and `LogClient` with its
-errors, behind which a platform puts its own store.
+Other subpackages use `Follower`, which folds the log's records into the cluster's
+state, and `LogClient` with its errors. A platform can provide its own `LogClient`.
 """
--- a/comfreywharf/daemon/recording/appender.py
+++ b/comfreywharf/daemon/recording/appender.py
@@ -1,4 +1,4 @@
-"""Append records to the log within the node's share, and read them back."""
+"""Append records to the log within the node's budget, and read them back."""
 
 from functools import partial
 
@@ -14,15 +14,15 @@
 __all__ = ["Appender", "NotAcknowledged"]
 
 READ_BACK_S = 0.3
-"""How long a record whose answer was lost is looked for before the next try."""
+"""Minimum time to look for a record in the fold before a failed append is retried."""
 
 PART_TRIES = 8
 
 
 class NotAcknowledged(Exception):
-    """A record that couldn't be read back in time.
+    """A record couldn't be read back in time.
 
-    ``sent`` is false where it was never sent and so can't take effect;
+    If ``sent`` is false, the record was never sent and can't take effect;
     otherwise it still may.
     """
 
@@ -33,7 +33,7 @@
 
 
 class Appender:
-    """The one way by which a node writes to the log."""
+    """Append records to the log; all appends of a node go through it."""
 
     def __init__(self, follower, client, stream, node_id, rng):
         self._follower = follower
@@ -51,9 +51,9 @@
     def append(self, record, timeout_s):
         """Append a record, read it back, and return its `FoldOutcome`.
 
-        An answer that was lost is no reason to write again at once: the record
-        is first looked for in the fold, by its id. A second copy would be
-        refused by the fold anyway. Raises `NotAcknowledged`.
+        If an answer is lost, the record is first looked up in the fold by its id
+        before it is sent again. The fold would refuse a second copy anyway. Raises
+        `NotAcknowledged`.
         """
         data = encode_record(record)
         priority = priority_of(record)
@@ -74,7 +74,7 @@
                 raise NotAcknowledged(record.record_id, sent)
 
     def append_part(self, stream, data):
-        """Append a part of a snapshot; raises `LogError` after several tries."""
+        """Append a part of a snapshot; raises `LogError` after `PART_TRIES` tries."""
         for _ in range(PART_TRIES):
             self._wait_for_token(Priority.LOW, float("inf"))
             try:
@@ -109,7 +109,7 @@
         return self._backoff.failed(priority, retry_after_s)
 
     def _wait_for_token(self, priority, deadline_s):
-        """Return whether a token was had before the deadline."""
+        """Wait for an append token; return whether there was one by the deadline."""
         while True:
             state, now_s = self._follower.state, boottime_s()
             planner = state.planner_id == self._node_id
--- a/comfreywharf/daemon/recording/batches.py
+++ b/comfreywharf/daemon/recording/batches.py
@@ -1,4 +1,4 @@
-"""Records that are appended at the same moment go out in one call."""
+"""Combine records that are appended at nearly the same time into one call."""
 
 import gevent
 from gevent.event import AsyncResult
@@ -8,7 +8,7 @@
 __all__ = ["Batches"]
 
 GATHER_S = 0.01
-"""How long a call waits for more records. A planned move of ten slices ends in ten
+"""How long a call waits for more records. A planned move of ten slices results in ten
 records of one node within a few milliseconds."""
 
 MOST_RECORDS = 64
@@ -21,10 +21,10 @@
 
 
 class Batches:
-    """Gather records, and append each gathering with ``append_all(records)``.
+    """Collect records and append each batch with ``append_all(records)``.
 
-    That returns the offset of the first one, or raises `LogError` for all of them.
-    ``appended(offset, data)`` is told of each, in their order.
+    ``append_all`` returns the offset of the first record, or raises `LogError` for all
+    of them. ``appended(offset, data)`` is then called for each record, in order.
     """
 
     def __init__(self, append_all, appended):
--- a/comfreywharf/daemon/recording/follower.py
+++ b/comfreywharf/daemon/recording/follower.py
@@ -1,4 +1,4 @@
-"""Follow the log: read records, fold them, tell those who wait."""
+"""Follow the log: read records, fold them, and notify listeners and waiters."""
 
 import random
 import uuid
@@ -23,16 +23,17 @@
 
 MAX_RETRY_S = 2.0
 GAP_PATIENCE_S = 4.0
-"""Longer than a lease and several exchanges between peers together."""
+"""How long a gap must last before the missing records are given up. It is longer than
+a lease and several exchanges between peers together."""
 
 
 @attrs.frozen(kw_only=True)
 class ReadPace:
     """How a node reads the log.
 
-    A read waits up to ``wait_s`` for news; after one that brought some the node
-    rests for ``rest_s``, unless it waits for a record itself. Where it is
-    ``relayed`` most nodes hear of records from others that read the log.
+    A read waits up to ``wait_s`` for new records. After each read the node pauses for
+    ``rest_s``, unless it waits for a record of its own. With ``relayed``, most nodes
+    receive records from other nodes instead of reading the log.
     """
 
     wait_s: float = 5.0
@@ -43,8 +44,8 @@
 class Follower:
     """The node's copy of the cluster's state, kept up to date from the log.
 
-    ``state`` is one object for the life of the node; a snapshot that is loaded
-    changes its contents.
+    ``state`` is the same object for as long as the node runs; loading a snapshot
+    replaces its contents.
     """
 
     def __init__(self, client, stream, report, node_id="", rng=None, pace=None):
@@ -87,21 +88,21 @@
 
     @property
     def usable(self):
-        """Return whether the state is good enough to own anything by it.
+        """Return whether the state is complete enough to own slices.
 
-        It isn't before the node caught up with the log once, nor while a gap
-        separates it from what the log still holds.
+        It isn't before the node has caught up with the log once, nor while a gap
+        separates the state from the records that the log still holds.
         """
         return self.replica.usable
 
     @property
     def log_keeps_newest(self):
-        """Return whether the log keeps the newest snapshot for good."""
+        """Return whether the log keeps the newest snapshot permanently."""
         return self._client.keeps_newest
 
     @property
     def log_first(self):
-        """Return the oldest offset that the log was seen to keep."""
+        """Return the oldest offset that the log is known to retain."""
         return self.replica.log_first
 
     def subscribe(self, listener):
@@ -109,11 +110,11 @@
         self._listeners.append(listener)
 
     def subscribe_loaded(self, listener):
-        """Call ``listener()`` after a snapshot took the place of the state."""
+        """Call ``listener()`` after a snapshot has replaced the state."""
         self._load_listeners.append(listener)
 
     def run(self):
-        """Follow until the greenlet is killed."""
+        """Follow the log until the greenlet is killed."""
         while True:
             self.relayed = self._listen()
             if self.relayed:
@@ -135,28 +136,29 @@
                 self._rest()
 
     def _listen(self):
-        """Hear from a relay instead of the log; return whether that was enough.
+        """Poll a relay instead of the log; return whether its news is fresh.
 
-        A node that the log has just refused something asks the log itself, until
-        it answers. Were it content with a relay's news, a planner that can write
-        nothing down would go on planning.
+        While the log is marked as unreachable, for instance after a failed append, the
+        node reads the log itself until that succeeds. With a relay's news alone, a
+        planner that can't append would continue to plan.
         """
         if self.relay is None or not self.usable or not self.reachable:
             return False
         return self.relay.listen()
 
     def appended(self, offset, data):
-        """Take a record that the log has just given its offset.
+        """Fold a record that the log has just acknowledged with its offset.
 
-        Read back, it would cost a call, and its writer would wait for that.
+        Reading it back would cost a further call, for which its writer would wait.
         """
         self.take(offset, data)
 
     def refused(self, error):
-        """Take note that the log failed an append.
+        """Mark the log as unreachable after a failed append, if there is a relay.
 
-        A node that hears from a relay has no reads of its own that would show it.
-        Elsewhere they do, and a single busy answer is no loss of the log.
+        A node that receives records from a relay has no reads of its own that would
+        show the loss of the log. Without a relay the reads show it, and a single busy
+        answer to an append doesn't mean that the log is lost.
         """
         if self.relay is not None:
             self._mark_unreachable(error)
@@ -179,7 +181,7 @@
         return True
 
     def load(self, state):
-        """Take the state of a snapshot if it is newer; return whether it was."""
+        """Load the state of a snapshot if it is newer; return whether it was."""
         if not self.replica.load(state):
             return False
         self._report("snapshot_loaded", offset=state.next_offset)
@@ -191,7 +193,7 @@
     def append(self, record, timeout_s=5.0):
         """Append a record, read it back, and return its `FoldOutcome`.
 
-        Raises `NotAcknowledged` where it couldn't be read back in time.
+        Raises `NotAcknowledged` if it couldn't be read back in time.
         """
         return self._appender.append(record, timeout_s)
 
@@ -219,14 +221,14 @@
         return f"{self._stream}.snapshots"
 
     def _bridge(self):
-        """Go on without the missing records once it is certain that nobody has them.
-
-        All nodes may be killed while the log forgets what came after the newest
-        snapshot. Each would wait for the others for ever, and no key would have
-        an owner again. A live node that has the records tells its peers within a
-        second or two, so that a gap which lasts is everyone's. What was granted
-        by the lost records has ended by then, and each new lease takes its fence
-        from the log's end, above all that the lost records gave out.
+        """Continue without the missing records once no node can have them.
+
+        All nodes may be killed while the log expires records that follow the newest
+        snapshot. Each node would then wait for the others forever, and no key would
+        get an owner again. A running node that has the records sends them to its peers
+        within a second or two, so that a gap which lasts longer exists on all nodes.
+        By then the grants based on the lost records have expired, and each new lease
+        takes its fence from the log's end, above all fences in the lost records.
         """
         now_s = boottime_s()
         if self._gap_since_s is None:
@@ -241,18 +243,18 @@
         return not self.gap and self.state.next_offset >= next_offset
 
     def confirm(self, then_s):
-        """Take note that the fold held all of the log's records at a time."""
+        """Record that the fold held all records of the log at ``then_s``."""
         self.confirmed_s = max(self.confirmed_s, min(then_s, boottime_s()))
 
     def hurry(self):
-        """Read on at once: somebody waits for a record that is there."""
+        """End the pause between reads: a caller waits for an appended record."""
         self._hurry.set()
 
     def _rest(self):
-        """Let records gather, so that one read brings several.
+        """Pause between reads, so that one read returns several records.
 
-        Each read is a call that the log service counts, and each record would
-        otherwise cost one from every node.
+        Each read is a call that the log service counts. Without the pause, each record
+        would cost one call from every node.
         """
         if not self._awaited and self._pace.rest_s:
             self._hurry.wait(self._pace.rest_s)
@@ -290,8 +292,10 @@
         self._gap_reported = self.gap
 
     def _pause(self):
-        """Wait before the next try, longer each time, so that 640 nodes don't
-        meet a log that comes back with a flood of reads."""
+        """Back off before the next try.
+
+        Otherwise 640 nodes would flood a log that has just come back with reads.
+        """
         delay_s = self._backoff.failed(Priority.URGENT)
         gevent.sleep(min(delay_s, MAX_RETRY_S))
 
@@ -306,17 +310,17 @@
 
     def _mark_reachable(self):
         if not self.reachable:
-            # The others may have begun anew meanwhile; see `_bridge`.
+            # Other nodes may have skipped lost records meanwhile, see `_bridge`.
             self._looked_for_snapshot = not self._client.keeps_newest
             self._report("log_reachable", next_offset=self.state.next_offset)
         self.reachable = True
 
 
 def _call(listener, *arguments):
-    """Call a listener; its failure must not stop the fold.
+    """Call a listener; log its exceptions, which must not stop the fold.
 
-    A follower that ended with an exception would leave the node running on a
-    state that never changes again, and nobody would see it but by its age.
+    If an exception ended the follower, the node would continue with a state that
+    never changes again, which would be visible only by its age.
     """
     try:
         listener(*arguments)
@@ -325,5 +329,5 @@
 
 
 def new_record_id():
-    """Return an id that no other record has."""
+    """Return a unique id for a new record."""
     return uuid.uuid4().hex
--- a/comfreywharf/daemon/recording/logclient.py
+++ b/comfreywharf/daemon/recording/logclient.py
@@ -22,14 +22,14 @@
 CONCURRENCY = 8
 
 WAITED_FRACTION = 0.9
-"""How much of the wait that was asked for an empty answer is sure to have waited."""
+"""Fraction of the requested wait that an empty answer is assumed to have waited."""
 
 
 def known_at_s(sent_s, wait_s, has_records):
-    """Return a time at which the answer to a read held all that there was.
+    """Return the latest time at which the answer to a read was surely complete.
 
     ``sent_s`` is when the read was sent and ``wait_s`` how long it was to wait for a
-    record. An empty answer says that there was none until the wait was over.
+    record. An empty answer means that there was no new record until the wait ended.
 
     >>> known_at_s(10.0, 1.0, has_records=True), known_at_s(10.0, 1.0, False)
     (10.0, 10.9)
@@ -38,11 +38,11 @@
 
 
 class LogError(Exception):
-    """The log service gave no usable answer; an append may have taken effect."""
+    """The log service gave no valid answer; an append may have taken effect."""
 
 
 class LogBusy(LogError):
-    """The log service took no append now; it may be asked again later."""
+    """The log service refused an append for now; it may be retried later."""
 
     def __init__(self, retry_after_s):
         super().__init__(f"busy; retry after {retry_after_s:g} s")
@@ -50,9 +50,9 @@
 
 
 class LogTruncated(LogError):
-    """The records asked for have expired.
+    """The requested records have expired.
 
-    ``first`` is the oldest kept offset, ``next`` the one behind the newest.
+    ``first`` is the oldest retained offset, ``next`` the one after the newest.
     """
 
     def __init__(self, first, next_):
@@ -72,26 +72,26 @@
 
 @attrs.define
 class LogTraffic:
-    """Calls to the log service by kind, and the bytes of their bodies."""
+    """Counts of calls to the log service by kind, and of bytes in their bodies."""
 
     calls: dict = attrs.Factory(lambda: {"append": 0, "read": 0})
     size_bytes: dict = attrs.Factory(lambda: {"sent": 0, "received": 0})
 
     def called(self, method, body):
-        """Count a call that is made now."""
+        """Count a call, and the bytes of its body."""
         self.calls["append" if method == "POST" else "read"] += 1
         self.size_bytes["sent"] += len(body)
 
     def answered(self, data):
-        """Count the body of an answer."""
+        """Count the bytes of an answer's body."""
         self.size_bytes["received"] += len(data)
 
 
 class LogClient:
     """Append to and read from streams of the log service.
 
-    Where ``keeps_newest`` is true, `newest_parts` returns what was written last
-    to a stream of snapshots, however long ago.
+    If ``keeps_newest`` is true, ``newest_parts(stream)`` returns what was written
+    last to a stream of snapshots, however long ago.
     """
 
     keeps_newest = False
@@ -117,8 +117,8 @@
     def append(self, stream, data):
         """Append a record and return its offset.
 
-        Raises `LogBusy` where the service refused it, and `LogError` where
-        nobody knows whether it took effect.
+        Raises `LogBusy` if the service refused the record, and `LogError` if it is
+        unknown whether it took effect.
         """
         status, fields, headers = self._call(
             self._writer, "POST", f"/streams/{stream}", data, self._timeout_s
@@ -130,7 +130,10 @@
         return self._field(fields, "offset")
 
     def read(self, stream, start, limit=200, wait_ms=0):
-        """Return a `Batch` from an offset on, waiting for the first record."""
+        """Return a `Batch` from offset ``start`` on; wait for a first record.
+
+        Raises `LogTruncated` if the records at ``start`` have expired.
+        """
         uri = f"/streams/{stream}?from={start}&limit={limit}&wait_ms={wait_ms}"
         timeout_s = self._timeout_s + wait_ms / 1000
         status, fields, _ = self._call(self._reader, "GET", uri, b"", timeout_s)
@@ -181,7 +184,7 @@
 
 
 def _retry_after_s(headers):
-    """Return the seconds of Retry-After; a date or nonsense means the default."""
+    """Return the seconds of Retry-After, or the default if it isn't a number."""
     text = headers.get("Retry-After", "")
     try:
         return min(max(float(text), 0.0), MAX_RETRY_AFTER_S)
--- a/comfreywharf/daemon/recording/snapshots.py
+++ b/comfreywharf/daemon/recording/snapshots.py
@@ -1,4 +1,4 @@
-"""Write snapshots to their stream, and find the newest one there."""
+"""Write snapshots of the state to their stream, and read the newest one."""
 
 import uuid
 
@@ -25,10 +25,10 @@
 
 
 def read_newest(client, stream):
-    """Return the newest whole snapshot's state, or ``None``.
+    """Return the state of the newest complete snapshot, or ``None``.
 
-    It looks at the stream's end first and further back only where that holds
-    no whole snapshot. Raises `LogError`.
+    Read the end of the stream first, and earlier parts only if the end contains no
+    complete snapshot. Raises `LogError`.
     """
     assembler = SnapshotAssembler()
     if client.keeps_newest:
@@ -43,9 +43,9 @@
 
 
 def read_kept(client, stream):
-    """Return ``(state, position)`` where the log keeps the newest snapshot.
+    """Return ``(state, position)`` of the newest snapshot, if the log keeps it.
 
-    ``position`` names what was read, for a replacement of just that.
+    ``position`` identifies what was read, for a conditional replacement of it.
     """
     parts, position = client.newest_parts(stream)
     assembler = SnapshotAssembler()
@@ -55,11 +55,11 @@
 
 
 def begin_anew(client, stream, log_first):
-    """Write a state that goes on where the log begins; return whether it counts.
+    """Write a snapshot that continues where the log begins; return whether it did.
 
-    It is the newest snapshot's, without the records between the two, which nobody
-    has any more. Only one node's write can follow on what was read, so that all
-    nodes go on from the same state.
+    Its state is that of the newest snapshot, without the records between the two,
+    which no node has any more. The write is conditional on what was read, so that
+    only one node succeeds and all nodes continue from the same state.
     """
     state, position = read_kept(client, stream)
     state = state or ClusterState()
@@ -89,7 +89,7 @@
 
 
 def encode_slowly(state):
-    """Return ``(parts, offset)`` of a state, letting other greenlets run."""
+    """Return ``(parts, offset)`` of a state, yielding to other greenlets."""
     copied = state.copy()
     pieces = []
     for piece in encode_sections(copied):
@@ -100,7 +100,7 @@
 
 
 class SnapshotWriter:
-    """Write a snapshot whenever one is due and it is this node's turn."""
+    """Write a snapshot whenever one is due and this node is to write it."""
 
     def __init__(self, node_id, follower, report):
         self._node_id = node_id
@@ -110,7 +110,7 @@
         self._written_offset = -1
 
     def run(self):
-        """Write until the greenlet is killed."""
+        """Write due snapshots until the greenlet is killed."""
         while True:
             gevent.sleep(CHECK_INTERVAL_S)
             if not self._is_turn():
@@ -127,18 +127,18 @@
         return self._schedule.is_turn(follower.state, follower.log_first, boottime_s())
 
     def _is_planners_turn(self):
-        """Return whether the planner should write the newest state.
+        """Return whether there is a newer state for the planner to write.
 
-        Where the log keeps the newest snapshot for good, one soon after each
-        change is cheap and lets the log forget its records at any moment. The
-        planner alone writes, so that no record has to tell the others of it.
+        If the log keeps the newest snapshot permanently, writing one soon after each
+        change is cheap and allows the log to expire records at any time. Only the
+        planner writes, so that no record has to inform the other nodes.
         """
         follower = self._follower
         ready = follower.usable and follower.reachable
         return ready and follower.state.next_offset > self._written_offset
 
     def run_as(self, planner):
-        """Write whenever the state has changed and this node is the planner."""
+        """Write each changed state while this node is the planner."""
         while True:
             gevent.sleep(CHECK_INTERVAL_S)
             if not planner.is_planning or not self._is_planners_turn():
