--- a/comfreywharf/daemon/owning/declaring.py
+++ b/comfreywharf/daemon/owning/service_declarer.py
@@ -7,15 +7,15 @@
 from comfreywharf.daemon.recording.follower import NotAcknowledged, new_record_id
 from comfreywharf.records import ConfigPatched
 
-__all__ = ["Declaring"]
+__all__ = ["ServiceDeclarer"]
 
-CHECK_S = 0.2
+CHECK_INTERVAL_S = 0.2
 SLICES_PER_SERVER = 10
-LEAST_SLICES = 16
-MOST_SLICES = 640
+MIN_SLICES = 16
+MAX_SLICES = 640
 
 
-class Declaring:
+class ServiceDeclarer:
     """Keep the configuration in the log in step with the routes' services.
 
     Only services in the configuration get slices. The planner adds them, since
@@ -30,17 +30,17 @@
     def run(self):
         """Declare missing or changed services until the greenlet is killed."""
         while True:
-            gevent.sleep(CHECK_S)
+            gevent.sleep(CHECK_INTERVAL_S)
             if not self._node.planner.is_planning:
                 self._planning_since_s = None
                 continue
             if self._planning_since_s is None:
                 self._planning_since_s = boottime_s()
-            missing = self._missing(boottime_s())
-            if missing:
-                self._declare(missing)
+            to_declare = self._services_to_declare(boottime_s())
+            if to_declare:
+                self._declare(to_declare)
 
-    def _missing(self, now_s):
+    def _services_to_declare(self, now_s):
         """Return the services to declare, by name.
 
         A new service is declared only once its servers had ``gather_s`` to
@@ -50,17 +50,17 @@
         """
         state = self._node.follower.state
         gather_s = self._node.ports.placement.gather_s
-        gathers = now_s - self._planning_since_s < gather_s
-        missing = {}
+        awaiting_servers = now_s - self._planning_since_s < gather_s
+        to_declare = {}
         for name, service in self._node.routes.services.items():
             declared = state.config.services.get(name)
-            if declared is None and gathers:
+            if declared is None and awaiting_servers:
                 continue
             slices = declared.slices if declared else self._slices(state, name)
             service = attrs.evolve(service, slices=slices)
             if declared != service:
-                missing[name] = service
-        return missing
+                to_declare[name] = service
+        return to_declare
 
     @staticmethod
     def _slices(state, name):
@@ -70,7 +70,7 @@
         slices later.
         """
         servers = sum(member.service == name for member in state.members.values())
-        return min(max(SLICES_PER_SERVER * servers, LEAST_SLICES), MOST_SLICES)
+        return min(max(SLICES_PER_SERVER * servers, MIN_SLICES), MAX_SLICES)
 
     def _declare(self, services):
         record = ConfigPatched(
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -8,10 +8,10 @@
 from comfreywharf.daemon.connections.http import NodelayHandler, SingleSendClient
 from comfreywharf.daemon.operating.decisions import StdoutLines
 from comfreywharf.daemon.operating.operators import OperatorPort
-from comfreywharf.daemon.owning.declaring import Declaring
 from comfreywharf.daemon.owning.grants_by_service import GrantsByService
 from comfreywharf.daemon.owning.heartbeat_grants import HeartbeatGrants
 from comfreywharf.daemon.owning.range_grants import RangeGrants
+from comfreywharf.daemon.owning.service_declarer import ServiceDeclarer
 from comfreywharf.daemon.ports import Ports
 from comfreywharf.daemon.recording.follower import ReadPace
 from comfreywharf.daemon.requests.front import CallerServer
@@ -201,7 +201,7 @@
         reader = ConfigurationReader(
             self.store, node.routes, node.report, lambda: node.follower.relayed
         )
-        return (reader.run, Declaring(node).run)
+        return (reader.run, ServiceDeclarer(node).run)
 
     def identify(self, node, announcement):
         """Return the instance that answers at an address, or nothing."""
