--- a/comfreywharf/daemon/owning/grants.py
+++ b/comfreywharf/daemon/owning/fenced_grants.py
@@ -7,9 +7,9 @@
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.owning.key_grants import KeyGrants
 
-__all__ = ["Grants"]
+__all__ = ["FencedGrants"]
 
-SPARE_S = 0.05
+MIN_REMAINING_S = 0.05
 """A grant with less time left is renewed before a request relies on it."""
 
 
@@ -19,7 +19,7 @@
     until_s: float
 
 
-class Grants(KeyGrants):
+class FencedGrants(KeyGrants):
     """Keep the grants of this node's backend server up to date.
 
     Each message carries all grants and replaces the previous ones, so that a
@@ -31,11 +31,11 @@
     def __init__(self, node):
         self._node = node
         self._pushed = {}
-        self._running = None
+        self._push_done = None
 
     def look(self):
         """Renew all grants."""
-        if self._wanted():
+        if self._checks_fences():
             self.push()
 
     def ensure(self, right, now_s):
@@ -44,10 +44,14 @@
         Return ``True`` even if the backend server didn't answer, since it checks
         the fence of each request and refuses one without a valid grant.
         """
-        if not right.key_hash or not self._wanted():
+        if not right.key_hash or not self._checks_fences():
             return True
         pushed = self._pushed.get((right.service, right.slice_start))
-        if pushed and pushed.fence == right.fence and pushed.until_s > now_s + SPARE_S:
+        if (
+            pushed
+            and pushed.fence == right.fence
+            and pushed.until_s > now_s + MIN_REMAINING_S
+        ):
             return True
         self.push()
         return True
@@ -74,20 +78,20 @@
         """Return ``None``: the end of these grants is neither recorded nor awaited."""
         return None
 
-    def _wanted(self):
+    def _checks_fences(self):
         backend = self._node.backend
         return backend is not None and backend.announcement.checks_fences
 
     def push(self):
         """Send all grants; a concurrent caller waits for the message in flight."""
-        if self._running is not None:
-            self._running.wait()
+        if self._push_done is not None:
+            self._push_done.wait()
             return
-        self._running = Event()
+        self._push_done = Event()
         try:
             self._send()
         finally:
-            running, self._running = self._running, None
+            running, self._push_done = self._push_done, None
             running.set()
 
     def _send(self):
--- a/comfreywharf/daemon/ports.py
+++ b/comfreywharf/daemon/ports.py
@@ -9,7 +9,7 @@
 
 from comfreywharf.daemon.operating.decisions import no_lines
 from comfreywharf.daemon.operating.operators import BackendPort, OperatorPort
-from comfreywharf.daemon.owning.grants import Grants
+from comfreywharf.daemon.owning.fenced_grants import FencedGrants
 from comfreywharf.daemon.recording.follower import ReadPace
 from comfreywharf.daemon.recording.logclient import LogClient
 from comfreywharf.daemon.requests.wire import OwnDialect
@@ -125,7 +125,7 @@
 
     def make_grants(self, node):
         """Return the grants as one message that replaces those before it."""
-        return Grants(node)
+        return FencedGrants(node)
 
     def make_servers(self, node):
         """Return the three ports of a node; they aren't started yet."""
