--- a/comfreywharf/daemon/owning/fenced_grants.py
+++ b/comfreywharf/daemon/owning/fenced_grants.py
@@ -33,7 +33,7 @@
         self._pushed = {}
         self._push_done = None
 
-    def look(self):
+    def refresh(self):
         """Renew all grants."""
         if self._checks_fences():
             self.push()
--- a/comfreywharf/daemon/owning/grants_by_service.py
+++ b/comfreywharf/daemon/owning/grants_by_service.py
@@ -18,9 +18,9 @@
         self._ways = ways
         self._service = ""
 
-    def look(self):
+    def refresh(self):
         """Send or prepare the grants that are due."""
-        self.in_force.look()
+        self.in_force.refresh()
 
     @property
     def in_force(self):
--- a/comfreywharf/daemon/owning/heartbeat_grants.py
+++ b/comfreywharf/daemon/owning/heartbeat_grants.py
@@ -47,7 +47,7 @@
         self._answered_s = float("-inf")
         node.leases.subscribe(self._news.set)
 
-    def look(self):
+    def refresh(self):
         """Wake an answer that is waiting, so that it checks for changes."""
         self._news.set()
 
--- a/comfreywharf/daemon/owning/key_grants.py
+++ b/comfreywharf/daemon/owning/key_grants.py
@@ -9,7 +9,7 @@
 
 __all__ = ["BookedGrants", "KeyGrants"]
 
-LOOK_INTERVAL_S = 0.1
+REFRESH_INTERVAL_S = 0.1
 ASKED_PAUSE_S = 0.005
 
 
@@ -19,11 +19,11 @@
     def run(self):
         """Send or prepare due grants until the greenlet is killed."""
         while True:
-            gevent.sleep(LOOK_INTERVAL_S)
-            self.look()
+            gevent.sleep(REFRESH_INTERVAL_S)
+            self.refresh()
 
     @abstractmethod
-    def look(self):
+    def refresh(self):
         """Send or prepare the grants that are due."""
 
     @abstractmethod
--- a/comfreywharf/daemon/owning/range_grants.py
+++ b/comfreywharf/daemon/owning/range_grants.py
@@ -65,7 +65,7 @@
         self._release_timeout_s = release_timeout_s
         self._calls = Pool(MAX_CONCURRENT)
 
-    def look(self):
+    def refresh(self):
         """Send the grants that are due."""
         self.push()
 
