--- a/comfreywharf/daemon/owning/heartbeat_grants.py
+++ b/comfreywharf/daemon/owning/heartbeat_grants.py
@@ -9,13 +9,13 @@
 
 __all__ = ["HeartbeatGrants"]
 
-WAIT_PART = 0.65
+WAIT_FRACTION = 0.65
 """Fraction of the heartbeat interval for which an answer waits for changes.
 
 Keys assigned while no heartbeat is waiting for its answer can't be served until the
 next one. Keys that are already held are renewed as often as without the wait."""
 
-LONGEST_WAIT_S = 0.6
+MAX_WAIT_S = 0.6
 """Upper bound of that wait. The server drops an answer that comes 1 s after its
 heartbeat; the difference allows for delays in a busy node."""
 
@@ -25,7 +25,7 @@
 
 RELEASE_PAUSE_S = 0.1
 
-SETTLING_S = 0.1
+REFUSAL_GRACE_S = 0.1
 """How long after a list a refusal is ignored. The server may receive a request before
 it has read the list that was sent just before."""
 
@@ -40,16 +40,16 @@
     def __init__(self, node, book, interval_s, room):
         super().__init__(node, book)
         self.lists = HoldLists(book, room)
-        self._wait_s = min(WAIT_PART * interval_s, LONGEST_WAIT_S)
-        self._newest = None
-        self._news = Event()
-        self._heard = Event()
+        self._wait_s = min(WAIT_FRACTION * interval_s, MAX_WAIT_S)
+        self._newest_report = None
+        self._change = Event()
+        self._report_received = Event()
         self._answered_s = float("-inf")
-        node.leases.subscribe(self._news.set)
+        node.leases.subscribe(self._change.set)
 
     def refresh(self):
         """Wake an answer that is waiting, so that it checks for changes."""
-        self._news.set()
+        self._change.set()
 
     def answer(self, report):
         """Return the `HoldList` for a report, after waiting for changes.
@@ -57,14 +57,14 @@
         Return ``None`` if there is nothing to send, or if a newer report arrived
         while this one was waiting.
         """
-        self._newest = report
+        self._newest_report = report
         refused = self.lists.hear(report, boottime_s())
-        self._heard.set()
-        self._heard.clear()
+        self._report_received.set()
+        self._report_received.clear()
         if refused and not self._node.closed_to_new_work:
-            self._leave_refused_fences(report)
-        self._await_news(report)
-        if self._newest is not report:
+            self._handle_refused_ranges(report)
+        self._await_change(report)
+        if self._newest_report is not report:
             # A newer heartbeat arrived: the server now waits for its answer.
             return None
         if self._node.closed_to_new_work:
@@ -72,7 +72,7 @@
         self._node.leases.renew_now(RENEWAL_WAIT_S)
         return self._decide(report)
 
-    def _leave_refused_fences(self, report):
+    def _handle_refused_ranges(self, report):
         self._node.report(
             "ranges_refused", name=self._instance(), service=report.service
         )
@@ -82,25 +82,25 @@
         backend = self._node.backend
         return backend.announcement.instance if backend else ""
 
-    def _await_news(self, report):
+    def _await_change(self, report):
         end_s = report.arrived_s + self._wait_s
-        while self._newest is report and not self._node.closed_to_new_work:
+        while self._newest_report is report and not self._node.closed_to_new_work:
             left_s = end_s - boottime_s()
-            if left_s <= 0 or self._has_news(report):
+            if left_s <= 0 or self._has_changes(report):
                 return
             if not is_quiet(report.connection):
-                self._look_at_server()
+                self._check_server()
                 return
-            self._news.clear()
-            self._news.wait(left_s)
+            self._change.clear()
+            self._change.wait(left_s)
 
-    def _has_news(self, report):
+    def _has_changes(self, report):
         serving = self._serving()
         return serving is not None and self.lists.has_news(
             report, serving, boottime_s()
         )
 
-    def _look_at_server(self):
+    def _check_server(self):
         """Report the server as refusing if its port refuses connections.
 
         This is called when the heartbeat's connection has closed, as it does when the
@@ -151,14 +151,14 @@
 
     def refused(self, right):
         """Stop sending requests for a key that the server doesn't hold."""
-        if right.key_hash and boottime_s() > self._answered_s + SETTLING_S:
+        if right.key_hash and boottime_s() > self._answered_s + REFUSAL_GRACE_S:
             self.book.doubt(right.service, right.key_hash)
-            self._news.set()
+            self._change.set()
 
     def _try_release(self, place, numbers, fence):
         self.lists.release()
-        self._news.set()
-        self._heard.wait(RELEASE_PAUSE_S)
+        self._change.set()
+        self._report_received.wait(RELEASE_PAUSE_S)
         if self._may_be_held(place, fence):
             return None
         return self.lists.take_out_handover(*place[1:])
