--- a/comfreywharf/daemon/owning/heartbeat_grants.py
+++ b/comfreywharf/daemon/owning/heartbeat_grants.py
@@ -76,7 +76,7 @@
         self._node.report(
             "ranges_refused", name=self._instance(), service=report.service
         )
-        self._begin_anew("ranges refused")
+        self._reacquire_lease("ranges refused")
 
     def _instance(self):
         backend = self._node.backend
@@ -123,7 +123,7 @@
             return None
         served = self._served()
         if self.book.bars(fence for _, _, fence, _ in served):
-            self._begin_anew("another life of the server")
+            self._reacquire_lease("another life of the server")
             return None
         return Serving(
             served=tuple(served),
--- a/comfreywharf/daemon/owning/key_grants.py
+++ b/comfreywharf/daemon/owning/key_grants.py
@@ -73,7 +73,7 @@
         self._node = node
         self.book = book
         self._releases = {}
-        self._anew_not_before_s = float("-inf")
+        self._next_reacquire_s = float("-inf")
 
     def release(self, service, start, timeout_s):
         """Return the handover of a slice that moves away, or ``None`` if pending."""
@@ -155,7 +155,7 @@
         table, state = self._node.leases.table, self._node.follower.state
         return list(table.serving(state, boottime_s()))
 
-    def _begin_anew(self, reason):
+    def _reacquire_lease(self, reason):
         """Reacquire the lease, to get fences above those of any earlier process.
 
         Return ``False`` without doing so if it happened within the last lease
@@ -163,8 +163,8 @@
         node would otherwise record a new lease for each, several times a second.
         """
         now_s = boottime_s()
-        if now_s < self._anew_not_before_s:
+        if now_s < self._next_reacquire_s:
             return False
-        self._anew_not_before_s = now_s + self.book.terms.lease_s
-        self._node.leases.begin_anew(reason)
+        self._next_reacquire_s = now_s + self.book.terms.lease_s
+        self._node.leases.reacquire(reason)
         return True
--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -254,7 +254,7 @@
         self._wanted = True
         self._follow_log()
 
-    def begin_anew(self, reason):
+    def reacquire(self, reason):
         """Give the lease up and acquire it again, so that its fence grows.
 
         Do nothing if the lease was given up by `surrender`: otherwise it would be
--- a/comfreywharf/daemon/owning/range_grants.py
+++ b/comfreywharf/daemon/owning/range_grants.py
@@ -80,7 +80,7 @@
         self._meet(backend, process)
         served = self._served()
         barred = self.book.bars(fence for _, _, fence, _ in served)
-        if barred and self._begin_anew("another process may be there"):
+        if barred and self._reacquire_lease("another process may be there"):
             return []
         return [
             self._calls.spawn(self._send, backend, process, order)
@@ -133,7 +133,7 @@
             # The server has seen a higher fence than this node's. A reacquired lease
             # takes its epoch from the end of the log, above all earlier ones.
             self._left_fence = self.book.highest_fence
-            self._node.leases.begin_anew("grant outdated")
+            self._node.leases.reacquire("grant outdated")
 
     def _is_past(self, order):
         """Return whether the order's fence has been superseded by a higher one.
--- a/comfreywharf/daemon/tests/test_lease_and_log.py
+++ b/comfreywharf/daemon/tests/test_lease_and_log.py
@@ -35,7 +35,7 @@
     node = Node(SETTINGS, OwnPorts(SETTINGS))
     leases = node.leases
     node.follower.reachable = True
-    leases.begin_anew("another process may be there")
+    leases.reacquire("another process may be there")
     if heard:
         leases.surrender("backend lost", boottime_s())
         leases.recover()
@@ -61,7 +61,7 @@
     told_s = []
     leases._perform[SendRenewal] = lambda action: told_s.append(action.renewal.lease_s)
     node.follower.reachable = True
-    leases.begin_anew("another process may be there")
+    leases.reacquire("another process may be there")
     grant_by_majority(leases.holder, boottime_s())
     node.follower.reachable = False
     leases._follow_log()
@@ -120,5 +120,5 @@
     node.follower.reachable = True
     node.close_to_new_work()
     assert node.leases.holder.phase == "surrendered"
-    node.leases.begin_anew("grant outdated")
+    node.leases.reacquire("grant outdated")
     assert node.leases.holder.phase == "surrendered"
--- a/comfreywharf/daemon/tests/test_outdated_grants.py
+++ b/comfreywharf/daemon/tests/test_outdated_grants.py
@@ -58,11 +58,11 @@
 def make_grants(first):
     node = SimpleNamespace(
         backend=first,
-        leases=SimpleNamespace(begun_anew=[]),
+        leases=SimpleNamespace(reacquired=[]),
         follower=SimpleNamespace(state=None),
         report=lambda *args, **fields: None,
     )
-    node.leases.begin_anew = node.leases.begun_anew.append
+    node.leases.reacquire = node.leases.reacquired.append
     return RangeGrants(node, ListedHoldBook.of_new_process(TERMS, boottime_s()), 1.0)
 
 
@@ -80,17 +80,17 @@
     earlier.answer = GrantAnswer.OUTDATED
     grants._send(grants._node.backend, 1, late)
     assert earlier.fences == [20, 10]
-    assert grants._node.leases.begun_anew == []
+    assert grants._node.leases.reacquired == []
 
 
 def test_a_refusal_ends_the_lease_that_it_is_of():
     grants = make_grants(backend("i-1", 1, Answers(GrantAnswer.OUTDATED)))
     serve(grants, 10)
     gevent.joinall(grants.push())
-    assert grants._node.leases.begun_anew == ["grant outdated"]
+    assert grants._node.leases.reacquired == ["grant outdated"]
     serve(grants, 20)
     gevent.joinall(grants.push())
-    assert grants._node.leases.begun_anew == ["grant outdated"] * 2
+    assert grants._node.leases.reacquired == ["grant outdated"] * 2
 
 
 def test_a_refusal_doesnt_end_a_newer_lease_that_hasnt_been_granted_yet():
@@ -102,7 +102,7 @@
     (late,) = grants.book.due(served, boottime_s())
     serve(grants, 20)
     grants._send(grants._node.backend, 1, late)
-    assert grants._node.leases.begun_anew == []
+    assert grants._node.leases.reacquired == []
 
 
 def test_two_refusals_begin_the_lease_anew_once():
@@ -118,7 +118,7 @@
     serve_nothing(grants)
     for order in orders:
         grants._send(grants._node.backend, 1, order)
-    assert grants._node.leases.begun_anew == ["grant outdated"]
+    assert grants._node.leases.reacquired == ["grant outdated"]
 
 
 def serve_nothing(grants):
@@ -138,4 +138,4 @@
     serve_nothing(grants)
     earlier.answer = GrantAnswer.OUTDATED
     grants._send(grants._node.backend, 1, late)
-    assert grants._node.leases.begun_anew == []
+    assert grants._node.leases.reacquired == []
--- a/comfreywharf/platform/tests/test_lives.py
+++ b/comfreywharf/platform/tests/test_lives.py
@@ -151,7 +151,7 @@
     Cause: that passed for the surrender with which a lease begins anew."""
     name = deployment.holder(7)
     node = deployment.nodes[name]
-    node.leases.begin_anew("test")
+    node.leases.reacquire("test")
     node.close_to_new_work()
     gevent.sleep(0.5)
     assert node.leases.holder.phase == "surrendered"
