--- a/comfreywharf/daemon/owning/key_grants.py
+++ b/comfreywharf/daemon/owning/key_grants.py
@@ -10,7 +10,7 @@
 __all__ = ["BookedGrants", "KeyGrants"]
 
 REFRESH_INTERVAL_S = 0.1
-ASKED_PAUSE_S = 0.005
+PENDING_GRANT_POLL_S = 0.005
 
 
 class KeyGrants(ABC):
@@ -85,16 +85,16 @@
         fence = self.book.stop(*place, 2 * piece.epoch, boottime_s())
         if fence is None:
             return ""
-        known = self._releases.get(place)
-        if known is None or known[0] != fence:
+        pending_release = self._releases.get(place)
+        if pending_release is None or pending_release[0] != fence:
             task = gevent.spawn(self._release, place, fence)
-            known = self._releases[place] = (fence, task)
-        known[1].join(max(0.0, timeout_s))
-        return known[1].value if known[1].successful() else None
+            pending_release = self._releases[place] = (fence, task)
+        pending_release[1].join(max(0.0, timeout_s))
+        return pending_release[1].value if pending_release[1].successful() else None
 
     def _release(self, place, fence):
         """Return the handover once the backend server no longer holds a slice."""
-        handover = self._ask_release(place, fence)
+        handover = self._request_release(place, fence)
         # The server may process an unanswered grant after the release. Wait until
         # that grant has expired; otherwise the next owner could start while this
         # server still holds the keys.
@@ -103,10 +103,10 @@
             gevent.sleep(left_s)
         return handover
 
-    def _ask_release(self, place, fence):
+    def _request_release(self, place, fence):
         numbers = numbers_in(*place[1:])
         while self.book.is_asked(*place):
-            gevent.sleep(ASKED_PAUSE_S)
+            gevent.sleep(PENDING_GRANT_POLL_S)
         while numbers and self._may_be_held(place, fence):
             handover = self._try_release(place, numbers, fence)
             if handover is not None:
--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -73,7 +73,7 @@
             SendClaim: self._send_claim,
             SendUnclaim: self._send_unclaim,
             Append: self._append,
-            AskRelease: self._ask_release,
+            AskRelease: self._request_release,
             Report: self._add_event,
             ProbeMembers: self._probe_members,
         }
@@ -376,7 +376,7 @@
         )
         self._wake.set()
 
-    def _ask_release(self, action):
+    def _request_release(self, action):
         gevent.spawn(self._fetch_release, action)
 
     def _fetch_release(self, action):
--- a/comfreywharf/daemon/owning/range_grants.py
+++ b/comfreywharf/daemon/owning/range_grants.py
@@ -6,7 +6,7 @@
 from gevent.pool import Pool
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.owning.key_grants import ASKED_PAUSE_S, BookedGrants
+from comfreywharf.daemon.owning.key_grants import PENDING_GRANT_POLL_S, BookedGrants
 from comfreywharf.ownership.holds import GrantAnswer
 from comfreywharf.records import numbers_in
 
@@ -189,7 +189,7 @@
         self.push()
         end_s = now_s + ENSURE_S
         while self.book.is_asked_at(place) and boottime_s() < end_s:
-            gevent.sleep(ASKED_PAUSE_S)
+            gevent.sleep(PENDING_GRANT_POLL_S)
         return self.book.holds(place, right.fence, boottime_s())
 
     def _try_release(self, place, numbers, fence):
