--- a/comfreywharf/daemon/owning/range_grants.py
+++ b/comfreywharf/daemon/owning/range_grants.py
@@ -14,8 +14,8 @@
 
 MAX_CONCURRENT = 8
 RELEASE_PAUSE_S = 0.05
-ENSURE_S = 0.1
-REFUSED_PAUSE_S = 0.01
+ENSURE_TIMEOUT_S = 0.1
+REFUSED_RETRY_S = 0.01
 """Pause before a refused connection is tried again. The connections of a crashed
 process close at once, and a busy event loop notices it within some milliseconds."""
 
@@ -60,7 +60,7 @@
     def __init__(self, node, book, release_timeout_s):
         super().__init__(node, book)
         self._process = None
-        self._left_fence = -1
+        self._superseded_fence = -1
         self._failing = False
         self._release_timeout_s = release_timeout_s
         self._calls = Pool(MAX_CONCURRENT)
@@ -77,7 +77,7 @@
         process = self._reach(backend)
         if not process or backend is not self._node.backend:
             return []
-        self._meet(backend, process)
+        self._track_process(backend, process)
         served = self._served()
         barred = self.book.bars(fence for _, _, fence, _ in served)
         if barred and self._reacquire_lease("another process may be there"):
@@ -99,19 +99,19 @@
             try:
                 return backend.orders.reach()
             except ConnectionRefusedError:
-                gevent.sleep(REFUSED_PAUSE_S)
+                gevent.sleep(REFUSED_RETRY_S)
             except OSError:
                 # The server's state is unknown: the next push tries again.
                 return 0
         self._node.backend_refused(backend)
         return 0
 
-    def _meet(self, backend, process):
-        met = (backend, process)
-        if self._process not in (None, met):
+    def _track_process(self, backend, process):
+        reached = (backend, process)
+        if self._process not in (None, reached):
             self.book.process_changed()
             self._node.report("grants_begin_anew", name=backend.announcement.instance)
-        self._process = met
+        self._process = reached
 
     def _send(self, backend, process, order):
         answer = GrantAnswer.LOST
@@ -122,20 +122,20 @@
             # release of the range waits for the answers to all its grants.
             self.book.answered(order, answer, boottime_s())
         if backend is self._node.backend:
-            self._tell(backend, order, answer)
+            self._report_answer(backend, order, answer)
 
-    def _tell(self, backend, order, answer):
+    def _report_answer(self, backend, order, answer):
         if answer is not GrantAnswer.TAKEN:
-            self._tell_failed(backend, order, answer)
+            self._report_failure(backend, order, answer)
         else:
-            self._tell_taken(backend, order)
-        if answer is GrantAnswer.OUTDATED and not self._is_past(order):
+            self._report_recovery(backend, order)
+        if answer is GrantAnswer.OUTDATED and not self._is_superseded(order):
             # The server has seen a higher fence than this node's. A reacquired lease
             # takes its epoch from the end of the log, above all earlier ones.
-            self._left_fence = self.book.highest_fence
+            self._superseded_fence = self.book.highest_fence
             self._node.leases.reacquire("grant outdated")
 
-    def _is_past(self, order):
+    def _is_superseded(self, order):
         """Return whether the order's fence has been superseded by a higher one.
 
         The refusal then says nothing about the higher fence. Reacquiring the lease
@@ -148,12 +148,12 @@
             if name == service and piece.start < order.end and start < piece.end
         )
         return (
-            order.fence <= self._left_fence
+            order.fence <= self._superseded_fence
             or any(fence > order.fence for fence in served)
             or self.book.granted_above(service, start, order.end, order.fence)
         )
 
-    def _tell_failed(self, backend, order, answer):
+    def _report_failure(self, backend, order, answer):
         self._failing = True
         self._node.report(
             "grant_failed",
@@ -163,7 +163,7 @@
             why=answer.value,
         )
 
-    def _tell_taken(self, backend, order):
+    def _report_recovery(self, backend, order):
         """Report the first accepted grant after failed ones."""
         if self._failing:
             self._failing = False
@@ -177,9 +177,9 @@
     def ensure(self, right, now_s):
         """Return whether the backend server holds the grant of a `Right`.
 
-        Wait up to `ENSURE_S` for a grant that is due or in flight. The server refuses a
-        request that arrives before its grant, and the request is sent again: with half
-        of the grants unanswered, the server gets each request twice.
+        Wait up to `ENSURE_TIMEOUT_S` for a grant that is due or in flight. The server
+        refuses a request that arrives before its grant, and the request is sent again:
+        with half of the grants unanswered, the server gets each request twice.
         """
         if not right.key_hash:
             return True
@@ -187,7 +187,7 @@
         if self.book.holds(place, right.fence, now_s):
             return True
         self.push()
-        end_s = now_s + ENSURE_S
+        end_s = now_s + ENSURE_TIMEOUT_S
         while self.book.is_asked_at(place) and boottime_s() < end_s:
             gevent.sleep(PENDING_GRANT_POLL_S)
         return self.book.holds(place, right.fence, boottime_s())
