--- a/comfreywharf/daemon/owning/lease_calls.py
+++ b/comfreywharf/daemon/owning/lease_calls.py
@@ -32,7 +32,7 @@
 
     def lapsed(self, notice):
         """Receive a witness's notice that an owner's lease expired."""
-        self._node.leases.hear_lapse(notice.owner_id)
+        self._node.leases.receive_lapse_notice(notice.owner_id)
 
     def release(self, request):
         """Release a slice that moved away, and return its remembered answers.
--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -64,7 +64,7 @@
         self._wake = Event()
         self._forced = False
         self._forced_s = float("-inf")
-        self._wanted = True
+        self._lease_wanted = True
         self._granted = Event()
         self._released = Event()
         self._listeners = []
@@ -88,19 +88,19 @@
         This may wait a few milliseconds if the request's deadline exceeds what the
         lease covers, since the witnesses have to be informed first.
         """
-        right = self._ask_right(service, key, now_s, remaining_s)
+        right = self._query_right(service, key, now_s, remaining_s)
         if right.reason is Reason.NOT_YET_OWNER and self.holder.owns(now_s):
             right = self._await_release(service, key, now_s, remaining_s)
         if right.reason is not None or not right.key_hash:
             return right
         right = self.table.begin(right)
-        covered = right.covered or self._cover(service, key, right)
+        covered = right.covered or self._cover_deadline(service, key, right)
         if covered and self._node.grants.ensure(right, now_s):
             return right
         self.table.finish(right)
         return Right(reason=Reason.NOT_YET_OWNER)
 
-    def _ask_right(self, service, key, now_s, remaining_s):
+    def _query_right(self, service, key, now_s, remaining_s):
         state = self._node.follower.state
         return self.table.right_to_serve(state, service, key, now_s, remaining_s)
 
@@ -118,20 +118,20 @@
         while right.reason is Reason.NOT_YET_OWNER and now_s < end_s:
             self._released.wait(end_s - now_s)
             now_s = boottime_s()
-            right = self._ask_right(service, key, now_s, deadline_s - now_s)
+            right = self._query_right(service, key, now_s, deadline_s - now_s)
         return right
 
     def subscribe(self, listener):
         """Call ``listener()`` whenever the set of servable keys may have changed."""
         self._listeners.append(listener)
 
-    def _wake_held(self):
+    def _wake_held_requests(self):
         """Have the requests that are held here check their right again."""
         self._released.set()
         self._released.clear()
-        self._tell_listeners()
+        self._notify_listeners()
 
-    def _tell_listeners(self):
+    def _notify_listeners(self):
         for listener in self._listeners:
             listener()
 
@@ -140,14 +140,14 @@
 
         Grants that last as long as the lease then last nearly a whole lease.
         """
-        asked_s = boottime_s()
-        wanted_s = self.terms.held_until_s(asked_s)
+        requested_s = boottime_s()
+        wanted_s = self.terms.held_until_s(requested_s)
         with gevent.Timeout(timeout_s, False):
             self.force_round()
             while self.holder.lease.until_s() < wanted_s:
                 self._granted.wait()
 
-    def _cover(self, service, key, right):
+    def _cover_deadline(self, service, key, right):
         """Inform the witnesses of a long deadline before the request is forwarded.
 
         They then make a taker wait until the deadline. If the request were forwarded
@@ -161,16 +161,16 @@
                 self.force_round()
                 self._granted.wait()
                 now_s = boottime_s()
-                again = self.table.right_to_serve(
+                rechecked = self.table.right_to_serve(
                     self._node.follower.state,
                     service,
                     key,
                     now_s,
                     right.deadline_s - now_s,
                 )
-                if again.reason is not None or again.fence != right.fence:
+                if rechecked.reason is not None or rechecked.fence != right.fence:
                     return False
-                if again.covered:
+                if rechecked.covered:
                     return True
         return False
 
@@ -202,10 +202,12 @@
             self._wake.wait(self._wait_s(boottime_s()))
             self._wake.clear()
             forced, self._forced = self._forced, False
-            self._follow_log()
+            self._follow_log_reachability()
             now_s = boottime_s()
             state = self._node.follower.state
-            self.carry_out(self.agent.tick(state, now_s, self._may_hold(), forced))
+            self.carry_out(
+                self.agent.tick(state, now_s, self._may_hold_lease(), forced)
+            )
             if now_s > expired_s + EXPIRE_INTERVAL_S:
                 self.inflight.expire(now_s)
                 expired_s = now_s
@@ -220,7 +222,7 @@
             return TICK_S
         return min(max(self.holder.next_round_s - now_s, TICK_S), LONG_TICK_S)
 
-    def _may_hold(self):
+    def _may_hold_lease(self):
         return self._node.follower.usable and self._node.backend is not None
 
     def force_round(self):
@@ -231,7 +233,7 @@
         self._forced = True
         self._wake.set()
 
-    def hear_lapse(self, owner_id):
+    def receive_lapse_notice(self, owner_id):
         """Handle a witness's notice that an owner's lease expired."""
         state = self._node.follower.state
         self.carry_out(self.agent.lapsed(state, owner_id, boottime_s()))
@@ -242,7 +244,7 @@
 
         ``held_until_s`` is as in `OwnershipAgent.surrender`.
         """
-        self._wanted = False
+        self._lease_wanted = False
         self._give_up(reason, held_until_s)
 
     def _give_up(self, reason, held_until_s):
@@ -251,8 +253,8 @@
 
     def recover(self):
         """Acquire the lease again after a surrender."""
-        self._wanted = True
-        self._follow_log()
+        self._lease_wanted = True
+        self._follow_log_reachability()
 
     def reacquire(self, reason):
         """Give the lease up and acquire it again, so that its fence grows.
@@ -260,12 +262,12 @@
         Do nothing if the lease was given up by `surrender`: otherwise it would be
         renewed for a server that gets no work, and no standby could claim the keys.
         """
-        if not self._wanted:
+        if not self._lease_wanted:
             return
         self._give_up(reason, self._node.grants.held_until_s(boottime_s()))
-        self._follow_log()
+        self._follow_log_reachability()
 
-    def _follow_log(self):
+    def _follow_log_reachability(self):
         """Give up a starting lease while the log is unreachable; reacquire it later.
 
         A new lease takes effect only once its record is in the log. A node that has a
@@ -276,7 +278,7 @@
         The surrender reports how long earlier grants of the server last. Without it, a
         standby's server could hold the same keys at the same time for a second.
         """
-        if not self._wanted:
+        if not self._lease_wanted:
             return
         reachable = self._node.follower.reachable
         if self.holder.phase == "surrendered" and reachable:
@@ -309,7 +311,7 @@
         self.carry_out(self.agent.renewed(witness, request.round, grant.term, now_s))
         self._grant_counted()
         if self.holder.lease.told_epoch() > told_epoch:
-            self._wake_held()
+            self._wake_held_requests()
 
     def _probe_members(self, action):
         gevent.spawn(self._probe)
@@ -341,7 +343,7 @@
         self._granted.clear()
         if self.holder.phase == "starting" or self.agent.claims:
             self._wake.set()
-            self._tell_listeners()
+            self._notify_listeners()
 
     def _send_unclaim(self, action):
         request = claim_request(action.claim)
@@ -363,9 +365,9 @@
         return grant_of(reply) if reply else None
 
     def _append(self, action):
-        gevent.spawn(self._append_and_tell, action)
+        gevent.spawn(self._append_and_report, action)
 
-    def _append_and_tell(self, action):
+    def _append_and_report(self, action):
         follower = self._node.follower
         try:
             outcome = follower.append(action.record)
@@ -394,7 +396,7 @@
             self._node.grants.take_handover(key, reply.handover)
             if not reply.more:
                 self.carry_out(self.agent.released(key, reply.vouched, now_s))
-                self._wake_held()
+                self._wake_held_requests()
                 self._wake.set()
                 return
         self.agent.stop_asking(key)
@@ -429,4 +431,4 @@
         self.agent.folded(state, record, result, boottime_s())
         if result.changed:
             self._wake.set()
-            self._tell_listeners()
+            self._notify_listeners()
--- a/comfreywharf/daemon/owning/witnessing.py
+++ b/comfreywharf/daemon/owning/witnessing.py
@@ -117,7 +117,7 @@
 
     def _tell(self, taker_id, notice):
         if taker_id == self._node.settings.node_id:
-            self._node.leases.hear_lapse(notice.owner_id)
+            self._node.leases.receive_lapse_notice(notice.owner_id)
             return
         client = self._node.peers.client(taker_id)
         try:
--- a/comfreywharf/daemon/tests/test_held_requests.py
+++ b/comfreywharf/daemon/tests/test_held_requests.py
@@ -27,7 +27,7 @@
     """Symptom: callers see refusals, or gaps of 250 ms, after each split.
     Sequence: a request comes while a slice's new fence waits for a renewal.
     Cause: nothing wakes it when the witnesses have granted that."""
-    monkeypatch.setattr(leases, "_ask_right", lambda *args: right_once_told(leases))
+    monkeypatch.setattr(leases, "_query_right", lambda *args: right_once_told(leases))
     leases.holder.use_witnesses([("w",)])
     monkeypatch.setattr(leases, "_call_witness", lambda *args: Grant(granted=True))
     held = gevent.spawn(leases.acquire, "booking", b"", boottime_s(), 30.0)
--- a/comfreywharf/daemon/tests/test_lease_and_log.py
+++ b/comfreywharf/daemon/tests/test_lease_and_log.py
@@ -64,7 +64,7 @@
     leases.reacquire("another process may be there")
     grant_by_majority(leases.holder, boottime_s())
     node.follower.reachable = False
-    leases._follow_log()
+    leases._follow_log_reachability()
     assert leases.holder.phase == "surrendered"
     assert len(told_s) == 2
     assert min(told_s) > 0.9
@@ -75,7 +75,7 @@
     node = Node(SETTINGS, OwnPorts(SETTINGS))
     grant_by_majority(node.leases.holder, boottime_s())
     assert node.leases.holder.phase == "starting"
-    node.leases._follow_log()
+    node.leases._follow_log_reachability()
     return node
 
 
@@ -86,7 +86,7 @@
     node = started_without_a_log()
     assert node.leases.holder.phase == "surrendered"
     node.follower.reachable = True
-    node.leases._follow_log()
+    node.leases._follow_log_reachability()
     assert node.leases.holder.phase == "acquiring"
 
 
@@ -96,7 +96,7 @@
     node = started_without_a_log()
     node.leases.surrender("stopping")
     node.follower.reachable = True
-    node.leases._follow_log()
+    node.leases._follow_log_reachability()
     assert node.leases.holder.phase == "surrendered"
 
 
@@ -106,7 +106,7 @@
     holder = node.leases.holder
     grant_by_majority(holder, boottime_s())
     holder.start_read_back(holder.continuity)
-    node.leases._follow_log()
+    node.leases._follow_log_reachability()
     assert holder.phase == "held"
 
 
