--- a/comfreywharf/daemon/belonging/gossip_calls.py
+++ b/comfreywharf/daemon/belonging/gossip_calls.py
@@ -20,7 +20,7 @@
     def report_load(self, report):
         """Receive a node's load; reply whether this node is the planner."""
         node = self._node
-        planning = node.planner.take_report(node_report(report), boottime_s())
+        planning = node.planner.receive_report(node_report(report), boottime_s())
         return LoadReportReply(
             planning=planning,
             term=node.follower.state.planner_term,
--- a/comfreywharf/daemon/owning/load_reports.py
+++ b/comfreywharf/daemon/owning/load_reports.py
@@ -38,8 +38,8 @@
         self._node = node
         self._node_id = node.settings.node_id
         self._meter = SliceMeter(node.ports.placement.smoothing_s)
-        self._known_term = -1
-        self._woken = Event()
+        self._reported_term = -1
+        self._term_started = Event()
         self._random = random.Random(f"{self._node_id} {node.incarnation}")
         node.follower.subscribe(self._on_folded)
 
@@ -52,17 +52,19 @@
         """Report until the greenlet is killed."""
         self._node.follower.caught_up.wait()
         while True:
-            woken = self._woken.is_set()
-            self._woken.clear()
+            term_started = self._term_started.is_set()
+            self._term_started.clear()
             members = len(self._node.follower.state.members)
-            least_s = self._node.ports.placement.report_s
-            delay_s = report_delay_s(members, woken, self._random, least_s)
-            if not self._woken.wait(delay_s):
+            min_interval_s = self._node.ports.placement.report_s
+            delay_s = report_delay_s(
+                members, term_started, self._random, min_interval_s
+            )
+            if not self._term_started.wait(delay_s):
                 self._report_load(boottime_s())
 
     def _on_folded(self, record, result):
         if result.accepted and isinstance(record, PlannerTermStarted):
-            self._woken.set()
+            self._term_started.set()
 
     def _report_load(self, now_s):
         state = self._node.follower.state
@@ -72,12 +74,12 @@
         if self._node_id not in state.members or not planner_id:
             return
         term = state.planner_term
-        report = self._make_report(everything=term != self._known_term)
+        report = self._make_report(everything=term != self._reported_term)
         if planner_id == self._node_id:
-            planning = self._node.planner.take_report(report, now_s)
+            planning = self._node.planner.receive_report(report, now_s)
         else:
             planning = self._send(planner_id, report)
-        self._known_term = term if planning else -1
+        self._reported_term = term if planning else -1
 
     def _make_report(self, everything):
         return NodeReport(
--- a/comfreywharf/daemon/owning/planner.py
+++ b/comfreywharf/daemon/owning/planner.py
@@ -20,7 +20,7 @@
 __all__ = ["Planner"]
 
 TICK_S = 0.25
-MAX_DIVISIONS = 4
+MAX_PLANNING_PASSES = 4
 """Planning passes within one round; another one follows if slices were split. Four
 passes divide a slice with the load of three servers into sixteenths."""
 
@@ -42,7 +42,7 @@
         """Return whether this node is the planner and the log is reachable."""
         return self._planning is not None and self._node.follower.reachable
 
-    def take_report(self, report, now_s):
+    def receive_report(self, report, now_s):
         """Record a `NodeReport`; return whether this node is the planner."""
         if not self.is_planning:
             return False
@@ -73,12 +73,12 @@
             planning.decide(self._planning, event, boottime_s())
 
     def _tick(self, now_s):
-        self._watch(now_s)
+        self._watch_planner(now_s)
         self._follow_own_term(now_s)
         if self.is_planning and now_s >= self._next_round_s:
             self._round(now_s)
 
-    def _watch(self, now_s):
+    def _watch_planner(self, now_s):
         state = self._node.follower.state
         event = terms.Tick(
             planner_id=state.planner_id,
@@ -105,8 +105,8 @@
         if state.planner_id != self._node_id:
             self._planning = None
         elif self._planning is None or self._planned_term != state.planner_term:
-            pace = self._node.ports.placement
-            self._planning = PlanningState.begin(now_s, pace=pace)
+            placement = self._node.ports.placement
+            self._planning = PlanningState.begin(now_s, pace=placement)
             self._planned_term = state.planner_term
             self._next_round_s = now_s
 
@@ -114,7 +114,7 @@
         state = self._node.follower.state
         slice_count = sum(len(pieces.slices) for pieces in state.slices.values())
         self._next_round_s = now_s + round_interval_s(slice_count)
-        for _ in range(MAX_DIVISIONS):
+        for _ in range(MAX_PLANNING_PASSES):
             event = RoundDue(cluster=state)
             _, actions = planning.decide(self._planning, event, now_s)
             self._append_all(actions)
@@ -131,7 +131,7 @@
         records = [
             to_record(action, new_record_id(), self._planned_term) for action in actions
         ]
-        tasks = [gevent.spawn(_outcome, append, record) for record in records]
+        tasks = [gevent.spawn(_append_outcome, append, record) for record in records]
         gevent.joinall(tasks)
         for task in tasks:
             if task.value is None:
@@ -153,7 +153,7 @@
             self._node.follower.append(record)
 
 
-def _outcome(append, record):
+def _append_outcome(append, record):
     """Append a record; return its outcome, ``None`` if not read back in time."""
     try:
         return append(record)
