--- a/comfreywharf/daemon/owning/witnessing.py
+++ b/comfreywharf/daemon/owning/witnessing.py
@@ -13,7 +13,7 @@
 
 TICK_S = 0.05
 NOTICE_TIMEOUT_S = 0.3
-LONGEST_REQUEST_S = 5.0
+DEFAULT_LONGEST_REQUEST_S = 5.0
 
 
 class Witnessing:
@@ -92,15 +92,15 @@
         """Return the longest time that a request of an owner may take."""
         services = self._node.follower.state.config.services.values()
         limits = [s.longest_request_ms / 1000 for s in services if s.divided_by_key]
-        return max(limits, default=LONGEST_REQUEST_S)
+        return max(limits, default=DEFAULT_LONGEST_REQUEST_S)
 
     def _notify(self, now_s):
         state = self._node.follower.state
-        me = self._node.settings.node_id
+        own_id = self._node.settings.node_id
         watched = [
             member.node_id
             for member in state.members.values()
-            if any(me in group for group in member.witness_groups)
+            if any(own_id in group for group in member.witness_groups)
         ]
         self._witness.forget(state.members, now_s)
         lapsed = self._witness.lapsed(watched, now_s)
@@ -113,9 +113,9 @@
                     lease_epoch=state.members[owner_id].lease_epoch,
                     event_clock=0,
                 )
-                gevent.spawn(self._tell, taker_id, notice)
+                gevent.spawn(self._send_notice, taker_id, notice)
 
-    def _tell(self, taker_id, notice):
+    def _send_notice(self, taker_id, notice):
         if taker_id == self._node.settings.node_id:
             self._node.leases.receive_lapse_notice(notice.owner_id)
             return
