--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/belonging/gossip.py
@@ -9,8 +9,8 @@
 from gevent.pool import Pool
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.belonging.news import (
-    NewsError,
+from comfreywharf.daemon.belonging.record_packing import (
+    RecordPackingError,
     pack_records,
     unpack_records,
 )
@@ -327,7 +327,7 @@
         return []
     try:
         return unpack_records(reply.records)
-    except NewsError as error:
+    except RecordPackingError as error:
         raise CallError(f"exchange: records: {error}", sent=True) from error
 
 
--- a/comfreywharf/daemon/belonging/news.py
+++ b/comfreywharf/daemon/belonging/record_packing.py
@@ -8,9 +8,9 @@
 import struct
 import zlib
 
-__all__ = ["MAX_NEWS_BYTES", "NewsError", "pack_records", "unpack_records"]
+__all__ = ["MAX_UNPACKED_BYTES", "RecordPackingError", "pack_records", "unpack_records"]
 
-MAX_NEWS_BYTES = 4 << 20
+MAX_UNPACKED_BYTES = 4 << 20
 """Limit for unpacked records, above what a valid answer may hold."""
 
 FASTEST_LEVEL = 1
@@ -18,7 +18,7 @@
 _HEAD = struct.Struct(">qI")
 
 
-class NewsError(ValueError):
+class RecordPackingError(ValueError):
     """The bytes aren't records packed by `pack_records`."""
 
 
@@ -35,16 +35,18 @@
 
 
 def unpack_records(packed):
-    """Return the ``(offset, data)`` pairs; raises `NewsError`."""
+    """Return the ``(offset, data)`` pairs; raises `RecordPackingError`."""
     plain = _decompress(packed)
     records, place = [], 0
     while place < len(plain):
         if place + _HEAD.size > len(plain):
-            raise NewsError(f"found {len(plain) - place} bytes; expected a head")
+            raise RecordPackingError(
+                f"found {len(plain) - place} bytes; expected a head"
+            )
         offset, size = _HEAD.unpack_from(plain, place)
         place += _HEAD.size
         if place + size > len(plain):
-            raise NewsError(f"record {offset} is cut: expected {size} bytes")
+            raise RecordPackingError(f"record {offset} is cut: expected {size} bytes")
         records.append((offset, plain[place : place + size]))
         place += size
     return records
@@ -53,9 +55,11 @@
 def _decompress(packed):
     expander = zlib.decompressobj()
     try:
-        plain = expander.decompress(packed, MAX_NEWS_BYTES)
+        plain = expander.decompress(packed, MAX_UNPACKED_BYTES)
     except zlib.error as error:
-        raise NewsError(str(error)) from error
+        raise RecordPackingError(str(error)) from error
     if not expander.eof:
-        raise NewsError(f"cut, or more than {MAX_NEWS_BYTES} bytes unpacked")
+        raise RecordPackingError(
+            f"cut, or more than {MAX_UNPACKED_BYTES} bytes unpacked"
+        )
     return plain
--- a/comfreywharf/daemon/tests/test_news.py
+++ b/comfreywharf/daemon/tests/test_record_packing.py
@@ -5,9 +5,9 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from comfreywharf.daemon.belonging.news import (
-    MAX_NEWS_BYTES,
-    NewsError,
+from comfreywharf.daemon.belonging.record_packing import (
+    MAX_UNPACKED_BYTES,
+    RecordPackingError,
     pack_records,
     unpack_records,
 )
@@ -55,11 +55,11 @@
     """Guards against a peer's bytes that end the greenlet that follows it."""
     packed = pack_records([(1, data)])
     for damaged in (packed[: min(cut, len(packed) - 1)], data):
-        with pytest.raises(NewsError):
+        with pytest.raises(RecordPackingError):
             unpack_records(damaged)
 
 
 def test_what_unpacks_to_too_much_is_an_error():
     """Guards against a small answer that takes all of a node's memory."""
-    with pytest.raises(NewsError):
-        unpack_records(zlib.compress(bytes(MAX_NEWS_BYTES + 1)))
+    with pytest.raises(RecordPackingError):
+        unpack_records(zlib.compress(bytes(MAX_UNPACKED_BYTES + 1)))
