--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/belonging/gossip.py
@@ -65,7 +65,7 @@
         self._node = node
         self._rng = rng or random.Random(node.settings.node_id)
         self._pace = GossipPace()
-        self._news = Event()
+        self._push_due = Event()
         self._calls = Pool(MAX_CONCURRENT)
         self._encoding = BoundedSemaphore()
         self._snapshot = []
@@ -74,16 +74,16 @@
             (seed.host, seed.port): PeerClient(seed.host, seed.port, node.reporter)
             for seed in node.settings.seeds
         }
-        node.notices.on_news(self.tell)
-        self._heard = Event()
+        node.notices.on_new_notice(self.push_soon)
+        self._changed = Event()
         node.follower.subscribe(lambda record, result: self._wake())
         node.follower.subscribe_loaded(self._wake)
         node.routes.subscribe(lambda table: self._wake())
 
-    def tell(self):
+    def push_soon(self):
         """Schedule a push of news to some peers as soon as possible."""
         self._pace.news()
-        self._news.set()
+        self._push_due.set()
 
     def push_to(self, node_ids):
         """Push news to the given peers at once; return the greenlets that do so.
@@ -92,13 +92,15 @@
         exchange. That is too late for news that affects the next request.
         """
         clients = [self._node.peers.client(node_id) for node_id in node_ids]
-        return [gevent.spawn(self._reaches, client) for client in clients if client]
+        return [
+            gevent.spawn(self._try_exchange, client) for client in clients if client
+        ]
 
     def run(self):
         """Exchange news until the greenlet is killed."""
         while True:
-            if self._news.wait(self._pace.wait_s(self._rng)):
-                self._news.clear()
+            if self._push_due.wait(self._pace.wait_s(self._rng)):
+                self._push_due.clear()
                 self._push()
                 gevent.sleep(PUSH_GAP_S)
             else:
@@ -108,7 +110,7 @@
         """Return the reply to a peer's `ExchangeRequest`."""
         node = self._node
         node.notices.receive(request.notices, now_s)
-        self._ask_if_behind(request)
+        self._pull_if_behind(request)
         if request.wait_ms:
             self._await_news(request, now_s + request.wait_ms / 1000)
             now_s = boottime_s()
@@ -134,23 +136,23 @@
             and node.routes.version <= request.routes_version
             and (left_s := until_s - boottime_s()) > 0
         ):
-            self._heard.wait(left_s)
+            self._changed.wait(left_s)
 
     def _wake(self):
-        self._heard.set()
-        self._heard.clear()
+        self._changed.set()
+        self._changed.clear()
 
-    def reach_all(self):
+    def reachable_members(self):
         """Return the members that answer an exchange within `REACH_TIMEOUT_S`."""
         asked = {}
         for node_id in self._node.follower.state.members:
             client = self._node.peers.client(node_id)
             if client is not None and node_id != self._node.settings.node_id:
-                asked[node_id] = gevent.spawn(self._reaches, client)
+                asked[node_id] = gevent.spawn(self._try_exchange, client)
         gevent.joinall(list(asked.values()), REACH_TIMEOUT_S)
         return {node_id for node_id, task in asked.items() if task.value}
 
-    def _reaches(self, client):
+    def _try_exchange(self, client):
         """Exchange once; return whether the peer answered."""
         try:
             self._exchange(client)
@@ -158,15 +160,15 @@
             return False
         return True
 
-    def _ask_if_behind(self, request):
+    def _pull_if_behind(self, request):
         """Exchange with a peer that has more records, if the log is unreachable."""
         follower = self._node.follower
         if follower.reachable or request.next_offset <= follower.state.next_offset:
             return
         if not self._calls.full():
-            self._calls.spawn(self._exchange_with_first, [self._asker(request)])
+            self._calls.spawn(self._exchange_with_first, [self._sender_client(request)])
 
-    def _asker(self, request):
+    def _sender_client(self, request):
         """Return the client for the sender of a request, even if it isn't a member.
 
         A node that starts while the log is unreachable has no members yet. Without
@@ -182,9 +184,9 @@
         news = replica.news_for(next_offset, MAX_REPLY_BYTES)
         if news is not None:
             return news
-        return [(SNAPSHOT_OFFSET, data) for data in self._parts()]
+        return [(SNAPSHOT_OFFSET, data) for data in self._snapshot_parts()]
 
-    def _parts(self):
+    def _snapshot_parts(self):
         """Return the parts of a snapshot that the retained records continue.
 
         One encoding serves many peers, for as long as the records that follow it are
@@ -227,12 +229,12 @@
         """
         for client in clients:
             try:
-                self._exchange_until_equal(client)
+                self._exchange_until_caught_up(client)
                 return
             except CallError:
                 continue
 
-    def _exchange_until_equal(self, client):
+    def _exchange_until_caught_up(self, client):
         """Exchange with a peer, and repeat while it has more for this node."""
         follower = self._node.follower
         before = follower.state.next_offset
@@ -246,7 +248,7 @@
         # than half of the 8 s that a change may take.
         self._pace.news()
         if follower.state.next_offset > before:
-            self.tell()
+            self.push_soon()
 
     def listen(self, client, wait_s):
         """Exchange with a peer that answers once it has news, or after ``wait_s``.
@@ -255,17 +257,17 @@
         ages that the peer reports for its own. Return ``None`` if the peer reports no
         age for its records, or if records below its next offset are missing here.
         """
-        reply, _ = self._ask(client, wait_s)
+        reply, _ = self._call_exchange(client, wait_s)
         if reply.log_age_ms < 0 or not self._node.follower.knows(reply.next_offset):
             return None
         return NewsAge(reply.log_age_ms / 1000, _age_s(reply.routes_age_ms))
 
     def _exchange(self, client):
         """Exchange once; return whether the peer has more for this node."""
-        reply, advanced = self._ask(client)
+        reply, advanced = self._call_exchange(client)
         return advanced and self._node.follower.state.next_offset < reply.next_offset
 
-    def _ask(self, client, wait_s=0.0):
+    def _call_exchange(self, client, wait_s=0.0):
         """Exchange once; return the reply, and whether it had new records."""
         node = self._node
         request = ExchangeRequest(
@@ -283,15 +285,15 @@
         timeout_s = wait_s + LISTEN_MARGIN_S if wait_s else EXCHANGE_TIMEOUT_S
         reply = client.call("exchange", request, timeout_s=timeout_s)
         node.notices.receive(reply.notices, boottime_s())
-        self._take_routes(reply, client, sent_s)
-        advanced = self._take(_records_in(reply))
+        self._apply_routes(reply, client, sent_s)
+        advanced = self._fold_records(_records_in(reply))
         if reply.log_age_ms >= 0 and node.follower.knows(reply.next_offset):
             # The peer's fold matched the log ``log_age_ms`` before its answer, and
             # the answer came after the request was sent.
             node.follower.confirm(sent_s - reply.log_age_ms / 1000)
         return reply, advanced
 
-    def _take_routes(self, reply, client, sent_s):
+    def _apply_routes(self, reply, client, sent_s):
         """Apply a peer's routes if newer; record when they were confirmed as current.
 
         The reported age counts from the answer, which came after the request was sent.
@@ -306,7 +308,7 @@
         if reply.routes_age_ms >= 0 and routes.version >= reply.routes_version:
             routes.confirm(sent_s - reply.routes_age_ms / 1000)
 
-    def _take(self, records):
+    def _fold_records(self, records):
         """Fold a peer's records, or its snapshot; return whether any was new."""
         follower = self._node.follower
         assembler = SnapshotAssembler()
--- a/comfreywharf/daemon/belonging/notices.py
+++ b/comfreywharf/daemon/belonging/notices.py
@@ -26,7 +26,7 @@
     def __init__(self):
         self._board = NoticeBoard()
         self._listeners = defaultdict(list)
-        self._on_news = []
+        self._new_notice_listeners = []
 
     def publish(self, kind, subject, value, ttl_s):
         """Publish a notice to all nodes, starting at once; return its id."""
@@ -49,9 +49,9 @@
         """Return the unexpired notices of a kind at a monotonic time."""
         return self._board.current(kind, now_s)
 
-    def on_news(self, listener):
+    def on_new_notice(self, listener):
         """Call ``listener()`` whenever there are new notices to forward."""
-        self._on_news.append(listener)
+        self._new_notice_listeners.append(listener)
 
     def to_send(self, now_s, known=frozenset()):
         """Return the newest notices as messages, except those with ``known`` ids."""
@@ -73,7 +73,7 @@
             for listener in self._listeners[notice.kind]:
                 listener(notice)
         if fresh:
-            for listener in self._on_news:
+            for listener in self._new_notice_listeners:
                 listener()
 
 
--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -317,7 +317,7 @@
         gevent.spawn(self._probe)
 
     def _probe(self):
-        reachable = self._node.gossip.reach_all()
+        reachable = self._node.gossip.reachable_members()
         reachable.add(self._node.settings.node_id)
         self.agent.lost_witnesses.probed(reachable, boottime_s())
         self._wake.set()
--- a/comfreywharf_dev/bench/gossip.py
+++ b/comfreywharf_dev/bench/gossip.py
@@ -75,7 +75,7 @@
 
     def __init__(self, node_id, log_port):
         super().__init__(node_id, log_port)
-        self.follower.subscribe(lambda record, result: self.gossip.tell())
+        self.follower.subscribe(lambda record, result: self.gossip.push_soon())
         answer = self.gossip.answer
 
         def answer_and_ask(request, now_s):
