--- a/comfreywharf/daemon/belonging/__init__.py
+++ b/comfreywharf/daemon/belonging/__init__.py
@@ -1,5 +1,5 @@
 """Gossip between nodes: records, snapshots, routes and notices, and the connections.
 
-Other subpackages use `Gossip`, `Notices`, `Relaying`, and `Peers`, which holds the
+Other subpackages use `Gossip`, `Notices`, `RelayClient`, and `Peers`, which holds the
 connections to the other nodes by their ids.
 """
--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/belonging/gossip.py
@@ -27,10 +27,10 @@
 __all__ = ["Gossip"]
 
 EXCHANGE_TIMEOUT_S = 1.0
-LISTEN_MARGIN_S = 0.4
+LONG_POLL_MARGIN_S = 0.4
 """Added to the wait of a long poll for the time-out of its call."""
 
-MAX_WAIT_S = 5.0
+MAX_LONG_POLL_S = 5.0
 """Upper bound for how long a peer's request is held while there is no news."""
 
 MAX_CONCURRENT = 8
@@ -129,7 +129,7 @@
 
     def _await_news(self, request, until_s):
         """Wait until there are records or routes that a peer doesn't have."""
-        until_s = min(until_s, boottime_s() + MAX_WAIT_S)
+        until_s = min(until_s, boottime_s() + MAX_LONG_POLL_S)
         node = self._node
         while (
             node.follower.state.next_offset <= request.next_offset
@@ -250,7 +250,7 @@
         if follower.state.next_offset > before:
             self.push_soon()
 
-    def listen(self, client, wait_s):
+    def long_poll(self, client, wait_s):
         """Exchange with a peer that answers once it has news, or after ``wait_s``.
 
         Return the age of this node's fold and routes as a `NewsAge`, derived from the
@@ -282,7 +282,7 @@
             peer_port=node.settings.advertised_peer_port or node.settings.peer_port,
         )
         sent_s = boottime_s()
-        timeout_s = wait_s + LISTEN_MARGIN_S if wait_s else EXCHANGE_TIMEOUT_S
+        timeout_s = wait_s + LONG_POLL_MARGIN_S if wait_s else EXCHANGE_TIMEOUT_S
         reply = client.call("exchange", request, timeout_s=timeout_s)
         node.notices.receive(reply.notices, boottime_s())
         self._apply_routes(reply, client, sent_s)
--- a/comfreywharf/daemon/belonging/relaying.py
+++ b/comfreywharf/daemon/belonging/relay_client.py
@@ -5,29 +5,29 @@
 from comfreywharf.routes import longest_relayed_age_s
 from comfreywharf.transport import CallError
 
-__all__ = ["Relaying"]
+__all__ = ["RelayClient"]
 
-WAIT_S = 0.5
+LONG_POLL_S = 0.5
 """How long a relay holds a request while it has no news. The loss of a relay is
 noticed by the end of this time."""
 
-MOST_AGE_MARGIN_S = 0.5
+MAX_AGE_MARGIN_S = 0.5
 """Added to the wait of a log read for the maximum age of records at the node that
 reads the log itself."""
 
 
-class Relaying:
+class RelayClient:
     """Poll the relay that `Relays` chooses."""
 
     def __init__(self, node, read_wait_s):
         self._node = node
         self._relays = Relays(
             node.settings.node_id,
-            most_age_s=read_wait_s + MOST_AGE_MARGIN_S,
+            most_age_s=read_wait_s + MAX_AGE_MARGIN_S,
             most_routes_age_s=longest_relayed_age_s(node.ports.routes_apply_s),
         )
 
-    def listen(self):
+    def poll(self):
         """Poll a relay once; return whether its news is fresh.
 
         Otherwise the caller reads the log before another relay is polled: the
@@ -35,21 +35,21 @@
         """
         members = self._node.follower.state.members
         relay_id = self._relays.choose(members, boottime_s())
-        return bool(relay_id) and self._hear(relay_id, members)
+        return bool(relay_id) and self._poll_relay(relay_id, members)
 
-    def _hear(self, relay_id, members):
+    def _poll_relay(self, relay_id, members):
         client = self._node.peers.client(relay_id)
         if client is None:
             return self._avoid(relay_id, "no address")
         try:
-            age = self._node.gossip.listen(client, WAIT_S)
+            age = self._node.gossip.long_poll(client, LONG_POLL_S)
         except CallError as error:
             return self._avoid(relay_id, str(error))
         if age is None:
             return self._avoid(relay_id, "lacks records")
         if not self._relays.is_fresh(members, relay_id, age):
-            told = f"records {age.records_s:.3f} s old, routes {age.routes_s:.3f} s"
-            return self._avoid(relay_id, told)
+            ages = f"records {age.records_s:.3f} s old, routes {age.routes_s:.3f} s"
+            return self._avoid(relay_id, ages)
         return True
 
     def _avoid(self, relay_id, why):
--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -9,7 +9,7 @@
 from comfreywharf.daemon.belonging.gossip import Gossip
 from comfreywharf.daemon.belonging.notices import Notices
 from comfreywharf.daemon.belonging.peers import Peers
-from comfreywharf.daemon.belonging.relaying import Relaying
+from comfreywharf.daemon.belonging.relay_client import RelayClient
 from comfreywharf.daemon.handler import PeerHandler
 from comfreywharf.daemon.operating.decisions import Decisions
 from comfreywharf.daemon.operating.metering import Meter
@@ -85,7 +85,7 @@
         self.notices = Notices()
         self.gossip = Gossip(self)
         if self.ports.read_pace.relayed:
-            self.follower.relay = Relaying(self, self.ports.read_pace.wait_s)
+            self.follower.relay = RelayClient(self, self.ports.read_pace.wait_s)
         self.leases = Leases(self)
         self.grants = self.ports.make_grants(self)
         self.witnessing = Witnessing(self, self.leases.terms)
--- a/comfreywharf/daemon/recording/follower.py
+++ b/comfreywharf/daemon/recording/follower.py
@@ -116,7 +116,7 @@
     def run(self):
         """Follow the log until the greenlet is killed."""
         while True:
-            self.relayed = self._listen()
+            self.relayed = self._poll_relay()
             if self.relayed:
                 continue
             try:
@@ -135,7 +135,7 @@
                 self._backoff.succeeded(Priority.URGENT)
                 self._rest()
 
-    def _listen(self):
+    def _poll_relay(self):
         """Poll a relay instead of the log; return whether its news is fresh.
 
         While the log is marked as unreachable, for instance after a failed append, the
@@ -144,7 +144,7 @@
         """
         if self.relay is None or not self.usable or not self.reachable:
             return False
-        return self.relay.listen()
+        return self.relay.poll()
 
     def appended(self, offset, data):
         """Fold a record that the log has just acknowledged with its offset.
