--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/belonging/gossip.py
@@ -35,7 +35,7 @@
 
 MAX_CONCURRENT = 8
 REACH_TIMEOUT_S = 0.4
-LONGEST_AGE_S = 3600.0
+MAX_REPORTED_AGE_S = 3600.0
 PUSH_GAP_S = 0.05
 """Pause between two rounds of pushes, so that a burst of news is sent together."""
 
@@ -338,5 +338,5 @@
 
 
 def _age_ms(age_s):
-    """Return an age in ms for a message, or -1 if above `LONGEST_AGE_S`."""
-    return -1 if age_s > LONGEST_AGE_S else max(0, math.ceil(age_s * 1000))
+    """Return an age in ms for a message, or -1 if above `MAX_REPORTED_AGE_S`."""
+    return -1 if age_s > MAX_REPORTED_AGE_S else max(0, math.ceil(age_s * 1000))
--- a/comfreywharf/daemon/belonging/notices.py
+++ b/comfreywharf/daemon/belonging/notices.py
@@ -9,7 +9,7 @@
 
 __all__ = ["Notices"]
 
-MAX_SENT = 128
+MAX_NOTICES_PER_MESSAGE = 128
 """Maximum number of notices in one message; the newest take precedence."""
 
 MIN_REMAINING_S = 0.05
@@ -61,7 +61,9 @@
             if notice.notice_id not in known
             and notice.expires_s - now_s >= MIN_REMAINING_S
         ]
-        return [_to_message(notice, now_s) for notice in chosen[:MAX_SENT]]
+        return [
+            _to_message(notice, now_s) for notice in chosen[:MAX_NOTICES_PER_MESSAGE]
+        ]
 
     def receive(self, messages, now_s):
         """Add the notices of a peer and forward those that are new."""
