--- a/comfreywharf/daemon/recording/batches.py
+++ b/comfreywharf/daemon/recording/append_batcher.py
@@ -5,13 +5,13 @@
 
 from comfreywharf.daemon.recording.logclient import LogError
 
-__all__ = ["Batches"]
+__all__ = ["AppendBatcher"]
 
 GATHER_S = 0.01
 """How long a call waits for more records. A planned move of ten slices results in ten
 records of one node within a few milliseconds."""
 
-MOST_RECORDS = 64
+MAX_RECORDS_PER_BATCH = 64
 
 
 class _Batch:
@@ -20,7 +20,7 @@
         self.first = AsyncResult()
 
 
-class Batches:
+class AppendBatcher:
     """Collect records and append each batch with ``append_all(records)``.
 
     ``append_all`` returns the offset of the first record, or raises `LogError` for all
@@ -35,7 +35,7 @@
     def append(self, data):
         """Return the offset of a record once it is appended; raises `LogError`."""
         batch = self._open
-        if batch is None or len(batch.records) >= MOST_RECORDS:
+        if batch is None or len(batch.records) >= MAX_RECORDS_PER_BATCH:
             batch = self._open = _Batch()
             gevent.spawn(self._send, batch)
         index = len(batch.records)
--- a/comfreywharf/daemon/recording/appender.py
+++ b/comfreywharf/daemon/recording/appender.py
@@ -6,7 +6,7 @@
 from absl import logging
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.recording.batches import Batches
+from comfreywharf.daemon.recording.append_batcher import AppendBatcher
 from comfreywharf.daemon.recording.logclient import LogBusy, LogError
 from comfreywharf.records import encode_record
 from comfreywharf.records.appends import AppendBudget, Backoff, Priority, priority_of
@@ -42,9 +42,9 @@
         self._node_id = node_id
         self._budget = AppendBudget(now_s=boottime_s())
         self._backoff = Backoff(rng)
-        self._batches = None
+        self._batcher = None
         if client.takes_batches:
-            self._batches = Batches(
+            self._batcher = AppendBatcher(
                 partial(client.append_all, stream), follower.appended
             )
 
@@ -98,8 +98,8 @@
         return max(deadline_s - boottime_s(), 0.0)
 
     def _append_one(self, stream, data):
-        if self._batches is not None:
-            self._batches.append(data)
+        if self._batcher is not None:
+            self._batcher.append(data)
         else:
             self._follower.appended(self._client.append(stream, data), data)
 
--- a/comfreywharf/daemon/tests/test_batches.py
+++ b/comfreywharf/daemon/tests/test_append_batcher.py
@@ -3,7 +3,7 @@
 import gevent
 import pytest
 
-from comfreywharf.daemon.recording.batches import Batches
+from comfreywharf.daemon.recording.append_batcher import AppendBatcher
 from comfreywharf.daemon.recording.logclient import LogError
 
 
@@ -24,20 +24,24 @@
 def test_records_of_one_moment_share_a_call_and_keep_their_order():
     """Each writer learns its own record's offset, and the fold hears of all."""
     log, heard = FakeLog(), []
-    batches = Batches(log.append_all, lambda offset, data: heard.append((offset, data)))
-    tasks = [gevent.spawn(batches.append, data) for data in (b"a", b"b", b"c")]
+    batcher = AppendBatcher(
+        log.append_all, lambda offset, data: heard.append((offset, data))
+    )
+    tasks = [gevent.spawn(batcher.append, data) for data in (b"a", b"b", b"c")]
     gevent.joinall(tasks)
     assert log.calls == [[b"a", b"b", b"c"]]
     assert [task.value for task in tasks] == [100, 101, 102]
     assert heard == [(100, b"a"), (101, b"b"), (102, b"c")]
-    assert batches.append(b"d") == 103
+    assert batcher.append(b"d") == 103
 
 
 def test_a_call_that_fails_fails_all_its_records():
     """Nobody takes a record for written that isn't."""
     heard = []
-    batches = Batches(FakeLog(fails=True).append_all, lambda *args: heard.append(args))
-    tasks = [gevent.spawn(batches.append, data) for data in (b"a", b"b")]
+    batcher = AppendBatcher(
+        FakeLog(fails=True).append_all, lambda *args: heard.append(args)
+    )
+    tasks = [gevent.spawn(batcher.append, data) for data in (b"a", b"b")]
     gevent.joinall(tasks)
     for task in tasks:
         with pytest.raises(LogError):
