--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -74,7 +74,7 @@
             settings.log_stream,
             self.report,
             settings.node_id,
-            pace=self.ports.read_pace,
+            read_options=self.ports.read_pace,
         )
         self.follower.subscribe(self._on_folded)
         self.follower.subscribe_loaded(self._report_config)
--- a/comfreywharf/daemon/ports.py
+++ b/comfreywharf/daemon/ports.py
@@ -10,7 +10,7 @@
 from comfreywharf.daemon.operating.decisions import no_lines
 from comfreywharf.daemon.operating.operators import BackendPort, OperatorPort
 from comfreywharf.daemon.owning.fenced_grants import FencedGrants
-from comfreywharf.daemon.recording.follower import ReadPace
+from comfreywharf.daemon.recording.follower import ReadOptions
 from comfreywharf.daemon.recording.logclient import LogClient
 from comfreywharf.daemon.requests.wire import OwnDialect
 from comfreywharf.daemon.servers.backend import Backend
@@ -44,7 +44,7 @@
     silent_s = 1.0
     placement = PlacementPace()
     route_limits = RouteLimits()
-    read_pace = ReadPace()
+    read_pace = ReadOptions()
     retry_after = RetryAfter()
     removes_lost = False
     retry_fraction = DEFAULT_RETRY_FRACTION
--- a/comfreywharf/daemon/recording/follower.py
+++ b/comfreywharf/daemon/recording/follower.py
@@ -19,7 +19,7 @@
 from comfreywharf.records.appends import Backoff, Priority
 from comfreywharf.records.replica import Replica
 
-__all__ = ["Follower", "NotAcknowledged", "ReadPace", "new_record_id"]
+__all__ = ["Follower", "NotAcknowledged", "ReadOptions", "new_record_id"]
 
 MAX_RETRY_S = 2.0
 GAP_PATIENCE_S = 4.0
@@ -28,16 +28,16 @@
 
 
 @attrs.frozen(kw_only=True)
-class ReadPace:
+class ReadOptions:
     """How a node reads the log.
 
     A read waits up to ``wait_s`` for new records. After each read the node pauses for
-    ``rest_s``, unless it waits for a record of its own. With ``relayed``, most nodes
+    ``pause_s``, unless it waits for a record of its own. With ``relayed``, most nodes
     receive records from other nodes instead of reading the log.
     """
 
     wait_s: float = 5.0
-    rest_s: float = 0.0
+    pause_s: float = 0.0
     relayed: bool = False
 
 
@@ -48,8 +48,8 @@
     replaces its contents.
     """
 
-    def __init__(self, client, stream, report, node_id="", rng=None, pace=None):
-        self._pace = pace or ReadPace()
+    def __init__(self, client, stream, report, node_id="", rng=None, read_options=None):
+        self._read_options = read_options or ReadOptions()
         self._hurry = Event()
         self._awaited = 0
         self.replica = Replica()
@@ -256,8 +256,8 @@
         Each read is a call that the log service counts. Without the pause, each record
         would cost one call from every node.
         """
-        if not self._awaited and self._pace.rest_s:
-            self._hurry.wait(self._pace.rest_s)
+        if not self._awaited and self._read_options.pause_s:
+            self._hurry.wait(self._read_options.pause_s)
         self._hurry.clear()
 
     def _load_newest(self):
@@ -268,7 +268,7 @@
 
     def _read(self):
         start = self.state.next_offset
-        wait_ms = int(self._pace.wait_s * 1000) if self.usable else 0
+        wait_ms = int(self._read_options.wait_s * 1000) if self.usable else 0
         sent_s = boottime_s()
         try:
             batch = self._client.read(self._stream, start, wait_ms=wait_ms)
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -13,7 +13,7 @@
 from comfreywharf.daemon.owning.range_grants import RangeGrants
 from comfreywharf.daemon.owning.service_declarer import ServiceDeclarer
 from comfreywharf.daemon.ports import Ports
-from comfreywharf.daemon.recording.follower import ReadPace
+from comfreywharf.daemon.recording.follower import ReadOptions
 from comfreywharf.daemon.requests.front import CallerServer
 from comfreywharf.daemon.servers.backend_life import BackendLife
 from comfreywharf.load import ConcurrencyLimit, NearFirst
@@ -94,7 +94,7 @@
     )
     retry_after = RetryAfter(least_s=0.3, most_s=0.6)
     refused_retry_after_ms = REFUSED_RETRY_AFTER_MS
-    read_pace = ReadPace(wait_s=1.0, rest_s=0.1, relayed=True)
+    read_pace = ReadOptions(wait_s=1.0, pause_s=0.1, relayed=True)
 
     def __init__(self, settings):
         self._settings = settings
