--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/belonging/gossip.py
@@ -258,7 +258,9 @@
         age for its records, or if records below its next offset are missing here.
         """
         reply, _ = self._call_exchange(client, wait_s)
-        if reply.log_age_ms < 0 or not self._node.follower.knows(reply.next_offset):
+        if reply.log_age_ms < 0 or not self._node.follower.has_all_below(
+            reply.next_offset
+        ):
             return None
         return NewsAge(reply.log_age_ms / 1000, _age_s(reply.routes_age_ms))
 
@@ -287,7 +289,7 @@
         node.notices.receive(reply.notices, boottime_s())
         self._apply_routes(reply, client, sent_s)
         advanced = self._fold_records(_records_in(reply))
-        if reply.log_age_ms >= 0 and node.follower.knows(reply.next_offset):
+        if reply.log_age_ms >= 0 and node.follower.has_all_below(reply.next_offset):
             # The peer's fold matched the log ``log_age_ms`` before its answer, and
             # the answer came after the request was sent.
             node.follower.confirm(sent_s - reply.log_age_ms / 1000)
--- a/comfreywharf/daemon/owning/lease_calls.py
+++ b/comfreywharf/daemon/owning/lease_calls.py
@@ -55,7 +55,7 @@
             if now_s + decision.retry_after_s > end_s:
                 return _not_released(decision)
             if self._node.follower.state.next_offset <= request.slice_epoch:
-                self._node.follower.hurry()
+                self._node.follower.request_read()
             if decision.tell_witnesses:
                 self._node.leases.force_round()
             gevent.sleep(decision.retry_after_s / 4)
--- a/comfreywharf/daemon/recording/follower.py
+++ b/comfreywharf/daemon/recording/follower.py
@@ -13,16 +13,16 @@
 from comfreywharf.daemon.recording.logclient import (
     LogError,
     LogTruncated,
-    known_at_s,
+    complete_at_s,
 )
-from comfreywharf.daemon.recording.snapshots import begin_anew, read_newest
+from comfreywharf.daemon.recording.snapshots import read_newest, write_snapshot_past_gap
 from comfreywharf.records.appends import Backoff, Priority
 from comfreywharf.records.replica import Replica
 
 __all__ = ["Follower", "NotAcknowledged", "ReadOptions", "new_record_id"]
 
 MAX_RETRY_S = 2.0
-GAP_PATIENCE_S = 4.0
+GAP_TIMEOUT_S = 4.0
 """How long a gap must last before the missing records are given up. It is longer than
 a lease and several exchanges between peers together."""
 
@@ -50,8 +50,8 @@
 
     def __init__(self, client, stream, report, node_id="", rng=None, read_options=None):
         self._read_options = read_options or ReadOptions()
-        self._hurry = Event()
-        self._awaited = 0
+        self._read_requested = Event()
+        self._waiter_count = 0
         self.replica = Replica()
         self.reachable = False
         self.caught_up = Event()
@@ -67,7 +67,7 @@
         self._gap_reported = False
         self._gap_since_s = None
         self.confirmed_s = float("-inf")
-        self._looked_for_snapshot = False
+        self._snapshot_checked = False
         self.relay = None
         self.relayed = False
 
@@ -120,20 +120,20 @@
             if self.relayed:
                 continue
             try:
-                if self.gap or not self._looked_for_snapshot:
+                if self.gap or not self._snapshot_checked:
                     self._load_newest()
                 self._read()
             except LogError as error:
                 self._mark_unreachable(error)
-                self._pause()
+                self._back_off()
                 continue
             self._mark_reachable()
             if self.gap:
-                self._bridge()
-                self._pause()
+                self._skip_lost_records()
+                self._back_off()
             else:
                 self._backoff.succeeded(Priority.URGENT)
-                self._rest()
+                self._pause_between_reads()
 
     def _poll_relay(self):
         """Poll a relay instead of the log; return whether its news is fresh.
@@ -204,8 +204,8 @@
     def await_outcome(self, record_id, timeout_s):
         """Return a record's `FoldOutcome`, or ``None`` if it isn't folded in time."""
         deadline_s = boottime_s() + timeout_s
-        self._awaited += 1
-        self.hurry()
+        self._waiter_count += 1
+        self.request_read()
         try:
             while record_id not in self.state.outcomes:
                 left_s = deadline_s - boottime_s()
@@ -214,13 +214,13 @@
                 self._folded.wait(left_s)
             return self.state.outcomes[record_id]
         finally:
-            self._awaited -= 1
+            self._waiter_count -= 1
 
     @property
     def _snapshot_stream(self):
         return f"{self._stream}.snapshots"
 
-    def _bridge(self):
+    def _skip_lost_records(self):
         """Continue without the missing records once no node can have them.
 
         All nodes may be killed while the log expires records that follow the newest
@@ -233,12 +233,12 @@
         now_s = boottime_s()
         if self._gap_since_s is None:
             self._gap_since_s = now_s
-        if not self._client.keeps_newest or now_s < self._gap_since_s + GAP_PATIENCE_S:
+        if not self._client.keeps_newest or now_s < self._gap_since_s + GAP_TIMEOUT_S:
             return
-        if begin_anew(self._client, self._snapshot_stream, self.log_first):
+        if write_snapshot_past_gap(self._client, self._snapshot_stream, self.log_first):
             self._report("log_begun_anew", first=self.log_first)
 
-    def knows(self, next_offset):
+    def has_all_below(self, next_offset):
         """Return whether the fold holds all records below an offset."""
         return not self.gap and self.state.next_offset >= next_offset
 
@@ -246,23 +246,23 @@
         """Record that the fold held all records of the log at ``then_s``."""
         self.confirmed_s = max(self.confirmed_s, min(then_s, boottime_s()))
 
-    def hurry(self):
+    def request_read(self):
         """End the pause between reads: a caller waits for an appended record."""
-        self._hurry.set()
+        self._read_requested.set()
 
-    def _rest(self):
+    def _pause_between_reads(self):
         """Pause between reads, so that one read returns several records.
 
         Each read is a call that the log service counts. Without the pause, each record
         would cost one call from every node.
         """
-        if not self._awaited and self._read_options.pause_s:
-            self._hurry.wait(self._read_options.pause_s)
-        self._hurry.clear()
+        if not self._waiter_count and self._read_options.pause_s:
+            self._read_requested.wait(self._read_options.pause_s)
+        self._read_requested.clear()
 
     def _load_newest(self):
         state = read_newest(self._client, self._snapshot_stream)
-        self._looked_for_snapshot = True
+        self._snapshot_checked = True
         if state is not None:
             self.load(state)
 
@@ -282,7 +282,7 @@
             self.take(start + index, data)
         if self.replica.reached(batch.next):
             self.caught_up.set()
-            self.confirm(known_at_s(sent_s, wait_ms / 1000, bool(batch.records)))
+            self.confirm(complete_at_s(sent_s, wait_ms / 1000, bool(batch.records)))
 
     def _report_gap(self, first):
         if not self.gap:
@@ -291,7 +291,7 @@
             self._report("log_gap", expected=self.state.next_offset, first=first)
         self._gap_reported = self.gap
 
-    def _pause(self):
+    def _back_off(self):
         """Back off before the next try.
 
         Otherwise 640 nodes would flood a log that has just come back with reads.
@@ -310,8 +310,9 @@
 
     def _mark_reachable(self):
         if not self.reachable:
-            # Other nodes may have skipped lost records meanwhile, see `_bridge`.
-            self._looked_for_snapshot = not self._client.keeps_newest
+            # In the meantime other nodes may have skipped lost records, see
+            # `_skip_lost_records`.
+            self._snapshot_checked = not self._client.keeps_newest
             self._report("log_reachable", next_offset=self.state.next_offset)
         self.reachable = True
 
--- a/comfreywharf/daemon/recording/logclient.py
+++ b/comfreywharf/daemon/recording/logclient.py
@@ -14,7 +14,7 @@
     "LogError",
     "LogTraffic",
     "LogTruncated",
-    "known_at_s",
+    "complete_at_s",
 ]
 
 DEFAULT_RETRY_AFTER_S = 1.0
@@ -25,13 +25,13 @@
 """Fraction of the requested wait that an empty answer is assumed to have waited."""
 
 
-def known_at_s(sent_s, wait_s, has_records):
+def complete_at_s(sent_s, wait_s, has_records):
     """Return the latest time at which the answer to a read was surely complete.
 
     ``sent_s`` is when the read was sent and ``wait_s`` how long it was to wait for a
     record. An empty answer means that there was no new record until the wait ended.
 
-    >>> known_at_s(10.0, 1.0, has_records=True), known_at_s(10.0, 1.0, False)
+    >>> complete_at_s(10.0, 1.0, has_records=True), complete_at_s(10.0, 1.0, False)
     (10.0, 10.9)
     """
     return sent_s if has_records else sent_s + WAITED_FRACTION * wait_s
--- a/comfreywharf/daemon/recording/snapshots.py
+++ b/comfreywharf/daemon/recording/snapshots.py
@@ -17,7 +17,7 @@
 )
 from comfreywharf.records.state import ClusterState
 
-__all__ = ["SnapshotWriter", "begin_anew", "encode_slowly", "read_newest"]
+__all__ = ["SnapshotWriter", "encode_slowly", "read_newest", "write_snapshot_past_gap"]
 
 CHECK_INTERVAL_S = 0.5
 WINDOW_PARTS = 16
@@ -54,7 +54,7 @@
     return assembler.newest, position
 
 
-def begin_anew(client, stream, log_first):
+def write_snapshot_past_gap(client, stream, log_first):
     """Write a snapshot that continues where the log begins; return whether it did.
 
     Its state is that of the newest snapshot, without the records between the two,
--- a/comfreywharf/platform/configuration.py
+++ b/comfreywharf/platform/configuration.py
@@ -8,7 +8,7 @@
 from comfreywharf.daemon.recording.logclient import (
     LogError,
     LogTruncated,
-    known_at_s,
+    complete_at_s,
 )
 from comfreywharf.platform.durations import duration_s
 from comfreywharf.routes import (
@@ -145,7 +145,7 @@
                 self._use(record[1 + size :])
         self._next += len(found.data)
         if self._next >= found.end:
-            self._routes.confirm(known_at_s(sent_s, WAIT_S, bool(found.data)))
+            self._routes.confirm(complete_at_s(sent_s, WAIT_S, bool(found.data)))
 
     def _use(self, document):
         try:
