--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/belonging/gossip.py
@@ -14,7 +14,7 @@
     pack_records,
     unpack_records,
 )
-from comfreywharf.daemon.recording.snapshots import encode_slowly
+from comfreywharf.daemon.recording.snapshots import encode_yielding
 from comfreywharf.membership.gossip import GossipPace, choose_partners, push_count
 from comfreywharf.membership.relays import NewsAge
 from comfreywharf.records.snapshots import SnapshotAssembler
@@ -196,7 +196,9 @@
         if self._snapshot_offset < replica.recent.first or not self._snapshot:
             with self._encoding:
                 if self._snapshot_offset < replica.recent.first or not self._snapshot:
-                    self._snapshot, self._snapshot_offset = encode_slowly(replica.state)
+                    self._snapshot, self._snapshot_offset = encode_yielding(
+                        replica.state
+                    )
         if sum(map(len, self._snapshot)) > MAX_SNAPSHOT_BYTES:
             return []
         return self._snapshot
--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -146,7 +146,7 @@
 
     def _write_snapshots(self):
         if self.follower.log_keeps_newest:
-            self.snapshots.run_as(self.planner)
+            self.snapshots.run_for_planner(self.planner)
         else:
             self.snapshots.run()
 
--- a/comfreywharf/daemon/recording/logclient.py
+++ b/comfreywharf/daemon/recording/logclient.py
@@ -77,7 +77,7 @@
     calls: dict = attrs.Factory(lambda: {"append": 0, "read": 0})
     size_bytes: dict = attrs.Factory(lambda: {"sent": 0, "received": 0})
 
-    def called(self, method, body):
+    def count_call(self, method, body):
         """Count a call, and the bytes of its body."""
         self.calls["append" if method == "POST" else "read"] += 1
         self.size_bytes["sent"] += len(body)
@@ -160,7 +160,7 @@
 
     def _call(self, client, method, uri, body, timeout_s):
         response = None
-        self.traffic.called(method, body)
+        self.traffic.count_call(method, body)
         try:
             with gevent.Timeout(timeout_s):
                 response = client.request(method, uri, body)
--- a/comfreywharf/daemon/recording/snapshots.py
+++ b/comfreywharf/daemon/recording/snapshots.py
@@ -17,11 +17,16 @@
 )
 from comfreywharf.records.state import ClusterState
 
-__all__ = ["SnapshotWriter", "encode_slowly", "read_newest", "write_snapshot_past_gap"]
+__all__ = [
+    "SnapshotWriter",
+    "encode_yielding",
+    "read_newest",
+    "write_snapshot_past_gap",
+]
 
 CHECK_INTERVAL_S = 0.5
 WINDOW_PARTS = 16
-PARTS_A_READ = 8
+PARTS_PER_READ = 8
 
 
 def read_newest(client, stream):
@@ -67,7 +72,7 @@
         return False
     state.next_offset = log_first
     state.lineage += 1
-    parts, _ = encode_slowly(state)
+    parts, _ = encode_yielding(state)
     if len(parts) > 1:
         logging.error("a state of %d parts can't be begun anew", len(parts))
         return False
@@ -77,7 +82,7 @@
 def _read_parts(client, stream, start, end, assembler):
     while start < end:
         try:
-            batch = client.read(stream, start, limit=min(PARTS_A_READ, end - start))
+            batch = client.read(stream, start, limit=min(PARTS_PER_READ, end - start))
         except LogTruncated as error:
             start = error.first
             continue
@@ -88,7 +93,7 @@
         start += len(batch.records)
 
 
-def encode_slowly(state):
+def encode_yielding(state):
     """Return ``(parts, offset)`` of a state, yielding to other greenlets."""
     copied = state.copy()
     pieces = []
@@ -126,7 +131,7 @@
             return False
         return self._schedule.is_turn(follower.state, follower.log_first, boottime_s())
 
-    def _is_planners_turn(self):
+    def _has_state_to_write(self):
         """Return whether there is a newer state for the planner to write.
 
         If the log keeps the newest snapshot permanently, writing one soon after each
@@ -137,14 +142,14 @@
         ready = follower.usable and follower.reachable
         return ready and follower.state.next_offset > self._written_offset
 
-    def run_as(self, planner):
+    def run_for_planner(self, planner):
         """Write each changed state while this node is the planner."""
         while True:
             gevent.sleep(CHECK_INTERVAL_S)
-            if not planner.is_planning or not self._is_planners_turn():
+            if not planner.is_planning or not self._has_state_to_write():
                 continue
             try:
-                parts, offset = encode_slowly(self._follower.state)
+                parts, offset = encode_yielding(self._follower.state)
                 for data in parts:
                     self._follower.append_part(data)
             except LogError as error:
@@ -153,7 +158,7 @@
             self._written_offset = offset
 
     def _write(self):
-        parts, offset = encode_slowly(self._follower.state)
+        parts, offset = encode_yielding(self._follower.state)
         for data in parts:
             self._follower.append_part(data)
         record = SnapshotWritten(
--- a/comfreywharf/platform/store.py
+++ b/comfreywharf/platform/store.py
@@ -116,7 +116,7 @@
 
     def _call(self, method, target, body, timeout_s):
         response = None
-        self.traffic.called(method, body)
+        self.traffic.count_call(method, body)
         try:
             with gevent.Timeout(timeout_s):
                 response = self._client.request(method, target, body)
