--- a/comfreywharf/daemon/tests/test_append_batcher.py
+++ b/comfreywharf/daemon/tests/test_append_batcher.py
@@ -1,4 +1,4 @@
-"""Appends of the same moment share a call."""
+"""Appends at nearly the same time share one call to the log."""
 
 import gevent
 import pytest
@@ -8,7 +8,7 @@
 
 
 class FakeLog:
-    """Gives out offsets from 100 on, or fails."""
+    """Assigns offsets from 100 on, or fails every call."""
 
     def __init__(self, fails=False):
         self.calls = []
@@ -22,7 +22,7 @@
 
 
 def test_records_of_one_moment_share_a_call_and_keep_their_order():
-    """Each writer learns its own record's offset, and the fold hears of all."""
+    """Each writer gets its own record's offset, and the fold gets all records."""
     log, heard = FakeLog(), []
     batcher = AppendBatcher(
         log.append_all, lambda offset, data: heard.append((offset, data))
@@ -36,7 +36,7 @@
 
 
 def test_a_call_that_fails_fails_all_its_records():
-    """Nobody takes a record for written that isn't."""
+    """Guards against a record that counts as appended though its call failed."""
     heard = []
     batcher = AppendBatcher(
         FakeLog(fails=True).append_all, lambda *args: heard.append(args)
--- a/comfreywharf/daemon/tests/test_lease_and_log.py
+++ b/comfreywharf/daemon/tests/test_lease_and_log.py
@@ -1,4 +1,4 @@
-"""What a node does with a lease that can't be written down."""
+"""Leases while the log is unreachable, so that their records can't be appended."""
 
 from types import SimpleNamespace
 
@@ -16,7 +16,7 @@
 
 
 def grant_by_majority(holder, now_s):
-    """Have the one witness of a lease grant it."""
+    """Have the only witness of a lease grant it."""
     holder.use_witnesses([("w",)])
     renewal = holder.renewal(OwnLease(), now_s, now_s)
     holder.granted("w", renewal.round, 1, now_s)
@@ -24,14 +24,13 @@
 
 @pytest.mark.parametrize("heard", [False, True])
 def test_a_lease_that_cant_be_written_down_is_given_up(heard):
-    """Symptom: keys are dark for as long as the store is away, up to 9 s, after a
-    server began again in place.
-    Sequence: a server begins again, and its lease with it; where it is ``heard``, its
-    heartbeat comes before the lease's record is written; a majority grants the lease;
-    the store goes away.
-    Cause: only a lease that begins anew for a doubt about a connection is given up
-    where it can't be written down. The heartbeat ends that, and the witnesses are
-    renewed, so that no standby may claim."""
+    """Guards against keys without a server while the store is away, up to 9 s.
+
+    A server restarts at its address, so that the lease is reacquired, and a majority
+    grants it. With ``heard``, the server's heartbeat arrives before the lease's record
+    is appended. Then the store goes away. The lease has to be given up in both cases:
+    if the node kept renewing it after a heartbeat, no standby could claim the keys.
+    """
     node = Node(SETTINGS, OwnPorts(SETTINGS))
     leases = node.leases
     node.follower.reachable = True
@@ -50,10 +49,13 @@
 
 
 def test_what_still_runs_is_told_again_when_a_lease_cant_begin_anew():
-    """Symptom: a taker's server holds keys for a second beside their owner's.
-    Sequence: a lease begins anew while its server holds grants; a majority grants it;
-    the store goes away, so that it is given up once more.
-    Cause: the second time the witnesses were told of no hold."""
+    """Guards against two servers that hold the same keys for a second.
+
+    A lease is reacquired while its server holds grants, and a majority grants it. The
+    store goes away, so that the lease is given up again. If the second surrender
+    reports no held grants to the witnesses, a taker's server gets the keys while the
+    owner's server still holds them.
+    """
     node = Node(SETTINGS, OwnPorts(SETTINGS))
     node.grants = SimpleNamespace(held_until_s=lambda now_s: now_s + 1.0)
     leases = node.leases
@@ -71,7 +73,7 @@
 
 
 def started_without_a_log():
-    """Return the leases of a node whose first lease is granted with the log away."""
+    """Return a node whose first lease is granted while the log is unreachable."""
     node = Node(SETTINGS, OwnPorts(SETTINGS))
     grant_by_majority(node.leases.holder, boottime_s())
     assert node.leases.holder.phase == "starting"
@@ -80,9 +82,11 @@
 
 
 def test_a_first_lease_that_cant_be_written_down_is_given_up_and_asked_for_again():
-    """Symptom: keys are dark for an outage of the store at a node that began in it.
-    Sequence: a node begins, and its witnesses grant its first lease; the store is away.
-    Cause: only a lease that begins anew was given up."""
+    """Guards against keys without a server at a node that starts in an outage.
+
+    The witnesses grant the node's first lease while the store is away. Not only a
+    reacquired lease but also the first one has to be given up then.
+    """
     node = started_without_a_log()
     assert node.leases.holder.phase == "surrendered"
     node.follower.reachable = True
@@ -91,8 +95,11 @@
 
 
 def test_a_lease_that_was_given_up_for_good_meanwhile_isnt_asked_for_again():
-    """Symptom: a node that stops has its keys again. Sequence: its lease can't be
-    written down; it stops; the store is back. Cause: the lease is still wanted."""
+    """Guards against a stopping node that gets its keys back.
+
+    Its lease was given up because it couldn't be appended. Then the node stops, and
+    the store comes back.
+    """
     node = started_without_a_log()
     node.leases.surrender("stopping")
     node.follower.reachable = True
@@ -101,7 +108,7 @@
 
 
 def test_a_held_lease_is_kept_while_the_log_is_away():
-    """Symptom: keys are dark at the beginning of each outage of the store."""
+    """Guards against keys without a server at the start of each store outage."""
     node = Node(SETTINGS, OwnPorts(SETTINGS))
     holder = node.leases.holder
     grant_by_majority(holder, boottime_s())
@@ -111,11 +118,12 @@
 
 
 def test_a_lease_that_was_given_up_for_good_isnt_asked_for_after_a_late_refusal():
-    """Symptom: the keys of a server that has left stay dark.
-    Sequence: a server leaves, and its lease is given up; an order that was sent
-    before is answered as outdated.
-    Cause: such an answer has the lease begin anew, also one that was given up for
-    good. The node then renews it beside a server that gets no work."""
+    """Guards against keys that stay without a server after their server has left.
+
+    The server leaves, and its lease is given up. A grant that was sent before is then
+    refused as outdated. If that reacquired the lease, the node would renew it for a
+    server that gets no work.
+    """
     node = Node(SETTINGS, OwnPorts(SETTINGS))
     node.follower.reachable = True
     node.close_to_new_work()
--- a/comfreywharf/daemon/tests/test_outdated_grants.py
+++ b/comfreywharf/daemon/tests/test_outdated_grants.py
@@ -1,4 +1,4 @@
-"""Grants that a backend server refuses, since it has seen a higher fence."""
+"""Grants that a backend server refuses because it has seen a higher fence."""
 
 from types import SimpleNamespace
 
@@ -16,7 +16,7 @@
 
 
 class Answers(Orders):
-    """Answers each grant alike, and keeps the fences that it was asked for."""
+    """Gives each grant the same answer, and records the requested fences."""
 
     def __init__(self, answer=GrantAnswer.TAKEN):
         self.answer = answer
@@ -48,7 +48,7 @@
 
 
 def serve(grants, fence, lease_s=1.5):
-    """Let the node serve its slice under a fence for a lease from now on."""
+    """Let the node serve its slice under a fence for one lease from now on."""
     until_s = boottime_s() + lease_s
     grants._node.leases.table = SimpleNamespace(
         serving=lambda state, now_s: [("booking", PIECE, fence, until_s)]
@@ -67,10 +67,12 @@
 
 
 def test_a_refusal_of_an_earlier_fence_doesnt_end_a_newer_lease():
-    """Symptom: a lease that has just begun anew is given up, and keys are dark again.
-    Sequence: an order waits; the slice's fence grows; an order with it is taken; the
-    first order, sent late, is refused as outdated.
-    Cause: any such answer has the lease begin anew, though a higher fence is in use."""
+    """Guards against giving up a lease that has just been reacquired.
+
+    An order is delayed, and the slice's fence grows. An order with the higher fence is
+    accepted. Then the first order is sent and refused as outdated, which says nothing
+    about the higher fence.
+    """
     grants = make_grants(backend("i-1", 1, Answers()))
     served = [("booking", PIECE, 10, boottime_s() + 1.5)]
     (late,) = grants.book.due(served, boottime_s())
@@ -94,9 +96,11 @@
 
 
 def test_a_refusal_doesnt_end_a_newer_lease_that_hasnt_been_granted_yet():
-    """Symptom: as above. Sequence: an order is sent late and refused, while the slice
-    is served under a higher fence already that no order has carried yet.
-    Cause: only orders show the book which fences are in use."""
+    """Guards against giving up a newer lease before its first grant is sent.
+
+    An order is sent late and refused, while the slice is already served under a higher
+    fence. No order has carried that fence yet, so that the book doesn't have it.
+    """
     grants = make_grants(backend("i-1", 1, Answers(GrantAnswer.OUTDATED)))
     served = [("booking", PIECE, 10, boottime_s() + 1.5)]
     (late,) = grants.book.due(served, boottime_s())
@@ -106,10 +110,12 @@
 
 
 def test_two_refusals_begin_the_lease_anew_once():
-    """Symptom: keys are dark for longer than one round, after a server's refusals.
-    Sequence: two orders under one lease are refused, the second one while the lease
-    begins anew and nothing is served.
-    Cause: the second refusal gives up the lease that the first one had asked for."""
+    """Guards against keys without a server for longer than one renewal round.
+
+    Two orders under one lease are refused, the second one while the lease is being
+    reacquired and nothing is served. The second refusal must not give up the lease
+    that is being acquired because of the first one.
+    """
     grants = make_grants(backend("i-1", 1, Answers(GrantAnswer.OUTDATED)))
     until_s = boottime_s() + 1.5
     other = Slice(start=0, end=KEY_SPACE, owner="a", epoch=6)
@@ -126,9 +132,11 @@
 
 
 def test_a_refusal_of_an_earlier_fence_doesnt_end_a_lapsed_lease():
-    """Symptom: a lapse that would have healed without the log needs a record.
-    Sequence: as above, and the newer lease lapses before the first order is refused.
-    Cause: nothing is served then, and only the orders show which fence was in use."""
+    """Guards against a record for an expiry that heals without the log.
+
+    The newer lease expires before the delayed order is refused. Nothing is served
+    then, so that only the orders show which fence was in use.
+    """
     earlier = Answers()
     grants = make_grants(backend("i-1", 1, earlier))
     served = [("booking", PIECE, 10, boottime_s() + 1.5)]
--- a/comfreywharf/daemon/tests/test_planner_rounds.py
+++ b/comfreywharf/daemon/tests/test_planner_rounds.py
@@ -1,4 +1,4 @@
-"""What a planner writes down in one round."""
+"""The records that a planner appends in one round."""
 
 from types import SimpleNamespace
 
@@ -8,7 +8,7 @@
 
 
 class FoldedLog:
-    """A follower whose appends are folded at once."""
+    """A follower that folds each appended record at once."""
 
     reachable = True
 
@@ -36,7 +36,7 @@
 
 
 def slices_added(cluster, per_slice_s, first_s):
-    """Return how many slices one round adds when the first one is asked for more."""
+    """Return how many slices one round adds if the first slice has another load."""
     cluster.settle()
     rates = {piece.start: per_slice_s for piece in cluster.pieces}
     rates[0] = first_s
@@ -48,19 +48,22 @@
 
 
 def test_a_hot_slice_is_in_small_parts_after_one_round():
-    """Symptom: a server refuses callers for two seconds after its keys became hot.
-    Sequence: one slice gets a third of all requests.
-    Cause: it was divided once a round, and needed four rounds until its parts could
-    be given to others."""
+    """Guards against a server that refuses callers for two seconds with hot keys.
+
+    One slice gets a third of all requests. With one split per round, it takes four
+    rounds until its parts are small enough to be moved to other servers.
+    """
     cluster = PlannedCluster(nodes=7, slices=70)
     assert slices_added(cluster, per_slice_s=3.0, first_s=105.0) >= 7
 
 
 def test_a_slice_that_needs_little_of_a_slot_is_left_whole():
-    """Symptom: a key is refused for a moment when nearly nothing is asked.
-    Sequence: a few callers ask for one key of an idle service, again and again.
-    Cause: a third of a server's load counted as hot however small that load was; its
-    slice was divided twenty times in one round, and the parts went to and fro."""
+    """Guards against moves of slices in a service that is nearly idle.
+
+    A few callers request one key again and again. If a third of a server's load counts
+    as hot however small that load is, the slice is split twenty times in one round and
+    its parts move back and forth, so that requests for the key are refused.
+    """
     cluster = PlannedCluster(nodes=3, slices=4)
     cluster.service_ms = 1.0
     assert slices_added(cluster, per_slice_s=0.1, first_s=20.0) == 0
--- a/comfreywharf/daemon/tests/test_proofs_of_death.py
+++ b/comfreywharf/daemon/tests/test_proofs_of_death.py
@@ -1,4 +1,4 @@
-"""What speaks against the end of a server whose port refuses, and what doesn't."""
+"""Whether a server whose port refuses connections counts as crashed."""
 
 import gevent
 import pytest
@@ -28,11 +28,13 @@
 
 
 def test_a_server_that_is_to_answer_a_grant_isnt_dead_though_its_port_refuses():
-    """Symptom: two servers hold a key at once.
-    Sequence: a server closes its port and its heartbeats are late; a grant is on its
-    way to it over a connection that is open; its port is tried, and refuses.
-    Cause: of the orders only releases counted as answers that are awaited. The server
-    takes the grant when its node has told that it holds nothing."""
+    """Guards against two servers that hold a key at the same time.
+
+    A server closes its port, and its heartbeats are late. A grant is in flight on an
+    open connection while the port refuses. The answer to the grant has to count as
+    awaited, as that to a release does: otherwise the server accepts the grant after its
+    node has reported that it holds nothing.
+    """
     order = GrantOrder(
         place=("booking", 0),
         start=0,
@@ -58,11 +60,12 @@
 
 
 def test_an_answer_whose_connection_has_ended_isnt_awaited():
-    """Symptom: the keys of a server that crashed are dark until its grants end.
-    Sequence: a long answer is on its way to a caller that reads slowly; the server
-    crashes.
-    Cause: nobody looks at the connection while the caller is waited for, so that it
-    counted as open."""
+    """Guards against keys without a server until a crashed server's grants expire.
+
+    The server crashes during a long answer to a caller that reads slowly. While the
+    node waits for the caller it doesn't read from the server's connection, which
+    nevertheless must not count as open.
+    """
     head = b"HTTP/1.1 200 OK\r\nContent-Length: 9999999\r\n\r\n"
     with ScriptedServer(Reply(head, close=True)) as server:
         client = backend_for(server)._client
@@ -74,10 +77,11 @@
 
 
 def test_a_node_that_stops_asks_for_no_lease_for_a_server_that_comes_meanwhile():
-    """Symptom: keys are dark for a lease after a node has stopped as planned.
-    Sequence: the node has handed over and given up its lease; its server's place is
-    taken by the next instance before the process ends.
-    Cause: each server that is announced had the lease asked for again."""
+    """Guards against keys without a server for a lease after a planned stop.
+
+    The node has handed over and given up its lease. Before the process ends, the next
+    instance of the server is announced, which must not acquire the lease again.
+    """
     node = make_node()
     node.backend_announced(announcement("i-1"))
     node.follower.reachable = True
--- a/comfreywharf/daemon/tests/test_range_grants.py
+++ b/comfreywharf/daemon/tests/test_range_grants.py
@@ -1,4 +1,4 @@
-"""Grants as the request path waits for them."""
+"""Grants and releases of ranges, as requests and the next owners wait for them."""
 
 from types import SimpleNamespace
 
@@ -18,7 +18,7 @@
 
 
 class SlowOrders(Orders):
-    """Answers a grant after a moment."""
+    """Accepts a grant after 30 ms."""
 
     def __init__(self):
         self.granted = 0
@@ -55,10 +55,11 @@
 
 
 def test_every_request_waits_for_a_grant_that_another_one_asked_for():
-    """Symptom: requests are refused by their own server, and it looks fast.
-    Sequence: a slice comes, and several requests for it at the same moment; the
-    first asks for the grant, the others go on without it.
-    Cause: a grant that was under way wasn't waited for."""
+    """Guards against requests that their own server refuses, which makes it look fast.
+
+    Several requests for a new slice arrive at the same time. The first one sends the
+    grant, and the others have to wait for its answer as well.
+    """
     orders = SlowOrders()
     grants = make_grants(orders)
     right = SimpleNamespace(service="booking", key_hash=1, slice_start=0, fence=10)
@@ -74,7 +75,7 @@
 
 
 class HeldUpOrders(SlowOrders):
-    """Answers a grant only once it may."""
+    """Leaves a grant unanswered until ``may_answer`` is set."""
 
     def __init__(self):
         super().__init__()
@@ -86,11 +87,12 @@
 
 
 def test_a_release_ends_though_the_server_was_replaced_during_a_grant():
-    """Symptom: a slice's next owner waits for its release for good.
-    Sequence: a grant is under way, another life takes the server's place, the grant's
-    answer comes, the planner moves the slice.
-    Cause: an answer for the earlier life was dropped, so that a grant of the slice
-    counted as under way for ever, which a release waits for."""
+    """Guards against a next owner that waits for a release forever.
+
+    A grant is in flight when another incarnation replaces the server. If the answer to
+    the earlier incarnation's grant is dropped, the grant counts as in flight forever,
+    and a release of the slice waits for it.
+    """
     orders = HeldUpOrders()
     grants = make_grants(orders)
     grants.book.unknown_until_s = float("-inf")
@@ -106,10 +108,11 @@
 
 
 def test_an_earlier_lifes_release_ends_once_the_keys_are_granted_anew():
-    """Symptom: a server drops keys that it was granted a moment ago.
-    Sequence: a slice is to be released and the server doesn't answer; the slice comes
-    back and is granted under a higher fence; the release is tried once more.
-    Cause: it was tried for as long as the slice was held under any fence."""
+    """Guards against a server that drops keys shortly after they were granted.
+
+    A slice is to be released, and the server doesn't answer. The slice comes back and
+    is granted under a higher fence. The pending release must not be tried again.
+    """
     grants = make_grants(SlowOrders())
     place = ("booking", PIECE.start, PIECE.end)
     gevent.joinall(grants.push())
@@ -123,7 +126,9 @@
 
 
 def test_a_refusal_for_want_of_a_grant_teaches_admission_nothing():
-    """Symptom: admission expects answers within 12 ms, and queues far too many.
-    Sequence: a server refuses requests whose grant hasn't come, in 1 ms each.
-    Cause: their time counted as that of requests which it had done."""
+    """Guards against refusals that shorten the service times of admission.
+
+    A server refuses requests without a grant in 1 ms each. If these count as completed
+    requests, admission expects answers within 12 ms and queues far too many requests.
+    """
     assert _RESULTS[Reason.NOT_YET_OWNER] is Result.UNUSED
--- a/comfreywharf/daemon/tests/test_refused_appends.py
+++ b/comfreywharf/daemon/tests/test_refused_appends.py
@@ -1,4 +1,4 @@
-"""What a failed append says of the log, with and without a relay."""
+"""Effect of a failed append on the log's reachability, with and without a relay."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 class SilentClient:
-    """Stands where nothing is asked."""
+    """A log client that isn't called."""
 
     takes_batches = False
     keeps_newest = False
@@ -15,9 +15,11 @@
 
 @pytest.mark.parametrize(("relay", "reachable"), [(None, True), (object(), False)])
 def test_only_who_hears_from_a_relay_goes_by_its_appends(relay, reachable):
-    """Symptom: a planner stands still for five seconds after one busy answer.
-    Sequence: the log is busy for one append; reads of it wait for news as ever.
-    Cause: the append was taken for the loss of the log, until the read returned."""
+    """Guards against a planner that pauses for five seconds after one busy answer.
+
+    The log is busy for one append while a read waits for new records. Without a relay,
+    the append must not mark the log as unreachable until that read returns.
+    """
     follower = Follower(SilentClient(), "stream", lambda *args, **fields: None)
     follower.reachable = True
     follower.relay = relay
--- a/comfreywharf/daemon/tests/test_service_declarer.py
+++ b/comfreywharf/daemon/tests/test_service_declarer.py
@@ -1,4 +1,4 @@
-"""Services of the routes, declared once their servers are there."""
+"""Declaration of the routes' services once their servers have announced themselves."""
 
 from types import SimpleNamespace
 
@@ -15,7 +15,7 @@
 
 
 def make_declarer(servers):
-    """Return what declares, for a node that began to plan at 0."""
+    """Return a `ServiceDeclarer` of a node that has planned since 0, and the state."""
     routes = Routes()
     routes.use(make_table())
     members = {str(n): SimpleNamespace(service="booking") for n in range(servers)}
@@ -30,9 +30,12 @@
 
 
 def test_a_new_service_waits_for_its_servers():
-    """Symptom: one server refuses callers for seconds, the others are idle.
-    Sequence: all machines start; the planner divides the service's keys when the
-    first server has announced itself. Cause: 16 slices for seven servers."""
+    """Guards against too few slices when all machines start at the same time.
+
+    If the planner divides the service's keys when the first of seven servers has
+    announced itself, there are only 16 slices. One server then refuses callers for
+    seconds while the others are idle.
+    """
     declarer, state = make_declarer(1)
     assert declarer._services_to_declare(1.9) == {}
     state.members.update({str(n): SimpleNamespace(service="booking") for n in range(7)})
@@ -40,7 +43,7 @@
 
 
 def test_a_declared_service_keeps_its_slices_whoever_is_there():
-    """The number is for the beginning; nothing is declared anew for a restart."""
+    """The number of servers counts only initially, not after a restart."""
     declarer, state = make_declarer(7)
     (declared,) = declarer._services_to_declare(3.0).values()
     state.config = Configuration(version=1, services={"booking": declared})
