--- a/comfreywharf/daemon/tests/test_append_batcher.py
+++ b/comfreywharf/daemon/tests/test_append_batcher.py
@@ -21,29 +21,29 @@
         return 100 + sum(map(len, self.calls[:-1]))
 
 
-def test_records_of_one_moment_share_a_call_and_keep_their_order():
+def test_concurrent_appends_share_one_call_in_order():
     """Each writer gets its own record's offset, and the fold gets all records."""
-    log, heard = FakeLog(), []
+    log, folded = FakeLog(), []
     batcher = AppendBatcher(
-        log.append_all, lambda offset, data: heard.append((offset, data))
+        log.append_all, lambda offset, data: folded.append((offset, data))
     )
     tasks = [gevent.spawn(batcher.append, data) for data in (b"a", b"b", b"c")]
     gevent.joinall(tasks)
     assert log.calls == [[b"a", b"b", b"c"]]
     assert [task.value for task in tasks] == [100, 101, 102]
-    assert heard == [(100, b"a"), (101, b"b"), (102, b"c")]
+    assert folded == [(100, b"a"), (101, b"b"), (102, b"c")]
     assert batcher.append(b"d") == 103
 
 
-def test_a_call_that_fails_fails_all_its_records():
+def test_failed_call_fails_all_its_records():
     """Guards against a record that counts as appended though its call failed."""
-    heard = []
+    folded = []
     batcher = AppendBatcher(
-        FakeLog(fails=True).append_all, lambda *args: heard.append(args)
+        FakeLog(fails=True).append_all, lambda *args: folded.append(args)
     )
     tasks = [gevent.spawn(batcher.append, data) for data in (b"a", b"b")]
     gevent.joinall(tasks)
     for task in tasks:
         with pytest.raises(LogError):
             task.get()
-    assert not heard
+    assert not folded
--- a/comfreywharf/daemon/tests/test_proofs_of_death.py
+++ b/comfreywharf/daemon/tests/test_crash_detection.py
@@ -18,7 +18,7 @@
 from comfreywharf.platform.backends import PlatformBackend
 
 SLOW_S = 30.0
-MOMENT_S = 0.2
+PAUSE_S = 0.2
 TERMS = HoldTerms(lease_s=1.5, longest_s=10.0)
 
 
@@ -27,7 +27,7 @@
     return Node(settings, OwnPorts(settings))
 
 
-def test_a_server_that_is_to_answer_a_grant_isnt_dead_though_its_port_refuses():
+def test_server_with_a_grant_in_flight_doesnt_count_as_crashed():
     """Guards against two servers that hold a key at the same time.
 
     A server closes its port, and its heartbeats are late. A grant is in flight on an
@@ -47,8 +47,8 @@
         terms=TERMS,
     )
     with ScriptedServer(Reply(whole(b""), wait_s=SLOW_S)) as server:
-        there = backend_for(server).announcement
-        backend = PlatformBackend(there, lambda: "/")
+        announced = backend_for(server).announcement
+        backend = PlatformBackend(announced, lambda: "/")
         process = backend.orders.reach()
         granting = gevent.spawn(backend.orders.grant, process, (0, 9), order)
         while not server.requests:
@@ -59,7 +59,7 @@
         backend.close()
 
 
-def test_an_answer_whose_connection_has_ended_isnt_awaited():
+def test_answer_on_a_closed_connection_isnt_awaited():
     """Guards against keys without a server until a crashed server's grants expire.
 
     The server crashes during a long answer to a caller that reads slowly. While the
@@ -70,13 +70,13 @@
     with ScriptedServer(Reply(head, close=True)) as server:
         client = backend_for(server)._client
         response = client.request("GET", "/look")
-        gevent.sleep(MOMENT_S)
+        gevent.sleep(PAUSE_S)
         assert not client.awaits
         with pytest.raises(HTTPParseError):
             response.read()
 
 
-def test_a_node_that_stops_asks_for_no_lease_for_a_server_that_comes_meanwhile():
+def test_stopping_node_acquires_no_lease_for_a_new_server():
     """Guards against keys without a server for a lease after a planned stop.
 
     The node has handed over and given up its lease. Before the process ends, the next
--- a/comfreywharf/daemon/tests/test_lease_and_log.py
+++ b/comfreywharf/daemon/tests/test_lease_and_log.py
@@ -22,20 +22,21 @@
     holder.granted("w", renewal.round, 1, now_s)
 
 
-@pytest.mark.parametrize("heard", [False, True])
-def test_a_lease_that_cant_be_written_down_is_given_up(heard):
+@pytest.mark.parametrize("heartbeat_first", [False, True])
+def test_reacquired_lease_is_given_up_while_the_log_is_unreachable(heartbeat_first):
     """Guards against keys without a server while the store is away, up to 9 s.
 
     A server restarts at its address, so that the lease is reacquired, and a majority
-    grants it. With ``heard``, the server's heartbeat arrives before the lease's record
-    is appended. Then the store goes away. The lease has to be given up in both cases:
-    if the node kept renewing it after a heartbeat, no standby could claim the keys.
+    grants it. With ``heartbeat_first``, the server's heartbeat arrives before the
+    lease's record is appended. Then the store goes away. The lease has to be given up
+    in both cases: if the node kept renewing it after a heartbeat, no standby could
+    claim the keys.
     """
     node = Node(SETTINGS, OwnPorts(SETTINGS))
     leases = node.leases
     node.follower.reachable = True
     leases.reacquire("another process may be there")
-    if heard:
+    if heartbeat_first:
         leases.surrender("backend lost", boottime_s())
         leases.recover()
     grant_by_majority(leases.holder, boottime_s())
@@ -48,7 +49,7 @@
     assert leases.holder.phase == "surrendered"
 
 
-def test_what_still_runs_is_told_again_when_a_lease_cant_begin_anew():
+def test_second_surrender_reports_held_grants_again():
     """Guards against two servers that hold the same keys for a second.
 
     A lease is reacquired while its server holds grants, and a majority grants it. The
@@ -60,16 +61,18 @@
     node.grants = SimpleNamespace(held_until_s=lambda now_s: now_s + 1.0)
     leases = node.leases
     leases.holder.use_witnesses([("w",)])
-    told_s = []
-    leases._perform[SendRenewal] = lambda action: told_s.append(action.renewal.lease_s)
+    renewal_lease_s = []
+    leases._perform[SendRenewal] = lambda action: renewal_lease_s.append(
+        action.renewal.lease_s
+    )
     node.follower.reachable = True
     leases.reacquire("another process may be there")
     grant_by_majority(leases.holder, boottime_s())
     node.follower.reachable = False
     leases._follow_log_reachability()
     assert leases.holder.phase == "surrendered"
-    assert len(told_s) == 2
-    assert min(told_s) > 0.9
+    assert len(renewal_lease_s) == 2
+    assert min(renewal_lease_s) > 0.9
 
 
 def started_without_a_log():
@@ -81,7 +84,7 @@
     return node
 
 
-def test_a_first_lease_that_cant_be_written_down_is_given_up_and_asked_for_again():
+def test_first_lease_is_given_up_without_the_log_and_reacquired_with_it():
     """Guards against keys without a server at a node that starts in an outage.
 
     The witnesses grant the node's first lease while the store is away. Not only a
@@ -94,7 +97,7 @@
     assert node.leases.holder.phase == "acquiring"
 
 
-def test_a_lease_that_was_given_up_for_good_meanwhile_isnt_asked_for_again():
+def test_lease_surrendered_by_a_stopping_node_isnt_reacquired():
     """Guards against a stopping node that gets its keys back.
 
     Its lease was given up because it couldn't be appended. Then the node stops, and
@@ -107,7 +110,7 @@
     assert node.leases.holder.phase == "surrendered"
 
 
-def test_a_held_lease_is_kept_while_the_log_is_away():
+def test_held_lease_is_kept_while_the_log_is_unreachable():
     """Guards against keys without a server at the start of each store outage."""
     node = Node(SETTINGS, OwnPorts(SETTINGS))
     holder = node.leases.holder
@@ -117,7 +120,7 @@
     assert holder.phase == "held"
 
 
-def test_a_lease_that_was_given_up_for_good_isnt_asked_for_after_a_late_refusal():
+def test_late_refusal_doesnt_reacquire_a_surrendered_lease():
     """Guards against keys that stay without a server after their server has left.
 
     The server leaves, and its lease is given up. A grant that was sent before is then
--- a/comfreywharf/daemon/tests/test_outdated_grants.py
+++ b/comfreywharf/daemon/tests/test_outdated_grants.py
@@ -15,7 +15,7 @@
 TERMS = HoldTerms(lease_s=1.5, longest_s=10.0)
 
 
-class Answers(Orders):
+class FixedAnswerOrders(Orders):
     """Gives each grant the same answer, and records the requested fences."""
 
     def __init__(self, answer=GrantAnswer.TAKEN):
@@ -66,14 +66,14 @@
     return RangeGrants(node, ListedHoldBook.of_new_process(TERMS, boottime_s()), 1.0)
 
 
-def test_a_refusal_of_an_earlier_fence_doesnt_end_a_newer_lease():
+def test_refusal_of_a_superseded_fence_keeps_the_newer_lease():
     """Guards against giving up a lease that has just been reacquired.
 
     An order is delayed, and the slice's fence grows. An order with the higher fence is
     accepted. Then the first order is sent and refused as outdated, which says nothing
     about the higher fence.
     """
-    grants = make_grants(backend("i-1", 1, Answers()))
+    grants = make_grants(backend("i-1", 1, FixedAnswerOrders()))
     served = [("booking", PIECE, 10, boottime_s() + 1.5)]
     (late,) = grants.book.due(served, boottime_s())
     serve(grants, 20)
@@ -85,8 +85,8 @@
     assert grants._node.leases.reacquired == []
 
 
-def test_a_refusal_ends_the_lease_that_it_is_of():
-    grants = make_grants(backend("i-1", 1, Answers(GrantAnswer.OUTDATED)))
+def test_refusal_of_the_current_fence_reacquires_the_lease():
+    grants = make_grants(backend("i-1", 1, FixedAnswerOrders(GrantAnswer.OUTDATED)))
     serve(grants, 10)
     gevent.joinall(grants.push())
     assert grants._node.leases.reacquired == ["grant outdated"]
@@ -95,13 +95,13 @@
     assert grants._node.leases.reacquired == ["grant outdated"] * 2
 
 
-def test_a_refusal_doesnt_end_a_newer_lease_that_hasnt_been_granted_yet():
+def test_refusal_keeps_a_newer_lease_before_its_first_grant():
     """Guards against giving up a newer lease before its first grant is sent.
 
     An order is sent late and refused, while the slice is already served under a higher
     fence. No order has carried that fence yet, so that the book doesn't have it.
     """
-    grants = make_grants(backend("i-1", 1, Answers(GrantAnswer.OUTDATED)))
+    grants = make_grants(backend("i-1", 1, FixedAnswerOrders(GrantAnswer.OUTDATED)))
     served = [("booking", PIECE, 10, boottime_s() + 1.5)]
     (late,) = grants.book.due(served, boottime_s())
     serve(grants, 20)
@@ -109,14 +109,14 @@
     assert grants._node.leases.reacquired == []
 
 
-def test_two_refusals_begin_the_lease_anew_once():
+def test_two_refusals_reacquire_the_lease_once():
     """Guards against keys without a server for longer than one renewal round.
 
     Two orders under one lease are refused, the second one while the lease is being
     reacquired and nothing is served. The second refusal must not give up the lease
     that is being acquired because of the first one.
     """
-    grants = make_grants(backend("i-1", 1, Answers(GrantAnswer.OUTDATED)))
+    grants = make_grants(backend("i-1", 1, FixedAnswerOrders(GrantAnswer.OUTDATED)))
     until_s = boottime_s() + 1.5
     other = Slice(start=0, end=KEY_SPACE, owner="a", epoch=6)
     served = [("booking", PIECE, 10, until_s), ("lookup", other, 12, until_s)]
@@ -131,13 +131,13 @@
     grants._node.leases.table = SimpleNamespace(serving=lambda state, now_s: [])
 
 
-def test_a_refusal_of_an_earlier_fence_doesnt_end_a_lapsed_lease():
+def test_refusal_of_a_superseded_fence_keeps_an_expired_lease():
     """Guards against a record for an expiry that heals without the log.
 
     The newer lease expires before the delayed order is refused. Nothing is served
     then, so that only the orders show which fence was in use.
     """
-    earlier = Answers()
+    earlier = FixedAnswerOrders()
     grants = make_grants(backend("i-1", 1, earlier))
     served = [("booking", PIECE, 10, boottime_s() + 1.5)]
     (late,) = grants.book.due(served, boottime_s())
--- a/comfreywharf/daemon/tests/test_planner_rounds.py
+++ b/comfreywharf/daemon/tests/test_planner_rounds.py
@@ -47,7 +47,7 @@
     return len(cluster.pieces) - before
 
 
-def test_a_hot_slice_is_in_small_parts_after_one_round():
+def test_hot_slice_is_split_repeatedly_in_one_round():
     """Guards against a server that refuses callers for two seconds with hot keys.
 
     One slice gets a third of all requests. With one split per round, it takes four
@@ -57,7 +57,7 @@
     assert slices_added(cluster, per_slice_s=3.0, first_s=105.0) >= 7
 
 
-def test_a_slice_that_needs_little_of_a_slot_is_left_whole():
+def test_slice_with_little_load_isnt_split():
     """Guards against moves of slices in a service that is nearly idle.
 
     A few callers request one key again and again. If a third of a server's load counts
--- a/comfreywharf/daemon/tests/test_range_grants.py
+++ b/comfreywharf/daemon/tests/test_range_grants.py
@@ -54,7 +54,7 @@
     return RangeGrants(node, book, 1.0)
 
 
-def test_every_request_waits_for_a_grant_that_another_one_asked_for():
+def test_all_requests_wait_for_a_grant_in_flight():
     """Guards against requests that their own server refuses, which makes it look fast.
 
     Several requests for a new slice arrive at the same time. The first one sends the
@@ -65,16 +65,16 @@
     right = SimpleNamespace(service="booking", key_hash=1, slice_start=0, fence=10)
     held = []
 
-    def ask():
+    def ensure_grant():
         grants.ensure(right, boottime_s())
         held.append(grants.book.holds(("booking", 0), 10, boottime_s()))
 
-    gevent.joinall([gevent.spawn(ask) for _ in range(5)])
+    gevent.joinall([gevent.spawn(ensure_grant) for _ in range(5)])
     assert held == [True] * 5
     assert orders.granted == 1
 
 
-class HeldUpOrders(SlowOrders):
+class BlockedOrders(SlowOrders):
     """Leaves a grant unanswered until ``may_answer`` is set."""
 
     def __init__(self):
@@ -86,14 +86,14 @@
         return GrantAnswer.LOST
 
 
-def test_a_release_ends_though_the_server_was_replaced_during_a_grant():
+def test_release_ends_after_the_server_was_replaced_during_a_grant():
     """Guards against a next owner that waits for a release forever.
 
     A grant is in flight when another incarnation replaces the server. If the answer to
     the earlier incarnation's grant is dropped, the grant counts as in flight forever,
     and a release of the slice waits for it.
     """
-    orders = HeldUpOrders()
+    orders = BlockedOrders()
     grants = make_grants(orders)
     grants.book.unknown_until_s = float("-inf")
     tasks = grants.push()
@@ -107,7 +107,7 @@
     assert not grants.book.is_asked("booking", PIECE.start, PIECE.end)
 
 
-def test_an_earlier_lifes_release_ends_once_the_keys_are_granted_anew():
+def test_release_of_an_earlier_fence_ends_after_a_newer_grant():
     """Guards against a server that drops keys shortly after they were granted.
 
     A slice is to be released, and the server doesn't answer. The slice comes back and
@@ -125,7 +125,7 @@
     assert grants._may_be_held(place, 20)
 
 
-def test_a_refusal_for_want_of_a_grant_teaches_admission_nothing():
+def test_refusal_without_a_grant_is_ignored_by_admission():
     """Guards against refusals that shorten the service times of admission.
 
     A server refuses requests without a grant in 1 ms each. If these count as completed
--- a/comfreywharf/daemon/tests/test_record_packing.py
+++ b/comfreywharf/daemon/tests/test_record_packing.py
@@ -35,8 +35,8 @@
 
 def test_an_assignment_of_all_slices_reaches_all_members_of_a_relay_in_time():
     """Guards against members that time out while their relay sends to others."""
-    news = pack_records([(offset, assignment()) for offset in range(2)])
-    assert FANOUT * len(news) / SLOW_LINK_BYTES_PER_S < RELAY_TIMEOUT_S / 4
+    packed = pack_records([(offset, assignment()) for offset in range(2)])
+    assert FANOUT * len(packed) / SLOW_LINK_BYTES_PER_S < RELAY_TIMEOUT_S / 4
 
 
 RECORDS = st.lists(st.tuples(st.integers(-1, 2**62), st.binary(max_size=300)))
@@ -44,14 +44,14 @@
 
 @settings(derandomize=True)
 @given(RECORDS)
-def test_records_arrive_as_they_were_packed(records):
+def test_unpacking_returns_the_packed_records(records):
     """No record is lost, and their order is kept."""
     assert unpack_records(pack_records(records)) == records
 
 
 @settings(derandomize=True)
 @given(st.binary(max_size=200), st.integers(0, 400))
-def test_damaged_records_are_an_error(data, cut):
+def test_damaged_bytes_raise_an_error(data, cut):
     """Guards against bytes of a peer that end the greenlet that polls it."""
     packed = pack_records([(1, data)])
     for damaged in (packed[: min(cut, len(packed) - 1)], data):
@@ -59,7 +59,7 @@
             unpack_records(damaged)
 
 
-def test_what_unpacks_to_too_much_is_an_error():
+def test_too_many_unpacked_bytes_raise_an_error():
     """Guards against a small answer that fills a node's memory when unpacked."""
     with pytest.raises(RecordPackingError):
         unpack_records(zlib.compress(bytes(MAX_UNPACKED_BYTES + 1)))
--- a/comfreywharf/daemon/tests/test_refused_appends.py
+++ b/comfreywharf/daemon/tests/test_refused_appends.py
@@ -6,7 +6,7 @@
 from comfreywharf.daemon.recording.logclient import LogError
 
 
-class SilentClient:
+class UncalledClient:
     """A log client that isn't called."""
 
     takes_batches = False
@@ -14,13 +14,13 @@
 
 
 @pytest.mark.parametrize(("relay", "reachable"), [(None, True), (object(), False)])
-def test_only_who_hears_from_a_relay_goes_by_its_appends(relay, reachable):
+def test_failed_append_marks_the_log_unreachable_only_with_a_relay(relay, reachable):
     """Guards against a planner that pauses for five seconds after one busy answer.
 
     The log is busy for one append while a read waits for new records. Without a relay,
     the append must not mark the log as unreachable until that read returns.
     """
-    follower = Follower(SilentClient(), "stream", lambda *args, **fields: None)
+    follower = Follower(UncalledClient(), "stream", lambda *args, **fields: None)
     follower.reachable = True
     follower.relay = relay
     follower.refused(LogError("busy"))
--- a/comfreywharf/daemon/tests/test_service_declarer.py
+++ b/comfreywharf/daemon/tests/test_service_declarer.py
@@ -29,7 +29,7 @@
     return declarer, node.follower.state
 
 
-def test_a_new_service_waits_for_its_servers():
+def test_new_service_is_declared_after_its_servers_are_announced():
     """Guards against too few slices when all machines start at the same time.
 
     If the planner divides the service's keys when the first of seven servers has
@@ -42,7 +42,7 @@
     assert declarer._services_to_declare(2.1)["booking"].slices == 7 * SLICES_PER_SERVER
 
 
-def test_a_declared_service_keeps_its_slices_whoever_is_there():
+def test_declared_service_keeps_its_number_of_slices():
     """The number of servers counts only initially, not after a restart."""
     declarer, state = make_declarer(7)
     (declared,) = declarer._services_to_declare(3.0).values()
