--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/belonging/gossip.py
@@ -334,7 +334,7 @@
     try:
         return unpack_records(reply.records)
     except RecordPackingError as error:
-        raise CallError(f"exchange: records: {error}", sent=True) from error
+        raise CallError(f"exchange: unreadable records: {error}", sent=True) from error
 
 
 def _age_s(age_ms):
--- a/comfreywharf/daemon/belonging/record_packing.py
+++ b/comfreywharf/daemon/belonging/record_packing.py
@@ -41,12 +41,14 @@
     while place < len(plain):
         if place + _HEAD.size > len(plain):
             raise RecordPackingError(
-                f"found {len(plain) - place} bytes; expected a head"
+                f"found {len(plain) - place} bytes; expected a record header"
             )
         offset, size = _HEAD.unpack_from(plain, place)
         place += _HEAD.size
         if place + size > len(plain):
-            raise RecordPackingError(f"record {offset} is cut: expected {size} bytes")
+            raise RecordPackingError(
+                f"record {offset} is truncated; expected {size} bytes"
+            )
         records.append((offset, plain[place : place + size]))
         place += size
     return records
@@ -60,6 +62,6 @@
         raise RecordPackingError(str(error)) from error
     if not expander.eof:
         raise RecordPackingError(
-            f"cut, or more than {MAX_UNPACKED_BYTES} bytes unpacked"
+            f"truncated, or more than {MAX_UNPACKED_BYTES} bytes unpacked"
         )
     return plain
--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -360,7 +360,7 @@
         try:
             reply = client.call(method, request, timeout_s=CALL_TIMEOUT_S)
         except CallError as error:
-            logging.debug("%s: %s", method, error)
+            logging.debug("call of %s to a witness failed: %s", method, error)
             return None
         return grant_of(reply) if reply else None
 
@@ -416,7 +416,7 @@
         try:
             return client.call("release", request, timeout_s=RELEASE_TIMEOUT_S)
         except CallError as error:
-            logging.debug("release: %s", error)
+            logging.debug("release call failed: %s", error)
             return None
 
     def _add_event(self, action):
--- a/comfreywharf/daemon/owning/witnessing.py
+++ b/comfreywharf/daemon/owning/witnessing.py
@@ -124,7 +124,7 @@
             if client is not None:
                 client.call("lapsed", notice, timeout_s=NOTICE_TIMEOUT_S)
         except CallError as error:
-            logging.debug("lapse notice: %s", error)
+            logging.debug("sending a lapse notice failed: %s", error)
 
 
 def takers_of(state, owner_id):
--- a/comfreywharf/daemon/recording/appender.py
+++ b/comfreywharf/daemon/recording/appender.py
@@ -88,10 +88,12 @@
         """Send once and return how long to look for the record in the fold."""
         left_s = max(deadline_s - boottime_s(), 0.0)
         try:
-            with gevent.Timeout(left_s, LogError("append: out of time")):
+            with gevent.Timeout(
+                left_s, LogError("append: no answer before the deadline")
+            ):
                 self._append_one(stream, data)
         except LogError as error:
-            logging.info("append: %s", error)
+            logging.info("append failed: %s", error)
             self._follower.refused(error)
             return min(max(self._delay_s(error, priority), READ_BACK_S), left_s)
         self._backoff.succeeded(priority)
--- a/comfreywharf/daemon/recording/follower.py
+++ b/comfreywharf/daemon/recording/follower.py
@@ -326,7 +326,7 @@
     try:
         listener(*arguments)
     except Exception:
-        logging.exception("a listener of the log failed")
+        logging.exception("a listener of the log raised an exception")
 
 
 def new_record_id():
--- a/comfreywharf/daemon/recording/snapshots.py
+++ b/comfreywharf/daemon/recording/snapshots.py
@@ -74,7 +74,7 @@
     state.lineage += 1
     parts, _ = encode_yielding(state)
     if len(parts) > 1:
-        logging.error("a state of %d parts can't be begun anew", len(parts))
+        logging.error("can't skip lost records: found %d parts; expected 1", len(parts))
         return False
     return client.replace_newest(stream, parts[0], position)
 
@@ -123,7 +123,7 @@
             try:
                 self._write()
             except (LogError, NotAcknowledged) as error:
-                logging.info("snapshot: %s", error)
+                logging.info("writing a snapshot failed: %s", error)
 
     def _is_turn(self):
         follower = self._follower
@@ -153,7 +153,7 @@
                 for data in parts:
                     self._follower.append_part(data)
             except LogError as error:
-                logging.info("snapshot: %s", error)
+                logging.info("writing a snapshot failed: %s", error)
                 continue
             self._written_offset = offset
 
