--- a/comfreywharf/daemon/owning/grants_by_service.py
+++ b/comfreywharf/daemon/owning/grants_by_service.py
@@ -20,10 +20,10 @@
 
     def refresh(self):
         """Send or prepare the grants that are due."""
-        self.in_force.refresh()
+        self.active_grants.refresh()
 
     @property
-    def in_force(self):
+    def active_grants(self):
         """Return the `KeyGrants` in use for this node's backend server."""
         if self._node.backend is not None:
             self._service = self._node.backend.announcement.service
@@ -32,32 +32,32 @@
 
     def ensure(self, right, now_s):
         """Return whether the backend server holds the key of a `Right`."""
-        return self.in_force.ensure(right, now_s)
+        return self.active_grants.ensure(right, now_s)
 
     def release(self, service, start, timeout_s):
         """Return the handover of a slice that moves away, or ``None`` if pending."""
-        return self.in_force.release(service, start, timeout_s)
+        return self.active_grants.release(service, start, timeout_s)
 
     def take_handover(self, key, handover):
         """Store what the previous owner's server handed over."""
-        self.in_force.take_handover(key, handover)
+        self.active_grants.take_handover(key, handover)
 
     def held_until_s(self, now_s):
         """Return when the last grant of the backend server ends."""
-        return self.in_force.held_until_s(now_s)
+        return self.active_grants.held_until_s(now_s)
 
     def backend_changed(self):
         """Handle the announcement of another instance of the backend server."""
-        self.in_force.backend_changed()
+        self.active_grants.backend_changed()
 
     def backend_ended(self):
         """Handle the end of the backend server, which no longer holds any key."""
-        self.in_force.backend_ended()
+        self.active_grants.backend_ended()
 
     def refused(self, right):
         """Record that the server refused the key of a `Right` as not held."""
-        self.in_force.refused(right)
+        self.active_grants.refused(right)
 
     def answer(self, report):
         """Return the `HoldList` for a heartbeat's report; ``None`` for no list."""
-        return self.in_force.answer(report)
+        return self.active_grants.answer(report)
--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -68,7 +68,7 @@
         self._granted = Event()
         self._released = Event()
         self._listeners = []
-        self._perform = {
+        self._action_handlers = {
             SendRenewal: self._send_renewal,
             SendClaim: self._send_claim,
             SendUnclaim: self._send_unclaim,
@@ -293,7 +293,7 @@
     def carry_out(self, actions):
         """Perform the agent's actions."""
         for action in actions:
-            self._perform[type(action)](action)
+            self._action_handlers[type(action)](action)
 
     def _send_renewal(self, action):
         gevent.spawn(self._renew, action.witness, renew_request(action.renewal))
--- a/comfreywharf/daemon/recording/append_batcher.py
+++ b/comfreywharf/daemon/recording/append_batcher.py
@@ -7,7 +7,7 @@
 
 __all__ = ["AppendBatcher"]
 
-GATHER_S = 0.01
+BATCH_WAIT_S = 0.01
 """How long a call waits for more records. A planned move of ten slices results in ten
 records of one node within a few milliseconds."""
 
@@ -43,7 +43,7 @@
         return batch.first.get() + index
 
     def _send(self, batch):
-        gevent.sleep(GATHER_S)
+        gevent.sleep(BATCH_WAIT_S)
         if self._open is batch:
             self._open = None
         try:
--- a/comfreywharf/daemon/tests/test_lease_and_log.py
+++ b/comfreywharf/daemon/tests/test_lease_and_log.py
@@ -62,7 +62,7 @@
     leases = node.leases
     leases.holder.use_witnesses([("w",)])
     renewal_lease_s = []
-    leases._perform[SendRenewal] = lambda action: renewal_lease_s.append(
+    leases._action_handlers[SendRenewal] = lambda action: renewal_lease_s.append(
         action.renewal.lease_s
     )
     node.follower.reachable = True
