--- a/comfreywharf/daemon/owning/fenced_grants.py
+++ b/comfreywharf/daemon/owning/fenced_grants.py
@@ -1,4 +1,4 @@
-"""Grants with fences, for backend servers that check them on each request."""
+"""Fenced grants, for backend servers that check the fence themselves."""
 
 import attrs
 import orjson
@@ -41,8 +41,8 @@
     def ensure(self, right, now_s):
         """Send the grants if the one for a `Right` is missing or about to expire.
 
-        Return ``True`` even if the backend server didn't answer, since it checks
-        the fence of each request and refuses one without a valid grant.
+        Return ``True`` even if the backend server didn't answer, since the server
+        itself then reports whether it has the grant.
         """
         if not right.key_hash or not self._checks_fences():
             return True
--- a/comfreywharf/daemon/owning/lease_calls.py
+++ b/comfreywharf/daemon/owning/lease_calls.py
@@ -37,7 +37,8 @@
     def release(self, request):
         """Release a slice that moved away, and return its remembered answers.
 
-        Wait up to `RELEASE_WAIT_S` for the release, then ask the caller to retry.
+        Wait up to `RELEASE_WAIT_S` for the release; otherwise reply with a time to
+        retry after.
         """
         end_s = boottime_s() + RELEASE_WAIT_S
         while True:
