--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/belonging/gossip.py
@@ -1,4 +1,4 @@
-"""Exchange news with peers: records of the log, snapshots, notices."""
+"""Exchange log records, snapshots, routes and notices with peers."""
 
 import math
 import random
@@ -9,12 +9,12 @@
 from gevent.pool import Pool
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.belonging.news import (
-    NewsError,
+from comfreywharf.daemon.belonging.record_packing import (
+    RecordPackingError,
     pack_records,
     unpack_records,
 )
-from comfreywharf.daemon.recording.snapshots import encode_slowly
+from comfreywharf.daemon.recording.snapshots import encode_yielding
 from comfreywharf.membership.gossip import GossipInterval, choose_partners, push_count
 from comfreywharf.membership.relays import RelayedAge
 from comfreywharf.records.snapshots import SnapshotAssembler
@@ -27,44 +27,45 @@
 __all__ = ["Gossip"]
 
 EXCHANGE_TIMEOUT_S = 1.0
-LISTEN_MARGIN_S = 0.4
-"""How much longer than it may wait an answer with news is waited for."""
+LONG_POLL_MARGIN_S = 0.4
+"""Added to the wait of a long poll for the time-out of its call."""
 
-MAX_WAIT_S = 5.0
-"""The longest that a peer's question is kept without news."""
+MAX_LONG_POLL_S = 5.0
+"""Upper bound for how long a peer's request is held while there is no news."""
 
 MAX_CONCURRENT = 8
 REACH_TIMEOUT_S = 0.4
-LONGEST_AGE_S = 3600.0
+MAX_REPORTED_AGE_S = 3600.0
 PUSH_GAP_S = 0.05
-"""Between two rounds of pushes, so that a burst of news travels together."""
+"""Pause between two rounds of pushes, so that a burst of news is sent together."""
 
 
 SPARE_PARTNERS = 2
-"""Peers that are asked instead where the first one doesn't answer."""
+"""Number of further peers that are tried if the first one doesn't answer."""
 
 MAX_REPLY_BYTES = 256 * 1024
-"""Records in one reply; a node further behind asks again at once."""
+"""Limit for the records in one reply; a node further behind repeats its request at
+once."""
 
 MAX_SNAPSHOT_BYTES = 3 << 20
-"""A snapshot in one reply, below the longest thrift frame."""
+"""Limit for a snapshot in one reply, below the maximum size of a thrift frame."""
 
 SNAPSHOT_OFFSET = -1
 """The offset under which a reply carries the parts of a snapshot."""
 
 
 class Gossip:
-    """Ask peers for news at an interval, and tell some at once when there is news.
+    """Exchange news with random peers, at an interval and when there is news.
 
-    Partners are the members that the log names. A node that knows none yet, for
-    instance because it starts while the log is down, asks the settings' seeds.
+    The peers are the members in the folded state. A node without any, for instance
+    because it starts while the log is down, uses the seeds of its settings.
     """
 
     def __init__(self, node, rng=None):
         self._node = node
         self._rng = rng or random.Random(node.settings.node_id)
         self._pace = GossipInterval()
-        self._news = Event()
+        self._push_due = Event()
         self._calls = Pool(MAX_CONCURRENT)
         self._encoding = BoundedSemaphore()
         self._snapshot = []
@@ -73,31 +74,33 @@
             (seed.host, seed.port): PeerClient(seed.host, seed.port, node.reporter)
             for seed in node.settings.seeds
         }
-        node.notices.on_news(self.tell)
-        self._heard = Event()
+        node.notices.on_new_notice(self.push_soon)
+        self._changed = Event()
         node.follower.subscribe(lambda record, result: self._wake())
         node.follower.subscribe_loaded(self._wake)
         node.routes.subscribe(lambda table: self._wake())
 
-    def tell(self):
-        """Have some peers told of news as soon as possible."""
+    def push_soon(self):
+        """Schedule a push of news to some peers as soon as possible."""
         self._pace.shorten()
-        self._news.set()
+        self._push_due.set()
 
     def push_to(self, node_ids):
-        """Tell certain peers at once; return the greenlets that do.
+        """Push news to the given peers at once; return the greenlets that do so.
 
-        Peers chosen by chance leave some out, who learn by a later exchange.
-        That is too late for news that decide what happens to the next request.
+        Random selection leaves out some peers, which receive the news by a later
+        exchange. That is too late for news that affects the next request.
         """
         clients = [self._node.peers.client(node_id) for node_id in node_ids]
-        return [gevent.spawn(self._reaches, client) for client in clients if client]
+        return [
+            gevent.spawn(self._try_exchange, client) for client in clients if client
+        ]
 
     def run(self):
-        """Exchange until the greenlet is killed."""
+        """Exchange news until the greenlet is killed."""
         while True:
-            if self._news.wait(self._pace.wait_s(self._rng)):
-                self._news.clear()
+            if self._push_due.wait(self._pace.wait_s(self._rng)):
+                self._push_due.clear()
                 self._push()
                 gevent.sleep(PUSH_GAP_S)
             else:
@@ -107,7 +110,7 @@
         """Return the reply to a peer's `ExchangeRequest`."""
         node = self._node
         node.notices.receive(request.notices, now_s)
-        self._ask_if_behind(request)
+        self._pull_if_behind(request)
         if request.wait_ms:
             self._await_news(request, now_s + request.wait_ms / 1000)
             now_s = boottime_s()
@@ -125,31 +128,31 @@
         )
 
     def _await_news(self, request, until_s):
-        """Wait until there is something that a peer doesn't know."""
-        until_s = min(until_s, boottime_s() + MAX_WAIT_S)
+        """Wait until there are records or routes that a peer doesn't have."""
+        until_s = min(until_s, boottime_s() + MAX_LONG_POLL_S)
         node = self._node
         while (
             node.follower.state.next_offset <= request.next_offset
             and node.routes.version <= request.routes_version
             and (left_s := until_s - boottime_s()) > 0
         ):
-            self._heard.wait(left_s)
+            self._changed.wait(left_s)
 
     def _wake(self):
-        self._heard.set()
-        self._heard.clear()
+        self._changed.set()
+        self._changed.clear()
 
-    def reach_all(self):
-        """Return the members that answer an exchange now, or soon enough."""
+    def reachable_members(self):
+        """Return the members that answer an exchange within `REACH_TIMEOUT_S`."""
         asked = {}
         for node_id in self._node.follower.state.members:
             client = self._node.peers.client(node_id)
             if client is not None and node_id != self._node.settings.node_id:
-                asked[node_id] = gevent.spawn(self._reaches, client)
+                asked[node_id] = gevent.spawn(self._try_exchange, client)
         gevent.joinall(list(asked.values()), REACH_TIMEOUT_S)
         return {node_id for node_id, task in asked.items() if task.value}
 
-    def _reaches(self, client):
+    def _try_exchange(self, client):
         """Exchange once; return whether the peer answered."""
         try:
             self._exchange(client)
@@ -157,19 +160,19 @@
             return False
         return True
 
-    def _ask_if_behind(self, request):
-        """Ask a peer that knows more, where the log can't be asked."""
+    def _pull_if_behind(self, request):
+        """Exchange with a peer that has more records, if the log is unreachable."""
         follower = self._node.follower
         if follower.reachable or request.next_offset <= follower.state.next_offset:
             return
         if not self._calls.full():
-            self._calls.spawn(self._exchange_with_first, [self._asker(request)])
+            self._calls.spawn(self._exchange_with_first, [self._sender_client(request)])
 
-    def _asker(self, request):
-        """Return the client for a peer that asked, be it known here or not.
+    def _sender_client(self, request):
+        """Return the client for the sender of a request, even if it isn't a member.
 
-        A node that starts while the log is away knows no member. It would refuse
-        every request until the log is back, beside peers that know all owners.
+        A node that starts while the log is unreachable has no members yet. Without
+        the records of its peers it would refuse every request until the log is back.
         """
         client = self._node.peers.client(request.node_id)
         if client is not None:
@@ -181,19 +184,21 @@
         news = replica.records_for_peer(next_offset, MAX_REPLY_BYTES)
         if news is not None:
             return news
-        return [(SNAPSHOT_OFFSET, data) for data in self._parts()]
+        return [(SNAPSHOT_OFFSET, data) for data in self._snapshot_parts()]
 
-    def _parts(self):
-        """Return the parts of a snapshot that the kept records follow on.
+    def _snapshot_parts(self):
+        """Return the parts of a snapshot that the retained records continue.
 
-        It is encoded once for many peers: as long as the records behind it are
-        kept, a peer gets them with its next question.
+        One encoding serves many peers, for as long as the records that follow it are
+        retained: a peer receives those with its next request.
         """
         replica = self._node.follower.replica
         if self._snapshot_offset < replica.recent.first or not self._snapshot:
             with self._encoding:
                 if self._snapshot_offset < replica.recent.first or not self._snapshot:
-                    self._snapshot, self._snapshot_offset = encode_slowly(replica.state)
+                    self._snapshot, self._snapshot_offset = encode_yielding(
+                        replica.state
+                    )
         if sum(map(len, self._snapshot)) > MAX_SNAPSHOT_BYTES:
             return []
         return self._snapshot
@@ -220,19 +225,19 @@
     def _exchange_with_first(self, clients):
         """Exchange with the first peer that answers.
 
-        With a failure domain cut off, many partners don't answer. A node that
-        then waited for its next turn each time could miss a change of
-        configuration for longer than the 8 s that it may take.
+        With a failure domain cut off, many peers don't answer. If the node waited for
+        its next interval after each of them, a change of the configuration could take
+        longer than the 8 s that it may take.
         """
         for client in clients:
             try:
-                self._exchange_until_equal(client)
+                self._exchange_until_caught_up(client)
                 return
             except CallError:
                 continue
 
-    def _exchange_until_equal(self, client):
-        """Exchange with a peer, and again while it has more for this node."""
+    def _exchange_until_caught_up(self, client):
+        """Exchange with a peer, and repeat while it has more for this node."""
         follower = self._node.follower
         before = follower.state.next_offset
         while self._exchange(client):
@@ -240,32 +245,34 @@
         if follower.reachable:
             self._pace.lengthen()
             return
-        # Without the log, peers are all that a node hears from, and others may
-        # hear from it. With pulling alone, news that a single node of 640 has
-        # would need more than half of the 8 s that a change may take.
+        # Without the log, records arrive only from peers, so they are pushed on as
+        # well. By pulling alone, news of a single node out of 640 would take more
+        # than half of the 8 s that a change may take.
         self._pace.shorten()
         if follower.state.next_offset > before:
-            self.tell()
+            self.push_soon()
 
-    def listen(self, client, wait_s):
-        """Exchange with a peer that answers once it has news, or after a wait.
+    def long_poll(self, client, wait_s):
+        """Exchange with a peer that answers once it has news, or after ``wait_s``.
 
-        Return how old this node's fold and routes are by what the peer says of its own,
-        as a `RelayedAge`, or ``None`` where the peer knows that records are missing
-        here.
+        Return the age of this node's fold and routes as a `RelayedAge`, derived from
+        the ages that the peer reports for its own. Return ``None`` if the peer reports
+        no age for its records, or if records below its next offset are missing here.
         """
-        reply, _ = self._ask(client, wait_s)
-        if reply.log_age_ms < 0 or not self._node.follower.knows(reply.next_offset):
+        reply, _ = self._call_exchange(client, wait_s)
+        if reply.log_age_ms < 0 or not self._node.follower.has_all_below(
+            reply.next_offset
+        ):
             return None
         return RelayedAge(reply.log_age_ms / 1000, _age_s(reply.routes_age_ms))
 
     def _exchange(self, client):
-        """Exchange once; return whether there is more to be had at once."""
-        reply, advanced = self._ask(client)
+        """Exchange once; return whether the peer has more for this node."""
+        reply, advanced = self._call_exchange(client)
         return advanced and self._node.follower.state.next_offset < reply.next_offset
 
-    def _ask(self, client, wait_s=0.0):
-        """Exchange once; return the reply, and whether its records were news."""
+    def _call_exchange(self, client, wait_s=0.0):
+        """Exchange once; return the reply, and whether it had new records."""
         node = self._node
         request = ExchangeRequest(
             node_id=node.settings.node_id,
@@ -279,21 +286,21 @@
             peer_port=node.settings.advertised_peer_port or node.settings.peer_port,
         )
         sent_s = boottime_s()
-        timeout_s = wait_s + LISTEN_MARGIN_S if wait_s else EXCHANGE_TIMEOUT_S
+        timeout_s = wait_s + LONG_POLL_MARGIN_S if wait_s else EXCHANGE_TIMEOUT_S
         reply = client.call("exchange", request, timeout_s=timeout_s)
         node.notices.receive(reply.notices, boottime_s())
-        self._take_routes(reply, client, sent_s)
-        advanced = self._take(_records_in(reply))
-        if reply.log_age_ms >= 0 and node.follower.knows(reply.next_offset):
-            # The peer's fold was the log's this long before it answered, which
-            # was after the question was sent.
+        self._apply_routes(reply, client, sent_s)
+        advanced = self._fold_records(_records_in(reply))
+        if reply.log_age_ms >= 0 and node.follower.has_all_below(reply.next_offset):
+            # The peer's fold matched the log ``log_age_ms`` before its answer, and
+            # the answer came after the request was sent.
             node.follower.confirm(sent_s - reply.log_age_ms / 1000)
         return reply, advanced
 
-    def _take_routes(self, reply, client, sent_s):
-        """Use a peer's routes if they are newer; note until when they were the newest.
+    def _apply_routes(self, reply, client, sent_s):
+        """Apply a peer's routes if newer; record when they were confirmed as current.
 
-        The age that it tells counts from its answer, which came after the question.
+        The reported age counts from the answer, which came after the request was sent.
         """
         routes = self._node.routes
         if reply.routes and routes.apply_document(reply.routes):
@@ -305,7 +312,7 @@
         if reply.routes_age_ms >= 0 and routes.version >= reply.routes_version:
             routes.confirm(sent_s - reply.routes_age_ms / 1000)
 
-    def _take(self, records):
+    def _fold_records(self, records):
         """Fold a peer's records, or its snapshot; return whether any was new."""
         follower = self._node.follower
         assembler = SnapshotAssembler()
@@ -321,13 +328,13 @@
 
 
 def _records_in(reply):
-    """Return the records in an answer; `CallError` where they can't be read."""
+    """Return the records in a reply; raises `CallError` if they are unreadable."""
     if not reply.records:
         return []
     try:
         return unpack_records(reply.records)
-    except NewsError as error:
-        raise CallError(f"exchange: records: {error}", sent=True) from error
+    except RecordPackingError as error:
+        raise CallError(f"exchange: unreadable records: {error}", sent=True) from error
 
 
 def _age_s(age_ms):
@@ -335,5 +342,5 @@
 
 
 def _age_ms(age_s):
-    """Return an age as a message carries it: -1 where nothing was ever confirmed."""
-    return -1 if age_s > LONGEST_AGE_S else max(0, math.ceil(age_s * 1000))
+    """Return an age in ms for a message, or -1 if above `MAX_REPORTED_AGE_S`."""
+    return -1 if age_s > MAX_REPORTED_AGE_S else max(0, math.ceil(age_s * 1000))
--- a/comfreywharf/daemon/belonging/relaying.py
+++ b/comfreywharf/daemon/belonging/relay_client.py
@@ -1,54 +1,55 @@
-"""Hear the log's news from another node instead of reading the log."""
+"""Receive log records and routes from a relay node instead of reading the log."""
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.membership.relays import Relays
 from comfreywharf.routes import max_relayed_age_s
 from comfreywharf.transport import CallError
 
-__all__ = ["Relaying"]
+__all__ = ["RelayClient"]
 
-WAIT_S = 0.5
-"""How long a relay keeps a question without news. A relay that is lost is noticed
-by the end of it."""
+LONG_POLL_S = 0.5
+"""How long a relay holds a request while it has no news. The loss of a relay is
+noticed by the end of this time."""
 
-MOST_AGE_MARGIN_S = 0.5
-"""How much older than its reads' wait the news of the log's reader may be."""
+MAX_AGE_MARGIN_S = 0.5
+"""Added to the wait of a log read for the maximum age of records at the node that
+reads the log itself."""
 
 
-class Relaying:
-    """Ask the relay that `Relays` chooses, again and again."""
+class RelayClient:
+    """Poll the relay that `Relays` chooses."""
 
     def __init__(self, node, read_wait_s):
         self._node = node
         self._relays = Relays(
             node.settings.node_id,
-            max_age_s=read_wait_s + MOST_AGE_MARGIN_S,
+            max_age_s=read_wait_s + MAX_AGE_MARGIN_S,
             max_routes_age_s=max_relayed_age_s(node.ports.routes_apply_s),
         )
 
-    def listen(self):
-        """Hear from a relay once; return whether its news can be relied on.
+    def poll(self):
+        """Poll a relay once; return whether its news is fresh.
 
-        Where it can't, the log is read before another relay is asked: the time-outs
-        of two relays behind one another would take up what a change may take.
+        Otherwise the caller reads the log before another relay is polled: the
+        time-outs of two relays in a row would use up the time that a change may take.
         """
         members = self._node.follower.state.members
         relay_id = self._relays.choose(members, boottime_s())
-        return bool(relay_id) and self._hear(relay_id, members)
+        return bool(relay_id) and self._poll_relay(relay_id, members)
 
-    def _hear(self, relay_id, members):
+    def _poll_relay(self, relay_id, members):
         client = self._node.peers.client(relay_id)
         if client is None:
             return self._avoid(relay_id, "no address")
         try:
-            age = self._node.gossip.listen(client, WAIT_S)
+            age = self._node.gossip.long_poll(client, LONG_POLL_S)
         except CallError as error:
             return self._avoid(relay_id, str(error))
         if age is None:
             return self._avoid(relay_id, "lacks records")
         if not self._relays.is_fresh(members, relay_id, age):
-            told = f"records {age.records_s:.3f} s old, routes {age.routes_s:.3f} s"
-            return self._avoid(relay_id, told)
+            ages = f"records {age.records_s:.3f} s old, routes {age.routes_s:.3f} s"
+            return self._avoid(relay_id, ages)
         return True
 
     def _avoid(self, relay_id, why):
--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -9,7 +9,7 @@
 from comfreywharf.daemon.belonging.gossip import Gossip
 from comfreywharf.daemon.belonging.notices import Notices
 from comfreywharf.daemon.belonging.peers import Peers
-from comfreywharf.daemon.belonging.relaying import Relaying
+from comfreywharf.daemon.belonging.relay_client import RelayClient
 from comfreywharf.daemon.handler import PeerHandler
 from comfreywharf.daemon.operating.decisions import Decisions
 from comfreywharf.daemon.operating.metering import Meter
@@ -74,7 +74,7 @@
             settings.log_stream,
             self.report,
             settings.node_id,
-            pace=self.ports.read_pace,
+            read_options=self.ports.read_pace,
         )
         self.follower.subscribe(self._on_folded)
         self.follower.subscribe_loaded(self._report_config)
@@ -85,7 +85,7 @@
         self.notices = Notices()
         self.gossip = Gossip(self)
         if self.ports.read_pace.relayed:
-            self.follower.relay = Relaying(self, self.ports.read_pace.wait_s)
+            self.follower.relay = RelayClient(self, self.ports.read_pace.wait_s)
         self.leases = Leases(self)
         self.grants = self.ports.make_grants(self)
         self.witnessing = Witnessing(self, self.leases.terms)
@@ -146,7 +146,7 @@
 
     def _write_snapshots(self):
         if self.follower.log_keeps_newest:
-            self.snapshots.run_as(self.planner)
+            self.snapshots.run_for_planner(self.planner)
         else:
             self.snapshots.run()
 
--- /dev/null
+++ b/comfreywharf/daemon/owning/fenced_grants.py
@@ -0,0 +1,114 @@
+"""Fenced grants, for backend servers that check the fence themselves."""
+
+import attrs
+import orjson
+from gevent.event import Event
+
+from comfreywharf.clock import boottime_s
+from comfreywharf.daemon.owning.key_grants import KeyGrants
+
+__all__ = ["FencedGrants"]
+
+MIN_REMAINING_S = 0.05
+"""A grant with less time left is renewed before a request relies on it."""
+
+
+@attrs.frozen
+class _Pushed:
+    fence: int
+    until_s: float
+
+
+class FencedGrants(KeyGrants):
+    """Keep the grants of this node's backend server up to date.
+
+    Each message carries all grants and replaces the previous ones, so that a
+    lost or repeated message does no harm. A grant expires with the lease it is
+    based on: a server that was frozen and resumes finds its grants expired,
+    whatever is still buffered in its sockets.
+    """
+
+    def __init__(self, node):
+        self._node = node
+        self._pushed = {}
+        self._push_done = None
+
+    def refresh(self):
+        """Renew all grants."""
+        if self._checks_fences():
+            self.push()
+
+    def ensure(self, right, now_s):
+        """Send the grants if the one for a `Right` is missing or about to expire.
+
+        Return ``True`` even if the backend server didn't answer, since the server
+        itself then reports whether it has the grant.
+        """
+        if not right.key_hash or not self._checks_fences():
+            return True
+        pushed = self._pushed.get((right.service, right.slice_start))
+        if (
+            pushed
+            and pushed.fence == right.fence
+            and pushed.until_s > now_s + MIN_REMAINING_S
+        ):
+            return True
+        self.push()
+        return True
+
+    def release(self, service, start, timeout_s):
+        """Return an empty handover for a slice that moves away.
+
+        Nothing has to be released: a grant that is missing from the next message
+        ends with it.
+        """
+        return ""
+
+    def take_handover(self, key, handover):
+        """Do nothing: these backend servers hand nothing over."""
+
+    def backend_changed(self):
+        """Discard the grants sent to the previous instance of the server."""
+        self._pushed = {}
+
+    def backend_ended(self):
+        """Do nothing: grants to the next instance replace all previous ones."""
+
+    def held_until_s(self, now_s):
+        """Return ``None``: the end of these grants is neither recorded nor awaited."""
+        return None
+
+    def _checks_fences(self):
+        backend = self._node.backend
+        return backend is not None and backend.announcement.checks_fences
+
+    def push(self):
+        """Send all grants; a concurrent caller waits for the message in flight."""
+        if self._push_done is not None:
+            self._push_done.wait()
+            return
+        self._push_done = Event()
+        try:
+            self._send()
+        finally:
+            running, self._push_done = self._push_done, None
+            running.set()
+
+    def _send(self):
+        node = self._node
+        now_s = boottime_s()
+        served = list(node.leases.table.serving(node.follower.state, now_s))
+        message = [
+            {
+                "start": piece.start,
+                "end": piece.end,
+                "fence": fence,
+                "expires_monotonic_ms": int(until_s * 1000),
+            }
+            for _, piece, fence, until_s in served
+        ]
+        if node.backend.grant(orjson.dumps(message)):
+            self._pushed = {
+                (service, piece.start): _Pushed(fence, until_s)
+                for service, piece, fence, until_s in served
+            }
--- a/comfreywharf/daemon/owning/grants_by_service.py
+++ b/comfreywharf/daemon/owning/grants_by_service.py
@@ -1,4 +1,4 @@
-"""Each service's own way of telling its backend servers what they hold."""
+"""Select how grants reach the backend server, by its service's configuration."""
 
 from comfreywharf.daemon.owning.key_grants import KeyGrants
 from comfreywharf.routes import GrantWay
@@ -7,10 +7,10 @@
 
 
 class GrantsByService(KeyGrants):
-    """Pass each call on to the way that the configuration names for the service.
+    """Delegate to the `KeyGrants` that the configuration selects for the service.
 
-    All ways keep their word in one book, so that a configuration which changes a
-    service's way leaves nothing granted that nobody knows of.
+    All of them record their grants in the same `HoldBook`, so that no grant is
+    lost track of when the configuration changes the way of a service.
     """
 
     def __init__(self, node, ways):
@@ -18,13 +18,13 @@
         self._ways = ways
         self._service = ""
 
-    def look(self):
-        """Do what is due."""
-        self.in_force.look()
+    def refresh(self):
+        """Send or prepare the grants that are due."""
+        self.active_grants.refresh()
 
     @property
-    def in_force(self):
-        """Return the `KeyGrants` for the service of the server beside this node."""
+    def active_grants(self):
+        """Return the `KeyGrants` in use for this node's backend server."""
         if self._node.backend is not None:
             self._service = self._node.backend.announcement.service
         service = self._node.routes.table.service(self._service)
@@ -32,32 +32,32 @@
 
     def ensure(self, right, now_s):
         """Return whether the backend server holds the key of a `Right`."""
-        return self.in_force.ensure(right, now_s)
+        return self.active_grants.ensure(right, now_s)
 
     def release(self, service, start, timeout_s):
-        """Return the handover of a slice that is given away, or ``None`` so far."""
-        return self.in_force.release(service, start, timeout_s)
+        """Return the handover of a slice that moves away, or ``None`` if pending."""
+        return self.active_grants.release(service, start, timeout_s)
 
     def take_handover(self, key, handover):
-        """Keep what an earlier owner's server handed over for this node's."""
-        self.in_force.take_handover(key, handover)
+        """Store what the previous owner's server handed over."""
+        self.active_grants.take_handover(key, handover)
 
     def held_until_s(self, now_s):
         """Return when the last grant of the backend server ends."""
-        return self.in_force.held_until_s(now_s)
+        return self.active_grants.held_until_s(now_s)
 
     def backend_changed(self):
-        """Take note of another instance of the backend server."""
-        self.in_force.backend_changed()
+        """Handle the announcement of another instance of the backend server."""
+        self.active_grants.backend_changed()
 
     def backend_ended(self):
-        """Take note that the backend server is dead, and holds nothing any more."""
-        self.in_force.backend_ended()
+        """Handle the end of the backend server, which no longer holds any key."""
+        self.active_grants.backend_ended()
 
     def refused(self, right):
-        """Take the server's word that it doesn't hold the key of a `Right`."""
-        self.in_force.refused(right)
+        """Record that the server refused the key of a `Right` as not held."""
+        self.active_grants.refused(right)
 
     def answer(self, report):
         """Return the `HoldList` for a heartbeat's report; ``None`` for no list."""
-        return self.in_force.answer(report)
+        return self.active_grants.answer(report)
--- a/comfreywharf/daemon/owning/heartbeat_grants.py
+++ b/comfreywharf/daemon/owning/heartbeat_grants.py
@@ -1,4 +1,4 @@
-"""Grants as lists in answers to heartbeats: the shell around `HoldLists`."""
+"""Grants sent as lists in answers to heartbeats; performs the I/O of `HoldLists`."""
 
 from gevent.event import Event
 
@@ -9,106 +9,113 @@
 
 __all__ = ["HeartbeatGrants"]
 
-WAIT_PART = 0.65
-"""The part of the interval between heartbeats for which an answer waits for news.
+WAIT_FRACTION = 0.65
+"""Fraction of the heartbeat interval for which an answer waits for changes.
 
-Keys that come while no heartbeat waits for its answer are dark until the next one. What
-is held already is renewed as often as without the wait."""
+Keys assigned while no heartbeat is waiting for its answer can't be served until the
+next one. Keys that are already held are renewed as often as without the wait."""
 
-LONGEST_WAIT_S = 0.6
-"""An answer that comes a second late doesn't count, and the node may be busy."""
+MAX_WAIT_S = 0.6
+"""Upper bound of that wait. The server drops an answer that comes 1 s after its
+heartbeat; the difference allows for delays in a busy node."""
 
 RENEWAL_WAIT_S = 0.06
-"""How long an answer waits for the witnesses. Nearly all answer within a few ms, and
-without them the hold is shorter by the lease's age."""
+"""How long an answer waits for a lease renewal. Nearly all witnesses answer within a
+few ms. Without the renewal, the hold is shorter by the age of the lease."""
 
 RELEASE_PAUSE_S = 0.1
 
-SETTLING_S = 0.1
-"""A server may get a request before it has read the list that was sent just before."""
+REFUSAL_GRACE_S = 0.1
+"""How long after a list a refusal is ignored. The server may receive a request before
+it has read the list that was sent just before."""
 
 
 class HeartbeatGrants(BookedGrants):
-    """Answer the heartbeats of the backend server with what it is to hold.
+    """Answer the backend server's heartbeats with the list of ranges to hold.
 
-    An answer waits for news for a part of the interval, so that keys which come or go
-    meanwhile needn't wait for the next heartbeat.
+    An answer is delayed for a part of the heartbeat interval (long polling), so that
+    changes in that time don't have to wait for the next heartbeat.
     """
 
     def __init__(self, node, book, interval_s, room):
         super().__init__(node, book)
         self.lists = HoldLists(book, room)
-        self._wait_s = min(WAIT_PART * interval_s, LONGEST_WAIT_S)
-        self._newest = None
-        self._news = Event()
-        self._heard = Event()
+        self._wait_s = min(WAIT_FRACTION * interval_s, MAX_WAIT_S)
+        self._newest_report = None
+        self._change = Event()
+        self._report_received = Event()
         self._answered_s = float("-inf")
-        node.leases.subscribe(self._news.set)
+        node.leases.subscribe(self._change.set)
 
-    def look(self):
-        """Have an answer that waits look round."""
-        self._news.set()
+    def refresh(self):
+        """Wake an answer that is waiting, so that it checks for changes."""
+        self._change.set()
 
     def answer(self, report):
-        """Return the `HoldList` for a report, after a wait for news."""
-        self._newest = report
+        """Return the `HoldList` for a report, after waiting for changes.
+
+        Return ``None`` if there is nothing to send, or if a newer report arrived
+        while this one was waiting.
+        """
+        self._newest_report = report
         refused = self.lists.hear(report, boottime_s())
-        self._heard.set()
-        self._heard.clear()
+        self._report_received.set()
+        self._report_received.clear()
         if refused and not self._node.closed_to_new_work:
-            self._leave_refused_fences(report)
-        self._await_news(report)
-        if self._newest is not report:
-            # The server has asked again meanwhile: it waits for that answer.
+            self._handle_refused_ranges(report)
+        self._await_change(report)
+        if self._newest_report is not report:
+            # A newer heartbeat arrived: the server now waits for its answer.
             return None
         if self._node.closed_to_new_work:
             return HoldList(rows=(), hold_s=self.book.terms.shortest_s)
         self._node.leases.renew_now(RENEWAL_WAIT_S)
         return self._decide(report)
 
-    def _leave_refused_fences(self, report):
+    def _handle_refused_ranges(self, report):
         self._node.report(
             "ranges_refused", name=self._instance(), service=report.service
         )
-        self._begin_anew("ranges refused")
+        self._reacquire_lease("ranges refused")
 
     def _instance(self):
         backend = self._node.backend
         return backend.announcement.instance if backend else ""
 
-    def _await_news(self, report):
+    def _await_change(self, report):
         end_s = report.arrived_s + self._wait_s
-        while self._newest is report and not self._node.closed_to_new_work:
+        while self._newest_report is report and not self._node.closed_to_new_work:
             left_s = end_s - boottime_s()
-            if left_s <= 0 or self._has_news(report):
+            if left_s <= 0 or self._has_changes(report):
                 return
             if not is_quiet(report.connection):
-                self._look_at_server()
+                self._check_server()
                 return
-            self._news.clear()
-            self._news.wait(left_s)
+            self._change.clear()
+            self._change.wait(left_s)
 
-    def _has_news(self, report):
+    def _has_changes(self, report):
         serving = self._serving()
         return serving is not None and self.lists.has_news(
             report, serving, boottime_s()
         )
 
-    def _look_at_server(self):
-        """Give a server up whose connection has ended and whose port refuses.
+    def _check_server(self):
+        """Report the server as refusing if its port refuses connections.
 
-        A process that crashes ends its connections. Waited for until its heartbeats are
-        missed, its keys would be dark for a second more.
+        This is called when the heartbeat's connection has closed, as it does when the
+        server crashes. Detecting the crash by missed heartbeats would leave its keys
+        without a server for a second longer.
         """
         backend = self._node.backend
         if backend is not None and backend.refuses():
             self._node.backend_refused(backend)
 
     def _serving(self):
-        """Return the `Serving` of now, or ``None`` while nothing can be told.
+        """Return the current `Serving`, or ``None`` while it can't be determined.
 
-        Without its lease the node doesn't know who has the keys. A list that leaves
-        them out would have the server drop what it may get again in a moment.
+        Without its lease the node doesn't know who owns the keys. A list without them
+        would make the server drop keys that it may be granted again shortly after.
         """
         leases, state = self._node.leases, self._node.follower.state
         now_s = boottime_s()
@@ -116,7 +123,7 @@
             return None
         served = self._served()
         if self.book.bars(fence for _, _, fence, _ in served):
-            self._begin_anew("another life of the server")
+            self._reacquire_lease("another life of the server")
             return None
         return Serving(
             served=tuple(served),
@@ -134,8 +141,8 @@
     def ensure(self, right, now_s):
         """Return whether the backend server holds the key of a `Right`.
 
-        Where it doesn't, the next list grants it; a request that is sent before is
-        refused by the server and comes back.
+        If it doesn't, the next list grants it. A request sent before that is refused
+        by the server and returns to this node.
         """
         if not right.key_hash:
             return True
@@ -143,26 +150,26 @@
         return self.book.has(right.service, right.key_hash, now_s, near=place)
 
     def refused(self, right):
-        """Send no further request for a key that the server says it doesn't hold."""
-        if right.key_hash and boottime_s() > self._answered_s + SETTLING_S:
+        """Stop sending requests for a key that the server doesn't hold."""
+        if right.key_hash and boottime_s() > self._answered_s + REFUSAL_GRACE_S:
             self.book.doubt(right.service, right.key_hash)
-            self._news.set()
+            self._change.set()
 
     def _try_release(self, place, numbers, fence):
         self.lists.release()
-        self._news.set()
-        self._heard.wait(RELEASE_PAUSE_S)
+        self._change.set()
+        self._report_received.wait(RELEASE_PAUSE_S)
         if self._may_be_held(place, fence):
             return None
         return self.lists.take_out_handover(*place[1:])
 
     def backend_changed(self):
-        """Take note of another life, which holds nothing of the one before."""
+        """Handle a new incarnation, which holds none of the earlier one's ranges."""
         super().backend_changed()
         self.lists.forget()
         self.book.process_changed()
 
     def backend_ended(self):
-        """Take note that the backend server is dead, and holds nothing any more."""
+        """Handle the end of the backend server, which no longer holds any key."""
         super().backend_ended()
         self.lists.forget()
--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -1,4 +1,4 @@
-"""The shell around the ownership decisions: it carries out what they ask for."""
+"""Carry out the decisions of the `OwnershipAgent`: calls, appends and events."""
 
 import gevent
 from absl import logging
@@ -40,11 +40,11 @@
 
 
 class Leases:
-    """Hold this node's lease, and tell the request path what it may serve.
+    """Hold this node's lease, and decide which requests may be served here.
 
-    Each `acquire` that returned a `Right` without a reason is followed by one
-    `finish`, when the backend server answered, or proved that it did not run
-    the request, or when the right's deadline passed.
+    For each `Right` without a reason that `acquire` returned, call `finish` once:
+    when the backend server has answered, when it is certain that the server did
+    not run the request, or when the right's deadline has passed.
     """
 
     def __init__(self, node):
@@ -64,53 +64,53 @@
         self._wake = Event()
         self._forced = False
         self._forced_s = float("-inf")
-        self._wanted = True
+        self._lease_wanted = True
         self._granted = Event()
         self._released = Event()
         self._listeners = []
-        self._perform = {
+        self._action_handlers = {
             SendRenewal: self._send_renewal,
             SendClaim: self._send_claim,
             SendUnclaim: self._send_unclaim,
             Append: self._append,
-            AskRelease: self._ask_release,
+            AskRelease: self._request_release,
             Report: self._add_event,
             ProbeMembers: self._probe_members,
         }
         node.follower.subscribe(self._on_folded)
         node.follower.subscribe_loaded(self._on_loaded)
 
-    # What the request path asks.
+    # Called by the request path.
 
     def acquire(self, service, key, now_s, remaining_s):
-        """Return the `Right` to serve one request, or why there is none.
+        """Return the `Right` to serve one request, or one with a refusal reason.
 
-        It may wait a few milliseconds, where a request asks for more time than
-        the lease covers and the witnesses have to be told.
+        This may wait a few milliseconds if the request's deadline exceeds what the
+        lease covers, since the witnesses have to be informed first.
         """
-        right = self._ask_right(service, key, now_s, remaining_s)
+        right = self._query_right(service, key, now_s, remaining_s)
         if right.reason is Reason.NOT_YET_OWNER and self.holder.owns(now_s):
             right = self._await_release(service, key, now_s, remaining_s)
         if right.reason is not None or not right.key_hash:
             return right
         right = self.table.begin(right)
-        covered = right.covered or self._cover(service, key, right)
+        covered = right.covered or self._cover_deadline(service, key, right)
         if covered and self._node.grants.ensure(right, now_s):
             return right
         self.table.finish(right)
         return Right(reason=Reason.NOT_YET_OWNER)
 
-    def _ask_right(self, service, key, now_s, remaining_s):
+    def _query_right(self, service, key, now_s, remaining_s):
         state = self._node.follower.state
         return self.table.right_to_serve(state, service, key, now_s, remaining_s)
 
     def _await_release(self, service, key, now_s, remaining_s):
-        """Hold a request at the new owner until the earlier one has released.
+        """Hold a request at the new owner until the previous owner has released.
 
-        It is held as well until the witnesses know of the slice's new fence. Either
-        takes a few milliseconds. Refused, the request would be held at its ingress
-        node instead, which learns nothing of that and asks again at growing
-        intervals: callers then saw gaps of 75 to 155 ms.
+        The request is also held until the witnesses know the slice's new fence. Both
+        take a few milliseconds. If the request were refused instead, its ingress node
+        would hold it, get no notification of the release, and retry at growing
+        intervals, which causes gaps of 75 to 155 ms for callers.
         """
         deadline_s = now_s + remaining_s
         end_s = min(deadline_s, now_s + RELEASE_HOLD_S)
@@ -118,77 +118,79 @@
         while right.reason is Reason.NOT_YET_OWNER and now_s < end_s:
             self._released.wait(end_s - now_s)
             now_s = boottime_s()
-            right = self._ask_right(service, key, now_s, deadline_s - now_s)
+            right = self._query_right(service, key, now_s, deadline_s - now_s)
         return right
 
     def subscribe(self, listener):
-        """Call ``listener()`` whenever something else may be served than before."""
+        """Call ``listener()`` whenever the set of servable keys may have changed."""
         self._listeners.append(listener)
 
-    def _wake_held(self):
-        """Let the requests that are held here ask again."""
+    def _wake_held_requests(self):
+        """Have the requests that are held here check their right again."""
         self._released.set()
         self._released.clear()
-        self._tell_listeners()
+        self._notify_listeners()
 
-    def _tell_listeners(self):
+    def _notify_listeners(self):
         for listener in self._listeners:
             listener()
 
     def renew_now(self, timeout_s):
-        """Ask the witnesses, and wait until the lease counts from now or so.
+        """Renew the lease now, and wait up to ``timeout_s`` for the renewal.
 
-        Whatever is granted for as long as the lease lasts is then granted for nearly a
-        whole lease.
+        Grants that last as long as the lease then last nearly a whole lease.
         """
-        asked_s = boottime_s()
-        wanted_s = self.terms.held_until_s(asked_s)
+        requested_s = boottime_s()
+        wanted_s = self.terms.held_until_s(requested_s)
         with gevent.Timeout(timeout_s, False):
             self.force_round()
             while self.holder.lease.until_s() < wanted_s:
                 self._granted.wait()
 
-    def _cover(self, service, key, right):
-        """Tell the witnesses of a long deadline before anything is forwarded.
+    def _cover_deadline(self, service, key, right):
+        """Inform the witnesses of a long deadline before the request is forwarded.
 
-        They then make a taker wait for it. Were the request forwarded first, a
-        loss at that moment would let a new owner serve beside it.
+        They then make a taker wait until the deadline. If the request were forwarded
+        first and this node were lost before informing them, a new owner could serve
+        the key while the request is still running.
+
+        Return whether the deadline is covered.
         """
         with gevent.Timeout(COVER_TIMEOUT_S, False):
             while True:
                 self.force_round()
                 self._granted.wait()
                 now_s = boottime_s()
-                again = self.table.right_to_serve(
+                rechecked = self.table.right_to_serve(
                     self._node.follower.state,
                     service,
                     key,
                     now_s,
                     right.deadline_s - now_s,
                 )
-                if again.reason is not None or again.fence != right.fence:
+                if rechecked.reason is not None or rechecked.fence != right.fence:
                     return False
-                if again.covered:
+                if rechecked.covered:
                     return True
         return False
 
     def finish(self, right):
-        """Say that nothing forwarded under a right can take effect any more."""
+        """Record that nothing forwarded under a right can take effect any more."""
         self.table.finish(right)
 
     def held(self):
-        """Return whether this node holds its lease, read back from the log."""
+        """Return whether this node holds its lease and read it back from the log."""
         return self.holder.phase == "held"
 
     def still_held(self, right, now_s):
         """Return whether an answer that arrived at ``now_s`` may be vouched for.
 
-        A server that checks fences has answered for a key that it held, and its answer
-        is passed on however late it comes.
+        A server that checks fences answers only for a key that it held, so that its
+        answer is forwarded however late it arrives.
         """
         return self._node.ports.fenced or now_s <= right.deadline_s
 
-    # The loop.
+    # The agent's loop.
 
     def run(self):
         """Drive the agent until the greenlet is killed."""
@@ -200,47 +202,49 @@
             self._wake.wait(self._wait_s(boottime_s()))
             self._wake.clear()
             forced, self._forced = self._forced, False
-            self._follow_log()
+            self._follow_log_reachability()
             now_s = boottime_s()
             state = self._node.follower.state
-            self.carry_out(self.agent.tick(state, now_s, self._may_hold(), forced))
+            self.carry_out(
+                self.agent.tick(state, now_s, self._may_hold_lease(), forced)
+            )
             if now_s > expired_s + EXPIRE_INTERVAL_S:
                 self.inflight.expire(now_s)
                 expired_s = now_s
 
     def _wait_s(self, now_s):
-        """Return how long the agent may be left alone.
+        """Return how long the loop may sleep before the agent's next tick.
 
         While the lease is held and nothing is claimed, only the next renewal is
-        due; looking every 20 ms took 0.9% of a core from each idle node.
+        due. Ticking every 20 ms costs each idle node 0.9% of a core.
         """
         if self.holder.phase != "held" or self.agent.claims:
             return TICK_S
         return min(max(self.holder.next_round_s - now_s, TICK_S), LONG_TICK_S)
 
-    def _may_hold(self):
+    def _may_hold_lease(self):
         return self._node.follower.usable and self._node.backend is not None
 
     def force_round(self):
-        """Ask the witnesses now instead of at the next interval."""
+        """Start a renewal round now instead of at the next interval."""
         if boottime_s() < self._forced_s + MIN_ROUND_INTERVAL_S:
             gevent.sleep(MIN_ROUND_INTERVAL_S)
         self._forced_s = boottime_s()
         self._forced = True
         self._wake.set()
 
-    def hear_lapse(self, owner_id):
-        """Take a witness's word that an owner's lease lapsed."""
+    def receive_lapse_notice(self, owner_id):
+        """Handle a witness's notice that an owner's lease expired."""
         state = self._node.follower.state
         self.carry_out(self.agent.lapsed(state, owner_id, boottime_s()))
         self._wake.set()
 
     def surrender(self, reason, held_until_s=None):
-        """Give the lease up at once, and until `recover`, so that standbys may begin.
+        """Give the lease up at once, until `recover`, so that standbys can take over.
 
         ``held_until_s`` is as in `OwnershipAgent.surrender`.
         """
-        self._wanted = False
+        self._lease_wanted = False
         self._give_up(reason, held_until_s)
 
     def _give_up(self, reason, held_until_s):
@@ -248,30 +252,33 @@
         self.carry_out(self.agent.surrender(state, reason, boottime_s(), held_until_s))
 
     def recover(self):
-        """Ask for the lease again after a surrender."""
-        self._wanted = True
-        self._follow_log()
+        """Acquire the lease again after a surrender."""
+        self._lease_wanted = True
+        self._follow_log_reachability()
 
-    def begin_anew(self, reason):
-        """Give the lease up and ask for it again, so that its fence grows.
+    def reacquire(self, reason):
+        """Give the lease up and acquire it again, so that its fence grows.
 
-        One that was given up for good isn't asked for: it would be renewed beside a
-        server that gets no work, and no standby could claim.
+        Do nothing if the lease was given up by `surrender`: otherwise it would be
+        renewed for a server that gets no work, and no standby could claim the keys.
         """
-        if not self._wanted:
+        if not self._lease_wanted:
             return
         self._give_up(reason, self._node.grants.held_until_s(boottime_s()))
-        self._follow_log()
+        self._follow_log_reachability()
+
+    def _follow_log_reachability(self):
+        """Give up a starting lease while the log is unreachable; reacquire it later.
 
-    def _follow_log(self):
-        """Ask for a lease that has to be written down only while it can be.
+        A new lease takes effect only once its record is in the log. A node that has a
+        majority of its witnesses but can't append would keep renewing, so that no
+        standby may claim, and its keys would have no server until the store is back,
+        which takes up to 9 s.
 
-        A node that has its witnesses' majority and can't append renews all the same,
-        and no standby may claim: its keys would be dark for as long as the store is
-        away, which is up to 9 s. What its server was granted before may still run:
-        told of no hold, a standby's server would have the keys beside it for a second.
+        The surrender reports how long earlier grants of the server last. Without it, a
+        standby's server could hold the same keys at the same time for a second.
         """
-        if not self._wanted:
+        if not self._lease_wanted:
             return
         reachable = self._node.follower.reachable
         if self.holder.phase == "surrendered" and reachable:
@@ -281,12 +288,12 @@
             held_until_s = self._node.grants.held_until_s(boottime_s())
             self._give_up("log out of reach", held_until_s)
 
-    # What the agent asks for.
+    # The agent's actions.
 
     def carry_out(self, actions):
-        """Do what the agent asked for."""
+        """Perform the agent's actions."""
         for action in actions:
-            self._perform[type(action)](action)
+            self._action_handlers[type(action)](action)
 
     def _send_renewal(self, action):
         gevent.spawn(self._renew, action.witness, renew_request(action.renewal))
@@ -304,13 +311,13 @@
         self.carry_out(self.agent.renewed(witness, request.round, grant.term, now_s))
         self._grant_counted()
         if self.holder.lease.told_epoch() > told_epoch:
-            self._wake_held()
+            self._wake_held_requests()
 
     def _probe_members(self, action):
         gevent.spawn(self._probe)
 
     def _probe(self):
-        reachable = self._node.gossip.reach_all()
+        reachable = self._node.gossip.reachable_members()
         reachable.add(self._node.settings.node_id)
         self.agent.lost_witnesses.probed(reachable, boottime_s())
         self._wake.set()
@@ -336,7 +343,7 @@
         self._granted.clear()
         if self.holder.phase == "starting" or self.agent.claims:
             self._wake.set()
-            self._tell_listeners()
+            self._notify_listeners()
 
     def _send_unclaim(self, action):
         request = claim_request(action.claim)
@@ -353,14 +360,14 @@
         try:
             reply = client.call(method, request, timeout_s=CALL_TIMEOUT_S)
         except CallError as error:
-            logging.debug("%s: %s", method, error)
+            logging.debug("call of %s to a witness failed: %s", method, error)
             return None
         return grant_of(reply) if reply else None
 
     def _append(self, action):
-        gevent.spawn(self._append_and_tell, action)
+        gevent.spawn(self._append_and_report, action)
 
-    def _append_and_tell(self, action):
+    def _append_and_report(self, action):
         follower = self._node.follower
         try:
             outcome = follower.append(action.record)
@@ -371,11 +378,11 @@
         )
         self._wake.set()
 
-    def _ask_release(self, action):
+    def _request_release(self, action):
         gevent.spawn(self._fetch_release, action)
 
     def _fetch_release(self, action):
-        """Ask until the slice is released, or isn't this node's any more."""
+        """Request the release until it is done or the slice has moved elsewhere."""
         key, received = action.key, 0
         while self.agent.awaits(self._node.follower.state, key, boottime_s()):
             reply = self._call_release(action.previous, key, received)
@@ -389,7 +396,7 @@
             self._node.grants.take_handover(key, reply.handover)
             if not reply.more:
                 self.carry_out(self.agent.released(key, reply.vouched, now_s))
-                self._wake_held()
+                self._wake_held_requests()
                 self._wake.set()
                 return
         self.agent.stop_asking(key)
@@ -409,7 +416,7 @@
         try:
             return client.call("release", request, timeout_s=RELEASE_TIMEOUT_S)
         except CallError as error:
-            logging.debug("release: %s", error)
+            logging.debug("release call failed: %s", error)
             return None
 
     def _add_event(self, action):
@@ -424,4 +431,4 @@
         self.agent.folded(state, record, result, boottime_s())
         if result.changed:
             self._wake.set()
-            self._tell_listeners()
+            self._notify_listeners()
--- a/comfreywharf/daemon/owning/load_reports.py
+++ b/comfreywharf/daemon/owning/load_reports.py
@@ -1,4 +1,4 @@
-"""Tell the planner this node's load, and learn from the answers if it is lost."""
+"""Report this node's load to the planner, and detect its loss by missing replies."""
 
 import random
 
@@ -24,11 +24,11 @@
 
 
 class LoadReports:
-    """Count this node's requests by slice and report them.
+    """Count this node's requests by slice and report their rates.
 
     ``hot_keys`` returns ``(service, key_hash, requests_per_s)`` of the keys that
-    are hot here, and ``busy_fraction`` the share of slots in use; both are set
-    by the part of the node that measures them.
+    are hot on this node, ``busy_fraction`` the fraction of slots in use, and
+    ``service_ms`` the time that a request takes. All three are set by `Node`.
     """
 
     def __init__(self, node):
@@ -38,8 +38,8 @@
         self._node = node
         self._node_id = node.settings.node_id
         self._meter = SliceMeter(node.ports.placement.smoothing_s)
-        self._known_term = -1
-        self._woken = Event()
+        self._reported_term = -1
+        self._term_started = Event()
         self._random = random.Random(f"{self._node_id} {node.incarnation}")
         node.follower.subscribe(self._on_folded)
 
@@ -52,17 +52,19 @@
         """Report until the greenlet is killed."""
         self._node.follower.caught_up.wait()
         while True:
-            woken = self._woken.is_set()
-            self._woken.clear()
+            term_started = self._term_started.is_set()
+            self._term_started.clear()
             members = len(self._node.follower.state.members)
-            least_s = self._node.ports.placement.report_s
-            delay_s = report_delay_s(members, woken, self._random, least_s)
-            if not self._woken.wait(delay_s):
+            min_interval_s = self._node.ports.placement.report_s
+            delay_s = report_delay_s(
+                members, term_started, self._random, min_interval_s
+            )
+            if not self._term_started.wait(delay_s):
                 self._report_load(boottime_s())
 
     def _on_folded(self, record, result):
         if result.accepted and isinstance(record, PlannerTermStarted):
-            self._woken.set()
+            self._term_started.set()
 
     def _report_load(self, now_s):
         state = self._node.follower.state
@@ -72,12 +74,12 @@
         if self._node_id not in state.members or not planner_id:
             return
         term = state.planner_term
-        report = self._make_report(everything=term != self._known_term)
+        report = self._make_report(everything=term != self._reported_term)
         if planner_id == self._node_id:
-            planning = self._node.planner.take_report(report, now_s)
+            planning = self._node.planner.receive_report(report, now_s)
         else:
             planning = self._send(planner_id, report)
-        self._known_term = term if planning else -1
+        self._reported_term = term if planning else -1
 
     def _make_report(self, everything):
         return NodeReport(
@@ -101,7 +103,7 @@
         return self._meter.changed(rates_per_report(members))
 
     def _send(self, planner_id, report):
-        """Send a report and return whether the planner took it."""
+        """Send a report and return whether the receiver is the planner."""
         client = self._node.peers.client(planner_id)
         event = ReportFailed(planner_id=planner_id)
         if client is not None:
--- a/comfreywharf/daemon/owning/planner.py
+++ b/comfreywharf/daemon/owning/planner.py
@@ -1,4 +1,4 @@
-"""The planner's shell: rounds, terms, and the records they append."""
+"""Run the planner: its terms, its rounds, and the records that they append."""
 
 import gevent
 
@@ -20,13 +20,13 @@
 __all__ = ["Planner"]
 
 TICK_S = 0.25
-MAX_DIVISIONS = 4
-"""How often the slices are looked at again within a round, after some were divided.
-A slice with the load of three servers is in sixteenths after four times."""
+MAX_PLANNING_PASSES = 4
+"""Planning passes within one round; another one follows if slices were split. Four
+passes divide a slice with the load of three servers into sixteenths."""
 
 
 class Planner:
-    """Plan in rounds while this node is the planner; watch for its loss else."""
+    """Plan in rounds while this node is the planner; otherwise detect its loss."""
 
     def __init__(self, node):
         self._node = node
@@ -39,18 +39,18 @@
 
     @property
     def is_planning(self):
-        """Return whether this node plans and can write down what it plans."""
+        """Return whether this node is the planner and the log is reachable."""
         return self._planning is not None and self._node.follower.reachable
 
-    def take_report(self, report, now_s):
-        """Take a `NodeReport`; return whether this node is the planner."""
+    def receive_report(self, report, now_s):
+        """Record a `NodeReport`; return whether this node is the planner."""
         if not self.is_planning:
             return False
         planning.decide(self._planning, LoadReported(report=report), now_s)
         return True
 
     def note(self, event, now_s):
-        """Take `ReportAnswered` or `ReportFailed` into account."""
+        """Handle a `ReportAnswered` or `ReportFailed` event."""
         terms.decide(self._terms, event, now_s)
 
     def run(self):
@@ -60,8 +60,8 @@
             try:
                 self._tick(boottime_s())
             except NotAcknowledged:
-                # Whether it took effect shows in the fold, which the next
-                # round starts from; writing it again here could only double.
+                # The fold shows whether the record took effect, and the next
+                # round starts from the fold. A retry here could duplicate it.
                 pass
             gevent.sleep(TICK_S)
 
@@ -73,12 +73,12 @@
             planning.decide(self._planning, event, boottime_s())
 
     def _tick(self, now_s):
-        self._watch(now_s)
+        self._watch_planner(now_s)
         self._follow_own_term(now_s)
         if self.is_planning and now_s >= self._next_round_s:
             self._round(now_s)
 
-    def _watch(self, now_s):
+    def _watch_planner(self, now_s):
         state = self._node.follower.state
         event = terms.Tick(
             planner_id=state.planner_id,
@@ -105,8 +105,8 @@
         if state.planner_id != self._node_id:
             self._planning = None
         elif self._planning is None or self._planned_term != state.planner_term:
-            tuning = self._node.ports.placement
-            self._planning = PlanningState.begin(now_s, tuning=tuning)
+            placement = self._node.ports.placement
+            self._planning = PlanningState.begin(now_s, tuning=placement)
             self._planned_term = state.planner_term
             self._next_round_s = now_s
 
@@ -114,34 +114,34 @@
         state = self._node.follower.state
         slice_count = sum(len(pieces.slices) for pieces in state.slices.values())
         self._next_round_s = now_s + round_interval_s(slice_count)
-        for _ in range(MAX_DIVISIONS):
+        for _ in range(MAX_PLANNING_PASSES):
             event = RoundDue(cluster=state)
             _, actions = planning.decide(self._planning, event, now_s)
             self._append_all(actions)
-            # A hot slice is divided in halves, and these again. One division a
-            # round would leave its server overloaded for several rounds.
+            # A split halves a hot slice, and the next pass splits the halves. With
+            # one split per round its server stays overloaded for several rounds.
             if not any(isinstance(action, Split) for action in actions):
                 break
         if self._node.ports.removes_lost:
             self._remove_lost(state, now_s)
 
     def _append_all(self, actions):
-        """Append a record for each action, all at once; they concern other slices."""
+        """Append a record for each action, concurrently, as each has its own slices."""
         append = self._node.follower.append
         records = [
             to_record(action, new_record_id(), self._planned_term) for action in actions
         ]
-        tasks = [gevent.spawn(_outcome, append, record) for record in records]
+        tasks = [gevent.spawn(_append_outcome, append, record) for record in records]
         gevent.joinall(tasks)
         for task in tasks:
             if task.value is None:
                 raise NotAcknowledged(self._node_id, sent=True)
 
     def _remove_lost(self, state, now_s):
-        """Drop a member that is long gone and owns nothing.
+        """Remove a member that has been lost for long and owns nothing.
 
-        Machines come and go here without a word to anybody. Kept, the lost would
-        go on being chosen as witnesses and for requests without a key.
+        Machines may be removed from the platform without notice. Lost members that
+        remain would still be chosen as witnesses and for requests without a key.
         """
         lost = planning.removable_member(self._planning, state, now_s)
         if lost is not None:
@@ -153,8 +153,8 @@
             self._node.follower.append(record)
 
 
-def _outcome(append, record):
-    """Return a record's outcome, or ``None`` if it wasn't read back in time."""
+def _append_outcome(append, record):
+    """Append a record; return its outcome, ``None`` if not read back in time."""
     try:
         return append(record)
     except NotAcknowledged:
--- a/comfreywharf/daemon/recording/batches.py
+++ b/comfreywharf/daemon/recording/append_batcher.py
@@ -1,17 +1,17 @@
-"""Records that are appended at the same moment go out in one call."""
+"""Combine records that are appended at nearly the same time into one call."""
 
 import gevent
 from gevent.event import AsyncResult
 
 from comfreywharf.daemon.recording.logclient import LogError
 
-__all__ = ["Batches"]
+__all__ = ["AppendBatcher"]
 
-GATHER_S = 0.01
-"""How long a call waits for more records. A planned move of ten slices ends in ten
+BATCH_WAIT_S = 0.01
+"""How long a call waits for more records. A planned move of ten slices results in ten
 records of one node within a few milliseconds."""
 
-MOST_RECORDS = 64
+MAX_RECORDS_PER_BATCH = 64
 
 
 class _Batch:
@@ -20,11 +20,11 @@
         self.first = AsyncResult()
 
 
-class Batches:
-    """Gather records, and append each gathering with ``append_all(records)``.
+class AppendBatcher:
+    """Collect records and append each batch with ``append_all(records)``.
 
-    That returns the offset of the first one, or raises `LogError` for all of them.
-    ``appended(offset, data)`` is told of each, in their order.
+    ``append_all`` returns the offset of the first record, or raises `LogError` for all
+    of them. ``appended(offset, data)`` is then called for each record, in order.
     """
 
     def __init__(self, append_all, appended):
@@ -35,7 +35,7 @@
     def append(self, data):
         """Return the offset of a record once it is appended; raises `LogError`."""
         batch = self._open
-        if batch is None or len(batch.records) >= MOST_RECORDS:
+        if batch is None or len(batch.records) >= MAX_RECORDS_PER_BATCH:
             batch = self._open = _Batch()
             gevent.spawn(self._send, batch)
         index = len(batch.records)
@@ -43,7 +43,7 @@
         return batch.first.get() + index
 
     def _send(self, batch):
-        gevent.sleep(GATHER_S)
+        gevent.sleep(BATCH_WAIT_S)
         if self._open is batch:
             self._open = None
         try:
--- a/comfreywharf/daemon/recording/follower.py
+++ b/comfreywharf/daemon/recording/follower.py
@@ -1,4 +1,4 @@
-"""Follow the log: read records, fold them, tell those who wait."""
+"""Follow the log: read records, fold them, and notify listeners and waiters."""
 
 import random
 import uuid
@@ -13,44 +13,45 @@
 from comfreywharf.daemon.recording.logclient import (
     LogError,
     LogTruncated,
-    known_at_s,
+    complete_at_s,
 )
-from comfreywharf.daemon.recording.snapshots import begin_anew, read_newest
+from comfreywharf.daemon.recording.snapshots import read_newest, write_snapshot_past_gap
 from comfreywharf.records.appends import Backoff, Priority
 from comfreywharf.records.replica import Replica
 
-__all__ = ["Follower", "NotAcknowledged", "ReadPace", "new_record_id"]
+__all__ = ["Follower", "NotAcknowledged", "ReadOptions", "new_record_id"]
 
 MAX_RETRY_S = 2.0
-GAP_PATIENCE_S = 4.0
-"""Longer than a lease and several exchanges between peers together."""
+GAP_TIMEOUT_S = 4.0
+"""How long a gap must last before the missing records are given up. It is longer than
+a lease and several exchanges between peers together."""
 
 
 @attrs.frozen(kw_only=True)
-class ReadPace:
+class ReadOptions:
     """How a node reads the log.
 
-    A read waits up to ``wait_s`` for news; after one that brought some the node
-    rests for ``rest_s``, unless it waits for a record itself. Where it is
-    ``relayed`` most nodes hear of records from others that read the log.
+    A read waits up to ``wait_s`` for new records. After each read the node pauses for
+    ``pause_s``, unless it waits for a record of its own. With ``relayed``, most nodes
+    receive records from other nodes instead of reading the log.
     """
 
     wait_s: float = 5.0
-    rest_s: float = 0.0
+    pause_s: float = 0.0
     relayed: bool = False
 
 
 class Follower:
     """The node's copy of the cluster's state, kept up to date from the log.
 
-    ``state`` is one object for the life of the node; a snapshot that is loaded
-    changes its contents.
+    ``state`` is the same object for as long as the node runs; loading a snapshot
+    replaces its contents.
     """
 
-    def __init__(self, client, stream, report, node_id="", rng=None, pace=None):
-        self._pace = pace or ReadPace()
-        self._hurry = Event()
-        self._awaited = 0
+    def __init__(self, client, stream, report, node_id="", rng=None, read_options=None):
+        self._read_options = read_options or ReadOptions()
+        self._read_requested = Event()
+        self._waiter_count = 0
         self.replica = Replica()
         self.reachable = False
         self.caught_up = Event()
@@ -66,7 +67,7 @@
         self._gap_reported = False
         self._gap_since_s = None
         self.confirmed_s = float("-inf")
-        self._looked_for_snapshot = False
+        self._snapshot_checked = False
         self.relay = None
         self.relayed = False
 
@@ -87,21 +88,21 @@
 
     @property
     def usable(self):
-        """Return whether the state is good enough to own anything by it.
+        """Return whether the state is complete enough to own slices.
 
-        It isn't before the node caught up with the log once, nor while a gap
-        separates it from what the log still holds.
+        It isn't before the node has caught up with the log once, nor while a gap
+        separates the state from the records that the log still holds.
         """
         return self.replica.usable
 
     @property
     def log_keeps_newest(self):
-        """Return whether the log keeps the newest snapshot for good."""
+        """Return whether the log keeps the newest snapshot permanently."""
         return self._client.keeps_newest
 
     @property
     def log_first(self):
-        """Return the oldest offset that the log was seen to keep."""
+        """Return the oldest offset that the log is known to retain."""
         return self.replica.log_first
 
     def subscribe(self, listener):
@@ -109,54 +110,55 @@
         self._listeners.append(listener)
 
     def subscribe_loaded(self, listener):
-        """Call ``listener()`` after a snapshot took the place of the state."""
+        """Call ``listener()`` after a snapshot has replaced the state."""
         self._load_listeners.append(listener)
 
     def run(self):
-        """Follow until the greenlet is killed."""
+        """Follow the log until the greenlet is killed."""
         while True:
-            self.relayed = self._listen()
+            self.relayed = self._poll_relay()
             if self.relayed:
                 continue
             try:
-                if self.gap or not self._looked_for_snapshot:
+                if self.gap or not self._snapshot_checked:
                     self._load_newest()
                 self._read()
             except LogError as error:
                 self._mark_unreachable(error)
-                self._pause()
+                self._back_off()
                 continue
             self._mark_reachable()
             if self.gap:
-                self._bridge()
-                self._pause()
+                self._skip_lost_records()
+                self._back_off()
             else:
                 self._backoff.succeeded(Priority.URGENT)
-                self._rest()
+                self._pause_between_reads()
 
-    def _listen(self):
-        """Hear from a relay instead of the log; return whether that was enough.
+    def _poll_relay(self):
+        """Poll a relay instead of the log; return whether its news is fresh.
 
-        A node that the log has just refused something asks the log itself, until
-        it answers. Were it content with a relay's news, a planner that can write
-        nothing down would go on planning.
+        While the log is marked as unreachable, for instance after a failed append, the
+        node reads the log itself until that succeeds. With a relay's news alone, a
+        planner that can't append would continue to plan.
         """
         if self.relay is None or not self.usable or not self.reachable:
             return False
-        return self.relay.listen()
+        return self.relay.poll()
 
     def appended(self, offset, data):
-        """Take a record that the log has just given its offset.
+        """Fold a record that the log has just acknowledged with its offset.
 
-        Read back, it would cost a call, and its writer would wait for that.
+        Reading it back would cost a further call, for which its writer would wait.
         """
         self.take(offset, data)
 
     def refused(self, error):
-        """Take note that the log failed an append.
+        """Mark the log as unreachable after a failed append, if there is a relay.
 
-        A node that hears from a relay has no reads of its own that would show it.
-        Elsewhere they do, and a single busy answer is no loss of the log.
+        A node that receives records from a relay has no reads of its own that would
+        show the loss of the log. Without a relay the reads show it, and a single busy
+        answer to an append doesn't mean that the log is lost.
         """
         if self.relay is not None:
             self._mark_unreachable(error)
@@ -179,7 +181,7 @@
         return True
 
     def load(self, state):
-        """Take the state of a snapshot if it is newer; return whether it was."""
+        """Load the state of a snapshot if it is newer; return whether it was."""
         if not self.replica.load(state):
             return False
         self._report("snapshot_loaded", offset=state.next_offset)
@@ -191,7 +193,7 @@
     def append(self, record, timeout_s=5.0):
         """Append a record, read it back, and return its `FoldOutcome`.
 
-        Raises `NotAcknowledged` where it couldn't be read back in time.
+        Raises `NotAcknowledged` if it couldn't be read back in time.
         """
         return self._appender.append(record, timeout_s)
 
@@ -202,8 +204,8 @@
     def await_outcome(self, record_id, timeout_s):
         """Return a record's `FoldOutcome`, or ``None`` if it isn't folded in time."""
         deadline_s = boottime_s() + timeout_s
-        self._awaited += 1
-        self.hurry()
+        self._waiter_count += 1
+        self.request_read()
         try:
             while record_id not in self.state.outcomes:
                 left_s = deadline_s - boottime_s()
@@ -212,61 +214,61 @@
                 self._folded.wait(left_s)
             return self.state.outcomes[record_id]
         finally:
-            self._awaited -= 1
+            self._waiter_count -= 1
 
     @property
     def _snapshot_stream(self):
         return f"{self._stream}.snapshots"
 
-    def _bridge(self):
-        """Go on without the missing records once it is certain that nobody has them.
+    def _skip_lost_records(self):
+        """Continue without the missing records once no node can have them.
 
-        All nodes may be killed while the log forgets what came after the newest
-        snapshot. Each would wait for the others for ever, and no key would have
-        an owner again. A live node that has the records tells its peers within a
-        second or two, so that a gap which lasts is everyone's. What was granted
-        by the lost records has ended by then, and each new lease takes its fence
-        from the log's end, above all that the lost records gave out.
+        All nodes may be killed while the log expires records that follow the newest
+        snapshot. Each node would then wait for the others forever, and no key would
+        get an owner again. A running node that has the records sends them to its peers
+        within a second or two, so that a gap which lasts longer exists on all nodes.
+        By then the grants based on the lost records have expired, and each new lease
+        takes its fence from the log's end, above all fences in the lost records.
         """
         now_s = boottime_s()
         if self._gap_since_s is None:
             self._gap_since_s = now_s
-        if not self._client.keeps_newest or now_s < self._gap_since_s + GAP_PATIENCE_S:
+        if not self._client.keeps_newest or now_s < self._gap_since_s + GAP_TIMEOUT_S:
             return
-        if begin_anew(self._client, self._snapshot_stream, self.log_first):
+        if write_snapshot_past_gap(self._client, self._snapshot_stream, self.log_first):
             self._report("log_begun_anew", first=self.log_first)
 
-    def knows(self, next_offset):
+    def has_all_below(self, next_offset):
         """Return whether the fold holds all records below an offset."""
         return not self.gap and self.state.next_offset >= next_offset
 
     def confirm(self, then_s):
-        """Take note that the fold held all of the log's records at a time."""
+        """Record that the fold held all records of the log at ``then_s``."""
         self.confirmed_s = max(self.confirmed_s, min(then_s, boottime_s()))
 
-    def hurry(self):
-        """Read on at once: somebody waits for a record that is there."""
-        self._hurry.set()
+    def request_read(self):
+        """End the pause between reads: a caller waits for an appended record."""
+        self._read_requested.set()
 
-    def _rest(self):
-        """Let records gather, so that one read brings several.
+    def _pause_between_reads(self):
+        """Pause between reads, so that one read returns several records.
 
-        Each read is a call that the log service counts, and each record would
-        otherwise cost one from every node.
+        Each read is a call that the log service counts. Without the pause, each record
+        would cost one call from every node.
         """
-        if not self._awaited and self._pace.rest_s:
-            self._hurry.wait(self._pace.rest_s)
-        self._hurry.clear()
+        if not self._waiter_count and self._read_options.pause_s:
+            self._read_requested.wait(self._read_options.pause_s)
+        self._read_requested.clear()
 
     def _load_newest(self):
         state = read_newest(self._client, self._snapshot_stream)
-        self._looked_for_snapshot = True
+        self._snapshot_checked = True
         if state is not None:
             self.load(state)
 
     def _read(self):
         start = self.state.next_offset
-        wait_ms = int(self._pace.wait_s * 1000) if self.usable else 0
+        wait_ms = int(self._read_options.wait_s * 1000) if self.usable else 0
         sent_s = boottime_s()
         try:
             batch = self._client.read(self._stream, start, wait_ms=wait_ms)
@@ -280,7 +282,7 @@
             self.take(start + index, data)
         if self.replica.reached(batch.next):
             self.caught_up.set()
-            self.confirm(known_at_s(sent_s, wait_ms / 1000, bool(batch.records)))
+            self.confirm(complete_at_s(sent_s, wait_ms / 1000, bool(batch.records)))
 
     def _report_gap(self, first):
         if not self.gap:
@@ -289,9 +291,11 @@
             self._report("log_gap", expected=self.state.next_offset, first=first)
         self._gap_reported = self.gap
 
-    def _pause(self):
-        """Wait before the next try, longer each time, so that 640 nodes don't
-        meet a log that comes back with a flood of reads."""
+    def _back_off(self):
+        """Back off before the next try.
+
+        Otherwise 640 nodes would flood a log that has just come back with reads.
+        """
         delay_s = self._backoff.failed(Priority.URGENT)
         gevent.sleep(min(delay_s, MAX_RETRY_S))
 
@@ -306,24 +310,25 @@
 
     def _mark_reachable(self):
         if not self.reachable:
-            # The others may have begun anew meanwhile; see `_bridge`.
-            self._looked_for_snapshot = not self._client.keeps_newest
+            # In the meantime other nodes may have skipped lost records, see
+            # `_skip_lost_records`.
+            self._snapshot_checked = not self._client.keeps_newest
             self._report("log_reachable", next_offset=self.state.next_offset)
         self.reachable = True
 
 
 def _call(listener, *arguments):
-    """Call a listener; its failure must not stop the fold.
+    """Call a listener; log its exceptions, which must not stop the fold.
 
-    A follower that ended with an exception would leave the node running on a
-    state that never changes again, and nobody would see it but by its age.
+    If an exception ended the follower, the node would continue with a state that
+    never changes again, which would be visible only by its age.
     """
     try:
         listener(*arguments)
     except Exception:
-        logging.exception("a listener of the log failed")
+        logging.exception("a listener of the log raised an exception")
 
 
 def new_record_id():
-    """Return an id that no other record has."""
+    """Return a unique id for a new record."""
     return uuid.uuid4().hex
--- a/comfreywharf/daemon/recording/snapshots.py
+++ b/comfreywharf/daemon/recording/snapshots.py
@@ -1,4 +1,4 @@
-"""Write snapshots to their stream, and find the newest one there."""
+"""Write snapshots of the state to their stream, and read the newest one."""
 
 import uuid
 
@@ -17,18 +17,23 @@
 )
 from comfreywharf.records.state import ClusterState
 
-__all__ = ["SnapshotWriter", "begin_anew", "encode_slowly", "read_newest"]
+__all__ = [
+    "SnapshotWriter",
+    "encode_yielding",
+    "read_newest",
+    "write_snapshot_past_gap",
+]
 
 CHECK_INTERVAL_S = 0.5
 WINDOW_PARTS = 16
-PARTS_A_READ = 8
+PARTS_PER_READ = 8
 
 
 def read_newest(client, stream):
-    """Return the newest whole snapshot's state, or ``None``.
+    """Return the state of the newest complete snapshot, or ``None``.
 
-    It looks at the stream's end first and further back only where that holds
-    no whole snapshot. Raises `LogError`.
+    Read the end of the stream first, and earlier parts only if the end contains no
+    complete snapshot. Raises `LogError`.
     """
     assembler = SnapshotAssembler()
     if client.keeps_newest:
@@ -43,9 +48,9 @@
 
 
 def read_kept(client, stream):
-    """Return ``(state, position)`` where the log keeps the newest snapshot.
+    """Return ``(state, position)`` of the newest snapshot, if the log keeps it.
 
-    ``position`` names what was read, for a replacement of just that.
+    ``position`` identifies what was read, for a conditional replacement of it.
     """
     parts, position = client.newest_parts(stream)
     assembler = SnapshotAssembler()
@@ -54,12 +59,12 @@
     return assembler.newest, position
 
 
-def begin_anew(client, stream, log_first):
-    """Write a state that goes on where the log begins; return whether it counts.
+def write_snapshot_past_gap(client, stream, log_first):
+    """Write a snapshot that continues where the log begins; return whether it did.
 
-    It is the newest snapshot's, without the records between the two, which nobody
-    has any more. Only one node's write can follow on what was read, so that all
-    nodes go on from the same state.
+    Its state is that of the newest snapshot, without the records between the two,
+    which no node has any more. The write is conditional on what was read, so that
+    only one node succeeds and all nodes continue from the same state.
     """
     state, position = read_kept(client, stream)
     state = state or ClusterState()
@@ -67,9 +72,9 @@
         return False
     state.next_offset = log_first
     state.lineage += 1
-    parts, _ = encode_slowly(state)
+    parts, _ = encode_yielding(state)
     if len(parts) > 1:
-        logging.error("a state of %d parts can't be begun anew", len(parts))
+        logging.error("can't skip lost records: found %d parts; expected 1", len(parts))
         return False
     return client.replace_newest(stream, parts[0], position)
 
@@ -77,7 +82,7 @@
 def _read_parts(client, stream, start, end, assembler):
     while start < end:
         try:
-            batch = client.read(stream, start, limit=min(PARTS_A_READ, end - start))
+            batch = client.read(stream, start, limit=min(PARTS_PER_READ, end - start))
         except LogTruncated as error:
             start = error.first
             continue
@@ -88,8 +93,8 @@
         start += len(batch.records)
 
 
-def encode_slowly(state):
-    """Return ``(parts, offset)`` of a state, letting other greenlets run."""
+def encode_yielding(state):
+    """Return ``(parts, offset)`` of a state, yielding to other greenlets."""
     copied = state.copy()
     pieces = []
     for piece in encode_sections(copied):
@@ -100,7 +105,7 @@
 
 
 class SnapshotWriter:
-    """Write a snapshot whenever one is due and it is this node's turn."""
+    """Write a snapshot whenever one is due and this node is to write it."""
 
     def __init__(self, node_id, follower, report):
         self._node_id = node_id
@@ -110,7 +115,7 @@
         self._written_offset = -1
 
     def run(self):
-        """Write until the greenlet is killed."""
+        """Write due snapshots until the greenlet is killed."""
         while True:
             gevent.sleep(CHECK_INTERVAL_S)
             if not self._is_turn():
@@ -118,7 +123,7 @@
             try:
                 self._write()
             except (LogError, NotAcknowledged) as error:
-                logging.info("snapshot: %s", error)
+                logging.info("writing a snapshot failed: %s", error)
 
     def _is_turn(self):
         follower = self._follower
@@ -126,34 +131,34 @@
             return False
         return self._schedule.is_turn(follower.state, follower.log_first, boottime_s())
 
-    def _is_planners_turn(self):
-        """Return whether the planner should write the newest state.
+    def _has_state_to_write(self):
+        """Return whether there is a newer state for the planner to write.
 
-        Where the log keeps the newest snapshot for good, one soon after each
-        change is cheap and lets the log forget its records at any moment. The
-        planner alone writes, so that no record has to tell the others of it.
+        If the log keeps the newest snapshot permanently, writing one soon after each
+        change is cheap and allows the log to expire records at any time. Only the
+        planner writes, so that no record has to inform the other nodes.
         """
         follower = self._follower
         ready = follower.usable and follower.reachable
         return ready and follower.state.next_offset > self._written_offset
 
-    def run_as(self, planner):
-        """Write whenever the state has changed and this node is the planner."""
+    def run_for_planner(self, planner):
+        """Write each changed state while this node is the planner."""
         while True:
             gevent.sleep(CHECK_INTERVAL_S)
-            if not planner.is_planning or not self._is_planners_turn():
+            if not planner.is_planning or not self._has_state_to_write():
                 continue
             try:
-                parts, offset = encode_slowly(self._follower.state)
+                parts, offset = encode_yielding(self._follower.state)
                 for data in parts:
                     self._follower.append_part(data)
             except LogError as error:
-                logging.info("snapshot: %s", error)
+                logging.info("writing a snapshot failed: %s", error)
                 continue
             self._written_offset = offset
 
     def _write(self):
-        parts, offset = encode_slowly(self._follower.state)
+        parts, offset = encode_yielding(self._follower.state)
         for data in parts:
             self._follower.append_part(data)
         record = SnapshotWritten(
--- a/comfreywharf/daemon/tests/test_held_requests.py
+++ b/comfreywharf/daemon/tests/test_held_requests.py
@@ -29,7 +29,9 @@
     A request arrives while the new fence of its slice waits for a renewal. It has to
     be woken once the witnesses have granted the renewal.
     """
-    monkeypatch.setattr(leases, "_ask_right", lambda *args: right_once_granted(leases))
+    monkeypatch.setattr(
+        leases, "_query_right", lambda *args: right_once_granted(leases)
+    )
     leases.holder.use_witnesses([("w",)])
     monkeypatch.setattr(leases, "_call_witness", lambda *args: Grant(granted=True))
     held = gevent.spawn(leases.acquire, "booking", b"", boottime_s(), 30.0)
--- a/comfreywharf/daemon/tests/test_outdated_grants.py
+++ b/comfreywharf/daemon/tests/test_outdated_grants.py
@@ -1,4 +1,4 @@
-"""Grants that a backend server refuses, since it has seen a higher fence."""
+"""Grants that a backend server refuses because it has seen a higher fence."""
 
 from types import SimpleNamespace
 
@@ -15,8 +15,8 @@
 TERMS = HoldTerms(lease_s=1.5, longest_s=10.0)
 
 
-class Answers(Orders):
-    """Answers each grant alike, and keeps the fences that it was asked for."""
+class FixedAnswerOrders(Orders):
+    """Gives each grant the same answer, and records the requested fences."""
 
     def __init__(self, answer=GrantAnswer.TAKEN):
         self.answer = answer
@@ -48,7 +48,7 @@
 
 
 def serve(grants, fence, lease_s=1.5):
-    """Let the node serve its slice under a fence for a lease from now on."""
+    """Let the node serve its slice under a fence for one lease from now on."""
     until_s = boottime_s() + lease_s
     grants._node.leases.table = SimpleNamespace(
         serving=lambda state, now_s: [("booking", PIECE, fence, until_s)]
@@ -58,20 +58,22 @@
 def make_grants(first):
     node = SimpleNamespace(
         backend=first,
-        leases=SimpleNamespace(begun_anew=[]),
+        leases=SimpleNamespace(reacquired=[]),
         follower=SimpleNamespace(state=None),
         report=lambda *args, **fields: None,
     )
-    node.leases.begin_anew = node.leases.begun_anew.append
+    node.leases.reacquire = node.leases.reacquired.append
     return RangeGrants(node, ListedHoldBook.of_new_process(TERMS, boottime_s()), 1.0)
 
 
-def test_a_refusal_of_an_earlier_fence_doesnt_end_a_newer_lease():
-    """Symptom: a lease that has just begun anew is given up, and keys are dark again.
-    Sequence: an order waits; the slice's fence grows; an order with it is taken; the
-    first order, sent late, is refused as outdated.
-    Cause: any such answer has the lease begin anew, though a higher fence is in use."""
-    grants = make_grants(backend("i-1", 1, Answers()))
+def test_refusal_of_a_superseded_fence_keeps_the_newer_lease():
+    """Guards against giving up a lease that has just been reacquired.
+
+    An order is delayed, and the slice's fence grows. An order with the higher fence is
+    accepted. Then the first order is sent and refused as outdated, which says nothing
+    about the higher fence.
+    """
+    grants = make_grants(backend("i-1", 1, FixedAnswerOrders()))
     served = [("booking", PIECE, 10, boottime_s() + 1.5)]
     (late,) = grants.book.due(served, boottime_s())
     serve(grants, 20)
@@ -80,37 +82,41 @@
     earlier.answer = GrantAnswer.OUTDATED
     grants._send(grants._node.backend, 1, late)
     assert earlier.fences == [20, 10]
-    assert grants._node.leases.begun_anew == []
+    assert grants._node.leases.reacquired == []
 
 
-def test_a_refusal_ends_the_lease_that_it_is_of():
-    grants = make_grants(backend("i-1", 1, Answers(GrantAnswer.OUTDATED)))
+def test_refusal_of_the_current_fence_reacquires_the_lease():
+    grants = make_grants(backend("i-1", 1, FixedAnswerOrders(GrantAnswer.OUTDATED)))
     serve(grants, 10)
     gevent.joinall(grants.push())
-    assert grants._node.leases.begun_anew == ["grant outdated"]
+    assert grants._node.leases.reacquired == ["grant outdated"]
     serve(grants, 20)
     gevent.joinall(grants.push())
-    assert grants._node.leases.begun_anew == ["grant outdated"] * 2
+    assert grants._node.leases.reacquired == ["grant outdated"] * 2
+
 
+def test_refusal_keeps_a_newer_lease_before_its_first_grant():
+    """Guards against giving up a newer lease before its first grant is sent.
 
-def test_a_refusal_doesnt_end_a_newer_lease_that_hasnt_been_granted_yet():
-    """Symptom: as above. Sequence: an order is sent late and refused, while the slice
-    is served under a higher fence already that no order has carried yet.
-    Cause: only orders show the book which fences are in use."""
-    grants = make_grants(backend("i-1", 1, Answers(GrantAnswer.OUTDATED)))
+    An order is sent late and refused, while the slice is already served under a higher
+    fence. No order has carried that fence yet, so that the book doesn't have it.
+    """
+    grants = make_grants(backend("i-1", 1, FixedAnswerOrders(GrantAnswer.OUTDATED)))
     served = [("booking", PIECE, 10, boottime_s() + 1.5)]
     (late,) = grants.book.due(served, boottime_s())
     serve(grants, 20)
     grants._send(grants._node.backend, 1, late)
-    assert grants._node.leases.begun_anew == []
+    assert grants._node.leases.reacquired == []
 
 
-def test_two_refusals_begin_the_lease_anew_once():
-    """Symptom: keys are dark for longer than one round, after a server's refusals.
-    Sequence: two orders under one lease are refused, the second one while the lease
-    begins anew and nothing is served.
-    Cause: the second refusal gives up the lease that the first one had asked for."""
-    grants = make_grants(backend("i-1", 1, Answers(GrantAnswer.OUTDATED)))
+def test_two_refusals_reacquire_the_lease_once():
+    """Guards against keys without a server for longer than one renewal round.
+
+    Two orders under one lease are refused, the second one while the lease is being
+    reacquired and nothing is served. The second refusal must not give up the lease
+    that is being acquired because of the first one.
+    """
+    grants = make_grants(backend("i-1", 1, FixedAnswerOrders(GrantAnswer.OUTDATED)))
     until_s = boottime_s() + 1.5
     other = Slice(start=0, end=KEY_SPACE, owner="a", epoch=6)
     served = [("booking", PIECE, 10, until_s), ("lookup", other, 12, until_s)]
@@ -118,18 +124,20 @@
     serve_nothing(grants)
     for order in orders:
         grants._send(grants._node.backend, 1, order)
-    assert grants._node.leases.begun_anew == ["grant outdated"]
+    assert grants._node.leases.reacquired == ["grant outdated"]
 
 
 def serve_nothing(grants):
     grants._node.leases.table = SimpleNamespace(serving=lambda state, now_s: [])
 
 
-def test_a_refusal_of_an_earlier_fence_doesnt_end_a_lapsed_lease():
-    """Symptom: a lapse that would have healed without the log needs a record.
-    Sequence: as above, and the newer lease lapses before the first order is refused.
-    Cause: nothing is served then, and only the orders show which fence was in use."""
-    earlier = Answers()
+def test_refusal_of_a_superseded_fence_keeps_an_expired_lease():
+    """Guards against a record for an expiry that heals without the log.
+
+    The newer lease expires before the delayed order is refused. Nothing is served
+    then, so that only the orders show which fence was in use.
+    """
+    earlier = FixedAnswerOrders()
     grants = make_grants(backend("i-1", 1, earlier))
     served = [("booking", PIECE, 10, boottime_s() + 1.5)]
     (late,) = grants.book.due(served, boottime_s())
@@ -138,4 +146,4 @@
     serve_nothing(grants)
     earlier.answer = GrantAnswer.OUTDATED
     grants._send(grants._node.backend, 1, late)
-    assert grants._node.leases.begun_anew == []
+    assert grants._node.leases.reacquired == []
--- a/comfreywharf/daemon/tests/test_news.py
+++ b/comfreywharf/daemon/tests/test_record_packing.py
@@ -1,13 +1,13 @@
-"""Records that nodes pass on to each other, packed and unpacked."""
+"""Packing and unpacking of the records that nodes exchange."""
 
 import zlib
 
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from comfreywharf.daemon.belonging.news import (
-    MAX_NEWS_BYTES,
-    NewsError,
+from comfreywharf.daemon.belonging.record_packing import (
+    MAX_UNPACKED_BYTES,
+    RecordPackingError,
     pack_records,
     unpack_records,
 )
@@ -34,9 +34,9 @@
 
 
 def test_an_assignment_of_all_slices_reaches_all_members_of_a_relay_in_time():
-    """Guards against members that leave a relay while it still sends to others."""
-    news = pack_records([(offset, assignment()) for offset in range(2)])
-    assert FANOUT * len(news) / SLOW_LINK_BYTES_PER_S < RELAY_TIMEOUT_S / 4
+    """Guards against members that time out while their relay sends to others."""
+    packed = pack_records([(offset, assignment()) for offset in range(2)])
+    assert FANOUT * len(packed) / SLOW_LINK_BYTES_PER_S < RELAY_TIMEOUT_S / 4
 
 
 RECORDS = st.lists(st.tuples(st.integers(-1, 2**62), st.binary(max_size=300)))
@@ -44,22 +44,22 @@
 
 @settings(derandomize=True)
 @given(RECORDS)
-def test_records_arrive_as_they_were_packed(records):
-    """Nothing is lost, and nothing changes its place."""
+def test_unpacking_returns_the_packed_records(records):
+    """No record is lost, and their order is kept."""
     assert unpack_records(pack_records(records)) == records
 
 
 @settings(derandomize=True)
 @given(st.binary(max_size=200), st.integers(0, 400))
-def test_damaged_records_are_an_error(data, cut):
-    """Guards against a peer's bytes that end the greenlet that follows it."""
+def test_damaged_bytes_raise_an_error(data, cut):
+    """Guards against bytes of a peer that end the greenlet that polls it."""
     packed = pack_records([(1, data)])
     for damaged in (packed[: min(cut, len(packed) - 1)], data):
-        with pytest.raises(NewsError):
+        with pytest.raises(RecordPackingError):
             unpack_records(damaged)
 
 
-def test_what_unpacks_to_too_much_is_an_error():
-    """Guards against a small answer that takes all of a node's memory."""
-    with pytest.raises(NewsError):
-        unpack_records(zlib.compress(bytes(MAX_NEWS_BYTES + 1)))
+def test_too_many_unpacked_bytes_raise_an_error():
+    """Guards against a small answer that fills a node's memory when unpacked."""
+    with pytest.raises(RecordPackingError):
+        unpack_records(zlib.compress(bytes(MAX_UNPACKED_BYTES + 1)))
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -8,12 +8,12 @@
 from comfreywharf.daemon.connections.http import NodelayHandler, SingleSendClient
 from comfreywharf.daemon.operating.decisions import StdoutLines
 from comfreywharf.daemon.operating.operators import OperatorPort
-from comfreywharf.daemon.owning.declaring import Declaring
 from comfreywharf.daemon.owning.grants_by_service import GrantsByService
 from comfreywharf.daemon.owning.heartbeat_grants import HeartbeatGrants
 from comfreywharf.daemon.owning.range_grants import RangeGrants
+from comfreywharf.daemon.owning.service_declarer import ServiceDeclarer
 from comfreywharf.daemon.ports import Ports
-from comfreywharf.daemon.recording.follower import ReadPace
+from comfreywharf.daemon.recording.follower import ReadOptions
 from comfreywharf.daemon.requests.caller_server import CallerServer
 from comfreywharf.daemon.servers.backend_life import BackendLife
 from comfreywharf.load import ConcurrencyLimit, NearFirst
@@ -94,7 +94,7 @@
     )
     retry_after = RetryAfter(least_s=0.3, most_s=0.6)
     refused_retry_after_ms = REFUSED_RETRY_AFTER_MS
-    read_pace = ReadPace(wait_s=1.0, rest_s=0.1, relayed=True)
+    read_pace = ReadOptions(wait_s=1.0, pause_s=0.1, relayed=True)
 
     def __init__(self, settings):
         self._settings = settings
@@ -201,7 +201,7 @@
         reader = ConfigurationReader(
             self.store, node.routes, node.report, lambda: node.follower.relayed
         )
-        return (reader.run, Declaring(node).run)
+        return (reader.run, ServiceDeclarer(node).run)
 
     def identify(self, node, announcement):
         """Return the instance that answers at an address, or nothing."""
