--- a/comfreywharf/ownership/__init__.py
+++ b/comfreywharf/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""Who may serve a key: leases, witnesses, takeovers and releases."""
+"""Decide which node may serve a key: leases, witnesses, takeovers, releases."""
 
 from comfreywharf.ownership.actions import (
     Append,
--- a/comfreywharf/ownership/actions.py
+++ b/comfreywharf/ownership/actions.py
@@ -1,4 +1,4 @@
-"""What the ownership decisions ask the shell to do."""
+"""Actions that the ownership decisions request from the daemon."""
 
 import attrs
 
@@ -21,12 +21,12 @@
 
 
 class Action:
-    """Anything that the shell is asked to do."""
+    """Base class of all requested actions."""
 
 
 @attrs.frozen
 class ProbeMembers(Action):
-    """Find out which members can be reached, and tell the agent."""
+    """Probe which members can be reached, and report them to the agent."""
 
 
 @attrs.frozen
@@ -55,7 +55,7 @@
 
 @attrs.frozen
 class Purpose:
-    """Why a record is appended: told again with its outcome."""
+    """The reason why a record is appended, passed back with its outcome."""
 
     kind: str
     detail: object
@@ -71,7 +71,7 @@
 
 @attrs.frozen
 class AskRelease(Action):
-    """Ask an earlier owner for a slice, until `OwnershipAgent.awaits` is false."""
+    """Request a slice from its earlier owner while `OwnershipAgent.awaits` it."""
 
     previous: str
     key: SliceKey
--- a/comfreywharf/ownership/agent.py
+++ b/comfreywharf/ownership/agent.py
@@ -1,8 +1,8 @@
 """The decisions of one node about ownership: events in, actions out.
 
 The agent holds the node's lease, its claims on lapsed leases and its table of
-what may be served. It knows no clock, no sockets and no loop; the daemon's
-shell and the state machine that tests it drive the same code.
+what may be served. It uses no clock, no sockets and no event loop: the daemon
+and the state machine of the tests drive the same code.
 """
 
 from comfreywharf.ownership.actions import (
@@ -39,7 +39,7 @@
 _OUTDATED = frozenset({Denial.STALE, Denial.OTHER_VIEW})
 
 _MOVING = (SlicesMoved, SlicesTaken, MoveCompleted)
-"""Records after which a release may have to be asked for."""
+"""Records after which a release may have to be requested."""
 
 START = "start"
 TAKE = "take"
@@ -49,9 +49,10 @@
 
 
 class OwnershipAgent:
-    """Decide what a node does to own keys, and to own them alone.
+    """Decide what a node does to own keys exclusively.
 
-    ``make_id`` returns a record id that no other record has.
+    ``make_id`` returns a unique record id. ``fenced`` says that the backend
+    server checks fences.
     """
 
     def __init__(self, node_id, incarnation, terms, make_id, fenced=False):
@@ -75,27 +76,27 @@
 
     @property
     def lost_witnesses(self):
-        """Return what watches whether a majority of the witnesses answers."""
+        """Return the `LostWitnesses` that tracks whether a majority answers."""
         return self._groups.lost
 
     def begin(self, incarnation):
-        """Take the incarnation that the log's end showed to be a new one."""
+        """Set this process's incarnation, once the log is read to its end."""
         self._incarnation = incarnation
         self.holder.begin(incarnation)
         self._groups.begin(incarnation)
 
     @property
     def claims(self):
-        """Return the claims that this node has or tries to have, by owner."""
+        """Return the claims that this node holds or requests, by owner."""
         return self.table.claims
 
     # Time and grants.
 
     def tick(self, state, now_s, may_hold, forced=False):
-        """Return what to do now.
+        """Return the actions to take now.
 
         ``may_hold`` says whether the fold may be acted on and a backend server
-        is there; ``forced`` asks the witnesses before the next interval.
+        is present; ``forced`` renews before the next interval is over.
         """
         actions = []
         if self.holder.tick(now_s):
@@ -112,11 +113,11 @@
         return actions
 
     def wake(self):
-        """Look at all slices again at the next tick."""
+        """Scan all slices for releases at the next tick."""
         self._scan_s = float("-inf")
 
     def own(self, state):
-        """Return what the fold says of this node's lease."""
+        """Return this node's lease according to the fold."""
         member = state.members.get(self._node_id)
         if member is None:
             return OwnLease()
@@ -161,7 +162,7 @@
         ]
 
     def renewed(self, witness, number, term, now_s):
-        """Count a witness's grant of a renewal; return what to do."""
+        """Count a witness's grant of a renewal; return the actions to take."""
         before = self.holder.phase
         self.holder.granted(witness, number, term, now_s)
         if (before, self.holder.phase) == ("lapsed", "held"):
@@ -180,7 +181,7 @@
         return self._append(Purpose(RESET, own.lease_epoch), record, now_s)
 
     def _start(self, state, now_s):
-        """Have the log say that the lease began, once a majority granted it."""
+        """Append the record of a new lease once a majority has granted it."""
         if self.holder.phase != "starting":
             return []
         own = self.own(state)
@@ -200,13 +201,14 @@
         return self._append(Purpose(WITNESSES, own.lease_epoch), record, now_s)
 
     def surrender(self, state, reason, now_s, held_until_s=None):
-        """Give up the lease and all shares at once; return what to tell.
-
-        What was forwarded may still take effect; the witnesses are told until
-        when, and make the standbys wait for it. ``held_until_s`` is when the last
-        grant ends that the backend server may have, whatever it rests on; it delays
-        them too. ``NOTHING_HELD_S`` says that the server is proved dead, and ``None``
-        that the end isn't known.
+        """Give up the lease and all shares at once; return the actions to take.
+
+        Forwarded requests may still take effect. The renewal tells the witnesses
+        until when, and they make the standbys wait for that long. ``held_until_s``
+        is the end of the last grant that the backend server may have, whichever
+        lease it is based on; it delays the standbys as well. It is
+        ``NOTHING_HELD_S`` if the server has certainly crashed, and ``None`` if the
+        end isn't known.
         """
         if self.holder.phase in ("surrendered", "superseded"):
             return []
@@ -222,13 +224,13 @@
         return actions
 
     def recover(self):
-        """Ask for the lease again after a surrender."""
+        """Request the lease again after a surrender."""
         self.holder.recover()
 
     # Claims.
 
     def lapsed(self, state, owner_id, now_s):
-        """Hear from a witness that an owner's lease lapsed; return what to do."""
+        """Handle a witness's notice of a lapsed lease; return the actions to take."""
         owner = state.members.get(owner_id)
         if owner is None or owner_id in self.claims or not owner.witnesses:
             return []
@@ -252,7 +254,7 @@
         return self._send_claim(claim, now_s)
 
     def claimed(self, owner_id, witness, number, term, now_s):
-        """Count a witness's grant of a claim; return what to do."""
+        """Count a witness's grant of a claim; return the actions to take."""
         claim = self.claims.get(owner_id)
         if claim is None or not claim.granted(witness, number, term, now_s):
             return []
@@ -261,11 +263,11 @@
         return [report("takeover", owner=owner_id, slices=len(claim.share))]
 
     def claim_denied(self, owner_id, denial, now_s):
-        """Begin a claim anew that is built on an older view than a witness has.
+        """End a claim that is based on an older view than a witness has.
 
-        When several standbys take over from one owner, the first record moves
-        the view of the others. Tried on, their claims would wait for their own
-        end, and their keys would be served two leases later than need be.
+        When several standbys take over from one owner, the first record makes
+        the others' claims outdated. If these claims were kept until they time
+        out, their keys would be served up to two leases later than necessary.
         """
         claim = self.claims.get(owner_id)
         if denial not in _OUTDATED or claim is None or claim.held_since_s is not None:
@@ -279,9 +281,9 @@
 
     def _tick_claim(self, state, claim, now_s, forced):
         if claim.tick(now_s):
-            # Where an owner and its standby each have some of the witnesses,
-            # neither gets a majority, and each keeps the other from one. The
-            # standby lets go for long enough that a live owner is renewed.
+            # If an owner and its standby are each granted by some witnesses,
+            # neither gets a majority and each blocks the other. The standby
+            # pauses for long enough that a live owner can renew its lease.
             if claim.lease.terms_now(now_s):
                 pause_s = CLAIM_PAUSE_LEASES * self._terms.lease_s
                 self._claim_not_before_s[claim.owner_id] = now_s + pause_s
@@ -294,7 +296,7 @@
         return actions
 
     def _record_claim(self, state, claim, now_s):
-        """Have the log say what was taken over; end the claim once it does."""
+        """Append records of the takeover; end the claim once they are folded."""
         takes, completions = self._outstanding(state, claim)
         if not takes and not completions:
             return self._end_claim(claim, now_s, recorded=self._has_share(state, claim))
@@ -314,16 +316,17 @@
         return actions
 
     def _has_share(self, state, claim):
-        """Return whether all of a claim's share is this node's by the log.
+        """Return whether the log assigns all of a claim's share to this node.
 
-        What the planner moved elsewhere meanwhile isn't: this node's server may
-        hold it until its grants end, and the next owner has to wait for that.
+        It doesn't if the planner moved a slice elsewhere meanwhile. This node's
+        server may hold such a slice until its grants end, and the next owner has
+        to wait for that.
         """
         pieces = [state.slices[key.service].at_start(key.start) for key in claim.share]
         return all(p and self._node_id in (p.owner, p.previous) for p in pieces)
 
     def _outstanding(self, state, claim):
-        """Return what of a claim's share the log doesn't have on record yet."""
+        """Return the slices of a claim's share that are not yet recorded in the log."""
         takes, completions = [], []
         for key in claim.share:
             piece = state.slices[key.service].at_start(key.start)
@@ -339,7 +342,7 @@
         return takes, completions
 
     def _end_claim(self, claim, now_s, recorded=False, held_until_s=None):
-        """Give a share back; what is in flight under it still counts."""
+        """Give a share back; requests in flight under it still count."""
         claim.over = True
         del self.claims[claim.owner_id]
         acts_until_s = self._claim_acts_until_s(claim, recorded, now_s, held_until_s)
@@ -350,12 +353,13 @@
         return [*actions, report("claim_over", owner=claim.owner_id)]
 
     def _claim_acts_until_s(self, claim, recorded, now_s, held_until_s):
-        """Return until when something that rested on claims on an owner may act.
+        """Return until when grants or requests based on claims may take effect.
 
-        Nothing rests on a claim that was never held. Were its end told with the
-        newest request of this node's own keys, a busy node would put off its next
-        claim with each one that it ends, and the owner's keys would stay dark. So they
-        would for a lease where the server is known to hold less than it might.
+        A claim that was never held has none. If its end covered the requests for
+        this node's own keys, a busy node would delay its own next claim whenever
+        it ends one, and the owner's keys would stay unavailable. ``held_until_s``
+        bounds what the server holds, where this is known; without that bound the
+        keys would be unavailable for up to a lease.
         """
         known_s = self._acts_until_s.get(claim.owner_id, now_s)
         if claim.held_since_s is not None:
@@ -370,14 +374,14 @@
     def _held_claim_acts_until_s(self, claim, recorded, now_s):
         if not self._fenced:
             return self.inflight.all_until_s(now_s)
-        # A server that checks fences ends its work with its grants, and these end
-        # with the claim. What the log has on record rests on the own lease alone.
+        # A server that checks fences stops its work when its grants end, and they
+        # end with the claim. Recorded slices depend only on the node's own lease.
         return now_s if recorded else claim.lease.until_s()
 
     # Releases.
 
     def _scan(self, state, now_s):
-        """Ask for awaited releases, and record those that were received."""
+        """Request awaited releases, and record those that were received."""
         actions = []
         for key, piece in self.table.awaited(state, now_s):
             if key not in self._asking:
@@ -388,15 +392,15 @@
         return actions
 
     def awaits(self, state, key, now_s):
-        """Return whether a release still has to be asked for."""
+        """Return whether a release still has to be requested."""
         return any(key == other for other, _ in self.table.awaited(state, now_s))
 
     def stop_asking(self, key):
-        """Take note that nobody asks for a release any more."""
+        """Register that a release is no longer being requested."""
         self._asking.discard(key)
 
     def released(self, key, vouched, now_s):
-        """Take an earlier owner's release; return what to do."""
+        """Handle an earlier owner's release; return the actions to take."""
         self._asking.discard(key)
         self.table.released(key, float("-inf") if vouched else now_s)
         self.wake()
@@ -426,7 +430,10 @@
         return [Append(purpose, record)]
 
     def appended(self, state, purpose, outcome, now_s):
-        """Take a record's outcome, or ``None`` if it wasn't read back in time."""
+        """Handle a record's outcome; return the actions to take.
+
+        ``outcome`` is ``None`` if the record wasn't read back in time.
+        """
         self._appending.discard(purpose)
         if outcome is None:
             self._not_before_s[purpose] = now_s + APPEND_RETRY_S
@@ -435,8 +442,8 @@
         if purpose.kind == START and outcome.accepted:
             return self._started(state, purpose.detail, outcome, now_s)
         if purpose.kind == TAKE and not outcome.accepted:
-            # The owner came back, or the planner decided otherwise, before
-            # this record: the claim was on an assignment that is void now.
+            # The owner returned or the planner changed the assignment before
+            # this record, so the claim is based on an outdated assignment.
             claim = self.claims.get(purpose.detail)
             return self._end_claim(claim, now_s) if claim else []
         return []
@@ -450,18 +457,18 @@
         return [report("lease_started", offset=outcome.offset)]
 
     def folded(self, state, record, result, now_s):
-        """Take note of a record that the fold has just applied."""
+        """Register a record that the fold has just applied."""
         self._watch.folded(state, record, result, now_s)
         if result.accepted and isinstance(record, _MOVING):
             self.wake()
 
     def loaded(self, state, now_s):
-        """Take note that a snapshot took the place of the state.
+        """Register that a snapshot replaced the state.
 
-        Between the two states a slice may have moved away and back, and no
-        record tells of it here. Were the earlier memory of request ids still
-        vouched for, a booking that another owner had run in between would be
-        run a second time. Nothing from before is therefore vouched for.
+        Between the two states a slice may have moved away and back without a
+        record that is folded here. If the earlier memory of request ids still
+        counted as complete, a booking that another owner ran in between would
+        run a second time. The memory therefore counts as incomplete.
         """
         self.table.lease_began(state, now_s)
         self._watch.copy(state)
--- a/comfreywharf/ownership/bond.py
+++ b/comfreywharf/ownership/bond.py
@@ -1,22 +1,23 @@
-"""Which connections to an address are known to lead to one and the same process."""
+"""Track which connections to an address lead to one and the same process."""
 
 __all__ = ["ProcessBond"]
 
 
 class ProcessBond:
-    """Follow one process of a backend server through the connections to it.
+    """Identify a process of a backend server by the connections to it.
 
-    An address says nothing of who listens there. A server that crashes and begins
-    again within a heartbeat takes the renewals that were meant for its earlier life,
-    and holds keys under a fence that both lives had. One would see a key go from a
-    server to the next one under an equal fence.
+    An address doesn't identify the process that listens there. A server that
+    crashes and restarts within one heartbeat interval receives renewals that were
+    meant for its earlier incarnation, and holds keys under a fence that both
+    incarnations had: a key would pass from one process to the next under the same
+    fence.
 
-    A connection ends with the process that accepted it. The first connection is
-    bound to whoever accepted it, and so is every later one that is older than a
-    question which the same process answered: it was accepted while that process
-    listened, and one process at a time does so at an address until it ends. When the
-    last of them has ended, whoever is at the address may be another process, and
-    gets another number.
+    A connection ends with the process that accepted it. The first connection
+    defines the process. A later connection leads to the same process if it was
+    accepted before the sending of a request that the process answered: only one
+    process at a time listens at an address, and it does so until it ends. When
+    the last of these connections has ended, another process may be at the
+    address, and the next connection gets a new process number.
 
     >>> bond = ProcessBond()
     >>> bond.opened("first")
@@ -33,8 +34,8 @@
     >>> bond.process
     0
 
-    Connections are any hashable values. No time is needed: what counts is the order
-    in which connections were opened and questions were sent.
+    Connections are any hashable values. No clock is needed: only the order
+    matters in which connections were opened and requests were sent.
     """
 
     def __init__(self):
@@ -45,34 +46,35 @@
 
     @property
     def process(self):
-        """Return the number of the process; zero while none is known."""
+        """Return the number of the process; zero if none is known."""
         return self._number if self._known else 0
 
     @property
     def known_count(self):
-        """Return how many connections lead to the process."""
+        """Return how many connections are known to lead to the process."""
         return len(self._known)
 
     @property
     def waits(self):
-        """Return whether a connection waits to be vouched for."""
+        """Return whether any connection isn't known to lead to the process."""
         return len(self._opened) > len(self._known)
 
     def opened(self, connection):
-        """Take note of a connection that was accepted."""
+        """Register a connection that was accepted."""
         if not self._known:
-            # Older ones belong to an earlier process, which has most likely ended.
+            # Older connections belong to an earlier process, which has most
+            # likely ended.
             self._opened.clear()
             self._known.add(connection)
             self._number += 1
         self._opened[connection] = self._next_moment()
 
     def asked(self):
-        """Return the moment at which a question is sent, for `answered`."""
+        """Register that a request is sent; return its number for `answered`."""
         return self._next_moment()
 
     def answered(self, connection, asked):
-        """Take note of an answer on a connection, to what was asked at a moment."""
+        """Register an answer on a connection to the request numbered ``asked``."""
         if connection not in self._known:
             return
         self._known.update(
@@ -80,12 +82,12 @@
         )
 
     def closed(self, connection):
-        """Take note that a connection has ended, or is used no more."""
+        """Register that a connection has ended or is no longer used."""
         self._opened.pop(connection, None)
         self._known.discard(connection)
 
     def knows(self, connection):
-        """Return whether a connection leads to the process."""
+        """Return whether a connection is known to lead to the process."""
         return connection in self._known
 
     def _next_moment(self):
--- a/comfreywharf/ownership/claims.py
+++ b/comfreywharf/ownership/claims.py
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class SliceKey:
-    """A slice as one claim saw it: a change of epoch makes it another."""
+    """A slice at one epoch; the same slice at another epoch has another key."""
 
     service: str
     start: int
@@ -20,8 +20,9 @@
 def share_of(state, taker_id, owner_id):
     """Return the slices that a node may serve once it holds a claim.
 
-    These are the slices it stands by for, and those that were moved to it, or
-    to an owner it stands by for, and that the claimed owner hasn't released.
+    These are the slices of which it is the standby, and those that the claimed
+    owner hasn't released yet and that were moved to the node or to an owner whose
+    standby it is.
     """
     share = set()
     for service, pieces in state.slices.items():
@@ -39,9 +40,9 @@
 class HeldClaim:
     """A claim on one owner's lapsed lease.
 
-    The share is fixed when the claim begins: a slice that a later record gives
+    The share is fixed when the claim begins: a slice that a later record assigns
     to this node may still be served by another taker under the earlier view.
-    A claim that lapsed is over; a new one begins with new epochs.
+    A lapsed claim is never held again; a new claim uses the current epochs.
     """
 
     def __init__(self, owner, taker_id, taker_incarnation, share, terms, now_s, number):
@@ -60,11 +61,11 @@
 
     @property
     def lease_epoch(self):
-        """Return the owner's lease epoch that the claim is built on."""
+        """Return the owner's lease epoch on which the claim is based."""
         return self._lease_epoch
 
     def due(self, now_s):
-        """Return whether it is time to ask the witnesses."""
+        """Return whether it is time to send the claim to the witnesses."""
         interval_s = self._terms.renew_interval_s
         if self.held_since_s is None:
             interval_s /= 4
@@ -97,7 +98,7 @@
         return False
 
     def tick(self, now_s):
-        """Notice the end of the claim; return whether it is over."""
+        """Update whether the claim is over, and return it."""
         if self.held_since_s is not None and not self.lease.held(now_s):
             self.over = True
         elif self.held_since_s is None and now_s > self.began_s + self._terms.lease_s:
--- a/comfreywharf/ownership/handover.py
+++ b/comfreywharf/ownership/handover.py
@@ -1,4 +1,4 @@
-"""The release of a slice by its earlier owner to the new one."""
+"""The release of a slice by its earlier owner to its new owner."""
 
 import attrs
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen(kw_only=True)
 class ReleaseDecision:
-    """Whether a slice is released, and if not, when to ask again."""
+    """Whether a slice is released, and if not, when to repeat the request."""
 
     released: bool
     retry_after_s: float = 0.0
@@ -20,11 +20,11 @@
 def decide_release(table, state, request_service, start, epoch, now_s):
     """Decide on the new owner's request for a release.
 
-    Three things have to hold. The move must be folded here, so that this node
-    has stopped serving by its own knowledge. A majority of the witnesses must
-    have renewed the lease with the portfolio epoch of the move: a standby with
-    an older view would otherwise still be granted a claim for the slice, or
-    hold one already. And nothing that was forwarded may still take effect.
+    A release has three conditions. This node has folded the move, so that it has
+    stopped serving the slice. A majority of the witnesses has renewed the lease
+    with the portfolio epoch of the move: otherwise a standby with an older view
+    could still be granted a claim for the slice, or hold one already. And, unless
+    the backend server checks fences, no forwarded request can still take effect.
     """
     if state.next_offset <= epoch:
         return ReleaseDecision(released=False, retry_after_s=RETRY_S)
--- a/comfreywharf/ownership/hold_lists.py
+++ b/comfreywharf/ownership/hold_lists.py
@@ -1,9 +1,10 @@
-"""What to answer to a heartbeat: the list of all that a backend server is to hold.
+"""The list of all ranges that a backend server is to hold, sent in heartbeat answers.
 
-A server that learns of its keys in this way says in each heartbeat what it holds and
-what it released. The answer lists what it is to hold, for a time that counts from when
-the heartbeat was sent. `HoldLists` decides which list, and what a heartbeat shows of
-the lists before. It knows no clock and no sockets.
+A server that is assigned its keys in this way reports in each heartbeat which ranges it
+holds and which it released. The answer lists the ranges that it is to hold, for a time
+that counts from the sending of the heartbeat. `HoldLists` decides on the list, and
+derives from each heartbeat which earlier lists were received. It uses no clock and no
+sockets.
 """
 
 import attrs
@@ -23,19 +24,20 @@
 ]
 
 LEAST_PART = 0.5
-"""A range whose lease has less than this part of the longest one left isn't granted
-yet: all ranges of a list have one time, and each would be granted for that short."""
+"""The fraction of the longest remaining lease that a new range's lease must reach. All
+ranges of a list share one hold time, so that a shorter lease would shorten all."""
 
 TIMELY_S = 0.9
-"""A server may drop a list that comes a second after its heartbeat was sent."""
+"""The age of a heartbeat up to which its answer is in time. A server may drop an answer
+that arrives a second after its heartbeat was sent."""
 
 MOST_HANDOVERS = 256
-"""Handovers that are kept for next owners; nobody asks for most of the older ones."""
+"""How many handovers are kept for next owners; most older ones are never requested."""
 
 
 @attrs.frozen(kw_only=True)
 class HeldRange:
-    """Numbers, first to last, that a server holds or still works on."""
+    """A range of numbers, first to last, that a server holds or still works on."""
 
     first: int
     last: int
@@ -44,7 +46,7 @@
 
 @attrs.frozen(kw_only=True)
 class ReleasedRange:
-    """Numbers, first to last, that a server released, and what it hands over."""
+    """A range of numbers, first to last, that a server released, with its handover."""
 
     first: int
     last: int
@@ -53,10 +55,11 @@
 
 @attrs.frozen(kw_only=True)
 class HoldReport:
-    """What a heartbeat says of keys. ``connection`` names the one it came on.
+    """The part of a heartbeat that concerns keys.
 
-    ``arrived_s`` is when it came: the server counts a hold from when it sent the
-    heartbeat, which was earlier.
+    ``connection`` identifies the connection on which it came. ``arrived_s`` is the
+    time of its arrival; the server counts a hold from the sending of the heartbeat,
+    which was earlier.
     """
 
     service: str
@@ -68,7 +71,7 @@
 
 @attrs.frozen(kw_only=True)
 class HoldRow:
-    """Numbers, first to last, that a server is to hold."""
+    """A range of numbers, first to last, that a server is to hold."""
 
     first: int
     last: int
@@ -78,7 +81,7 @@
 
 @attrs.frozen(kw_only=True)
 class HoldList:
-    """All that a server is to hold, for ``hold_s`` from when its heartbeat was sent."""
+    """All that a server is to hold, for ``hold_s`` after it sent its heartbeat."""
 
     rows: tuple[HoldRow, ...]
     hold_s: float
@@ -86,27 +89,27 @@
 
 @attrs.frozen(kw_only=True)
 class ListRoom:
-    """How long an answer may be, and what a row takes of it without its handover.
+    """The size limit of an answer, and the size of a row without its handover.
 
-    An answer that is longer is no acknowledgement, and may not be carried out.
+    A longer answer doesn't count as an acknowledgement, and may not be applied.
     """
 
     most_bytes: int = 4000
     row_bytes: int = 28
 
     def fits(self, row, used_bytes):
-        """Return what is used with a further row, or ``None`` if it doesn't fit."""
+        """Return the bytes used with a further row, or ``None`` if it doesn't fit."""
         used_bytes += self.row_bytes + len(row.handover)
         return used_bytes if used_bytes <= self.most_bytes else None
 
 
 @attrs.frozen(kw_only=True)
 class Serving:
-    """What a node may serve now, and what of its own it can't just yet.
+    """What a node may serve now, and which of its own slices it can't serve yet.
 
     ``served`` has ``(service, slice, fence, until_s)``; ``pending`` has
-    ``(service, slice)`` whose fence the witnesses don't know yet. ``lease_until_s`` is
-    when the node's own lease ends.
+    ``(service, slice)`` whose fence the witnesses haven't acknowledged yet.
+    ``lease_until_s`` is the end of the node's own lease.
     """
 
     served: tuple
@@ -124,7 +127,7 @@
 
 @attrs.frozen
 class _Sent:
-    """The newest list: on which connection, when, how timely, and its ranges."""
+    """The newest list: its connection, whether it was in time, and its ranges."""
 
     connection: object
     timely: bool
@@ -145,14 +148,15 @@
     _release_wanted: bool = False
 
     def forget(self):
-        """Begin anew with another life of the server."""
+        """Reset the state after the server restarted."""
         self._sent = None
         self._handovers.clear()
 
     def hear(self, report, now_s):
-        """Take a report; return whether the server refused a range of the last list.
+        """Process a report; return whether a range of the last list was refused.
 
-        It does so where it has seen a higher fence, and shows it only by what it lists.
+        A server refuses a range for which it has seen a higher fence, and shows this
+        only by not listing the range.
         """
         reported = [range_of_numbers(held.first, held.last) for held in report.held]
         for held in report.held:
@@ -171,7 +175,7 @@
 
     @staticmethod
     def _same_line(sent, report):
-        """Return whether a report shows that the last list came."""
+        """Return whether a report shows that the last list was received."""
         return sent is not None and sent.connection == report.connection
 
     def _is_taken(self, wish, report, whole, now_s):
@@ -187,11 +191,11 @@
         )
 
     def release(self):
-        """Answer the next heartbeat at once: a range is to be released."""
+        """Have the next heartbeat answered at once, since a range is to be released."""
         self._release_wanted = True
 
     def take_out_handover(self, start, end):
-        """Return the newest handover of a range, and forget the others of it."""
+        """Return the newest handover of a range, and drop the others within it."""
         numbers = numbers_in(start, end)
         if numbers is None:
             return ""
@@ -201,7 +205,7 @@
         return found[-1].handover if found else ""
 
     def has_news(self, report, serving, now_s):
-        """Return whether keys wait for the next list, to be granted or released."""
+        """Return whether the next list would grant or release any key."""
         if self._release_wanted:
             return True
         wishes = self._wishes(report.service, serving, now_s)
@@ -217,7 +221,7 @@
         )
 
     def decide(self, report, serving, now_s):
-        """Return the `HoldList` to answer with now, or ``None`` for no list."""
+        """Return the `HoldList` to answer with now, or ``None`` to send no list."""
         self._release_wanted = False
         wishes = self._wishes(report.service, serving, now_s)
         ends_s = [wish.until_s for wish in wishes] or [serving.lease_until_s]
@@ -237,7 +241,7 @@
         return HoldList(rows=_joined([row for _, row in rows]), hold_s=hold_s)
 
     def _fill(self, report, wishes, now_s):
-        """Return ``(wish, row)`` of what fits, and note that it is listed."""
+        """Return ``(wish, row)`` of what fits, and record it as listed."""
         rows, used_bytes = [], 0
         for wish in wishes:
             row = self._row(report.service, wish)
@@ -269,7 +273,7 @@
         )
 
     def _wishes(self, service, serving, now_s):
-        """Return the ranges to list, those that are held already before the others."""
+        """Return the ranges to list; those that are already held come first."""
         wishes = [
             _Wish(piece.start, piece.end, fence, until_s)
             for name, piece, fence, until_s in serving.served
@@ -290,14 +294,15 @@
 
 
 def _meet(one, first, last):
-    """Return whether a range of numbers has a part in those from first to last."""
+    """Return whether a range of numbers overlaps the one from first to last."""
     return one.first <= last and first <= one.last
 
 
 def _joined(rows):
-    """Return rows with neighbours of one fence and no handover as one.
+    """Return the rows with adjacent ones joined if their fences are equal.
 
-    An answer that is too long is no acknowledgement.
+    Rows with a handover aren't joined. Joining keeps the answer short, since an
+    answer that is too long doesn't count as an acknowledgement.
     """
     joined = []
     for row in sorted(rows, key=lambda row: row.first):
--- a/comfreywharf/ownership/holder.py
+++ b/comfreywharf/ownership/holder.py
@@ -1,4 +1,4 @@
-"""The holder: a node's own lease, from its first request to its loss."""
+"""The holder of a node's own lease, from the first request to its loss."""
 
 import attrs
 
@@ -9,17 +9,17 @@
 __all__ = ["Holder", "OwnLease"]
 
 PATIENCE_LEASES = 3.0
-"""How long a node that starts asks without a majority before it lets go."""
+"""How long a starting node requests the lease without a majority before it pauses."""
 
 LET_GO_LEASES = 2.0
-"""How long it then leaves the witnesses alone, for its standbys to claim."""
+"""How long it then sends no requests, so that its standbys can claim the lease."""
 
 _CHART = load_chart(__package__, "lease.toml")
 
 
 @attrs.frozen(kw_only=True)
 class OwnLease:
-    """What the node's own fold says of its lease."""
+    """The node's lease according to its own fold."""
 
     incarnation: int = -1
     lease_epoch: int = -1
@@ -32,11 +32,11 @@
 class Holder:
     """Decide when to renew, when the node owns, and when it has to stop.
 
-    A lapse in which nobody else held the lease is healed without the log: if a
-    majority of the witnesses still remembers the term it granted before, no
-    taker can have had a majority since. Anything else begins anew with a
-    `LeaseStarted` record, appended only after the majority was gained, since a
-    takeover that was built before then must find a stale epoch.
+    A lapse during which no other node held the lease is healed without the log: if
+    a majority of the witnesses still has the term that it granted before, no taker
+    can have had a majority since. Otherwise the lease starts anew with a
+    `LeaseStarted` record. It is appended only after the majority was gained, so
+    that an earlier takeover is refused for its stale epoch.
     """
 
     def __init__(self, node_id, incarnation, terms):
@@ -56,7 +56,7 @@
         self.candidates = ()
 
     def begin(self, incarnation):
-        """Take the number of this process, before anything is asked."""
+        """Set the incarnation of this process, before any request is sent."""
         self._incarnation = incarnation
 
     @property
@@ -66,7 +66,7 @@
 
     @property
     def continuity(self):
-        """Return a number that changes whenever the hold was broken."""
+        """Return a number that changes whenever the lease was lost in between."""
         return self._continuity
 
     @property
@@ -75,10 +75,10 @@
         return self._lease
 
     def use_witnesses(self, groups):
-        """Ask these groups of witnesses from now on.
+        """Use these groups of witnesses from now on.
 
-        Grants of witnesses that stay are kept; the round numbers go on, since
-        a witness refuses an old one.
+        Grants of witnesses that stay are kept. Round numbers continue, since a
+        witness refuses an old one.
         """
         groups = [tuple(group) for group in groups]
         if groups != self._lease.groups:
@@ -86,7 +86,7 @@
 
     @property
     def next_round_s(self):
-        """Return when the witnesses are to be asked again."""
+        """Return when the next round of renewals is due."""
         return self._round_sent_s + self._terms.renew_interval_s
 
     def due(self, now_s):
@@ -96,34 +96,34 @@
         return now_s >= self.next_round_s
 
     def has_news(self, epoch, now_s):
-        """Return whether the witnesses have to be asked at once, to tell an epoch.
+        """Return whether to renew at once, since the witnesses don't know an epoch.
 
-        Until they know of it, what is served under it waits.
+        Nothing is served under an epoch before they know it.
         """
         return self.phase == "held" and self.asking(now_s) and epoch > self._asked_epoch
 
     def asking(self, now_s):
-        """Return whether the witnesses are asked at all at the moment."""
+        """Return whether requests may be sent to the witnesses now."""
         if self.phase in ("surrendered", "superseded"):
             return False
         return now_s >= self._pause_until_s
 
     def asks_in_vain(self, now_s):
-        """Return whether to let go, since no majority came for too long.
+        """Return whether to pause, since there was no majority for too long.
 
-        A node whose requests arrive and whose answers don't would otherwise
-        extend its lease at the witnesses for ever without ever holding it, and
-        no standby could take its keys over.
+        If a node's requests arrive but the answers are lost, it would otherwise
+        extend its lease at the witnesses forever without holding it, and no
+        standby could take over its keys.
         """
         if self.phase not in ("lapsed", "acquiring"):
             return False
         return self._hopeful_until_s is not None and now_s >= self._hopeful_until_s
 
     def let_go(self, own, reach_until_s, now_s):
-        """Stop asking for a while; return the renewal that ends the lease.
+        """Pause requests for a while; return the renewal that ends the lease.
 
-        Answers that are still on their way must not count any more: their
-        witnesses will have let go.
+        Answers that are still in transit no longer count, since the witnesses
+        that sent them will have ended the lease.
         """
         self._lease.reset()
         self._pause_until_s = now_s + LET_GO_LEASES * self._terms.lease_s
@@ -134,7 +134,7 @@
     def renewal(self, own, reach_until_s, now_s, extra=False):
         """Return the renewal to send to each of ``asked`` now.
 
-        An ``extra`` one leaves the times of the others as they are.
+        An ``extra`` renewal doesn't change when the next regular one is due.
         """
         if not extra:
             self._round_sent_s = now_s
@@ -150,17 +150,17 @@
         return self._message(own, self._terms.lease_s, reach_until_s - now_s, number)
 
     def vouched(self, renewal, witness):
-        """Return a renewal as one witness gets it, with the word on its own grant."""
+        """Return a renewal for one witness, marked if its grant still counts."""
         vouched = self._lease.vouches_for(witness, renewal.round)
         return attrs.evolve(renewal, vouched=vouched)
 
     @property
     def asked(self):
-        """Return the witnesses, and those that may become witnesses."""
+        """Return the witnesses and the candidates for witnesses."""
         return tuple(dict.fromkeys((*self._lease.witnesses, *self.candidates)))
 
     def silent(self, now_s):
-        """Return those asked that haven't granted anything for too long."""
+        """Return those of ``asked`` that have granted nothing for too long."""
         limit_s = now_s - self._terms.replace_witness_after_s
         return {
             witness
@@ -169,7 +169,7 @@
         }
 
     def granted_by_majority(self, group, now_s):
-        """Return whether a majority of a group grants the lease now."""
+        """Return whether a majority of a group currently grants the lease."""
         granting = [w for w in group if now_s < self._lease.granted_until_s(w)]
         return 2 * len(granting) > len(group)
 
@@ -177,9 +177,9 @@
         """Count a grant, and move the chart if it gives a majority."""
         if self.phase in ("surrendered", "superseded"):
             return
-        # The lapse is noticed before the grant counts. Else a grant that came
-        # after the end would join two holds with a gap between them, and a
-        # taker may have served in that gap.
+        # A lapse has to be detected before the grant counts. Otherwise a grant
+        # that arrives after the end would join two holds with a gap between
+        # them, in which a taker may have served.
         self.tick(now_s)
         self._lease.grant(witness, number, term, now_s)
         if not self._lease.held(now_s):
@@ -207,7 +207,7 @@
         self._known_terms = {}
 
     def tick(self, now_s):
-        """Notice a lapse; return whether there was one."""
+        """Detect a lapse; return whether there was one."""
         if self.phase not in ("held", "starting") or self._lease.held(now_s):
             return False
         self._was_started = self.phase == "held"
@@ -215,17 +215,18 @@
         return self._chart.fire("majority_lost")
 
     def start_read_back(self, continuity):
-        """Take note that the log holds the `LeaseStarted` of a hold."""
+        """Register that the `LeaseStarted` record of a hold was read back."""
         if continuity == self._continuity and self.phase == "starting":
             self._chart.fire("started")
 
     def surrender(self, own, reach_until_s, now_s, held_until_s=None):
-        """Stop owning at once; return the renewal of no length for the witnesses.
+        """Stop owning at once; return the renewal that ends the lease.
 
-        It lets a standby begin before the lease would have lapsed. Grants that
-        are kept, or still on their way, would count after a recovery although
-        the witnesses have let go; they are forgotten. Of grants whose end isn't known
-        none is told.
+        It allows a standby to begin before the lease would have lapsed. All grants
+        are dropped, including those still in transit: they would count after a
+        recovery although the witnesses have ended the lease. ``held_until_s`` is
+        the end of the backend server's last grant; if it is ``None``, the renewal
+        names no such end.
         """
         self._chart.fire("surrender")
         self._lease.reset()
@@ -248,15 +249,18 @@
         )
 
     def recover(self):
-        """Begin anew after a surrender, and ask at once: keys are dark until then."""
+        """Request the lease again after a surrender.
+
+        The request is due at once, since the keys are unavailable until then.
+        """
         self._chart.fire("recover")
         self._hopeful_until_s = None
         self._round_sent_s = float("-inf")
 
     def supersede(self):
-        """Stop for good: a newer process has this node's id."""
+        """Stop permanently, since a newer process uses this node's id."""
         return self._chart.fire("replaced")
 
     def owns(self, now_s):
-        """Return whether the node may own anything now."""
+        """Return whether the node may own slices now."""
         return self.phase == "held" and self._lease.held(now_s)
--- a/comfreywharf/ownership/holds.py
+++ b/comfreywharf/ownership/holds.py
@@ -1,9 +1,9 @@
-"""What a backend server holds by grants: decisions on granting and releasing.
+"""Decisions on granting ranges of keys to a backend server and on releasing them.
 
 A backend server that checks fences runs a request only while it holds the key. It
-holds a range from when a grant arrives until the grant's time is over or the range
+holds a range from the arrival of a grant until the grant's time is over or the range
 is released. `HoldBook` decides which grants are due, and from when on a range is
-certainly held no more. It knows no clock and no sockets.
+certainly no longer held. It uses no clock and no sockets.
 """
 
 from enum import Enum
@@ -20,19 +20,19 @@
 ]
 
 NOTHING_HELD_S = float("-inf")
-"""Until when a backend server holds anything that is proved dead. Where that time isn't
-known it is ``None``."""
+"""The end of all holds of a backend server that has certainly crashed. ``None`` stands
+for an end that isn't known."""
 
 SLOW_CLOCK = 0.02
-"""By which part a backend server's clock may run slow."""
+"""The fraction by which a backend server's clock may run slow."""
 
 
 class GrantAnswer(Enum):
-    """What came back for a grant.
+    """The result of a grant.
 
-    ``LOST`` is no answer: the grant may be carried out now, later or never.
-    ``UNSENT`` is a grant that wasn't sent: the process that it was meant for isn't
-    known to be there any more, or all connections to it were in use.
+    ``LOST`` means no answer: the grant may be applied now, later or never.
+    ``UNSENT`` means that the grant wasn't sent: its target process isn't known to
+    be at the address any more, or all connections to it were in use.
     """
 
     TAKEN = "taken"
@@ -46,9 +46,10 @@
 class HoldTerms:
     """The durations of holds.
 
-    ``slow_clock`` is by which fraction a backend server's clock may run slow;
-    ``longest_s`` is the longest hold it takes. A hold is renewed when less than
-    ``renew_part`` of a whole lease is left of it.
+    ``slow_clock`` is the fraction by which a backend server's clock may run slow;
+    ``longest_s`` is the longest hold that it accepts, and ``shortest_s`` the
+    shortest that is granted. A hold is renewed when less than ``renew_part`` of a
+    lease is left of it.
     """
 
     lease_s: float
@@ -62,7 +63,7 @@
 class GrantOrder:
     """A grant to send now. ``place`` is ``(service, slice start)``.
 
-    ``until_s`` is when a hold that is granted at once ends. One that is granted
+    ``until_s`` is the end of a hold that is granted at once. One that is granted
     later must be shorter, see `hold_s_at`.
     """
 
@@ -77,11 +78,11 @@
     terms: HoldTerms
 
     def hold_s_at(self, now_s):
-        """Return the hold to grant at ``now_s``, or zero if none is worth it.
+        """Return the hold to grant at ``now_s``, or zero if it would be too short.
 
-        Orders wait for one another. Granted for as long as when it was decided
-        on, a hold would outlast the lease by that wait, and the next owner's
-        server would hold the keys beside it.
+        Orders wait for one another. If a hold kept the length that was decided on,
+        it would outlast the lease by that wait, and the next owner's server would
+        hold the keys at the same time.
         """
         hold_s = _hold_s(self.terms, self.lease_until_s, now_s)
         return hold_s if hold_s >= self.terms.shortest_s else 0.0
@@ -93,7 +94,7 @@
 
 @attrs.define(kw_only=True)
 class _Hold:
-    """A range that the backend server was granted, and until when."""
+    """A range that the backend server was granted, and the possible ends of it."""
 
     start: int
     end: int
@@ -114,20 +115,21 @@
 
     @property
     def unheard_until_s(self):
-        """Return until when a grant may be carried out of which nothing was heard."""
+        """Return until when a grant without an answer may still be applied."""
         return max([self.lost_until_s, *self.listed_until_s.values()])
 
     def gives_until_s(self, value):
-        """Return until when the server has a key by this grant."""
+        """Return until when the server is known to hold a key by this grant."""
         away = any(start <= value < end for start, end in self.given_away)
         inside = self.start <= value < self.end
         return self.taken_until_s if inside and not away else float("-inf")
 
     def ends_by_s(self, now_s):
-        """Return until when it may last, also by an order that is on its way.
+        """Return until when the hold may last, including an order in transit.
 
-        Its time counts from its arrival, which may be as late as now: told the end as
-        it was when the order was sent, a standby's server would begin before that.
+        The order's time counts from its arrival, which may be as late as now. With
+        the end as it was at the sending of the order, a standby's server would
+        begin too early.
         """
         return max(self.ends_s, now_s + self.asked_s) if self.asking else self.ends_s
 
@@ -139,17 +141,16 @@
 class HoldBook:
     """The grants of one backend server, by place.
 
-    All times are of the node's clock. A hold that the server counts by a slow
-    clock ends later by `HoldTerms.slow_clock`; the order's ``hold_s`` is shorter
-    by as much, so that it ends by ``until_s`` all the same.
+    All times are by the node's clock. A hold that the server measures by a slow
+    clock ends later by `HoldTerms.slow_clock`. The order's ``hold_s`` is shorter by
+    as much, so that the hold still ends by ``until_s``.
 
     Until ``unknown_until_s`` the server may hold any range from an earlier process
-    of this node, which left no word of what it granted.
+    of this node, which left no record of its grants.
 
-    Where another process of the server may be at the address, no fence is used again
-    that any order carried so far. That process would hold keys under a fence which
-    its predecessor had, and late orders of the one could no longer be told from
-    those of the other.
+    Once another process of the server may be at the address, no fence is used again
+    that any order carried before. Otherwise that process would hold keys under a
+    fence of its predecessor, and late orders for the two couldn't be distinguished.
     """
 
     terms: HoldTerms
@@ -162,7 +163,7 @@
     _handovers: dict = attrs.Factory(dict)
 
     def clear(self):
-        """Forget all holds: the backend server has died, and the next holds nothing."""
+        """Drop all holds: the backend server crashed, and a new one holds nothing."""
         self._used_fence = self._highest_fence
         self.unknown_until_s = float("-inf")
         self._holds.clear()
@@ -170,9 +171,9 @@
         self._stopped.clear()
 
     def process_changed(self):
-        """Take note that another process of the server may be at the address.
+        """Register that another process of the server may be at the address.
 
-        It may as well be the same one. So its holds count until they end.
+        It may also be the same process, so that its holds count until they end.
         """
         self._used_fence = self._highest_fence
         for place, hold in self._holds.items():
@@ -181,20 +182,20 @@
 
     @property
     def highest_fence(self):
-        """Return the highest fence that any order carried so far."""
+        """Return the highest fence of all orders so far."""
         return self._highest_fence
 
     def bars(self, fences):
-        """Return whether one of these fences may have been an earlier process's."""
+        """Return whether an earlier process may have used one of these fences."""
         return any(fence <= self._used_fence for fence in fences)
 
     def take_handover(self, place, handover):
-        """Keep what an earlier holder handed over for the next grant of a place."""
+        """Store an earlier holder's handover for the next grant of a place."""
         if handover:
             self._handovers[place] = handover
 
     def due(self, served, now_s):
-        """Return the `GrantOrder` of each place whose grant has to be (re)newed.
+        """Return a `GrantOrder` for each place whose grant is missing or ends soon.
 
         ``served`` yields ``(service, slice, fence, until_s)`` for what this node
         may serve.
@@ -239,11 +240,11 @@
         )
 
     def is_stopped(self, place, fence):
-        """Return whether a place isn't granted under a fence any more."""
+        """Return whether a place is no longer granted under a fence."""
         return fence <= self._stopped.get(place, -1) or fence <= self._used_fence
 
     def _begin(self, place, end, fence, now_s):
-        """Begin a hold; the one before it may run on, over another range."""
+        """Begin a hold; the place's earlier one may continue over another range."""
         earlier = self._earlier.setdefault(place[0], [])
         earlier[:] = [hold for hold in earlier if hold.ends_s > now_s]
         if place in self._holds:
@@ -260,16 +261,16 @@
         return current + self._earlier.get(service, [])
 
     def _overlapping(self, service, start, end):
-        """Return every hold that a range has a part in.
+        """Return every hold that overlaps a range.
 
-        A slice that was split a moment ago is still held as a part of the whole.
-        Asked by its own place alone it would seem free, and the next owner's
-        server would be granted it beside this one.
+        A slice that was just split off is still held as a part of the whole. A
+        lookup by its own place would find no hold, and the next owner's server
+        would be granted the slice while this one holds it.
         """
         return [hold for hold in self._of(service) if hold.overlaps(start, end)]
 
     def answered(self, order, answer, now_s):
-        """Take the answer to an order, or its loss."""
+        """Process the answer to an order, or its loss."""
         hold = self._asked(order)
         if hold is None:
             return
@@ -280,13 +281,13 @@
         elif answer is GrantAnswer.OUTDATED:
             hold.outdated = True
         elif answer is GrantAnswer.LOST:
-            # It may still be carried out, seconds from now, behind a release that
-            # was sent after it. Only the end of its time ends it for certain.
+            # The order may still be applied seconds from now, after a release
+            # that was sent later. Only the end of its time ends it for certain.
             slack = 1 + self.terms.slow_clock
             hold.lost_until_s = max(hold.lost_until_s, now_s + order.hold_s * slack)
 
     def _asked(self, order):
-        """Return the hold that an order was for, or ``None`` after a `clear`."""
+        """Return the hold of an order, or ``None`` after a `clear`."""
         service, start = order.place
         holds = [self._holds.get(order.place), *self._earlier.get(service, [])]
         for hold in holds:
@@ -295,31 +296,31 @@
         return None
 
     def is_asked_at(self, place):
-        """Return whether the latest grant of a place is on its way."""
+        """Return whether an answer to the latest grant of a place is awaited."""
         hold = self._holds.get(place)
         return hold is not None and hold.asking
 
     def is_asked(self, service, start, end):
-        """Return whether a grant of a part of a range is on its way.
+        """Return whether an answer to a grant that overlaps a range is awaited.
 
-        Released before that grant arrives, the range would be held again by it,
-        for a whole hold beside the next owner's server.
+        If the range were released before that grant arrives, the server would hold
+        it again, for a whole hold and at the same time as the next owner's server.
         """
         return any(h.asking for h in self._overlapping(service, start, end))
 
     def holds(self, place, fence, now_s):
-        """Return whether the server has a grant under this fence for a while."""
+        """Return whether a grant under this fence lasts for `HoldTerms.shortest_s`."""
         hold = self._holds.get(place)
         if hold is None or hold.fence != fence:
             return False
         return hold.taken_until_s > now_s + self.terms.shortest_s
 
     def stop(self, service, start, end, fence, now_s):
-        """Grant a range no more under its present fence; return that fence.
+        """Stop granting a range under its present fence; return that fence.
 
-        ``None`` means that nothing is held there. ``fence`` is that of the move
-        which takes the range away; it is what releases the range where this
-        process can't know the fence under which it is held.
+        ``None`` means that nothing is held there. ``fence`` is the fence of the
+        move that takes the range away. It is used for the release if this process
+        can't know the fence under which the range is held.
         """
         holds = self._overlapping(service, start, end)
         if not holds and now_s >= self.unknown_until_s:
@@ -333,11 +334,11 @@
         return fence
 
     def granted_above(self, service, start, end, fence):
-        """Return whether a part of a range was granted under a higher fence."""
+        """Return whether any part of a range was granted under a higher fence."""
         return any(h.fence > fence for h in self._overlapping(service, start, end))
 
     def lost_until_s(self, service, start, end):
-        """Return until when a grant whose answer was lost may still have effect."""
+        """Return until when a grant whose answer was lost may still take effect."""
         holds = self._overlapping(service, start, end)
         return max((hold.unheard_until_s for hold in holds), default=float("-inf"))
 
--- a/comfreywharf/ownership/inflight.py
+++ b/comfreywharf/ownership/inflight.py
@@ -1,4 +1,4 @@
-"""Requests that were forwarded and may still take effect."""
+"""Forwarded requests that may still take effect."""
 
 import itertools
 
@@ -9,7 +9,10 @@
 
 @attrs.frozen
 class Ticket:
-    """One forwarded request: where its key lies and when its deadline is."""
+    """One forwarded request: its service, key hash and deadline.
+
+    ``long`` marks a deadline for which the witnesses don't make a taker wait yet.
+    """
 
     service: str
     key_hash: int
@@ -20,8 +23,8 @@
 class InFlight:
     """All tickets of a node; a ticket ends with its request or its deadline.
 
-    ``margin_s`` is added to each deadline before it counts as past: the backend
-    server checks the deadline just before the effect, not in the same instant.
+    ``margin_s`` is added to each deadline before it counts as past, since the
+    backend server checks the deadline shortly before the effect.
     """
 
     def __init__(self, margin_s=0.02):
@@ -31,7 +34,7 @@
         self._margin_s = margin_s
 
     def add(self, ticket):
-        """Note a request that is about to be forwarded; return its number."""
+        """Register a request that is about to be forwarded; return its number."""
         number = next(self._numbers)
         self._tickets[number] = ticket
         if ticket.long:
@@ -39,22 +42,22 @@
         return number
 
     def remove(self, number):
-        """Note that a request can take no effect any more."""
+        """Register that a request can no longer take effect."""
         self._tickets.pop(number, None)
         self._long.pop(number, None)
 
     def reach_until_s(self, now_s):
-        """Return the latest deadline that goes beyond the lease."""
+        """Return the latest deadline of the long requests."""
         ends_s = [ticket.deadline_s + self._margin_s for ticket in self._long.values()]
         return max(ends_s, default=now_s)
 
     def all_until_s(self, now_s):
-        """Return the latest deadline of all."""
+        """Return the latest deadline of all requests."""
         ends_s = [t.deadline_s + self._margin_s for t in self._tickets.values()]
         return max(ends_s, default=now_s)
 
     def busy_until_s(self, service, start, end, now_s):
-        """Return until when a range may see effects; ``now_s`` if it can't."""
+        """Return until when requests for a range may take effect; ``now_s`` if none."""
         until_s = now_s
         for ticket in self._tickets.values():
             if ticket.service == service and start <= ticket.key_hash < end:
--- a/comfreywharf/ownership/listed_holds.py
+++ b/comfreywharf/ownership/listed_holds.py
@@ -1,7 +1,7 @@
-"""What a backend server holds that is told so by lists, in answers to its heartbeats.
+"""Holds of a backend server that is granted ranges by lists in heartbeat answers.
 
-It asks for each list by a heartbeat, and says in it what it holds. A list names all
-that it is to hold, so that what is left out is released.
+Each heartbeat of the server requests a list and reports what the server holds. A list
+contains all that the server is to hold; ranges that are left out are released.
 """
 
 import attrs
@@ -15,26 +15,27 @@
 
 @attrs.define
 class ListedHoldBook(HoldBook):
-    """A `HoldBook` of which lists may grant as well as orders.
+    """A `HoldBook` in which lists grant ranges as well as orders do.
 
-    A list is on its way until its server is heard again on the connection that carried
-    it: the server sends there only after it has read the answer before. A list on a
-    connection that the server left may come late, and counts until its time is over.
+    A list is in transit until the next report arrives on the connection that carried
+    it, since the server sends there only after it has read the earlier answer. A list
+    on a connection that the server abandoned may arrive late, and counts until its
+    time is over.
     """
 
     @classmethod
     def of_new_process(cls, terms, now_s):
-        """Return the book of a process that begins.
+        """Return the book of a process that starts.
 
-        An earlier one that was killed granted nothing for longer than its lease.
+        No grant of an earlier process lasts for longer than its lease.
         """
         unknown_s = terms.lease_s * (1 + terms.slow_clock)
         return cls(terms, unknown_until_s=now_s + unknown_s)
 
     def listed(self, place, end, fence, list_id, until_s, now_s):
-        """Take note that a list which is sent now grants a place until a time.
+        """Register that a list which is sent now grants a place until ``until_s``.
 
-        It carries the place's handover. ``list_id`` names the connection.
+        The list carries the place's handover. ``list_id`` is its connection.
         """
         hold = self._holds.get(place)
         if hold is None or hold.fence < fence or hold.end != end:
@@ -46,13 +47,13 @@
         hold.handover = self.handover_for(place)
 
     def handover_for(self, place):
-        """Return what an earlier holder handed over for the next grant of a place."""
+        """Return an earlier holder's handover for the next grant of a place."""
         return self._handovers.get(place, "")
 
     def settle(self, service, list_id, reported, now_s):
-        """Take note that the lists on a connection came, and what is held after them.
+        """Register that the lists on a connection arrived, and what is held now.
 
-        ``reported`` are ranges of hashes: the first one, and the one behind the last.
+        ``reported`` are half-open ranges of hashes that the server holds.
         """
         whole = set(reported)
         for hold in self._of(service):
@@ -70,10 +71,10 @@
             del self._handovers[place]
 
     def adopt(self, service, start, end, fence, now_s):
-        """Take note of a range that an earlier process of this node granted."""
+        """Register a range that an earlier process of this node granted."""
         self._highest_fence = max(self._highest_fence, fence)
         if now_s >= self.unknown_until_s:
-            # What it holds beyond that time this process granted itself.
+            # What the server still holds by then was granted by this process.
             return
         if any(h.fence >= fence for h in self._overlapping(service, start, end)):
             return
@@ -82,24 +83,25 @@
         self._earlier.setdefault(service, []).append(hold)
 
     def process_changed(self):
-        """Count on nothing that an earlier life of the server was granted."""
+        """Treat all grants to an earlier incarnation of the server as unconfirmed."""
         super().process_changed()
         for holds in self._earlier.values():
             for hold in holds:
                 hold.taken_until_s = NEVER_S
 
     def doubt(self, service, value):
-        """Count on no grant of a key until it is granted once more."""
+        """Treat a key as not held until it is granted again."""
         for hold in self._of(service):
             if hold.start <= value < hold.end:
                 hold.taken_until_s = NEVER_S
 
     def has(self, service, value, now_s, near=None):
-        """Return whether the server has a key for a while, under whatever fence.
+        """Return whether the server holds a key under any fence, and for long enough.
 
-        A hold ends with the lease that it rested on, so that nobody else has the key. A
-        new fence for the same key comes with the next list, and changes nothing of it.
-        The hold that begins at ``near`` is looked at first: mostly it is the one.
+        That is for at least `HoldTerms.shortest_s`. A hold ends with the lease that
+        it is based on, so that no other server holds the key. A new fence for the key
+        comes with the next list and doesn't affect this. The hold that begins at
+        ``near`` is checked first, since it mostly is the right one.
         """
         likely = self._holds.get((service, value if near is None else near))
         ends_by_s = now_s + self.terms.shortest_s
@@ -109,7 +111,7 @@
         return max(ends_s, default=NEVER_S) > ends_by_s
 
     def kept(self, service, start, end, now_s):
-        """Return ``(start, end, fence)`` of what the server has in a range for now."""
+        """Return ``(start, end, fence)`` of each held part of a range."""
         found = []
         holds = self._overlapping(service, start, end)
         for hold in sorted(holds, key=lambda hold: -hold.fence):
--- a/comfreywharf/ownership/lostwitnesses.py
+++ b/comfreywharf/ownership/lostwitnesses.py
@@ -1,4 +1,4 @@
-"""When a node whose witnesses are lost may take others, and which."""
+"""Decide when a node whose witnesses are lost may choose others, and which."""
 
 import attrs
 
@@ -8,9 +8,9 @@
 
 PROBE_AFTER_LEASES = 0.4
 RESET_AFTER_LEASES = 2.5
-"""Longer than a restart takes. A reset costs `LeaseTerms.reset_wait_s`, 12 s; after
-the loss of all nodes, two whose witnesses came back a second later had to wait it out.
-"""
+"""Longer than a restart takes. A reset costs `LeaseTerms.reset_wait_s`, 12 s: with a
+shorter time, two nodes whose witnesses restarted a second after them had to wait for
+that long after the loss of all nodes."""
 
 HEARD_LEASES = 0.7
 PROBE_FRESH_S = 3.0
@@ -18,11 +18,12 @@
 
 @attrs.define
 class LostWitnesses:
-    """Watch whether a majority of the witnesses answers at all.
+    """Track whether a majority of the witnesses answers at all.
 
-    A witness that refuses is there, and may have granted the lease to somebody
-    else; only silence is a loss. A node that lost two of three would wait for one
-    of them for ever if their machines are gone: one would see its keys dark.
+    A witness that refuses is present and may have granted the lease to another node;
+    only a silent one counts as lost. A node that permanently loses two of three
+    witnesses could otherwise never get a majority, and its keys would stay
+    unavailable.
     """
 
     terms: object
@@ -33,19 +34,19 @@
     _pending_since_s: float | None = None
 
     def heard(self, witness, now_s):
-        """Take note of any answer of a witness."""
+        """Register any answer of a witness."""
         self._heard_s[witness] = now_s
 
     def probed(self, reachable, now_s):
-        """Take note of which members can be reached."""
+        """Register which members can be reached."""
         self._reachable = frozenset(reachable)
         self._probed_s = now_s
 
     def waits(self, pending, now_s):
-        """Return whether a reset's wait isn't over.
+        """Return whether to wait after a reset of the witnesses.
 
-        It counts from when this process saw the record: an earlier process of
-        this node may have waited already, but nobody remembers how long.
+        The wait counts from when this process folded the record. An earlier process
+        of this node may have waited already, but its waiting time isn't known.
         """
         if not pending:
             self._pending_since_s = None
@@ -55,7 +56,7 @@
         return now_s < self._pending_since_s + self.terms.reset_wait_s
 
     def look(self, witnesses, asking, now_s):
-        """Return ``(wants_probe, wants_reset)`` for a node's present witnesses."""
+        """Return ``(wants_probe, wants_reset)`` for a node's current witnesses."""
         if self.terms.stale_after_s is None or not witnesses or not asking:
             self._stuck_since_s = None
             return False, False
--- a/comfreywharf/ownership/messages.py
+++ b/comfreywharf/ownership/messages.py
@@ -1,4 +1,4 @@
-"""What holders, takers and witnesses say to each other, as typed values."""
+"""Messages between holders, takers and witnesses, as typed values."""
 
 from enum import Enum
 
@@ -8,7 +8,7 @@
 
 
 class Denial(Enum):
-    """Why a witness grants nothing."""
+    """Why a witness refuses a grant."""
 
     NONE = ""
     SILENT = "silent"
@@ -22,11 +22,12 @@
 
 @attrs.frozen(kw_only=True)
 class Renewal:
-    """A node asks to hold, or go on holding, its own lease.
+    """A node's request to hold, or continue to hold, its own lease.
 
-    ``lease_s`` of zero gives the lease up. ``reach_s`` is how far outstanding
-    deadlines reach, from the sending. ``round`` grows with each renewal. ``vouched``
-    says that a grant of the asked witness still counts at the sending.
+    ``lease_s`` of zero gives the lease up. ``reach_s`` is the time from the sending
+    to the latest outstanding deadline. ``round`` grows with each renewal.
+    ``vouched`` says that an earlier grant of the receiving witness still counts at
+    the sending.
     """
 
     owner_id: str
@@ -41,9 +42,9 @@
 
 @attrs.frozen(kw_only=True)
 class Claim:
-    """A standby asks for the lease of an owner that let it lapse.
+    """A standby's request for a share of an owner's lapsed lease.
 
-    The two epochs are the owner's, as the taker folded them.
+    The two epochs are the owner's epochs in the taker's fold.
     """
 
     owner_id: str
@@ -57,7 +58,7 @@
 
     @property
     def view(self):
-        """Return the state of the owner that the claim is built on."""
+        """Return the owner's epochs on which the claim is based."""
         return self.lease_epoch, self.portfolio_epoch
 
 
@@ -77,7 +78,7 @@
 
 @attrs.frozen(kw_only=True)
 class OwnerView:
-    """What a witness's own fold says of an owner."""
+    """An owner according to a witness's own fold."""
 
     incarnation: int = -1
     lease_epoch: int = -1
--- a/comfreywharf/ownership/quorum.py
+++ b/comfreywharf/ownership/quorum.py
@@ -1,4 +1,4 @@
-"""What a majority of witnesses has granted, counted from when it was asked for."""
+"""A lease by majority; each grant counts from when its request was sent."""
 
 import attrs
 
@@ -29,9 +29,9 @@
 class QuorumLease:
     """A lease that a majority of each witness group grants.
 
-    There is one group, or two while the witnesses of an owner are replaced:
-    until a majority of the earlier ones has been told, a taker may still ask
-    those, so both majorities are needed.
+    There is one group, or two while the witnesses of an owner are replaced. Until
+    a majority of the earlier group knows of the replacement, a taker may still
+    request grants from it, so that both majorities are needed.
 
     >>> from comfreywharf.ownership.terms import LeaseTerms
     >>> lease = QuorumLease(LeaseTerms(lease_s=1.0, drift=0.0), [("a", "b", "c")])
@@ -68,7 +68,7 @@
         return tuple(dict.fromkeys(w for group in self.groups for w in group))
 
     def begin_round(self, now_s, reach_until_s, portfolio_epoch, lease_epoch=-1):
-        """Note that all witnesses are asked now; return the round's number."""
+        """Register a round of requests to all witnesses; return its number."""
         self._number += 1
         vouched = frozenset(self.terms_now(now_s))
         self._rounds[self._number] = _Round(
@@ -78,22 +78,22 @@
         return self._number
 
     def next_number(self):
-        """Return a number for a message whose answer grants nothing."""
+        """Return a round number for a message whose answer grants nothing."""
         self._number += 1
         return self._number
 
     def reset(self):
-        """Forget all grants, and answers that are still on their way."""
+        """Drop all grants, and ignore answers that are still in transit."""
         self._granted.clear()
         self._majorities.clear()
         self._rounds.clear()
 
     def vouches_for(self, witness, number):
-        """Return whether a witness's earlier grant counted when a round was asked."""
+        """Return whether a witness's earlier grant counted when a round was sent."""
         return witness in self._rounds[number].vouched
 
     def grant(self, witness, number, term, now_s):
-        """Count a witness's grant of a round that is received now."""
+        """Count a witness's grant for a round, received at ``now_s``."""
         asked = self._rounds.get(number)
         if asked is None:
             return
@@ -113,11 +113,12 @@
         self._majorities.clear()
 
     def _too_late_to_vouch(self, asked, witness, term, now_s):
-        """Return whether a restarted witness may have gone by a grant that was over.
+        """Return whether a restarted witness may have relied on an expired grant.
 
-        Its earlier process may have granted the lease to a taker after that end. Two
-        nodes would each count this witness; only an answer that comes while the
-        earlier grant still counts shows that it was in force when the witness decided.
+        After that expiry, the witness's earlier process may have granted the lease to
+        a taker, so that two nodes would each count this witness. Only an answer that
+        arrives while the earlier grant still counts proves that the grant was valid
+        when the witness decided.
         """
         granted = self._granted[witness]
         restarted = term != granted.term
@@ -132,12 +133,12 @@
         return now_s < self.until_s()
 
     def covered_until_s(self):
-        """Return up to which deadline the witnesses make a taker wait."""
+        """Return the latest deadline for which the witnesses make a taker wait."""
         told_s = self._majority("reach_until_s", NEVER_S)
         return max(self.until_s(), told_s)
 
     def told_portfolio_epoch(self):
-        """Return the portfolio epoch that a majority knows of."""
+        """Return the portfolio epoch that a majority of each group knows of."""
         return self._majority("portfolio_epoch", -1)
 
     def told_lease_epoch(self):
@@ -145,10 +146,10 @@
         return self._majority("lease_epoch", -1)
 
     def told_epoch(self):
-        """Return the offset that the log had at least reached for any further claim.
+        """Return the lowest log offset on which a further granted claim can be based.
 
-        Epochs are offsets. A majority grants no claim that is built on a state of the
-        log from before an epoch of either kind that it knows of.
+        Epochs are log offsets. A majority grants no claim that is based on a state
+        of the log from before an epoch of either kind that it knows of.
         """
         return max(self.told_lease_epoch(), self.told_portfolio_epoch())
 
@@ -158,7 +159,7 @@
         return granted.until_s if granted else NEVER_S
 
     def terms_now(self, now_s):
-        """Return the terms of the witnesses that grant at the moment."""
+        """Return the terms of the witnesses whose grants currently count."""
         return {
             witness: granted.term
             for witness, granted in self._granted.items()
@@ -174,8 +175,8 @@
     def _majority(self, field, missing):
         """Return the largest value of a field that a majority of each group reaches.
 
-        Each request asks for it and only a grant changes it, so it is kept until
-        the next one.
+        Every request to the node needs it and only a grant changes it, so that it
+        is cached until the next grant.
         """
         value = self._majorities.get(field)
         if value is None:
--- a/comfreywharf/ownership/slicewatch.py
+++ b/comfreywharf/ownership/slicewatch.py
@@ -1,4 +1,4 @@
-"""What a record changed a slice from: the fold itself only knows what to."""
+"""Find out what a record changed in a slice; the fold keeps only the new state."""
 
 from comfreywharf.records import SlicesMerged, SliceSplit
 
@@ -6,7 +6,7 @@
 
 
 class SliceWatch:
-    """Keep a copy of the slices, and tell the table of each change."""
+    """Keep a copy of the slices, and notify the table of each change."""
 
     def __init__(self, table):
         self._table = table
@@ -14,7 +14,7 @@
         self._slices = {}
 
     def folded(self, state, record, result, now_s):
-        """Take note of a record that the fold has just applied."""
+        """Register a record that the fold has just applied."""
         if state is not self._copied_from:
             self.copy(state)
             return
@@ -33,7 +33,7 @@
             self.copy(state)
 
     def copy(self, state):
-        """Copy all slices, as after a snapshot or a new service."""
+        """Copy all slices, for example after a snapshot or for a new service."""
         self._copied_from = state
         self._slices = {
             (service, piece.start): piece
@@ -42,7 +42,7 @@
         }
 
     def _merged(self, state, record):
-        """Forget the slice that a merge has joined to the one before it."""
+        """Drop the slice that was merged into the one before it."""
         pieces = state.slices[record.service]
         gone = [
             start
--- a/comfreywharf/ownership/table.py
+++ b/comfreywharf/ownership/table.py
@@ -1,4 +1,4 @@
-"""Whether this node may serve a key now, until when, and under which fence."""
+"""Decide whether this node may serve a key, until when, and under which fence."""
 
 import attrs
 
@@ -14,14 +14,14 @@
 
 @attrs.frozen(kw_only=True)
 class Right:
-    """The answer: a fence and a deadline, or the reason why not.
-
-    ``deadline_s`` is on this machine's monotonic clock, which the backend
-    server beside it shares. ``vouched_since_s`` says since when the memory of
-    request ids is whole for this key: a resend of a request from before may
-    have run elsewhere, and nobody here would know. ``covered`` is false where
-    the deadline lies beyond what a taker would wait for; such a request must
-    not be forwarded before the witnesses were told of it.
+    """The permission to serve a request, or the reason for its refusal.
+
+    A permission has a fence and a deadline. ``deadline_s`` is on this machine's
+    monotonic clock, which the local backend server shares. ``vouched_since_s`` says
+    since when the memory of request ids is complete for this key. An earlier request
+    may have run on another node without a trace in this memory. ``covered`` is false
+    if a taker wouldn't wait until the deadline; such a request must not be forwarded
+    before the witnesses know of its deadline.
     """
 
     reason: Reason | None = None
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class _Basis:
-    """On what a right rests: a fence and the leases that have to hold."""
+    """The basis of a right: a fence, and the leases that have to be held."""
 
     fence: int
     leases: tuple
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class _Lingering:
-    """A slice that moved away and that the new owner hasn't asked for yet."""
+    """A slice that moved away and that the new owner hasn't requested yet."""
 
     epoch: int
     fence: int
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class _Used:
-    """The fence under which an own slice was served last, and where it ended."""
+    """The fence under which an own slice was last served, and the slice's end."""
 
     end: int
     fence: int
@@ -64,13 +64,13 @@
     """Decide which keys a node may serve, from the fold, its lease and claims.
 
     A slice may be served by its owner, under the owner's lease and after the
-    earlier owner's release; by the earlier owner until the new one asks for
-    that release; and by a taker, under its claim on the owner's lapsed lease.
+    earlier owner's release; by the earlier owner until the new one requests that
+    release; and by a taker, under its claim on the owner's lapsed lease.
 
     An owner uses a fence only once a majority of its witnesses knows of the record that
-    it came with. They would grant a claim on the state before, and the taker's server
-    would be granted the key under a lower fence than the owner's. Until then it goes on
-    under the fence that it had, or waits where it had none for this range.
+    raised it. Otherwise they could grant a claim on the earlier state, and the taker's
+    server would be granted the key under a lower fence than the owner's. Until then the
+    owner continues under its earlier fence, or waits if it had none for this range.
     """
 
     def __init__(self, node_id, holder, inflight, fenced=False):
@@ -86,7 +86,7 @@
         self._used = {}
 
     def right_to_serve(self, state, service, key, now_s, remaining_s):
-        """Return the `Right` to serve one request that came at ``now_s``."""
+        """Return the `Right` to serve one request that arrived at ``now_s``."""
         deadline_s = now_s + remaining_s
         if not key:
             return Right(service=service, deadline_s=deadline_s)
@@ -142,11 +142,11 @@
         return used.fence if used is not None and used.end == piece.end else None
 
     def _told(self, fence):
-        """Return whether each further claim leads to a higher fence than this one."""
+        """Return whether any further claim leads to a higher fence than this one."""
         return fence <= 2 * self.holder.lease.told_epoch()
 
     def newest_epoch(self, lease_epoch):
-        """Return the epoch that the witnesses have to know before all is served."""
+        """Return the epoch that the witnesses must know before all is served."""
         return max(lease_epoch, self._newest_slice_epoch)
 
     def _taker_basis(self, state, key, piece, now_s):
@@ -162,7 +162,7 @@
         return _Basis(state.takeover_fence(piece), leases)
 
     def _release_leases(self, key, piece, now_s):
-        """Return the leases that stand in for a missing release, if any.
+        """Return the leases that replace a missing release, if any.
 
         ``None`` means that the earlier owner may still serve the slice.
         """
@@ -174,7 +174,7 @@
         return None
 
     def begin(self, right):
-        """Note that a request is about to be forwarded; return its `Right`."""
+        """Register a request that is about to be forwarded; return its `Right`."""
         if right.reason is not None or right.key_hash == 0:
             return right
         ticket = Ticket(
@@ -183,7 +183,7 @@
         return attrs.evolve(right, ticket=self.inflight.add(ticket))
 
     def finish(self, right):
-        """Note that nothing forwarded under a right can take effect any more."""
+        """Register that nothing forwarded under a right can still take effect."""
         if right.ticket:
             self.inflight.remove(right.ticket)
 
@@ -198,7 +198,7 @@
                         yield service, piece, basis.fence, until_s
 
     def pending(self, state, now_s):
-        """Yield ``(service, slice)`` for what is owned and can't be served just yet."""
+        """Yield ``(service, slice)`` for what is owned but can't be served yet."""
         if not self.holder.owns(now_s):
             return
         for service, piece in state.owned_by(self._node_id):
@@ -206,7 +206,7 @@
                 yield service, piece
 
     def slice_changed(self, state, service, before, after, now_s):
-        """Take note that a record changed a slice that concerns this node."""
+        """Register that a record changed a slice."""
         place = (service, after.start)
         mine_before = before is not None and before.owner == self._node_id
         if after.owner == self._node_id:
@@ -221,21 +221,22 @@
         elif after.previous != self._node_id:
             self._lingering.pop(place, None)
         elif place in self._lingering:
-            # The new owner was lost before it asked; another one will.
+            # The new owner was lost before it requested the slice; another
+            # one will request it.
             fence = self._lingering[place].fence
             self._lingering[place] = _Lingering(epoch=after.epoch, fence=fence)
 
     def _became_owner(self, service, before, after, now_s):
-        """Decide since when this node can vouch for a slice that it now owns.
+        """Decide since when the memory of request ids of a new slice is complete.
 
-        A slice that nobody owned has no requests to remember, and a takeover's
-        memory began with its claim. For any other, nothing is known of earlier
-        requests until a release hands the memory over.
+        A slice without an earlier owner has no earlier requests, and the memory of a
+        takeover began with its claim. For any other slice, earlier requests are not
+        known until a release hands the memory over.
 
-        A process that starts folds the log from its beginning, and meets what an
-        earlier process of its node was given. Taken for news, it would vouch for
-        that process's memory when it releases such a slice, and the next owner
-        would run a booking again that had run there.
+        A process that starts folds the log from its beginning, including slices that
+        were assigned to an earlier process of its node. If these counted as new, it
+        would claim a complete memory when it releases such a slice, and the next
+        owner would run a booking again that the earlier process had run.
         """
         place = (service, after.start)
         if before is None:
@@ -251,13 +252,13 @@
         return claim is not None and key in claim.share
 
     def slice_split(self, service, start, at):
-        """Let the second part of a divided slice inherit what is known."""
+        """Copy the state of the memory to the second part of a split slice."""
         since_s = self._vouched_since_s.get((service, start))
         if since_s is not None:
             self._vouched_since_s[(service, at)] = since_s
 
     def slices_merged(self, service, start, next_start):
-        """Keep the later of two beginnings for a joined slice."""
+        """Keep the later of the two parts' memory starts for a merged slice."""
         self._used.pop((service, next_start), None)
         since_s = self._vouched_since_s.pop((service, next_start), WHOLE_S)
         if (service, start) in self._vouched_since_s:
@@ -265,10 +266,10 @@
             self._vouched_since_s[(service, start)] = max(kept_s, since_s)
 
     def lease_began(self, state, now_s):
-        """Take note of a lease that someone else may have held before.
+        """Register a new lease, before which another node may have held it.
 
-        Whatever was remembered or still being served from an earlier hold may
-        have gone on elsewhere.
+        Slices that were served under an earlier lease may have been served on
+        other nodes since, so that the memory of request ids may be incomplete.
         """
         self._lingering.clear()
         self._used.clear()
@@ -278,17 +279,17 @@
             self._newest_slice_epoch = max(self._newest_slice_epoch, piece.epoch)
 
     def claim_gained(self, claim, now_s):
-        """Take note that a claim gave this node a share."""
+        """Register that a claim gave this node a share."""
         for key in claim.share:
             self._vouched_since_s[(key.service, key.start)] = now_s
 
     def released(self, key, vouched_since_s):
-        """Take note of an earlier owner's release, and what its memory covers."""
+        """Register an earlier owner's release, and how far back its memory goes."""
         self._released.add(key)
         self._vouched_since_s[(key.service, key.start)] = vouched_since_s
 
     def awaited(self, state, now_s):
-        """Yield ``(key, slice)`` for each slice whose release has to be asked for."""
+        """Yield ``(key, slice)`` for each slice whose release has to be requested."""
         for service, pieces in state.slices.items():
             for piece in pieces.slices:
                 if not piece.previous or piece.previous == self._node_id:
@@ -300,7 +301,7 @@
                     yield key, piece
 
     def unrecorded(self, state):
-        """Yield received releases that the log doesn't have on record yet."""
+        """Yield received releases that are not yet recorded in the log."""
         for key in list(self._released):
             pieces = state.slices.get(key.service)
             piece = pieces.at_start(key.start) if pieces else None
@@ -319,9 +320,9 @@
         return mine and claim is not None and claim.holds(key, now_s)
 
     def stop_serving(self, service, start):
-        """Stop new work on a slice that the new owner has asked for."""
+        """Accept no further requests for a slice that the new owner has requested."""
         self._lingering.pop((service, start), None)
 
     def vouched_since_s(self, service, start):
-        """Return since when the memory of a slice is whole; ``None``: it isn't."""
+        """Return since when the memory of a slice is complete; ``None`` if it isn't."""
         return self._vouched_since_s.get((service, start))
--- a/comfreywharf/ownership/terms.py
+++ b/comfreywharf/ownership/terms.py
@@ -1,4 +1,4 @@
-"""The durations on which leases rest, and the bound on drift between clocks."""
+"""The durations of leases, and the bound on the drift between clocks."""
 
 import attrs
 
@@ -10,23 +10,24 @@
 
 @attrs.frozen(kw_only=True)
 class LeaseTerms:
-    """How long a lease lasts, seen from its holder and from its witness.
+    """The duration of a lease, as counted by its holder and by its witness.
 
     ``drift`` bounds how much faster one machine's monotonic clock runs than
-    another's, as a fraction. Both sides allow for it: the holder counts a
-    shorter time from when it sent, the witness a longer one from when it
-    received. Clocks that disagree by more than the bound void the proof.
-    A witness that was silent for ``replace_witness_after_s`` is replaced. A lease
-    has as many ``witnesses`` where there are enough other members.
+    another's, as a fraction. Both sides allow for it: the holder counts a shorter
+    time from the sending of its request, the witness a longer one from the receipt.
+    The proof of sole ownership doesn't hold for clocks that exceed the bound. A
+    witness that was silent for ``replace_witness_after_s`` is replaced.
+    ``witnesses`` is the number of witnesses of a lease, if there are enough other
+    members.
 
     A witness whose fold the log hasn't confirmed for ``stale_after_s`` grants
-    nothing. That bounds how long one can grant by an assignment which has passed,
-    and lets a node whose witnesses are lost take others; ``None``: no bound.
+    nothing. This bounds how long a witness can grant by an outdated assignment, and
+    allows a node whose witnesses are lost to choose others. ``None`` means no bound.
     """
 
     @property
     def reset_wait_s(self):
-        """Return after which time no earlier witness may have granted anything."""
+        """Return the time after which no grant of an earlier witness can last."""
         slack = 1 + self.drift
         return self.stale_after_s * slack + self.lease_s * slack**2 + RESET_MARGIN_S
 
@@ -42,16 +43,16 @@
         return self.lease_s / RENEWALS_PER_LEASE
 
     def held_until_s(self, sent_s):
-        """Return when the holder must stop, by its clock."""
+        """Return when the lease ends for the holder, by its clock."""
         return sent_s + self.lease_s * (1 - self.drift)
 
     def expires_s(self, received_s, lease_s):
-        """Return when the witness lets go, by its clock."""
+        """Return when the lease ends for the witness, by its clock."""
         return received_s + lease_s * (1 + self.drift)
 
     def silent_until_s(self, started_s):
         """Return until when a restarted witness grants nothing.
 
-        It has forgotten what it granted; after this long, all of that lapsed.
+        It has lost the memory of its grants; all of them have lapsed by then.
         """
         return started_s + self.lease_s * (1 + self.drift) ** 2
--- a/comfreywharf/ownership/witness.py
+++ b/comfreywharf/ownership/witness.py
@@ -1,14 +1,15 @@
-"""The witness: it remembers, in memory only, who holds which lease until when.
-
-Three witnesses stand behind each node's lease, and a majority of them decides.
-A witness is no store: what must last is in the log. It may forget everything,
-as long as it then stays silent until all that it granted has lapsed.
-
-The proof of sole ownership, in short. A holder and a taker of one lease each
-need a majority, so they share a witness, and that witness grants the lease to
-one of them at a time. What a stale fold could get wrong, the epochs refuse:
-``lease_epoch`` an owner that started anew, ``portfolio_epoch`` a taker that
-hasn't folded the latest change to the owner's slices.
+"""The witness, which keeps in memory who holds which lease until when.
+
+Each node's lease has at least three witnesses, and a majority of them decides. A
+witness stores nothing durably; durable state is in the log. It may lose its memory,
+provided that it then grants nothing until all its earlier grants have lapsed.
+
+The proof of sole ownership, in short: a holder and a taker of one lease each need a
+majority, so that they share a witness, and that witness grants the lease to only one of
+them at a time. Requests that are based on a stale fold are refused by their epochs:
+``lease_epoch`` shows that the owner's lease has started anew since, and
+``portfolio_epoch`` that the taker hasn't folded the latest change to the owner's
+slices.
 """
 
 import attrs
@@ -57,14 +58,14 @@
 
     @property
     def known(self):
-        """Return whether anyone held this lease since the witness started."""
+        """Return whether a node has held this lease since the witness started."""
         return self.round >= 0 or bool(self.takers)
 
     def held_until_s(self, checks_fences):
-        """Return until when the owner, or what it forwarded, may still act.
+        """Return until when the owner, or its forwarded requests, may still act.
 
-        A backend server that checks fences refuses an order whose grant lapsed,
-        so nothing has to be waited for beyond the lease.
+        A backend server that checks fences refuses a request whose grant has lapsed,
+        so that no wait beyond the lease is needed.
         """
         return self.expires_s if checks_fences else max(self.expires_s, self.reach_s)
 
@@ -77,7 +78,7 @@
     """Decide on renewals and claims.
 
     ``start_number`` differs with each start of the process. ``longest_request_s``
-    is the longest deadline that any owner may have outstanding.
+    is the longest time to a deadline that any owner may have outstanding.
     """
 
     def __init__(self, terms, started_s, start_number):
@@ -88,19 +89,20 @@
         self.silent_until_s = terms.silent_until_s(started_s)
 
     def renew(self, renewal, view, longest_request_s, now_s):
-        """Answer an owner that asks for its own lease."""
-        # Where fences are checked, nothing that an earlier process forwarded
-        # outlives its grants, and they ended with the lease: there is no longest
-        # request to wait for. After the loss of all nodes that wait was 7 s.
+        """Answer an owner's request for its own lease."""
+        # If fences are checked, no request that an earlier process forwarded
+        # outlives its grants, and these ended with the lease. The wait for the
+        # longest request isn't needed; it took 7 s after the loss of all nodes.
         begins = (
             view.lease_epoch >= 0
             and view.lease_incarnation != renewal.incarnation
             and not view.checks_fences
         )
         wait_s = self._wait_s(renewal.owner_id, begins, longest_request_s, now_s)
-        # An owner whose grant by this witness's earlier process still counts tells so:
-        # that process granted the lease to nobody else. Silent to it as well, three
-        # witnesses that restart together would darken a healthy node's keys.
+        # ``vouched`` says that a grant by this witness's earlier process still
+        # counts, so that the process granted the lease to no other node. If the
+        # witness refused this owner as well, a simultaneous restart of three
+        # witnesses would make a healthy node's keys unavailable.
         if wait_s > 0 and not renewal.vouched:
             return self._deny(Denial.SILENT, wait_s)
         watched = self._lookup(renewal.owner_id)
@@ -116,7 +118,7 @@
                 return self._deny(Denial.OLD_ROUND)
         else:
             # The earlier incarnation may be a frozen machine that was replaced.
-            # Until its lease and its deadlines are over, it may still act.
+            # It may act until its lease and its deadlines are over.
             held_until_s = watched.held_until_s(view.checks_fences)
             if now_s < held_until_s:
                 return self._deny(Denial.HELD, held_until_s - now_s)
@@ -135,7 +137,7 @@
         watched.reach_s = self._terms.expires_s(now_s, renewal.reach_s)
 
     def claim(self, claim, view, longest_request_s, now_s):
-        """Answer a standby that asks for a share of a lapsed lease."""
+        """Answer a standby's claim on a share of a lapsed lease."""
         begins = not view.checks_fences
         wait_s = self._wait_s(claim.owner_id, begins, longest_request_s, now_s)
         if wait_s > 0:
@@ -147,8 +149,8 @@
             if claim.round <= current.round:
                 return self._deny(Denial.OLD_ROUND)
             if claim.view == current.view:
-                # It has held its share ever since, so that no later view of
-                # the assignment can be in force for this share.
+                # The taker has held its share since then, so that no later
+                # view of the assignment can be in force for this share.
                 return self._share(watched, claim, now_s)
         denial = self._claim_denial(watched, claim, view)
         if denial is not Denial.NONE:
@@ -161,11 +163,11 @@
         return self._share(watched, claim, now_s)
 
     def _wait_s(self, owner_id, begins, longest_request_s, now_s):
-        """Return how long this witness still has to keep silent on a lease.
+        """Return how long this witness still has to refuse grants of a lease.
 
-        After a restart it knows nothing of an owner's outstanding deadlines
-        until that owner has renewed with it. Someone who ``begins`` to act in
-        that owner's place has to wait for the longest of them.
+        After a restart it doesn't know an owner's outstanding deadlines until that
+        owner has renewed with it. A node or process that ``begins`` to act in the
+        owner's place has to wait for the longest possible one.
         """
         until_s = self.silent_until_s
         watched = self._watched.get(owner_id)
@@ -180,7 +182,7 @@
             return Denial.STALE
         for taker in watched.takers.values():
             # Two takers with different views of the assignment could both
-            # believe that one slice is theirs.
+            # include the same slice in their shares.
             if taker.portfolio_epoch != claim.portfolio_epoch:
                 return Denial.OTHER_VIEW
         return Denial.NONE
@@ -199,9 +201,9 @@
         return Grant(granted=True, term=watched.term)
 
     def unclaim(self, claim, now_s):
-        """Let a taker give its share back.
+        """End a taker's share.
 
-        Deadlines that it still has outstanding go on counting.
+        The taker's outstanding deadlines still count.
         """
         watched = self._watched.get(claim.owner_id)
         taker = watched.takers.get(claim.taker_id) if watched else None
@@ -213,10 +215,10 @@
             taker.reach_s = self._terms.expires_s(now_s, claim.reach_s)
 
     def lapsed(self, owner_ids, now_s):
-        """Return the owners, of those given, whose standbys should be told now.
+        """Return those of the given owners whose standbys are to be notified now.
 
-        An owner that never renewed since this witness started counts as lapsed
-        once the witness speaks again.
+        An owner that hasn't renewed since this witness started counts as lapsed
+        once the witness grants leases again.
         """
         if now_s < self.silent_until_s:
             return []
@@ -230,7 +232,7 @@
         return True
 
     def forget(self, owner_ids, now_s):
-        """Drop what is known of owners that are no members any more."""
+        """Drop the state of owners that are no longer members."""
         for owner_id in set(self._watched) - set(owner_ids):
             watched = self._watched[owner_id]
             watched.drop_inactive(now_s)
--- a/comfreywharf/ownership/witnesses.py
+++ b/comfreywharf/ownership/witnesses.py
@@ -1,4 +1,4 @@
-"""The choice of the witnesses that stand behind a node's lease."""
+"""The choice of the witnesses for a node's lease."""
 
 import xxhash
 
@@ -9,9 +9,9 @@
 
 
 def group_size(wanted, others):
-    """Return how many witnesses a node has that may choose among ``others``.
+    """Return how many witnesses a node has that can choose among ``others``.
 
-    That is an odd number: an even group of four survives no more than one of three.
+    The number is odd, since a group of four tolerates no more losses than one of three.
 
     >>> group_size(5, others=11), group_size(5, others=4), group_size(5, others=2)
     (5, 3, 3)
@@ -25,12 +25,12 @@
 def choose_witnesses(state, node_id, kept=(), avoided=(), wanted=WITNESSES):
     """Return the ids of a node's witnesses, or an empty tuple if there are too few.
 
-    Those that are ``kept`` come first, those to be ``avoided`` not at all. There
-    are ``wanted`` of them where there are as many members, see `group_size`.
+    Nodes in ``kept`` are preferred, nodes in ``avoided`` are excluded. The result has
+    ``wanted`` witnesses if there are enough members, see `group_size`.
 
-    They lie in distinct failure domains where there are enough of them, so that
-    the loss of a domain takes no majority away. The node itself is one only
-    where there are no three others. Rendezvous hashing spreads the work evenly
+    The witnesses lie in distinct failure domains if there are enough of these, so
+    that the loss of one domain leaves a majority. The node itself is included only
+    if there are fewer than three others. Rendezvous hashing spreads the work evenly
     over the members.
     """
     out = {node_id, *avoided}
--- a/comfreywharf/ownership/witnessgroups.py
+++ b/comfreywharf/ownership/witnessgroups.py
@@ -1,4 +1,4 @@
-"""Which witnesses a node writes down in place of lost, silent or leaving ones."""
+"""Decide which witnesses replace lost, silent or leaving ones."""
 
 from comfreywharf.ownership.lostwitnesses import LostWitnesses
 from comfreywharf.ownership.witnesses import choose_witnesses, group_size
@@ -7,11 +7,11 @@
 __all__ = ["WitnessGroups"]
 
 _ASKING = frozenset({"acquiring", "lapsed", "starting"})
-"""The lease's states in which a node wants a majority and has none."""
+"""The states of the lease in which a node requests a majority and has none."""
 
 
 class WitnessGroups:
-    """Decide on the group of witnesses behind a node's own lease.
+    """Decide on the group of witnesses for a node's own lease.
 
     ``holder`` is the `Holder` of that lease; its ``candidates`` are set here.
     """
@@ -25,20 +25,20 @@
         self.lost = LostWitnesses(terms)
 
     def begin(self, incarnation):
-        """Take the incarnation that the log's end showed to be a new one."""
+        """Set this process's incarnation, once the log is read to its end."""
         self._incarnation = incarnation
 
     def choose(self, state, kept=(), avoided=()):
-        """Return a group for a node that has none, or that replaces some."""
+        """Return a group for a node that has none, or one that replaces some of it."""
         wanted = self._terms.witnesses
         return choose_witnesses(state, self._node_id, kept, avoided, wanted)
 
     def earlier_told(self, own):
-        """Return whether the earlier witnesses refuse claims on the old epoch."""
+        """Return whether a majority of each group refuses claims on the old epoch."""
         return self._holder.lease.told_lease_epoch() >= own.lease_epoch
 
     def lease_started(self, own, witnesses):
-        """Return the record by which the lease goes on with a group."""
+        """Return the record by which the lease continues with a group."""
         return LeaseStarted(
             record_id=self._make_id(),
             node_id=self._node_id,
@@ -48,9 +48,10 @@
         )
 
     def in_place_of_lost(self, state, own, may_hold, now_s):
-        """Return ``(wants_probe, record)`` where a majority is lost; see the record.
+        """Return ``(wants_probe, record)`` for replacing a lost majority.
 
-        The members are to be probed first, and ``record`` is `None` until then.
+        The members have to be probed first; ``record`` is `None` until then, and
+        also if no replacement is needed or possible.
         """
         asking = may_hold and not own.reset_pending and self._holder.phase in _ASKING
         wants_probe, wants_reset = self.lost.look(own.witnesses, asking, now_s)
@@ -68,13 +69,13 @@
         )
 
     def in_place_of_unfit(self, state, own, now_s):
-        """Return the record that replaces silent or leaving ones, or ``None``.
+        """Return the record that replaces silent or leaving witnesses, or ``None``.
 
-        Were such a witness kept while a majority still stands, the next loss would
-        leave no majority, and the keys of a healthy node would have no owner. The new
-        group is written down only once a majority of it grants already, so that the
-        lease has no gap, and the earlier one is asked as well until it has heard of
-        the new epoch.
+        If such a witness were kept while there still is a majority, the next loss
+        would leave none, and the keys of a healthy node would have no owner. The new
+        group is recorded only once a majority of it grants the lease, so that the
+        lease has no gap. The earlier group receives renewals as well until a majority
+        of it knows the new epoch.
         """
         if own.earlier_witnesses:
             self._holder.candidates = ()
@@ -86,7 +87,7 @@
         return self.lease_started(own, group)
 
     def _better_group(self, state, own, now_s):
-        """Return a group without unfit witnesses, or with more; else nothing."""
+        """Return a group without unfit witnesses, or a larger one; else ``()``."""
         unfit = self._holder.silent(now_s) | _leaving(state)
         some_unfit = not unfit.isdisjoint(own.witnesses)
         size = group_size(self._terms.witnesses, len(state.members) - 1)
@@ -97,5 +98,5 @@
 
 
 def _leaving(state):
-    """Return the nodes that are about to leave, which need no longer be asked."""
+    """Return the nodes that are about to leave, which are unfit as witnesses."""
     return {m.node_id for m in state.members.values() if m.draining}
