--- a/comfreywharf/daemon/connections/bound_pool.py
+++ b/comfreywharf/daemon/connections/bound_pool.py
@@ -8,7 +8,7 @@
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.connections.http import NodelayPool, SingleSendClient
-from comfreywharf.ownership.bond import ProcessBond
+from comfreywharf.ownership.process_tracker import ProcessTracker
 
 __all__ = ["BoundClient"]
 
@@ -106,7 +106,7 @@
 
     def __init__(self, *address, **settings):
         super().__init__(*address, **settings)
-        self.bond = ProcessBond()
+        self.bond = ProcessTracker()
         self._idle = deque()
         self._open = set()
         self._opening = 0
--- a/comfreywharf/ownership/bond.py
+++ b/comfreywharf/ownership/process_tracker.py
@@ -1,9 +1,9 @@
 """Track which connections to an address lead to one and the same process."""
 
-__all__ = ["ProcessBond"]
+__all__ = ["ProcessTracker"]
 
 
-class ProcessBond:
+class ProcessTracker:
     """Identify a process of a backend server by the connections to it.
 
     An address doesn't identify the process that listens there. A server that
@@ -19,19 +19,19 @@
     the last of these connections has ended, another process may be at the
     address, and the next connection gets a new process number.
 
-    >>> bond = ProcessBond()
-    >>> bond.opened("first")
-    >>> bond.opened("second")
-    >>> bond.process, bond.knows("first"), bond.knows("second")
+    >>> tracker = ProcessTracker()
+    >>> tracker.opened("first")
+    >>> tracker.opened("second")
+    >>> tracker.process, tracker.knows("first"), tracker.knows("second")
     (1, True, False)
-    >>> bond.answered("first", bond.asked())
-    >>> bond.knows("second")
+    >>> tracker.answered("first", tracker.asked())
+    >>> tracker.knows("second")
     True
-    >>> bond.closed("first")
-    >>> bond.process
+    >>> tracker.closed("first")
+    >>> tracker.process
     1
-    >>> bond.closed("second")
-    >>> bond.process
+    >>> tracker.closed("second")
+    >>> tracker.process
     0
 
     Connections are any hashable values. No clock is needed: only the order
--- a/comfreywharf/ownership/tests/lives_model.py
+++ b/comfreywharf/ownership/tests/lives_model.py
@@ -1,7 +1,7 @@
 """A small world of two nodes and their servers, searched step by step.
 
 One slice, two nodes, and beside each node one address at which servers crash and
-begin again. The decisions are those of `ProcessBond`, `HoldBook` and `ClusterState`
+begin again. The decisions are those of `ProcessTracker`, `HoldBook` and `ClusterState`
 themselves; what the shell around them does with their answers is modelled here, as
 are leases (an oracle that is as strict as the witnesses) and servers.
 
@@ -20,8 +20,8 @@
 delay is one step and no trouble.
 """
 
-from comfreywharf.ownership.bond import ProcessBond
 from comfreywharf.ownership.holds import GrantAnswer, HoldBook
+from comfreywharf.ownership.process_tracker import ProcessTracker
 from comfreywharf.ownership.tests.lives_events import NextEvents
 from comfreywharf.ownership.tests.lives_parts import (
     LEASE,
@@ -65,7 +65,7 @@
         self.taken_until = {"a": LONG_AGO, "b": LONG_AGO}
         for epoch, name in enumerate(NAMES, 1):
             node = self.nodes[name] = Node(book=HoldBook(TERMS), lease_epoch=epoch)
-            node.bond.opened(1)
+            node.tracker.opened(1)
             node.connections[1] = 1
             self.lives[name] = Life(number=1)
 
@@ -137,12 +137,12 @@
 
     def connect(self, name):
         node = self.nodes[name]
-        if not node.bond.process:
+        if not node.tracker.process:
             for number in node.idle:
                 self._end_connection(name, number)
         number = _free(node.connections)
         node.connections[number] = self.lives[name].number
-        node.bond.opened(number)
+        node.tracker.opened(number)
         self._answer_unsent(name)
 
     def close(self, name, number):
@@ -152,22 +152,22 @@
     def _end_connection(self, name, number):
         node = self.nodes[name]
         node.connections.pop(number, None)
-        node.bond.closed(number)
+        node.tracker.closed(number)
 
     def _answer_unsent(self, name):
         """Answer the orders whose process isn't known any more."""
         node = self.nodes[name]
         for sending in list(node.sendings):
-            if sending.connection < 0 and sending.process != node.bond.process:
+            if sending.connection < 0 and sending.process != node.tracker.process:
                 node.sendings.remove(sending)
                 node.book.answered(sending.order, GrantAnswer.UNSENT, self.now)
 
     def may_push(self, name):
         """Return whether a look would do anything."""
         node = self.nodes[name]
-        if not node.bond.process or self.serving_fence(name) is None:
+        if not node.tracker.process or self.serving_fence(name) is None:
             return False
-        if node.met not in (None, node.bond.process):
+        if node.met not in (None, node.tracker.process):
             return True
         served = self.served(name)
         if node.book.bars(fence for _, _, fence, _ in served):
@@ -178,7 +178,7 @@
         """Return whether a look would decide on an order."""
         node = self.nodes[name]
         book = copy_book(node.book)
-        if node.met not in (None, node.bond.process):
+        if node.met not in (None, node.tracker.process):
             book.process_changed()
         served = self.served(name)
         barred = book.bars(fence for _, _, fence, _ in served)
@@ -191,16 +191,16 @@
         only the first ``stages`` of that.
         """
         node = self.nodes[name]
-        if node.met not in (None, node.bond.process):
+        if node.met not in (None, node.tracker.process):
             node.book.process_changed()
-        node.met = node.bond.process
+        node.met = node.tracker.process
         served = self.served(name)
         if node.book.bars(fence for _, _, fence, _ in served):
             self._begin_anew(name)
             return
         for order in node.book.due(served, self.now):
             serial = _free([sending.serial for sending in node.sendings])
-            process = node.bond.process
+            process = node.tracker.process
             node.sendings.append(Sending(order=order, process=process, serial=serial))
             if number is not None:
                 self._send_at_once(name, number, stages)
@@ -227,7 +227,7 @@
             del node.sendings[index]
             return
         sending.connection = number
-        sending.asked = node.bond.asked()
+        sending.asked = node.tracker.asked()
         if life and life.number == node.connections[number]:
             arrived = (sending.serial, sending.order.fence, self.now + hold)
             life.inbox = (*life.inbox, arrived)
@@ -252,7 +252,7 @@
     def _forget_backend(self, name):
         """Begin with another object for the server: its connections are new."""
         node = self.nodes[name]
-        node.bond = ProcessBond()
+        node.tracker = ProcessTracker()
         node.connections = {}
         node.sendings = []
         if node.met is not None:
@@ -262,7 +262,7 @@
     def answer(self, name, index):
         node = self.nodes[name]
         sending = node.sendings.pop(index)
-        node.bond.answered(sending.connection, sending.asked)
+        node.tracker.answered(sending.connection, sending.asked)
         node.book.answered(sending.order, sending.answer, self.now)
         if sending.answer is GrantAnswer.OUTDATED:
             self._begin_anew(name)
--- a/comfreywharf/ownership/tests/lives_parts.py
+++ b/comfreywharf/ownership/tests/lives_parts.py
@@ -8,8 +8,8 @@
 
 import attrs
 
-from comfreywharf.ownership.bond import ProcessBond
 from comfreywharf.ownership.holds import GrantAnswer, HoldBook, HoldTerms
+from comfreywharf.ownership.process_tracker import ProcessTracker
 from comfreywharf.records import Slice
 from comfreywharf.records.state import ClusterState, Member
 
@@ -94,10 +94,10 @@
         return copy.copy(self)
 
 
-def copy_bond(bond):
-    """Return an equal bond that goes its own way."""
-    copied = type(bond)()
-    for name, value in vars(bond).items():
+def copy_tracker(tracker):
+    """Return an independent copy of a process tracker."""
+    copied = type(tracker)()
+    for name, value in vars(tracker).items():
         setattr(copied, name, value.copy() if hasattr(value, "copy") else value)
     return copied
 
@@ -178,7 +178,7 @@
     """
 
     book: HoldBook
-    bond: ProcessBond = attrs.Factory(ProcessBond)
+    tracker: ProcessTracker = attrs.Factory(ProcessTracker)
     connections: dict = attrs.Factory(dict)
     sendings: list = attrs.Factory(list)
     met: object = None
@@ -196,7 +196,7 @@
     def copy(self):
         return Node(
             book=copy_book(self.book),
-            bond=copy_bond(self.bond),
+            tracker=copy_tracker(self.tracker),
             connections=dict(self.connections),
             sendings=[sending.copy() for sending in self.sendings],
             met=self.met,
@@ -220,7 +220,7 @@
     def _key(self, now):
         return (
             self.known,
-            None if self.met is None else self.met == self.bond.process,
+            None if self.met is None else self.met == self.tracker.process,
             self.held,
             max(0, self.lease_until - now),
             self.lease_epoch,
@@ -230,22 +230,22 @@
             self.released,
             self.fresh,
             book_key(self.book, now),
-            self._bond_key(),
+            self._tracker_key(),
             tuple(self.connections.items()),
             tuple(self._sending_key(sending, now) for sending in self.sendings),
         )
 
-    def _bond_key(self):
-        opened = [(moment, c) for c, moment in self.bond._opened.items()]
+    def _tracker_key(self):
+        opened = [(moment, c) for c, moment in self.tracker._opened.items()]
         asked = [(sending.asked, -sending.serial) for sending in self.sendings]
         order = tuple(number for _, number in sorted(opened + asked))
-        return order, frozenset(self.bond._known)
+        return order, frozenset(self.tracker._known)
 
     def _sending_key(self, sending, now):
         order = sending.order
         return (
             sending.serial,
-            sending.process == self.bond.process,
+            sending.process == self.tracker.process,
             sending.connection,
             sending.answer and sending.answer.value,
             order.fence,
--- a/comfreywharf/ownership/tests/test_lives_search.py
+++ b/comfreywharf/ownership/tests/test_lives_search.py
@@ -6,8 +6,8 @@
 
 Three mechanisms aren't needed within the bounds of ``CRASHES``: with each of them off,
 no breach was found. That `HoldBook.clear` bars used fences: the lease always begins
-anew after it. That `ProcessBond.opened` forgets older connections: here each is told
-to the bond in the moment in which it was accepted, and an older one leads to a dead
+anew after it. That `ProcessTracker.opened` forgets older connections: here each is told
+to the tracker in the moment in which it was accepted, and an older one leads to a dead
 process, which takes no orders. ``unknown_until_s``: a new process of a node gets the
 lease only when its predecessor's is over, and releases nothing before.
 """
@@ -16,8 +16,8 @@
 
 import pytest
 
-from comfreywharf.ownership.bond import ProcessBond
 from comfreywharf.ownership.holds import HoldBook
+from comfreywharf.ownership.process_tracker import ProcessTracker
 from comfreywharf.ownership.tests.lives_model import World
 from comfreywharf.ownership.tests.lives_parts import LONG_AGO, Limits
 from comfreywharf.ownership.tests.lives_search import search
@@ -73,9 +73,9 @@
 MECHANISMS = {
     "an answer vouches by the order of moments": (
         CRASHES,
-        (ProcessBond, "answered", vouches_for_all),
+        (ProcessTracker, "answered", vouches_for_all),
     ),
-    "a new connection is unknown": (CRASHES, (ProcessBond, "knows", knows_all)),
+    "a new connection is unknown": (CRASHES, (ProcessTracker, "knows", knows_all)),
     "a changed process bars used fences": (
         CRASHES,
         (HoldBook, "process_changed", process_bars_nothing),
