--- a/comfreywharf/daemon/connections/bound_pool.py
+++ b/comfreywharf/daemon/connections/bound_pool.py
@@ -84,7 +84,7 @@
     def _wants_refill(self):
         if self._refilling is not None and not self._refilling.ready():
             return False
-        return self._pool.missing or self._pool.bond.waits
+        return self._pool.missing or self._pool.bond.has_unconfirmed
 
     def _refill(self):
         self._refill_not_before_s = boottime_s() + REFILL_PAUSE_S
@@ -182,7 +182,7 @@
         before = len(self._open)
         self._room = self.size
         self._open_missing()
-        if self.bond.waits:
+        if self.bond.has_unconfirmed:
             vouch()
         self._drop_ended()
         self._room = max(before, len(self._open))
@@ -223,7 +223,7 @@
 
         Taken in turn, none of them is closed by the server for being idle.
         """
-        known = [sock for sock in self._idle if self.bond.knows(sock)]
+        known = [sock for sock in self._idle if self.bond.leads_to_process(sock)]
         # An order that waits while others get no answer would take the last one when
         # those are closed, get no answer itself, and put the process out of sight. It
         # goes out on the last one only once a refill has shown that the server has
--- a/comfreywharf/daemon/tests/test_bound_pool.py
+++ b/comfreywharf/daemon/tests/test_bound_pool.py
@@ -116,7 +116,7 @@
     between. Cause: only the first connection counted as the process's own."""
     process = client.reach()
     for _ in range(10):
-        wait_until(lambda: client.reach() and client._pool.bond.known_count == 3)
+        wait_until(lambda: client.reach() and client._pool.bond.confirmed_count == 3)
         assert order(client, process)
         client._pool.release_socket(client.borrow(process))
         assert client.reach() == process
@@ -125,7 +125,7 @@
 def test_a_waiting_order_is_told_that_its_process_is_gone(client, place):
     """It waits for a connection that will not come back to the pool as it was."""
     process = client.reach()
-    wait_until(lambda: client.reach() and client._pool.bond.known_count == 3)
+    wait_until(lambda: client.reach() and client._pool.bond.confirmed_count == 3)
     taken = [client.borrow(process) for _ in range(2)]
     waiting = gevent.spawn(client.borrow, process)
     gevent.idle()
@@ -142,7 +142,7 @@
     is given up as well. Cause: the only connection that was open passed for the only
     one that the server has room for, though no other had been tried."""
     process = client.reach()
-    wait_until(lambda: client.reach() and client._pool.bond.known_count == 3)
+    wait_until(lambda: client.reach() and client._pool.bond.confirmed_count == 3)
     lost = [client.borrow(process) for _ in range(2)]
     waiting = gevent.spawn(client.borrow, process)
     gevent.idle()
@@ -161,7 +161,7 @@
     opened is reset. Cause: what was left passed for all that the server has room for,
     though it had room for one more when the refill began."""
     process = client.reach()
-    wait_until(lambda: client.reach() and client._pool.bond.known_count == 3)
+    wait_until(lambda: client.reach() and client._pool.bond.confirmed_count == 3)
     in_use = [client.borrow(process) for _ in range(2)]
 
     def question():
@@ -228,7 +228,7 @@
     client._pool.release_socket(client.borrow(be_full(client, place)))
     waiting = gevent.spawn(client.borrow, client.reach())
     gevent.idle()
-    assert client._pool.bond.known_count > 1 or not waiting.ready()
+    assert client._pool.bond.confirmed_count > 1 or not waiting.ready()
     waiting.kill()
 
 
--- a/comfreywharf/ownership/process_tracker.py
+++ b/comfreywharf/ownership/process_tracker.py
@@ -22,10 +22,12 @@
     >>> tracker = ProcessTracker()
     >>> tracker.opened("first")
     >>> tracker.opened("second")
-    >>> tracker.process, tracker.knows("first"), tracker.knows("second")
-    (1, True, False)
+    >>> tracker.process
+    1
+    >>> tracker.leads_to_process("first"), tracker.leads_to_process("second")
+    (True, False)
     >>> tracker.answered("first", tracker.asked())
-    >>> tracker.knows("second")
+    >>> tracker.leads_to_process("second")
     True
     >>> tracker.closed("first")
     >>> tracker.process
@@ -39,57 +41,57 @@
     """
 
     def __init__(self):
-        self._moment = 0
+        self._last_event = 0
         self._number = 0
         self._opened = {}
-        self._known = set()
+        self._confirmed = set()
 
     @property
     def process(self):
         """Return the number of the process; zero if none is known."""
-        return self._number if self._known else 0
+        return self._number if self._confirmed else 0
 
     @property
-    def known_count(self):
+    def confirmed_count(self):
         """Return how many connections are known to lead to the process."""
-        return len(self._known)
+        return len(self._confirmed)
 
     @property
-    def waits(self):
+    def has_unconfirmed(self):
         """Return whether any connection isn't known to lead to the process."""
-        return len(self._opened) > len(self._known)
+        return len(self._opened) > len(self._confirmed)
 
     def opened(self, connection):
         """Register a connection that was accepted."""
-        if not self._known:
+        if not self._confirmed:
             # Older connections belong to an earlier process, which has most
             # likely ended.
             self._opened.clear()
-            self._known.add(connection)
+            self._confirmed.add(connection)
             self._number += 1
-        self._opened[connection] = self._next_moment()
+        self._opened[connection] = self._next_event()
 
     def asked(self):
         """Register that a request is sent; return its number for `answered`."""
-        return self._next_moment()
+        return self._next_event()
 
     def answered(self, connection, asked):
         """Register an answer on a connection to the request numbered ``asked``."""
-        if connection not in self._known:
+        if connection not in self._confirmed:
             return
-        self._known.update(
+        self._confirmed.update(
             other for other, opened in self._opened.items() if opened < asked
         )
 
     def closed(self, connection):
         """Register that a connection has ended or is no longer used."""
         self._opened.pop(connection, None)
-        self._known.discard(connection)
+        self._confirmed.discard(connection)
 
-    def knows(self, connection):
+    def leads_to_process(self, connection):
         """Return whether a connection is known to lead to the process."""
-        return connection in self._known
+        return connection in self._confirmed
 
-    def _next_moment(self):
-        self._moment += 1
-        return self._moment
+    def _next_event(self):
+        self._last_event += 1
+        return self._last_event
--- a/comfreywharf/ownership/tests/lives_events.py
+++ b/comfreywharf/ownership/tests/lives_events.py
@@ -79,7 +79,7 @@
             return
         yield Event(f"{name} decides on an order", "push", name, trouble=1)
         for number in node.idle:
-            if not node.tracker.knows(number):
+            if not node.tracker.leads_to_process(number):
                 continue
             led = node.connections[number]
             text = f"{name} sends an order on connection {number} to life {led}"
@@ -96,7 +96,7 @@
         node = self._world.nodes[name]
         if sending.connection < 0:
             for number in node.idle:
-                if node.tracker.knows(number):
+                if node.tracker.leads_to_process(number):
                     led = node.connections[number]
                     text = (
                         f"{name} sends its order on connection {number} to life {led}"
--- a/comfreywharf/ownership/tests/lives_parts.py
+++ b/comfreywharf/ownership/tests/lives_parts.py
@@ -239,7 +239,7 @@
         opened = [(moment, c) for c, moment in self.tracker._opened.items()]
         asked = [(sending.asked, -sending.serial) for sending in self.sendings]
         order = tuple(number for _, number in sorted(opened + asked))
-        return order, frozenset(self.tracker._known)
+        return order, frozenset(self.tracker._confirmed)
 
     def _sending_key(self, sending, now):
         order = sending.order
--- a/comfreywharf/ownership/tests/test_lives_search.py
+++ b/comfreywharf/ownership/tests/test_lives_search.py
@@ -35,11 +35,11 @@
     return "\n".join([found.breach, *found.events, f"{found.states} states"])
 
 
-def vouches_for_all(self, connection, asked):
-    self._known.update(self._opened)
+def confirms_all(self, connection, asked):
+    self._confirmed.update(self._opened)
 
 
-def knows_all(self, connection):
+def leads_all_to_process(self, connection):
     return connection in self._opened
 
 
@@ -73,9 +73,12 @@
 MECHANISMS = {
     "an answer vouches by the order of moments": (
         CRASHES,
-        (ProcessTracker, "answered", vouches_for_all),
+        (ProcessTracker, "answered", confirms_all),
+    ),
+    "a new connection is unknown": (
+        CRASHES,
+        (ProcessTracker, "leads_to_process", leads_all_to_process),
     ),
-    "a new connection is unknown": (CRASHES, (ProcessTracker, "knows", knows_all)),
     "a changed process bars used fences": (
         CRASHES,
         (HoldBook, "process_changed", process_bars_nothing),
--- a/comfreywharf/ownership/tests/test_process_tracker.py
+++ b/comfreywharf/ownership/tests/test_process_tracker.py
@@ -12,9 +12,9 @@
     tracker = ProcessTracker()
     tracker.opened("old")
     tracker.opened("new")
-    assert not tracker.knows("new")
+    assert not tracker.leads_to_process("new")
     tracker.answered("old", tracker.asked())
-    assert tracker.knows("new")
+    assert tracker.leads_to_process("new")
 
 
 def test_an_answer_to_an_earlier_question_vouches_for_nothing_later():
@@ -26,7 +26,7 @@
     asked = tracker.asked()
     tracker.opened("new")
     tracker.answered("old", asked)
-    assert not tracker.knows("new")
+    assert not tracker.leads_to_process("new")
 
 
 def test_a_connection_of_an_earlier_process_is_never_vouched_for_by_a_later_one():
@@ -38,7 +38,7 @@
     tracker.opened("second")
     tracker.answered("second", tracker.asked())
     assert tracker.process == 2
-    assert not tracker.knows("between")
+    assert not tracker.leads_to_process("between")
 
 
 def test_an_unknown_connection_vouches_for_nobody():
@@ -47,7 +47,7 @@
     for name in ("known", "unknown", "third"):
         tracker.opened(name)
     tracker.answered("unknown", tracker.asked())
-    assert not tracker.knows("third")
+    assert not tracker.leads_to_process("third")
 
 
 EVENTS = st.lists(
@@ -87,7 +87,7 @@
 
     def ask(self, choice):
         """Send a question; the process answers it if it lives when that arrives."""
-        known = [c for c in self.accepted_by if self.tracker.knows(c)]
+        known = [c for c in self.accepted_by if self.tracker.leads_to_process(c)]
         if known:
             connection = known[choice % len(known)]
             if self.accepted_by[connection] == self.process:
@@ -110,6 +110,6 @@
 
     def check(self):
         for connection, process in self.accepted_by.items():
-            if self.tracker.knows(connection):
+            if self.tracker.leads_to_process(connection):
                 number = self.tracker.process
                 assert self.seen.setdefault(number, process) == process
--- a/comfreywharf/platform/tests/test_orders.py
+++ b/comfreywharf/platform/tests/test_orders.py
@@ -121,7 +121,7 @@
     pool = orders._grants._pool
     for _ in range(200):
         orders.reach()
-        if pool.bond.known_count == backends.GRANT_CONNECTIONS:
+        if pool.bond.confirmed_count == backends.GRANT_CONNECTIONS:
             return
         gevent.sleep(0.01)
 
