--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -295,7 +295,7 @@
         grant = self._call_witness(witness, "renew", request)
         now_s = boottime_s()
         if grant is not None:
-            self.agent.lost_witnesses.heard(witness, now_s)
+            self.agent.lost_witnesses.answer_received(witness, now_s)
         if grant is None or not grant.granted:
             why = grant.denial.value if grant else "no answer"
             self._node.report("renewal_denied", witness=witness, why=why)
@@ -312,7 +312,7 @@
     def _probe(self):
         reachable = self._node.gossip.reach_all()
         reachable.add(self._node.settings.node_id)
-        self.agent.lost_witnesses.probed(reachable, boottime_s())
+        self.agent.lost_witnesses.members_probed(reachable, boottime_s())
         self._wake.set()
 
     def _send_claim(self, action):
--- a/comfreywharf/ownership/agent.py
+++ b/comfreywharf/ownership/agent.py
@@ -142,7 +142,7 @@
             reach_until_s = self.inflight.all_until_s(now_s)
             ending = self.holder.let_go(own, reach_until_s, now_s)
             return [SendRenewal(witness, ending) for witness in self.holder.asked]
-        if self._groups.lost.waits(own.reset_pending, now_s):
+        if self._groups.lost.must_wait(own.reset_pending, now_s):
             return []
         forced = forced and self.holder.asking(now_s)
         in_turn = forced or self.holder.due(now_s)
--- a/comfreywharf/ownership/lostwitnesses.py
+++ b/comfreywharf/ownership/lostwitnesses.py
@@ -12,7 +12,7 @@
 shorter time, two nodes whose witnesses restarted a second after them had to wait for
 that long after the loss of all nodes."""
 
-HEARD_LEASES = 0.7
+ANSWER_AGE_LEASES = 0.7
 PROBE_FRESH_S = 3.0
 
 
@@ -27,22 +27,22 @@
     """
 
     terms: object
-    _heard_s: dict = attrs.Factory(dict)
-    _stuck_since_s: float | None = None
+    _answered_s: dict = attrs.Factory(dict)
+    _no_majority_since_s: float | None = None
     _probed_s: float = float("-inf")
     _reachable: frozenset = frozenset()
     _pending_since_s: float | None = None
 
-    def heard(self, witness, now_s):
+    def answer_received(self, witness, now_s):
         """Register any answer of a witness."""
-        self._heard_s[witness] = now_s
+        self._answered_s[witness] = now_s
 
-    def probed(self, reachable, now_s):
+    def members_probed(self, reachable, now_s):
         """Register which members can be reached."""
         self._reachable = frozenset(reachable)
         self._probed_s = now_s
 
-    def waits(self, pending, now_s):
+    def must_wait(self, pending, now_s):
         """Return whether to wait after a reset of the witnesses.
 
         The wait counts from when this process folded the record. An earlier process
@@ -55,22 +55,24 @@
             self._pending_since_s = now_s
         return now_s < self._pending_since_s + self.terms.reset_wait_s
 
-    def look(self, witnesses, asking, now_s):
+    def evaluate(self, witnesses, requesting, now_s):
         """Return ``(wants_probe, wants_reset)`` for a node's current witnesses."""
-        if self.terms.stale_after_s is None or not witnesses or not asking:
-            self._stuck_since_s = None
+        if self.terms.stale_after_s is None or not witnesses or not requesting:
+            self._no_majority_since_s = None
             return False, False
-        limit_s = now_s - HEARD_LEASES * self.terms.lease_s
-        heard = sum(self._heard_s.get(w, float("-inf")) > limit_s for w in witnesses)
-        if 2 * heard > len(witnesses):
-            self._stuck_since_s = None
+        limit_s = now_s - ANSWER_AGE_LEASES * self.terms.lease_s
+        answering = sum(
+            self._answered_s.get(w, float("-inf")) > limit_s for w in witnesses
+        )
+        if 2 * answering > len(witnesses):
+            self._no_majority_since_s = None
             return False, False
-        if self._stuck_since_s is None:
-            self._stuck_since_s = now_s
-        stuck_s = now_s - self._stuck_since_s
+        if self._no_majority_since_s is None:
+            self._no_majority_since_s = now_s
+        missing_s = now_s - self._no_majority_since_s
         fresh = now_s - self._probed_s < PROBE_FRESH_S
-        wants_probe = not fresh and stuck_s >= PROBE_AFTER_LEASES * self.terms.lease_s
-        wants_reset = fresh and stuck_s >= RESET_AFTER_LEASES * self.terms.lease_s
+        wants_probe = not fresh and missing_s >= PROBE_AFTER_LEASES * self.terms.lease_s
+        wants_reset = fresh and missing_s >= RESET_AFTER_LEASES * self.terms.lease_s
         return wants_probe, wants_reset
 
     def choose(self, state, node_id):
--- a/comfreywharf/ownership/tests/test_lost_witnesses.py
+++ b/comfreywharf/ownership/tests/test_lost_witnesses.py
@@ -12,8 +12,8 @@
 WITNESSES = ("a", "b", "c")
 
 
-def look(lost, now_s, asking=True, witnesses=WITNESSES):
-    return lost.look(witnesses, asking, now_s)
+def evaluate(lost, now_s, requesting=True, witnesses=WITNESSES):
+    return lost.evaluate(witnesses, requesting, now_s)
 
 
 def test_silence_of_two_witnesses_leads_to_others():
@@ -21,16 +21,16 @@
     Sequence: the machines of two of its witnesses are removed within seconds.
     Cause: without a majority it could neither own nor replace them."""
     lost = LostWitnesses(TERMS)
-    lost.heard("a", 10.0)
-    assert look(lost, 10.0) == (False, False)
-    lost.heard("a", 10.6)
-    assert look(lost, 10.7) == (True, False)
-    lost.probed({"a", "d", "e", "f"}, 10.8)
-    lost.heard("a", 11.2)
-    assert look(lost, 11.3) == (False, False)
-    lost.probed({"a", "d", "e", "f"}, 13.5)
-    lost.heard("a", 13.7)
-    assert look(lost, 13.8) == (False, True)
+    lost.answer_received("a", 10.0)
+    assert evaluate(lost, 10.0) == (False, False)
+    lost.answer_received("a", 10.6)
+    assert evaluate(lost, 10.7) == (True, False)
+    lost.members_probed({"a", "d", "e", "f"}, 10.8)
+    lost.answer_received("a", 11.2)
+    assert evaluate(lost, 11.3) == (False, False)
+    lost.members_probed({"a", "d", "e", "f"}, 13.5)
+    lost.answer_received("a", 13.7)
+    assert evaluate(lost, 13.8) == (False, True)
     state = ClusterState(members={n: make_member(n) for n in "abcdefx"})
     assert set(lost.choose(state, "x")) <= {"a", "d", "e", "f"}
 
@@ -44,11 +44,11 @@
     lost = LostWitnesses(TERMS)
     for tenth in range(100, 120):
         now_s = tenth / 10
-        lost.heard("a", now_s)
-        lost.probed({"a", "d", "e", "f"}, now_s)
-        assert look(lost, now_s)[1] is False
-    lost.heard("b", 12.0)
-    assert look(lost, 12.0) == (False, False)
+        lost.answer_received("a", now_s)
+        lost.members_probed({"a", "d", "e", "f"}, now_s)
+        assert evaluate(lost, now_s)[1] is False
+    lost.answer_received("b", 12.0)
+    assert evaluate(lost, 12.0) == (False, False)
 
 
 def test_witnesses_that_refuse_are_not_lost():
@@ -56,22 +56,22 @@
     lost = LostWitnesses(TERMS)
     for tenth in range(100, 160):
         now_s = tenth / 10
-        lost.heard("a", now_s)
-        lost.heard("b", now_s)
-        assert look(lost, now_s) == (False, False)
+        lost.answer_received("a", now_s)
+        lost.answer_received("b", now_s)
+        assert evaluate(lost, now_s) == (False, False)
 
 
 def test_a_node_that_doesnt_ask_has_lost_nothing():
     """A surrendered node hears from no witness, since it asks none."""
     lost = LostWitnesses(TERMS)
-    assert look(lost, 10.0, asking=False) == (False, False)
-    assert look(lost, 20.0, asking=False) == (False, False)
+    assert evaluate(lost, 10.0, requesting=False) == (False, False)
+    assert evaluate(lost, 20.0, requesting=False) == (False, False)
 
 
 def test_without_a_bound_on_stale_witnesses_none_are_taken_anew():
     """Nothing would then bound how long an earlier witness grants."""
     lost = LostWitnesses(LeaseTerms())
-    assert look(lost, 10.0) == look(lost, 60.0) == (False, False)
+    assert evaluate(lost, 10.0) == evaluate(lost, 60.0) == (False, False)
 
 
 def test_the_wait_covers_all_that_an_earlier_witness_may_grant():
@@ -83,17 +83,17 @@
     lost = LostWitnesses(TERMS)
     last_grant_s = 50.0 + TERMS.stale_after_s * (1 + TERMS.drift)
     claim_ends_s = TERMS.expires_s(last_grant_s, TERMS.lease_s)
-    assert lost.waits(True, 50.0)
-    assert lost.waits(True, claim_ends_s)
-    assert not lost.waits(True, 50.0 + TERMS.reset_wait_s)
+    assert lost.must_wait(True, 50.0)
+    assert lost.must_wait(True, claim_ends_s)
+    assert not lost.must_wait(True, 50.0 + TERMS.reset_wait_s)
 
 
 def test_a_new_process_waits_anew():
     """Nobody remembers when the process before it saw the record."""
     first, second = LostWitnesses(TERMS), LostWitnesses(TERMS)
-    first.waits(True, 50.0)
-    assert second.waits(True, 61.0)
-    assert second.waits(True, 61.0 + TERMS.reset_wait_s - 0.1)
+    first.must_wait(True, 50.0)
+    assert second.must_wait(True, 61.0)
+    assert second.must_wait(True, 61.0 + TERMS.reset_wait_s - 0.1)
 
 
 def announced(node_id):
--- a/comfreywharf/ownership/witnessgroups.py
+++ b/comfreywharf/ownership/witnessgroups.py
@@ -6,7 +6,7 @@
 
 __all__ = ["WitnessGroups"]
 
-_ASKING = frozenset({"acquiring", "lapsed", "starting"})
+_REQUESTING = frozenset({"acquiring", "lapsed", "starting"})
 """The states of the lease in which a node requests a majority and has none."""
 
 
@@ -53,8 +53,10 @@
         The members have to be probed first; ``record`` is `None` until then, and
         also if no replacement is needed or possible.
         """
-        asking = may_hold and not own.reset_pending and self._holder.phase in _ASKING
-        wants_probe, wants_reset = self.lost.look(own.witnesses, asking, now_s)
+        requesting = (
+            may_hold and not own.reset_pending and self._holder.phase in _REQUESTING
+        )
+        wants_probe, wants_reset = self.lost.evaluate(own.witnesses, requesting, now_s)
         if wants_probe or not wants_reset:
             return wants_probe, None
         group = self.lost.choose(state, self._node_id)
