--- a/comfreywharf/ownership/agent.py
+++ b/comfreywharf/ownership/agent.py
@@ -138,16 +138,16 @@
             return []
         if not may_hold or own.incarnation < self._incarnation:
             return []
-        if self.holder.asks_in_vain(now_s):
+        if self.holder.majority_overdue(now_s):
             reach_until_s = self.inflight.all_until_s(now_s)
-            ending = self.holder.let_go(own, reach_until_s, now_s)
+            ending = self.holder.pause(own, reach_until_s, now_s)
             return [SendRenewal(witness, ending) for witness in self.holder.asked]
         if self._groups.lost.must_wait(own.reset_pending, now_s):
             return []
-        forced = forced and self.holder.asking(now_s)
+        forced = forced and self.holder.may_request(now_s)
         in_turn = forced or self.holder.due(now_s)
         newest_epoch = self.table.newest_epoch(own.lease_epoch)
-        if not in_turn and not self.holder.has_news(newest_epoch, now_s):
+        if not in_turn and not self.holder.has_new_epoch(newest_epoch, now_s):
             return []
         witnesses = own.witnesses or self._groups.choose(state)
         if not witnesses or self.holder.phase in ("surrendered", "superseded"):
--- a/comfreywharf/ownership/holder.py
+++ b/comfreywharf/ownership/holder.py
@@ -8,10 +8,10 @@
 
 __all__ = ["Holder", "OwnLease"]
 
-PATIENCE_LEASES = 3.0
+MAJORITY_TIMEOUT_LEASES = 3.0
 """How long a starting node requests the lease without a majority before it pauses."""
 
-LET_GO_LEASES = 2.0
+PAUSE_LEASES = 2.0
 """How long it then sends no requests, so that its standbys can claim the lease."""
 
 _CHART = load_chart(__package__, "lease.toml")
@@ -49,10 +49,10 @@
         self._continuity = 0
         self._was_started = False
         self._round_sent_s = float("-inf")
-        self._asked_epoch = -1
-        self._pause_until_s = float("-inf")
-        self._hopeful_until_s = None
-        self._asked_since_s = {}
+        self._sent_epoch = -1
+        self._paused_until_s = float("-inf")
+        self._majority_due_s = None
+        self._requested_since_s = {}
         self.candidates = ()
 
     def begin(self, incarnation):
@@ -91,24 +91,28 @@
 
     def due(self, now_s):
         """Return whether it is time to renew."""
-        if not self.asking(now_s):
+        if not self.may_request(now_s):
             return False
         return now_s >= self.next_round_s
 
-    def has_news(self, epoch, now_s):
+    def has_new_epoch(self, epoch, now_s):
         """Return whether to renew at once, since the witnesses don't know an epoch.
 
         Nothing is served under an epoch before they know it.
         """
-        return self.phase == "held" and self.asking(now_s) and epoch > self._asked_epoch
+        return (
+            self.phase == "held"
+            and self.may_request(now_s)
+            and epoch > self._sent_epoch
+        )
 
-    def asking(self, now_s):
+    def may_request(self, now_s):
         """Return whether requests may be sent to the witnesses now."""
         if self.phase in ("surrendered", "superseded"):
             return False
-        return now_s >= self._pause_until_s
+        return now_s >= self._paused_until_s
 
-    def asks_in_vain(self, now_s):
+    def majority_overdue(self, now_s):
         """Return whether to pause, since there was no majority for too long.
 
         If a node's requests arrive but the answers are lost, it would otherwise
@@ -117,18 +121,18 @@
         """
         if self.phase not in ("lapsed", "acquiring"):
             return False
-        return self._hopeful_until_s is not None and now_s >= self._hopeful_until_s
+        return self._majority_due_s is not None and now_s >= self._majority_due_s
 
-    def let_go(self, own, reach_until_s, now_s):
+    def pause(self, own, reach_until_s, now_s):
         """Pause requests for a while; return the renewal that ends the lease.
 
         Answers that are still in transit no longer count, since the witnesses
         that sent them will have ended the lease.
         """
         self._lease.reset()
-        self._pause_until_s = now_s + LET_GO_LEASES * self._terms.lease_s
-        patience_s = PATIENCE_LEASES * self._terms.lease_s
-        self._hopeful_until_s = self._pause_until_s + patience_s
+        self._paused_until_s = now_s + PAUSE_LEASES * self._terms.lease_s
+        timeout_s = MAJORITY_TIMEOUT_LEASES * self._terms.lease_s
+        self._majority_due_s = self._paused_until_s + timeout_s
         return self._ending(own, reach_until_s, now_s)
 
     def renewal(self, own, reach_until_s, now_s, extra=False):
@@ -138,11 +142,12 @@
         """
         if not extra:
             self._round_sent_s = now_s
-        self._asked_epoch = max(own.lease_epoch, own.portfolio_epoch)
-        if self._hopeful_until_s is None:
-            self._hopeful_until_s = now_s + PATIENCE_LEASES * self._terms.lease_s
-        self._asked_since_s = {
-            witness: self._asked_since_s.get(witness, now_s) for witness in self.asked
+        self._sent_epoch = max(own.lease_epoch, own.portfolio_epoch)
+        if self._majority_due_s is None:
+            self._majority_due_s = now_s + MAJORITY_TIMEOUT_LEASES * self._terms.lease_s
+        self._requested_since_s = {
+            witness: self._requested_since_s.get(witness, now_s)
+            for witness in self.asked
         }
         number = self._lease.begin_round(
             now_s, reach_until_s, own.portfolio_epoch, own.lease_epoch
@@ -164,7 +169,7 @@
         limit_s = now_s - self._terms.replace_witness_after_s
         return {
             witness
-            for witness, since_s in self._asked_since_s.items()
+            for witness, since_s in self._requested_since_s.items()
             if max(since_s, self._lease.granted_until_s(witness)) < limit_s
         }
 
@@ -211,7 +216,7 @@
         if self.phase not in ("held", "starting") or self._lease.held(now_s):
             return False
         self._was_started = self.phase == "held"
-        self._hopeful_until_s = now_s + self._terms.lease_s
+        self._majority_due_s = now_s + self._terms.lease_s
         return self._chart.fire("majority_lost")
 
     def start_read_back(self, continuity):
@@ -254,7 +259,7 @@
         The request is due at once, since the keys are unavailable until then.
         """
         self._chart.fire("recover")
-        self._hopeful_until_s = None
+        self._majority_due_s = None
         self._round_sent_s = float("-inf")
 
     def supersede(self):
