--- a/comfreywharf/daemon/owning/lease_calls.py
+++ b/comfreywharf/daemon/owning/lease_calls.py
@@ -53,7 +53,7 @@
                 return _not_released(decision)
             if self._node.follower.state.next_offset <= request.slice_epoch:
                 self._node.follower.hurry()
-            if decision.tell_witnesses:
+            if decision.notify_witnesses:
                 self._node.leases.force_round()
             gevent.sleep(decision.retry_after_s / 4)
 
--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -300,10 +300,10 @@
             why = grant.denial.value if grant else "no answer"
             self._node.report("renewal_denied", witness=witness, why=why)
             return
-        told_epoch = self.holder.lease.told_epoch()
+        acknowledged_epoch = self.holder.lease.acknowledged_epoch()
         self.carry_out(self.agent.renewed(witness, request.round, grant.term, now_s))
         self._grant_counted()
-        if self.holder.lease.told_epoch() > told_epoch:
+        if self.holder.lease.acknowledged_epoch() > acknowledged_epoch:
             self._wake_held()
 
     def _probe_members(self, action):
--- a/comfreywharf/daemon/tests/test_held_requests.py
+++ b/comfreywharf/daemon/tests/test_held_requests.py
@@ -42,7 +42,7 @@
 
 
 def right_once_told(leases):
-    if leases.holder.lease.told_epoch() >= 5:
+    if leases.holder.lease.acknowledged_epoch() >= 5:
         return Right(service="booking")
     return Right(reason=Reason.NOT_YET_OWNER)
 
--- a/comfreywharf/ownership/agent.py
+++ b/comfreywharf/ownership/agent.py
@@ -185,7 +185,7 @@
         if self.holder.phase != "starting":
             return []
         own = self.own(state)
-        if own.earlier_witnesses and not self._groups.earlier_told(own):
+        if own.earlier_witnesses and not self._groups.earlier_acknowledged(own):
             return []
         witnesses = own.witnesses or self.holder.lease.groups[0]
         record = self._groups.lease_started(own, witnesses)
--- a/comfreywharf/ownership/handover.py
+++ b/comfreywharf/ownership/handover.py
@@ -14,7 +14,7 @@
 
     released: bool
     retry_after_s: float = 0.0
-    tell_witnesses: bool = False
+    notify_witnesses: bool = False
 
 
 def decide_release(table, state, request_service, start, epoch, now_s):
@@ -33,9 +33,9 @@
     if piece is None or piece.epoch != epoch:
         return ReleaseDecision(released=False, retry_after_s=UNHEARD_RETRY_S)
     table.stop_serving(request_service, start)
-    if table.holder.lease.told_portfolio_epoch() < epoch:
+    if table.holder.lease.acknowledged_portfolio_epoch() < epoch:
         return ReleaseDecision(
-            released=False, retry_after_s=RETRY_S, tell_witnesses=True
+            released=False, retry_after_s=RETRY_S, notify_witnesses=True
         )
     busy_until_s = table.inflight.busy_until_s(
         request_service, piece.start, piece.end, now_s
--- a/comfreywharf/ownership/quorum.py
+++ b/comfreywharf/ownership/quorum.py
@@ -134,24 +134,24 @@
 
     def covered_until_s(self):
         """Return the latest deadline for which the witnesses make a taker wait."""
-        told_s = self._majority("reach_until_s", NEVER_S)
-        return max(self.until_s(), told_s)
+        taker_waits_until_s = self._majority("reach_until_s", NEVER_S)
+        return max(self.until_s(), taker_waits_until_s)
 
-    def told_portfolio_epoch(self):
+    def acknowledged_portfolio_epoch(self):
         """Return the portfolio epoch that a majority of each group knows of."""
         return self._majority("portfolio_epoch", -1)
 
-    def told_lease_epoch(self):
+    def acknowledged_lease_epoch(self):
         """Return the lease epoch that a majority of each group knows of."""
         return self._majority("lease_epoch", -1)
 
-    def told_epoch(self):
+    def acknowledged_epoch(self):
         """Return the lowest log offset on which a further granted claim can be based.
 
         Epochs are log offsets. A majority grants no claim that is based on a state
         of the log from before an epoch of either kind that it knows of.
         """
-        return max(self.told_lease_epoch(), self.told_portfolio_epoch())
+        return max(self.acknowledged_lease_epoch(), self.acknowledged_portfolio_epoch())
 
     def granted_until_s(self, witness):
         """Return when one witness's grant ends."""
--- a/comfreywharf/ownership/table.py
+++ b/comfreywharf/ownership/table.py
@@ -115,7 +115,7 @@
             return self._owner_basis(state, key, piece, now_s)
         lingering = self._lingering.get((service, piece.start))
         if lingering is not None and lingering.epoch == piece.epoch:
-            if self.holder.owns(now_s) and self._told(lingering.fence):
+            if self.holder.owns(now_s) and self._is_acknowledged(lingering.fence):
                 return _Basis(lingering.fence, (self.holder.lease,))
         if piece.standby == self._node_id:
             return self._taker_basis(state, key, piece, now_s)
@@ -135,15 +135,15 @@
     def _fence_in_use(self, place, piece, state):
         """Return the newest fence of an own slice that may be used, or ``None``."""
         fence = state.fence(piece)
-        if self._told(fence):
+        if self._is_acknowledged(fence):
             self._used[place] = _Used(piece.end, fence)
             return fence
         used = self._used.get(place)
         return used.fence if used is not None and used.end == piece.end else None
 
-    def _told(self, fence):
+    def _is_acknowledged(self, fence):
         """Return whether any further claim leads to a higher fence than this one."""
-        return fence <= 2 * self.holder.lease.told_epoch()
+        return fence <= 2 * self.holder.lease.acknowledged_epoch()
 
     def newest_epoch(self, lease_epoch):
         """Return the epoch that the witnesses must know before all is served."""
--- a/comfreywharf/ownership/tests/sim_node.py
+++ b/comfreywharf/ownership/tests/sim_node.py
@@ -264,7 +264,7 @@
         decision = self.agent.decide_release(
             self.state, key.service, key.start, key.epoch, self.now_s()
         )
-        if decision.tell_witnesses:
+        if decision.notify_witnesses:
             self.carry_out(
                 self.agent.tick(self.state, self.now_s(), self.backend_up, True)
             )
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -504,7 +504,7 @@
     ),
     "witnesses told before a release": (
         unheard_portfolio,
-        lambda: off(QuorumLease, "told_portfolio_epoch", lambda self: 1 << 60),
+        lambda: off(QuorumLease, "acknowledged_portfolio_epoch", lambda self: 1 << 60),
     ),
     "terms tell of a taker": (
         healed_lapse_after_takeover,
--- a/comfreywharf/ownership/tests/test_told_fences.py
+++ b/comfreywharf/ownership/tests/test_told_fences.py
@@ -183,7 +183,7 @@
 @pytest.mark.parametrize("change", CHANGES)
 def test_without_the_wait_for_the_witnesses_a_taker_serves_below(change, monkeypatch):
     """Each change is one that needs the wait."""
-    monkeypatch.setattr(QuorumLease, "told_epoch", lambda self: 1 << 60)
+    monkeypatch.setattr(QuorumLease, "acknowledged_epoch", lambda self: 1 << 60)
     owned, taken = fences_around_a_change(change)
     assert -1 < taken < owned
 
--- a/comfreywharf/ownership/witnessgroups.py
+++ b/comfreywharf/ownership/witnessgroups.py
@@ -33,9 +33,9 @@
         wanted = self._terms.witnesses
         return choose_witnesses(state, self._node_id, kept, avoided, wanted)
 
-    def earlier_told(self, own):
+    def earlier_acknowledged(self, own):
         """Return whether a majority of each group refuses claims on the old epoch."""
-        return self._holder.lease.told_lease_epoch() >= own.lease_epoch
+        return self._holder.lease.acknowledged_lease_epoch() >= own.lease_epoch
 
     def lease_started(self, own, witnesses):
         """Return the record by which the lease continues with a group."""
@@ -81,8 +81,8 @@
         """
         if own.earlier_witnesses:
             self._holder.candidates = ()
-            told = self.earlier_told(own)
-            return self.lease_started(own, own.witnesses) if told else None
+            acknowledged = self.earlier_acknowledged(own)
+            return self.lease_started(own, own.witnesses) if acknowledged else None
         self._holder.candidates = group = self._better_group(state, own, now_s)
         if not group or not self._holder.granted_by_majority(group, now_s):
             return None
