--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -13,10 +13,10 @@
 from comfreywharf.daemon.recording.follower import NotAcknowledged, new_record_id
 from comfreywharf.ownership import (
     Append,
-    AskRelease,
     OwnershipAgent,
     ProbeMembers,
     Report,
+    RequestRelease,
     Right,
     SendClaim,
     SendRenewal,
@@ -73,7 +73,7 @@
             SendClaim: self._send_claim,
             SendUnclaim: self._send_unclaim,
             Append: self._append,
-            AskRelease: self._ask_release,
+            RequestRelease: self._ask_release,
             Report: self._add_event,
             ProbeMembers: self._probe_members,
         }
@@ -193,7 +193,7 @@
     def run(self):
         """Drive the agent until the greenlet is killed."""
         self._node.begun.wait()
-        self.agent.begin(self._node.incarnation)
+        self.agent.set_incarnation(self._node.incarnation)
         self._node.witnessing.begin(self._node.began_s)
         expired_s = boottime_s()
         while True:
@@ -377,7 +377,7 @@
     def _fetch_release(self, action):
         """Ask until the slice is released, or isn't this node's any more."""
         key, received = action.key, 0
-        while self.agent.awaits(self._node.follower.state, key, boottime_s()):
+        while self.agent.awaits_release(self._node.follower.state, key, boottime_s()):
             reply = self._call_release(action.previous, key, received)
             if reply is None or not reply.released:
                 wait_ms = reply.retry_after_ms if reply else 0
@@ -392,7 +392,7 @@
                 self._wake_held()
                 self._wake.set()
                 return
-        self.agent.stop_asking(key)
+        self.agent.release_request_ended(key)
 
     def _call_release(self, previous, key, received):
         client = self._node.peers.client(previous)
--- a/comfreywharf/ownership/__init__.py
+++ b/comfreywharf/ownership/__init__.py
@@ -2,10 +2,10 @@
 
 from comfreywharf.ownership.actions import (
     Append,
-    AskRelease,
     ProbeMembers,
     Purpose,
     Report,
+    RequestRelease,
     SendClaim,
     SendRenewal,
     SendUnclaim,
@@ -25,7 +25,6 @@
 __all__ = [
     "WITNESSES",
     "Append",
-    "AskRelease",
     "Claim",
     "Denial",
     "Grant",
@@ -43,6 +42,7 @@
     "ReleaseDecision",
     "Renewal",
     "Report",
+    "RequestRelease",
     "Right",
     "SendClaim",
     "SendRenewal",
--- a/comfreywharf/ownership/actions.py
+++ b/comfreywharf/ownership/actions.py
@@ -9,10 +9,10 @@
 __all__ = [
     "Action",
     "Append",
-    "AskRelease",
     "ProbeMembers",
     "Purpose",
     "Report",
+    "RequestRelease",
     "SendClaim",
     "SendRenewal",
     "SendUnclaim",
@@ -70,8 +70,8 @@
 
 
 @attrs.frozen
-class AskRelease(Action):
-    """Request a slice from its earlier owner while `OwnershipAgent.awaits` it."""
+class RequestRelease(Action):
+    """Request a slice's release while `OwnershipAgent.awaits_release` is true."""
 
     previous: str
     key: SliceKey
--- a/comfreywharf/ownership/agent.py
+++ b/comfreywharf/ownership/agent.py
@@ -7,9 +7,9 @@
 
 from comfreywharf.ownership.actions import (
     Append,
-    AskRelease,
     ProbeMembers,
     Purpose,
+    RequestRelease,
     SendClaim,
     SendRenewal,
     SendUnclaim,
@@ -65,7 +65,7 @@
         self.table = OwnershipTable(node_id, self.holder, self.inflight, fenced)
         self._appending = set()
         self._not_before_s = {}
-        self._asking = set()
+        self._requested_releases = set()
         self._watch = SliceWatch(self.table)
         self._scan_s = float("-inf")
         self._claim_number = 0
@@ -79,11 +79,11 @@
         """Return the `LostWitnesses` that tracks whether a majority answers."""
         return self._groups.lost
 
-    def begin(self, incarnation):
+    def set_incarnation(self, incarnation):
         """Set this process's incarnation, once the log is read to its end."""
         self._incarnation = incarnation
-        self.holder.begin(incarnation)
-        self._groups.begin(incarnation)
+        self.holder.set_incarnation(incarnation)
+        self._groups.set_incarnation(incarnation)
 
     @property
     def claims(self):
@@ -112,7 +112,7 @@
             actions += self._scan(state, now_s)
         return actions
 
-    def wake(self):
+    def rescan(self):
         """Scan all slices for releases at the next tick."""
         self._scan_s = float("-inf")
 
@@ -166,14 +166,14 @@
         before = self.holder.phase
         self.holder.granted(witness, number, term, now_s)
         if (before, self.holder.phase) == ("lapsed", "held"):
-            self.wake()
+            self.rescan()
             return [report("lease_healed")]
         return []
 
     def _reset_witnesses(self, state, now_s, may_hold):
         own = self.own(state)
         may_hold = may_hold and own.incarnation == self._incarnation
-        wants_probe, record = self._groups.in_place_of_lost(state, own, may_hold, now_s)
+        wants_probe, record = self._groups.replace_lost(state, own, may_hold, now_s)
         if wants_probe:
             return [ProbeMembers()]
         if record is None:
@@ -195,7 +195,7 @@
         if not self.holder.owns(now_s):
             return []
         own = self.own(state)
-        record = self._groups.in_place_of_unfit(state, own, now_s)
+        record = self._groups.replace_unfit(state, own, now_s)
         if record is None:
             return []
         return self._append(Purpose(WITNESSES, own.lease_epoch), record, now_s)
@@ -259,7 +259,7 @@
         if claim is None or not claim.granted(witness, number, term, now_s):
             return []
         self.table.claim_gained(claim, now_s)
-        self.wake()
+        self.rescan()
         return [report("takeover", owner=owner_id, slices=len(claim.share))]
 
     def claim_denied(self, owner_id, denial, now_s):
@@ -348,7 +348,7 @@
         acts_until_s = self._claim_acts_until_s(claim, recorded, now_s, held_until_s)
         message = claim.message(acts_until_s, now_s)
         self._claim_number = max(self._claim_number, message.round)
-        self.wake()
+        self.rescan()
         actions = [SendUnclaim(w, message) for w in claim.lease.witnesses]
         return [*actions, report("claim_over", owner=claim.owner_id)]
 
@@ -384,26 +384,26 @@
         """Request awaited releases, and record those that were received."""
         actions = []
         for key, piece in self.table.awaited(state, now_s):
-            if key not in self._asking:
-                self._asking.add(key)
-                actions.append(AskRelease(piece.previous, key))
+            if key not in self._requested_releases:
+                self._requested_releases.add(key)
+                actions.append(RequestRelease(piece.previous, key))
         for key in self.table.unrecorded(state):
             actions += self._complete(key, now_s)
         return actions
 
-    def awaits(self, state, key, now_s):
+    def awaits_release(self, state, key, now_s):
         """Return whether a release still has to be requested."""
         return any(key == other for other, _ in self.table.awaited(state, now_s))
 
-    def stop_asking(self, key):
+    def release_request_ended(self, key):
         """Register that a release is no longer being requested."""
-        self._asking.discard(key)
+        self._requested_releases.discard(key)
 
     def released(self, key, vouched, now_s):
         """Handle an earlier owner's release; return the actions to take."""
-        self._asking.discard(key)
+        self._requested_releases.discard(key)
         self.table.released(key, float("-inf") if vouched else now_s)
-        self.wake()
+        self.rescan()
         return [report("slice_received", service=key.service, start=key.start)]
 
     def decide_release(self, state, service, start, epoch, now_s):
@@ -453,14 +453,14 @@
             return []
         self.table.lease_began(state, now_s)
         self.holder.start_read_back(continuity)
-        self.wake()
+        self.rescan()
         return [report("lease_started", offset=outcome.offset)]
 
     def folded(self, state, record, result, now_s):
         """Register a record that the fold has just applied."""
         self._watch.folded(state, record, result, now_s)
         if result.accepted and isinstance(record, _MOVING):
-            self.wake()
+            self.rescan()
 
     def loaded(self, state, now_s):
         """Register that a snapshot replaced the state.
@@ -472,4 +472,4 @@
         """
         self.table.lease_began(state, now_s)
         self._watch.copy(state)
-        self.wake()
+        self.rescan()
--- a/comfreywharf/ownership/holder.py
+++ b/comfreywharf/ownership/holder.py
@@ -55,7 +55,7 @@
         self._requested_since_s = {}
         self.candidates = ()
 
-    def begin(self, incarnation):
+    def set_incarnation(self, incarnation):
         """Set the incarnation of this process, before any request is sent."""
         self._incarnation = incarnation
 
--- a/comfreywharf/ownership/tests/sim_node.py
+++ b/comfreywharf/ownership/tests/sim_node.py
@@ -2,10 +2,10 @@
 
 from comfreywharf.ownership import (
     Append,
-    AskRelease,
     LeaseTerms,
     OwnershipAgent,
     OwnerView,
+    RequestRelease,
     SendClaim,
     SendRenewal,
     SendUnclaim,
@@ -125,7 +125,7 @@
             elif isinstance(action, Append):
                 self.world.append(self, action.record)
                 self.pending.append((self.incarnation, action, self.world.real_s))
-            elif isinstance(action, AskRelease):
+            elif isinstance(action, RequestRelease):
                 self.asking[action.key] = action.previous
 
     def _send_renewal(self, action):
@@ -191,8 +191,8 @@
 
     def _ask_releases(self):
         for key, previous in list(self.asking.items()):
-            if not self.agent.awaits(self.state, key, self.now_s()):
-                self.agent.stop_asking(key)
+            if not self.agent.awaits_release(self.state, key, self.now_s()):
+                self.agent.release_request_ended(key)
                 del self.asking[key]
                 continue
             self._ask_release(key, previous)
--- a/comfreywharf/ownership/witnessgroups.py
+++ b/comfreywharf/ownership/witnessgroups.py
@@ -24,7 +24,7 @@
         self._make_id = make_id
         self.lost = LostWitnesses(terms)
 
-    def begin(self, incarnation):
+    def set_incarnation(self, incarnation):
         """Set this process's incarnation, once the log is read to its end."""
         self._incarnation = incarnation
 
@@ -47,7 +47,7 @@
             witnesses=witnesses,
         )
 
-    def in_place_of_lost(self, state, own, may_hold, now_s):
+    def replace_lost(self, state, own, may_hold, now_s):
         """Return ``(wants_probe, record)`` for replacing a lost majority.
 
         The members have to be probed first; ``record`` is `None` until then, and
@@ -70,7 +70,7 @@
             witnesses=group,
         )
 
-    def in_place_of_unfit(self, state, own, now_s):
+    def replace_unfit(self, state, own, now_s):
         """Return the record that replaces silent or leaving witnesses, or ``None``.
 
         If such a witness were kept while there still is a majority, the next loss
