--- a/comfreywharf/daemon/owning/heartbeat_grants.py
+++ b/comfreywharf/daemon/owning/heartbeat_grants.py
@@ -115,7 +115,7 @@
         if not leases.holder.owns(now_s):
             return None
         served = self._served()
-        if self.book.bars(fence for _, _, fence, _ in served):
+        if self.book.has_used_fence(fence for _, _, fence, _ in served):
             self._begin_anew("another life of the server")
             return None
         return Serving(
--- a/comfreywharf/daemon/owning/key_grants.py
+++ b/comfreywharf/daemon/owning/key_grants.py
@@ -104,7 +104,7 @@
 
     def _ask_release(self, place, fence):
         numbers = numbers_in(*place[1:])
-        while self.book.is_asked(*place):
+        while self.book.awaits_answer(*place):
             gevent.sleep(ASKED_PAUSE_S)
         while numbers and self._may_be_held(place, fence):
             handover = self._try_release(place, numbers, fence)
--- a/comfreywharf/daemon/owning/range_grants.py
+++ b/comfreywharf/daemon/owning/range_grants.py
@@ -79,7 +79,7 @@
             return []
         self._meet(backend, process)
         served = self._served()
-        barred = self.book.bars(fence for _, _, fence, _ in served)
+        barred = self.book.has_used_fence(fence for _, _, fence, _ in served)
         if barred and self._begin_anew("another process may be there"):
             return []
         return [
@@ -187,7 +187,7 @@
             return True
         self.push()
         end_s = now_s + ENSURE_S
-        while self.book.is_asked_at(place) and boottime_s() < end_s:
+        while self.book.awaits_answer_at(place) and boottime_s() < end_s:
             gevent.sleep(ASKED_PAUSE_S)
         return self.book.holds(place, right.fence, boottime_s())
 
--- a/comfreywharf/daemon/tests/test_range_grants.py
+++ b/comfreywharf/daemon/tests/test_range_grants.py
@@ -102,7 +102,7 @@
     )
     orders.may_answer.set()
     gevent.joinall(tasks)
-    assert not grants.book.is_asked("booking", PIECE.start, PIECE.end)
+    assert not grants.book.awaits_answer("booking", PIECE.start, PIECE.end)
 
 
 def test_an_earlier_lifes_release_ends_once_the_keys_are_granted_anew():
--- a/comfreywharf/ownership/holds.py
+++ b/comfreywharf/ownership/holds.py
@@ -100,27 +100,27 @@
     end: int
     fence: int
     taken_until_s: float = float("-inf")
-    maybe_until_s: float = float("-inf")
+    possible_until_s: float = float("-inf")
     lost_until_s: float = float("-inf")
     listed_until_s: dict = attrs.Factory(dict)
-    asked_s: float = 0.0
-    asking: bool = False
+    order_hold_s: float = 0.0
+    order_pending: bool = False
     outdated: bool = False
-    given_away: list = attrs.Factory(list)
+    stopped_ranges: list = attrs.Factory(list)
     handover: str = ""
 
     @property
     def ends_s(self):
-        return max(self.maybe_until_s, self.unheard_until_s)
+        return max(self.possible_until_s, self.unanswered_until_s)
 
     @property
-    def unheard_until_s(self):
+    def unanswered_until_s(self):
         """Return until when a grant without an answer may still be applied."""
         return max([self.lost_until_s, *self.listed_until_s.values()])
 
-    def gives_until_s(self, value):
+    def confirmed_until_s(self, value):
         """Return until when the server is known to hold a key by this grant."""
-        away = any(start <= value < end for start, end in self.given_away)
+        away = any(start <= value < end for start, end in self.stopped_ranges)
         inside = self.start <= value < self.end
         return self.taken_until_s if inside and not away else float("-inf")
 
@@ -131,7 +131,11 @@
         the end as it was at the sending of the order, a standby's server would
         begin too early.
         """
-        return max(self.ends_s, now_s + self.asked_s) if self.asking else self.ends_s
+        return (
+            max(self.ends_s, now_s + self.order_hold_s)
+            if self.order_pending
+            else self.ends_s
+        )
 
     def overlaps(self, start, end):
         return self.start < end and start < self.end
@@ -185,7 +189,7 @@
         """Return the highest fence of all orders so far."""
         return self._highest_fence
 
-    def bars(self, fences):
+    def has_used_fence(self, fences):
         """Return whether an earlier process may have used one of these fences."""
         return any(fence <= self._used_fence for fence in fences)
 
@@ -215,7 +219,7 @@
         hold = self._holds.get(place)
         if hold is None or hold.fence < fence:
             hold = self._begin(place, end, fence, now_s)
-        if hold.asking or hold.outdated:
+        if hold.order_pending or hold.outdated:
             return None
         left_s = hold.taken_until_s - now_s
         if left_s > self.terms.renew_part * self.terms.lease_s:
@@ -223,10 +227,10 @@
         hold_s = _hold_s(self.terms, until_s, now_s)
         if hold_s < self.terms.shortest_s or until_s <= hold.taken_until_s:
             return None
-        hold.asking = True
-        hold.asked_s = hold_s * (1 + self.terms.slow_clock)
+        hold.order_pending = True
+        hold.order_hold_s = hold_s * (1 + self.terms.slow_clock)
         self._highest_fence = max(self._highest_fence, fence)
-        hold.maybe_until_s = max(hold.maybe_until_s, until_s)
+        hold.possible_until_s = max(hold.possible_until_s, until_s)
         return GrantOrder(
             place=place,
             start=place[1],
@@ -256,7 +260,7 @@
     def _make_hold(start, end, fence):
         return _Hold(start=start, end=end, fence=fence)
 
-    def _of(self, service):
+    def _holds_of(self, service):
         current = [hold for place, hold in self._holds.items() if place[0] == service]
         return current + self._earlier.get(service, [])
 
@@ -267,14 +271,14 @@
         lookup by its own place would find no hold, and the next owner's server
         would be granted the slice while this one holds it.
         """
-        return [hold for hold in self._of(service) if hold.overlaps(start, end)]
+        return [hold for hold in self._holds_of(service) if hold.overlaps(start, end)]
 
     def answered(self, order, answer, now_s):
         """Process the answer to an order, or its loss."""
-        hold = self._asked(order)
+        hold = self._hold_for(order)
         if hold is None:
             return
-        hold.asking = False
+        hold.order_pending = False
         if answer is GrantAnswer.TAKEN:
             hold.taken_until_s = max(hold.taken_until_s, order.until_s)
             self._handovers.pop(order.place, None)
@@ -286,7 +290,7 @@
             slack = 1 + self.terms.slow_clock
             hold.lost_until_s = max(hold.lost_until_s, now_s + order.hold_s * slack)
 
-    def _asked(self, order):
+    def _hold_for(self, order):
         """Return the hold of an order, or ``None`` after a `clear`."""
         service, start = order.place
         holds = [self._holds.get(order.place), *self._earlier.get(service, [])]
@@ -295,18 +299,18 @@
                 return hold
         return None
 
-    def is_asked_at(self, place):
+    def awaits_answer_at(self, place):
         """Return whether an answer to the latest grant of a place is awaited."""
         hold = self._holds.get(place)
-        return hold is not None and hold.asking
+        return hold is not None and hold.order_pending
 
-    def is_asked(self, service, start, end):
+    def awaits_answer(self, service, start, end):
         """Return whether an answer to a grant that overlaps a range is awaited.
 
         If the range were released before that grant arrives, the server would hold
         it again, for a whole hold and at the same time as the next owner's server.
         """
-        return any(h.asking for h in self._overlapping(service, start, end))
+        return any(h.order_pending for h in self._overlapping(service, start, end))
 
     def holds(self, place, fence, now_s):
         """Return whether a grant under this fence lasts for `HoldTerms.shortest_s`."""
@@ -328,7 +332,7 @@
         if now_s >= self.unknown_until_s:
             fence = max(hold.fence for hold in holds)
         for hold in holds:
-            hold.given_away.append((start, end))
+            hold.stopped_ranges.append((start, end))
         place = (service, start)
         self._stopped[place] = max(fence, self._stopped.get(place, -1))
         return fence
@@ -340,7 +344,7 @@
     def lost_until_s(self, service, start, end):
         """Return until when a grant whose answer was lost may still take effect."""
         holds = self._overlapping(service, start, end)
-        return max((hold.unheard_until_s for hold in holds), default=float("-inf"))
+        return max((hold.unanswered_until_s for hold in holds), default=float("-inf"))
 
     def held_until_s(self, service, start, end):
         """Return until when a range may be held if it isn't released."""
--- a/comfreywharf/ownership/listed_holds.py
+++ b/comfreywharf/ownership/listed_holds.py
@@ -42,7 +42,7 @@
             hold = self._begin(place, end, fence, now_s)
         self._highest_fence = max(self._highest_fence, fence)
         hold.listed_until_s[list_id] = until_s
-        hold.maybe_until_s = max(hold.maybe_until_s, until_s)
+        hold.possible_until_s = max(hold.possible_until_s, until_s)
         hold.taken_until_s = until_s
         hold.handover = self.handover_for(place)
 
@@ -56,15 +56,15 @@
         ``reported`` are half-open ranges of hashes that the server holds.
         """
         whole = set(reported)
-        for hold in self._of(service):
+        for hold in self._holds_of(service):
             if hold.listed_until_s.pop(list_id, None) is not None:
                 self._handover_came((service, hold.start), hold)
             if (hold.start, hold.end) in whole:
                 continue
-            if hold.unheard_until_s > now_s or hold.asking:
+            if hold.unanswered_until_s > now_s or hold.order_pending:
                 continue
             if not any(hold.overlaps(start, end) for start, end in reported):
-                hold.maybe_until_s = hold.taken_until_s = NEVER_S
+                hold.possible_until_s = hold.taken_until_s = NEVER_S
 
     def _handover_came(self, place, hold):
         if hold.handover and self._handovers.get(place) == hold.handover:
@@ -79,7 +79,7 @@
         if any(h.fence >= fence for h in self._overlapping(service, start, end)):
             return
         hold = self._make_hold(start, end, fence)
-        hold.maybe_until_s = self.unknown_until_s
+        hold.possible_until_s = self.unknown_until_s
         self._earlier.setdefault(service, []).append(hold)
 
     def process_changed(self):
@@ -91,7 +91,7 @@
 
     def doubt(self, service, value):
         """Treat a key as not held until it is granted again."""
-        for hold in self._of(service):
+        for hold in self._holds_of(service):
             if hold.start <= value < hold.end:
                 hold.taken_until_s = NEVER_S
 
@@ -105,9 +105,9 @@
         """
         likely = self._holds.get((service, value if near is None else near))
         ends_by_s = now_s + self.terms.shortest_s
-        if likely is not None and likely.gives_until_s(value) > ends_by_s:
+        if likely is not None and likely.confirmed_until_s(value) > ends_by_s:
             return True
-        ends_s = [hold.gives_until_s(value) for hold in self._of(service)]
+        ends_s = [hold.confirmed_until_s(value) for hold in self._holds_of(service)]
         return max(ends_s, default=NEVER_S) > ends_by_s
 
     def kept(self, service, start, end, now_s):
@@ -118,7 +118,9 @@
             first, behind = max(start, hold.start), min(end, hold.end)
             if hold.taken_until_s <= now_s or hold.fence <= self._used_fence:
                 continue
-            if _meets(first, behind, hold.given_away) or _meets(first, behind, found):
+            if _meets(first, behind, hold.stopped_ranges) or _meets(
+                first, behind, found
+            ):
                 continue
             found.append((first, behind, hold.fence))
         return found
--- a/comfreywharf/ownership/tests/list_world.py
+++ b/comfreywharf/ownership/tests/list_world.py
@@ -119,7 +119,7 @@
             (SERVICE, self._slice(piece), fence, self.lease_until_s)
             for piece, fence in self.mine.items()
         )
-        if self.book.bars(fence for _, _, fence, _ in served):
+        if self.book.has_used_fence(fence for _, _, fence, _ in served):
             self.begin_lease()
             return None
         return Serving(served=served, pending=(), lease_until_s=self.lease_until_s)
--- a/comfreywharf/ownership/tests/lives_events.py
+++ b/comfreywharf/ownership/tests/lives_events.py
@@ -154,7 +154,7 @@
 
     def _may_release(self, name):
         book = self._world.nodes[name].book
-        if book.is_asked(*PLACE):
+        if book.awaits_answer(*PLACE):
             return False
         over = self._world.now >= book.held_until_s(*PLACE)
         return over or (
--- a/comfreywharf/ownership/tests/lives_model.py
+++ b/comfreywharf/ownership/tests/lives_model.py
@@ -170,7 +170,7 @@
         if node.met not in (None, node.tracker.process):
             return True
         served = self.served(name)
-        if node.book.bars(fence for _, _, fence, _ in served):
+        if node.book.has_used_fence(fence for _, _, fence, _ in served):
             return True
         return bool(copy_book(node.book).due(served, self.now))
 
@@ -181,7 +181,7 @@
         if node.met not in (None, node.tracker.process):
             book.process_changed()
         served = self.served(name)
-        barred = book.bars(fence for _, _, fence, _ in served)
+        barred = book.has_used_fence(fence for _, _, fence, _ in served)
         return not barred and bool(book.due(served, self.now))
 
     def push(self, name, number=None, stages=1):
@@ -195,7 +195,7 @@
             node.book.process_changed()
         node.met = node.tracker.process
         served = self.served(name)
-        if node.book.bars(fence for _, _, fence, _ in served):
+        if node.book.has_used_fence(fence for _, _, fence, _ in served):
             self._begin_anew(name)
             return
         for order in node.book.due(served, self.now):
--- a/comfreywharf/ownership/tests/lives_parts.py
+++ b/comfreywharf/ownership/tests/lives_parts.py
@@ -139,10 +139,10 @@
     return (
         hold.fence,
         max(0, hold.taken_until_s - now),
-        max(0, hold.maybe_until_s - now),
+        max(0, hold.possible_until_s - now),
         max(0, hold.lost_until_s - now),
-        hold.asked_s if hold.asking else 0,
-        hold.asking,
+        hold.order_hold_s if hold.order_pending else 0,
+        hold.order_pending,
         hold.outdated,
     )
 
--- a/comfreywharf/ownership/tests/test_hold_lists.py
+++ b/comfreywharf/ownership/tests/test_hold_lists.py
@@ -252,7 +252,7 @@
     settle = ListedHoldBook.settle
 
     def settle_all(self, service, list_id, reported, now_s):
-        for hold in self._of(service):
+        for hold in self._holds_of(service):
             hold.listed_until_s.clear()
         settle(self, service, list_id, reported, now_s)
 
@@ -265,7 +265,9 @@
 
 
 def _use_fences_again(monkeypatch):
-    monkeypatch.setattr(listed_holds.ListedHoldBook, "bars", lambda self, fences: False)
+    monkeypatch.setattr(
+        listed_holds.ListedHoldBook, "has_used_fence", lambda self, fences: False
+    )
     monkeypatch.setattr(
         listed_holds.ListedHoldBook, "process_changed", lambda self: None
     )
--- a/comfreywharf/ownership/tests/test_holds.py
+++ b/comfreywharf/ownership/tests/test_holds.py
@@ -128,9 +128,9 @@
     book = HoldBook(TERMS)
     granted(book)
     change(book)
-    assert book.bars([14, 10])
+    assert book.has_used_fence([14, 10])
     assert book.due(served(until_s=NOW_S + 3), NOW_S + 0.1) == []
-    assert not book.bars([12])
+    assert not book.has_used_fence([12])
     assert len(book.due(served(fence=12, until_s=NOW_S + 3), NOW_S + 0.1)) == 1
 
 
@@ -139,7 +139,7 @@
     book = HoldBook(TERMS)
     book.due(served(), NOW_S)
     book.process_changed()
-    assert book.bars([10])
+    assert book.has_used_fence([10])
 
 
 def test_what_was_granted_counts_on_where_the_process_may_be_the_same():
@@ -158,7 +158,7 @@
     book = HoldBook(TERMS)
     granted(book, answer=GrantAnswer.UNSENT)
     assert book.lost_until_s("booking", 0, 1000) < NOW_S
-    assert not book.is_asked("booking", 0, 1000)
+    assert not book.awaits_answer("booking", 0, 1000)
 
 
 def test_an_outdated_grant_isnt_repeated():
@@ -189,10 +189,10 @@
     granted(book)
     (order,) = book.due(served(until_s=NOW_S + 2.4), NOW_S + 0.9)
     book.stop("booking", 0, 1000, 12, NOW_S + 0.9)
-    assert book.is_asked("booking", 0, 1000)
-    assert book.is_asked("booking", 500, 600)
+    assert book.awaits_answer("booking", 0, 1000)
+    assert book.awaits_answer("booking", 500, 600)
     book.answered(order, GrantAnswer.TAKEN, NOW_S + 0.91)
-    assert not book.is_asked("booking", 0, 1000)
+    assert not book.awaits_answer("booking", 0, 1000)
 
 
 def test_a_grant_of_a_slice_that_was_split_meanwhile_is_still_answered():
@@ -202,5 +202,5 @@
     (newer,) = book.due(served(attrs.evolve(PIECE, end=500), fence=14), NOW_S)
     book.answered(order, GrantAnswer.LOST, NOW_S + 0.4)
     book.answered(newer, GrantAnswer.TAKEN, NOW_S + 0.4)
-    assert not book.is_asked("booking", 0, 1000)
+    assert not book.awaits_answer("booking", 0, 1000)
     assert book.lost_until_s("booking", 500, 1000) > NOW_S + 1
--- a/comfreywharf/ownership/tests/test_lives_search.py
+++ b/comfreywharf/ownership/tests/test_lives_search.py
@@ -66,7 +66,7 @@
     return LONG_AGO
 
 
-def not_asked(self, *place):
+def no_answer_awaited(self, *place):
     return False
 
 
@@ -89,7 +89,10 @@
     ),
     "a surrender tells of holds": (CRASHES, (World, "_begin_anew", anew_at_once)),
     "a release waits for lost orders": (LOSSES, (HoldBook, "lost_until_s", never)),
-    "a release waits for orders under way": (LOSSES, (HoldBook, "is_asked", not_asked)),
+    "a release waits for orders under way": (
+        LOSSES,
+        (HoldBook, "awaits_answer", no_answer_awaited),
+    ),
     "a hold is measured when it is sent": (
         LOSSES,
         (World, "hold_of", sized_when_decided),
