--- a/comfreywharf/daemon/owning/heartbeat_grants.py
+++ b/comfreywharf/daemon/owning/heartbeat_grants.py
@@ -140,12 +140,12 @@
         if not right.key_hash:
             return True
         place = right.slice_start
-        return self.book.has(right.service, right.key_hash, now_s, near=place)
+        return self.book.holds_key(right.service, right.key_hash, now_s, near=place)
 
     def refused(self, right):
         """Send no further request for a key that the server says it doesn't hold."""
         if right.key_hash and boottime_s() > self._answered_s + SETTLING_S:
-            self.book.doubt(right.service, right.key_hash)
+            self.book.mark_not_held(right.service, right.key_hash)
             self._news.set()
 
     def _try_release(self, place, numbers, fence):
--- a/comfreywharf/ownership/hold_lists.py
+++ b/comfreywharf/ownership/hold_lists.py
@@ -167,7 +167,7 @@
         sent = self._sent
         if not self._same_line(sent, report):
             return False
-        self.book.settle(report.service, report.connection, reported, now_s)
+        self.book.lists_received(report.service, report.connection, reported, now_s)
         whole = {(held.first, held.last, held.fence) for held in report.held}
         return sent.timely and not all(
             self._is_taken(wish, report, whole, now_s) for wish in sent.wishes
@@ -209,7 +209,7 @@
         if self._release_wanted:
             return True
         wishes = self._wishes(report.service, serving, now_s)
-        if not all(self.book.has(report.service, w.start, now_s) for w in wishes):
+        if not all(self.book.holds_key(report.service, w.start, now_s) for w in wishes):
             return True
         listed = self._sent.wishes if self._sent else ()
         starts = {wish.start for wish in wishes}
@@ -281,12 +281,12 @@
         ]
         for name, piece in serving.pending:
             if name == service:
-                kept = self.book.kept(name, piece.start, piece.end, now_s)
+                kept = self.book.held_parts(name, piece.start, piece.end, now_s)
                 wishes += [_Wish(*found, serving.lease_until_s) for found in kept]
         longest_s = max((wish.until_s - now_s for wish in wishes), default=0.0)
         held, others = [], []
         for wish in wishes:
-            if self.book.has(service, wish.start, now_s):
+            if self.book.holds_key(service, wish.start, now_s):
                 held.append(wish)
             elif wish.until_s - now_s >= LEAST_PART * longest_s:
                 others.append(wish)
--- a/comfreywharf/ownership/listed_holds.py
+++ b/comfreywharf/ownership/listed_holds.py
@@ -50,7 +50,7 @@
         """Return an earlier holder's handover for the next grant of a place."""
         return self._handovers.get(place, "")
 
-    def settle(self, service, list_id, reported, now_s):
+    def lists_received(self, service, list_id, reported, now_s):
         """Register that the lists on a connection arrived, and what is held now.
 
         ``reported`` are half-open ranges of hashes that the server holds.
@@ -58,7 +58,7 @@
         whole = set(reported)
         for hold in self._holds_of(service):
             if hold.listed_until_s.pop(list_id, None) is not None:
-                self._handover_came((service, hold.start), hold)
+                self._handover_received((service, hold.start), hold)
             if (hold.start, hold.end) in whole:
                 continue
             if hold.unanswered_until_s > now_s or hold.order_pending:
@@ -66,7 +66,7 @@
             if not any(hold.overlaps(start, end) for start, end in reported):
                 hold.possible_until_s = hold.taken_until_s = NEVER_S
 
-    def _handover_came(self, place, hold):
+    def _handover_received(self, place, hold):
         if hold.handover and self._handovers.get(place) == hold.handover:
             del self._handovers[place]
 
@@ -89,13 +89,13 @@
             for hold in holds:
                 hold.taken_until_s = NEVER_S
 
-    def doubt(self, service, value):
+    def mark_not_held(self, service, value):
         """Treat a key as not held until it is granted again."""
         for hold in self._holds_of(service):
             if hold.start <= value < hold.end:
                 hold.taken_until_s = NEVER_S
 
-    def has(self, service, value, now_s, near=None):
+    def holds_key(self, service, value, now_s, near=None):
         """Return whether the server holds a key under any fence, and for long enough.
 
         That is for at least `HoldTerms.shortest_s`. A hold ends with the lease that
@@ -110,21 +110,21 @@
         ends_s = [hold.confirmed_until_s(value) for hold in self._holds_of(service)]
         return max(ends_s, default=NEVER_S) > ends_by_s
 
-    def kept(self, service, start, end, now_s):
+    def held_parts(self, service, start, end, now_s):
         """Return ``(start, end, fence)`` of each held part of a range."""
         found = []
         holds = self._overlapping(service, start, end)
         for hold in sorted(holds, key=lambda hold: -hold.fence):
-            first, behind = max(start, hold.start), min(end, hold.end)
+            first, past_end = max(start, hold.start), min(end, hold.end)
             if hold.taken_until_s <= now_s or hold.fence <= self._used_fence:
                 continue
-            if _meets(first, behind, hold.stopped_ranges) or _meets(
-                first, behind, found
+            if _meets(first, past_end, hold.stopped_ranges) or _meets(
+                first, past_end, found
             ):
                 continue
-            found.append((first, behind, hold.fence))
+            found.append((first, past_end, hold.fence))
         return found
 
 
 def _meets(start, end, ranges):
-    return any(start < behind and first < end for first, behind, *_ in ranges)
+    return any(start < past_end and first < end for first, past_end, *_ in ranges)
--- a/comfreywharf/ownership/tests/test_hold_lists.py
+++ b/comfreywharf/ownership/tests/test_hold_lists.py
@@ -167,7 +167,7 @@
     lists.decide(report(), serving(a_slice()), NOW_S)
     assert not lists.has_news(report(), serving(a_slice(), fence=12), NOW_S + 0.1)
     assert lists.has_news(report(), serving(), NOW_S + 0.1)
-    lists.book.doubt("booking", range_of_numbers(5, 5)[0] + 1)
+    lists.book.mark_not_held("booking", range_of_numbers(5, 5)[0] + 1)
     assert lists.has_news(report(), serving(a_slice()), NOW_S + 0.1)
 
 
@@ -249,14 +249,14 @@
 
 
 def _take_each_answer_for_received(monkeypatch):
-    settle = ListedHoldBook.settle
+    lists_received = ListedHoldBook.lists_received
 
-    def settle_all(self, service, list_id, reported, now_s):
+    def all_lists_received(self, service, list_id, reported, now_s):
         for hold in self._holds_of(service):
             hold.listed_until_s.clear()
-        settle(self, service, list_id, reported, now_s)
+        lists_received(self, service, list_id, reported, now_s)
 
-    monkeypatch.setattr(ListedHoldBook, "settle", settle_all)
+    monkeypatch.setattr(ListedHoldBook, "lists_received", all_lists_received)
     monkeypatch.setattr(
         hold_lists.HoldLists,
         "_same_line",
