--- a/comfreywharf/daemon/owning/heartbeat_grants.py
+++ b/comfreywharf/daemon/owning/heartbeat_grants.py
@@ -52,7 +52,7 @@
     def answer(self, report):
         """Return the `HoldList` for a report, after a wait for news."""
         self._newest = report
-        refused = self.lists.hear(report, boottime_s())
+        refused = self.lists.receive(report, boottime_s())
         self._heard.set()
         self._heard.clear()
         if refused and not self._node.closed_to_new_work:
@@ -90,7 +90,7 @@
 
     def _has_news(self, report):
         serving = self._serving()
-        return serving is not None and self.lists.has_news(
+        return serving is not None and self.lists.has_changes(
             report, serving, boottime_s()
         )
 
@@ -154,15 +154,15 @@
         self._heard.wait(RELEASE_PAUSE_S)
         if self._may_be_held(place, fence):
             return None
-        return self.lists.take_out_handover(*place[1:])
+        return self.lists.pop_handover(*place[1:])
 
     def backend_changed(self):
         """Take note of another life, which holds nothing of the one before."""
         super().backend_changed()
-        self.lists.forget()
+        self.lists.server_restarted()
         self.book.process_changed()
 
     def backend_ended(self):
         """Take note that the backend server is dead, and holds nothing any more."""
         super().backend_ended()
-        self.lists.forget()
+        self.lists.server_restarted()
--- a/comfreywharf/ownership/hold_lists.py
+++ b/comfreywharf/ownership/hold_lists.py
@@ -14,16 +14,16 @@
 
 __all__ = [
     "HeldRange",
-    "ListRoom",
     "HoldList",
     "HoldLists",
     "HoldReport",
     "HoldRow",
+    "ListCapacity",
     "ReleasedRange",
     "Serving",
 ]
 
-LEAST_PART = 0.5
+MIN_LEASE_FRACTION = 0.5
 """The fraction of the longest remaining lease that a new range's lease must reach. All
 ranges of a list share one hold time, so that a shorter lease would shorten all."""
 
@@ -31,7 +31,7 @@
 """The age of a heartbeat up to which its answer is in time. A server may drop an answer
 that arrives a second after its heartbeat was sent."""
 
-MOST_HANDOVERS = 256
+MAX_HANDOVERS = 256
 """How many handovers are kept for next owners; most older ones are never requested."""
 
 
@@ -88,19 +88,19 @@
 
 
 @attrs.frozen(kw_only=True)
-class ListRoom:
+class ListCapacity:
     """The size limit of an answer, and the size of a row without its handover.
 
     A longer answer doesn't count as an acknowledgement, and may not be applied.
     """
 
-    most_bytes: int = 4000
+    max_bytes: int = 4000
     row_bytes: int = 28
 
-    def fits(self, row, used_bytes):
+    def used_bytes_with(self, row, used_bytes):
         """Return the bytes used with a further row, or ``None`` if it doesn't fit."""
         used_bytes += self.row_bytes + len(row.handover)
-        return used_bytes if used_bytes <= self.most_bytes else None
+        return used_bytes if used_bytes <= self.max_bytes else None
 
 
 @attrs.frozen(kw_only=True)
@@ -118,7 +118,7 @@
 
 
 @attrs.frozen
-class _Wish:
+class _Candidate:
     start: int
     end: int
     fence: int
@@ -131,28 +131,28 @@
 
     connection: object
     timely: bool
-    wishes: tuple[_Wish, ...]
+    candidates: tuple[_Candidate, ...]
 
 
 @attrs.define
 class HoldLists:
     """Decide on the lists for one backend server.
 
-    ``room`` says how much fits in one answer.
+    ``capacity`` says how much fits in one answer.
     """
 
     book: ListedHoldBook
-    room: ListRoom = attrs.Factory(ListRoom)
+    capacity: ListCapacity = attrs.Factory(ListCapacity)
     _sent: _Sent | None = None
     _handovers: list = attrs.Factory(list)
     _release_wanted: bool = False
 
-    def forget(self):
+    def server_restarted(self):
         """Reset the state after the server restarted."""
         self._sent = None
         self._handovers.clear()
 
-    def hear(self, report, now_s):
+    def receive(self, report, now_s):
         """Process a report; return whether a range of the last list was refused.
 
         A server refuses a range for which it has seen a higher fence, and shows this
@@ -163,137 +163,152 @@
             hashes = range_of_numbers(held.first, held.last)
             self.book.adopt(report.service, *hashes, held.fence, now_s)
         known = [*self._handovers, *report.released]
-        self._handovers = list(dict.fromkeys(known))[-MOST_HANDOVERS:]
+        self._handovers = list(dict.fromkeys(known))[-MAX_HANDOVERS:]
         sent = self._sent
-        if not self._same_line(sent, report):
+        if not self._same_connection(sent, report):
             return False
         self.book.lists_received(report.service, report.connection, reported, now_s)
         whole = {(held.first, held.last, held.fence) for held in report.held}
         return sent.timely and not all(
-            self._is_taken(wish, report, whole, now_s) for wish in sent.wishes
+            self._is_settled(candidate, report, whole, now_s)
+            for candidate in sent.candidates
         )
 
     @staticmethod
-    def _same_line(sent, report):
+    def _same_connection(sent, report):
         """Return whether a report shows that the last list was received."""
         return sent is not None and sent.connection == report.connection
 
-    def _is_taken(self, wish, report, whole, now_s):
-        numbers = numbers_in(wish.start, wish.end)
-        if numbers is None or (*numbers, wish.fence) in whole:
+    def _is_settled(self, candidate, report, whole, now_s):
+        numbers = numbers_in(candidate.start, candidate.end)
+        if numbers is None or (*numbers, candidate.fence) in whole:
             return True
-        if self.book.is_stopped((report.service, wish.start), wish.fence):
+        if self.book.is_stopped((report.service, candidate.start), candidate.fence):
             return True
-        if now_s >= wish.until_s:
+        if now_s >= candidate.until_s:
             return True
         return any(
-            held.fence == wish.fence and _meet(held, *numbers) for held in report.held
+            held.fence == candidate.fence and _overlap(held, *numbers)
+            for held in report.held
         )
 
     def release(self):
         """Have the next heartbeat answered at once, since a range is to be released."""
         self._release_wanted = True
 
-    def take_out_handover(self, start, end):
+    def pop_handover(self, start, end):
         """Return the newest handover of a range, and drop the others within it."""
         numbers = numbers_in(start, end)
         if numbers is None:
             return ""
-        found = [r for r in self._handovers if _meet(r, *numbers)]
+        found = [r for r in self._handovers if _overlap(r, *numbers)]
         inside = [r for r in found if numbers[0] <= r.first and r.last <= numbers[1]]
         self._handovers = [r for r in self._handovers if r not in inside]
         return found[-1].handover if found else ""
 
-    def has_news(self, report, serving, now_s):
+    def has_changes(self, report, serving, now_s):
         """Return whether the next list would grant or release any key."""
         if self._release_wanted:
             return True
-        wishes = self._wishes(report.service, serving, now_s)
-        if not all(self.book.holds_key(report.service, w.start, now_s) for w in wishes):
+        candidates = self._candidates(report.service, serving, now_s)
+        if not all(
+            self.book.holds_key(report.service, w.start, now_s) for w in candidates
+        ):
             return True
-        listed = self._sent.wishes if self._sent else ()
-        starts = {wish.start for wish in wishes}
+        listed = self._sent.candidates if self._sent else ()
+        starts = {candidate.start for candidate in candidates}
         return any(
             now_s < old.until_s
             and old.start not in starts
-            and not any(w.start <= old.start < w.end for w in wishes)
+            and not any(w.start <= old.start < w.end for w in candidates)
             for old in listed
         )
 
     def decide(self, report, serving, now_s):
         """Return the `HoldList` to answer with now, or ``None`` to send no list."""
         self._release_wanted = False
-        wishes = self._wishes(report.service, serving, now_s)
-        ends_s = [wish.until_s for wish in wishes] or [serving.lease_until_s]
+        candidates = self._candidates(report.service, serving, now_s)
+        ends_s = [candidate.until_s for candidate in candidates] or [
+            serving.lease_until_s
+        ]
         terms = self.book.terms
         longest_s = min(min(ends_s) - report.arrived_s, terms.longest_s)
         hold_s = longest_s / (1 + terms.slow_clock)
         until_s = report.arrived_s + longest_s
         if until_s < now_s + terms.shortest_s:
             return None
-        listed = [attrs.evolve(wish, until_s=until_s) for wish in wishes]
+        listed = [attrs.evolve(candidate, until_s=until_s) for candidate in candidates]
         rows = self._fill(report, listed, now_s)
         self._sent = _Sent(
             connection=report.connection,
             timely=now_s < report.arrived_s + TIMELY_S,
-            wishes=tuple(wish for wish, _ in rows),
+            candidates=tuple(candidate for candidate, _ in rows),
         )
         return HoldList(rows=_joined([row for _, row in rows]), hold_s=hold_s)
 
-    def _fill(self, report, wishes, now_s):
-        """Return ``(wish, row)`` of what fits, and record it as listed."""
+    def _fill(self, report, candidates, now_s):
+        """Return ``(candidate, row)`` of what fits, and record it as listed."""
         rows, used_bytes = [], 0
-        for wish in wishes:
-            row = self._row(report.service, wish)
-            used_with_it = row and self.room.fits(row, used_bytes)
+        for candidate in candidates:
+            row = self._row(report.service, candidate)
+            used_with_it = row and self.capacity.used_bytes_with(row, used_bytes)
             if not used_with_it:
                 continue
             used_bytes = used_with_it
-            rows.append((wish, row))
-            self._list(report, wish, row, now_s)
+            rows.append((candidate, row))
+            self._list(report, candidate, row, now_s)
         return rows
 
-    def _row(self, service, wish):
-        numbers = numbers_in(wish.start, wish.end)
+    def _row(self, service, candidate):
+        numbers = numbers_in(candidate.start, candidate.end)
         if numbers is None:
             return None
-        handover = self.book.handover_for((service, wish.start))
+        handover = self.book.handover_for((service, candidate.start))
         first, last = numbers
-        return HoldRow(first=first, last=last, fence=wish.fence, handover=handover)
+        return HoldRow(first=first, last=last, fence=candidate.fence, handover=handover)
 
-    def _list(self, report, wish, row, now_s):
-        place = (report.service, wish.start)
+    def _list(self, report, candidate, row, now_s):
+        place = (report.service, candidate.start)
         self._handovers = [
             released
             for released in self._handovers
-            if not _meet(released, row.first, row.last)
+            if not _overlap(released, row.first, row.last)
         ]
         self.book.listed(
-            place, wish.end, wish.fence, report.connection, wish.until_s, now_s
+            place,
+            candidate.end,
+            candidate.fence,
+            report.connection,
+            candidate.until_s,
+            now_s,
         )
 
-    def _wishes(self, service, serving, now_s):
+    def _candidates(self, service, serving, now_s):
         """Return the ranges to list; those that are already held come first."""
-        wishes = [
-            _Wish(piece.start, piece.end, fence, until_s)
+        candidates = [
+            _Candidate(piece.start, piece.end, fence, until_s)
             for name, piece, fence, until_s in serving.served
             if name == service and not self.book.is_stopped((name, piece.start), fence)
         ]
         for name, piece in serving.pending:
             if name == service:
                 kept = self.book.held_parts(name, piece.start, piece.end, now_s)
-                wishes += [_Wish(*found, serving.lease_until_s) for found in kept]
-        longest_s = max((wish.until_s - now_s for wish in wishes), default=0.0)
+                candidates += [
+                    _Candidate(*found, serving.lease_until_s) for found in kept
+                ]
+        longest_s = max(
+            (candidate.until_s - now_s for candidate in candidates), default=0.0
+        )
         held, others = [], []
-        for wish in wishes:
-            if self.book.holds_key(service, wish.start, now_s):
-                held.append(wish)
-            elif wish.until_s - now_s >= LEAST_PART * longest_s:
-                others.append(wish)
+        for candidate in candidates:
+            if self.book.holds_key(service, candidate.start, now_s):
+                held.append(candidate)
+            elif candidate.until_s - now_s >= MIN_LEASE_FRACTION * longest_s:
+                others.append(candidate)
         return held + others
 
 
-def _meet(one, first, last):
+def _overlap(one, first, last):
     """Return whether a range of numbers overlaps the one from first to last."""
     return one.first <= last and first <= one.last
 
--- a/comfreywharf/ownership/listed_holds.py
+++ b/comfreywharf/ownership/listed_holds.py
@@ -118,7 +118,7 @@
             first, past_end = max(start, hold.start), min(end, hold.end)
             if hold.taken_until_s <= now_s or hold.fence <= self._used_fence:
                 continue
-            if _meets(first, past_end, hold.stopped_ranges) or _meets(
+            if _overlaps_any(first, past_end, hold.stopped_ranges) or _overlaps_any(
                 first, past_end, found
             ):
                 continue
@@ -126,5 +126,5 @@
         return found
 
 
-def _meets(start, end, ranges):
+def _overlaps_any(start, end, ranges):
     return any(start < past_end and first < end for first, past_end, *_ in ranges)
--- a/comfreywharf/ownership/tests/list_world.py
+++ b/comfreywharf/ownership/tests/list_world.py
@@ -155,7 +155,7 @@
         )
         sent_s = self.now_s
         self.now_s += travels_s
-        if self.lists.hear(report, self.now_s):
+        if self.lists.receive(report, self.now_s):
             self.begin_lease()
         serving = self.serving()
         decided = serving and self.lists.decide(report, serving, self.now_s)
@@ -243,7 +243,7 @@
     def restart_server(self):
         """Have the server end, and begin again under its id."""
         self.server = Server(life=self.server.life + 1)
-        self.lists.forget()
+        self.lists.server_restarted()
         self.book.process_changed()
 
     def check(self):
--- a/comfreywharf/ownership/tests/test_hold_lists.py
+++ b/comfreywharf/ownership/tests/test_hold_lists.py
@@ -70,7 +70,7 @@
     Events: more ranges than an answer has room for.
     Cause: what is left out is released, so the choice must not change."""
     lists = make_lists()
-    lists.room = hold_lists.ListRoom(most_bytes=50, row_bytes=25)
+    lists.capacity = hold_lists.ListCapacity(max_bytes=50, row_bytes=25)
     first = serving(a_slice(50, 59), a_slice(80, 89))
     lists.decide(report(), first, NOW_S)
     more = serving(a_slice(0, 9), a_slice(50, 59), a_slice(80, 89))
@@ -84,7 +84,7 @@
     lists = make_lists()
     lists.decide(report(), serving(a_slice(), a_slice(100, 199)), NOW_S)
     after = report(arrived_s=NOW_S + 0.87, held=[(0, 99, 10)])
-    assert lists.hear(after, NOW_S + 0.87)
+    assert lists.receive(after, NOW_S + 0.87)
 
 
 @pytest.mark.parametrize("connection", ["c", "another"])
@@ -95,7 +95,7 @@
     lists = make_lists()
     lists.decide(report(), serving(a_slice()), NOW_S)
     after = report(connection=connection, arrived_s=NOW_S + 0.87)
-    assert lists.hear(after, NOW_S + 0.87) is (connection == "c")
+    assert lists.receive(after, NOW_S + 0.87) is (connection == "c")
 
 
 def test_a_range_whose_fence_isnt_known_yet_stays_listed():
@@ -119,7 +119,7 @@
     lists.decide(report(), serving(a_slice()), NOW_S)
     start, end = range_of_numbers(0, 99)
     lists.book.stop("booking", start, end, 12, NOW_S + 0.9)
-    lists.hear(report("another", NOW_S + 0.9), NOW_S + 0.9)
+    lists.receive(report("another", NOW_S + 0.9), NOW_S + 0.9)
     assert lists.book.lost_until_s("booking", start, end) == pytest.approx(UNTIL_S)
 
 
@@ -127,10 +127,10 @@
     """A handover comes again until it is acknowledged, and is handed over once."""
     lists = make_lists()
     told = (hold_lists.ReleasedRange(first=0, last=99, handover="h"),)
-    lists.hear(report(released=told), NOW_S)
-    lists.hear(report(released=told), NOW_S + 0.1)
-    assert lists.take_out_handover(*range_of_numbers(0, 99)) == "h"
-    assert lists.take_out_handover(*range_of_numbers(0, 99)) == ""
+    lists.receive(report(released=told), NOW_S)
+    lists.receive(report(released=told), NOW_S + 0.1)
+    assert lists.pop_handover(*range_of_numbers(0, 99)) == "h"
+    assert lists.pop_handover(*range_of_numbers(0, 99)) == ""
 
 
 def test_a_handover_goes_with_its_range_until_that_was_heard():
@@ -142,9 +142,9 @@
     lists.book.take_handover(("booking", start), "h")
     want = (HoldRow(first=0, last=99, fence=10, handover="h"),)
     assert lists.decide(report(), serving(a_slice()), NOW_S).rows == want
-    lists.hear(report("another", NOW_S + 0.9), NOW_S + 0.9)
+    lists.receive(report("another", NOW_S + 0.9), NOW_S + 0.9)
     assert lists.decide(report("another"), serving(a_slice()), NOW_S + 0.9).rows == want
-    lists.hear(report("another", NOW_S + 1, [(0, 99, 10)]), NOW_S + 1)
+    lists.receive(report("another", NOW_S + 1, [(0, 99, 10)]), NOW_S + 1)
     decided = lists.decide(report("another"), serving(a_slice()), NOW_S + 1)
     assert decided.rows[0].handover == ""
 
@@ -163,12 +163,12 @@
     """Each answer that is sent early leaves the node without one until the next
     heartbeat, so only what waits is news."""
     lists = make_lists()
-    assert lists.has_news(report(), serving(a_slice()), NOW_S)
+    assert lists.has_changes(report(), serving(a_slice()), NOW_S)
     lists.decide(report(), serving(a_slice()), NOW_S)
-    assert not lists.has_news(report(), serving(a_slice(), fence=12), NOW_S + 0.1)
-    assert lists.has_news(report(), serving(), NOW_S + 0.1)
+    assert not lists.has_changes(report(), serving(a_slice(), fence=12), NOW_S + 0.1)
+    assert lists.has_changes(report(), serving(), NOW_S + 0.1)
     lists.book.mark_not_held("booking", range_of_numbers(5, 5)[0] + 1)
-    assert lists.has_news(report(), serving(a_slice()), NOW_S + 0.1)
+    assert lists.has_changes(report(), serving(a_slice()), NOW_S + 0.1)
 
 
 class ListsMachine(RuleBasedStateMachine):
@@ -259,7 +259,7 @@
     monkeypatch.setattr(ListedHoldBook, "lists_received", all_lists_received)
     monkeypatch.setattr(
         hold_lists.HoldLists,
-        "_same_line",
+        "_same_connection",
         staticmethod(lambda sent, report: sent is not None),
     )
 
--- a/comfreywharf/platform/heartbeats.py
+++ b/comfreywharf/platform/heartbeats.py
@@ -7,7 +7,7 @@
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.connections.http import NodelayHandler
-from comfreywharf.ownership.hold_lists import HoldReport, ListRoom
+from comfreywharf.ownership.hold_lists import HoldReport, ListCapacity
 from comfreywharf.platform.announcements import (
     DamagedReport,
     read_deregistration,
@@ -21,7 +21,7 @@
 MAX_BODY_BYTES = 256 * 1024
 """Room for some 4,000 ranges that a server holds or released."""
 
-LIST_ROOM = ListRoom(most_bytes=4000, row_bytes=len('[65535,65535,1234567,""],'))
+LIST_ROOM = ListCapacity(max_bytes=4000, row_bytes=len('[65535,65535,1234567,""],'))
 """An answer is no acknowledgement if it has more than 4 KiB."""
 
 
--- a/comfreywharf_dev/bench/list_cost.py
+++ b/comfreywharf_dev/bench/list_cost.py
@@ -53,7 +53,7 @@
 def _measure(size, fences):
     """Return the processor time of all heartbeats, and the last answer's bytes."""
     lists = HoldLists(ListedHoldBook(HoldTerms(lease_s=LEASE_S, longest_s=10.0)))
-    lists.room = LIST_ROOM
+    lists.capacity = LIST_ROOM
     held, answer = [], b""
     began_s = time.process_time()
     for number in range(HEARTBEATS):
@@ -63,7 +63,7 @@
         report = HoldReport(
             service="booking", connection="c", arrived_s=now_s, held=said.held
         )
-        lists.hear(report, now_s)
+        lists.receive(report, now_s)
         serving = _serving(size, fences, now_s + LEASE_S)
         fields = list_fields(lists.decide(report, serving, now_s))
         held = [row[:3] for row in fields["holds"]]
