--- a/comfreywharf/ownership/handover.py
+++ b/comfreywharf/ownership/handover.py
@@ -5,7 +5,7 @@
 __all__ = ["ReleaseDecision", "decide_release"]
 
 RETRY_S = 0.01
-UNHEARD_RETRY_S = 0.05
+OUTDATED_RETRY_S = 0.05
 
 
 @attrs.frozen(kw_only=True)
@@ -31,7 +31,7 @@
     pieces = state.slices.get(request_service)
     piece = pieces.at_start(start) if pieces else None
     if piece is None or piece.epoch != epoch:
-        return ReleaseDecision(released=False, retry_after_s=UNHEARD_RETRY_S)
+        return ReleaseDecision(released=False, retry_after_s=OUTDATED_RETRY_S)
     table.stop_serving(request_service, start)
     if table.holder.lease.acknowledged_portfolio_epoch() < epoch:
         return ReleaseDecision(
--- a/comfreywharf/ownership/table.py
+++ b/comfreywharf/ownership/table.py
@@ -9,7 +9,7 @@
 
 __all__ = ["OwnershipTable", "Right"]
 
-WHOLE_S = float("-inf")
+ALWAYS_S = float("-inf")
 
 
 @attrs.frozen(kw_only=True)
@@ -31,7 +31,7 @@
     slice_start: int = -1
     fence: int = -1
     deadline_s: float = 0.0
-    vouched_since_s: float = WHOLE_S
+    vouched_since_s: float = ALWAYS_S
     covered: bool = True
     ticket: int = 0
 
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen
-class _Lingering:
+class _Unreleased:
     """A slice that moved away and that the new owner hasn't requested yet."""
 
     epoch: int
@@ -80,7 +80,7 @@
         self.fenced = fenced
         self.claims = {}
         self._released = set()
-        self._lingering = {}
+        self._unreleased = {}
         self._vouched_since_s = {}
         self._newest_slice_epoch = -1
         self._used = {}
@@ -113,10 +113,10 @@
         key = SliceKey(service, piece.start, piece.epoch)
         if piece.owner == self._node_id:
             return self._owner_basis(state, key, piece, now_s)
-        lingering = self._lingering.get((service, piece.start))
-        if lingering is not None and lingering.epoch == piece.epoch:
-            if self.holder.owns(now_s) and self._is_acknowledged(lingering.fence):
-                return _Basis(lingering.fence, (self.holder.lease,))
+        unreleased = self._unreleased.get((service, piece.start))
+        if unreleased is not None and unreleased.epoch == piece.epoch:
+            if self.holder.owns(now_s) and self._is_acknowledged(unreleased.fence):
+                return _Basis(unreleased.fence, (self.holder.lease,))
         if piece.standby == self._node_id:
             return self._taker_basis(state, key, piece, now_s)
         return Right(reason=Reason.WRONG_OWNER, owner_hint=piece.owner)
@@ -217,14 +217,14 @@
             self._became_owner(service, before, after, now_s)
         if after.previous == self._node_id and mine_before:
             fence = state.fence(before)
-            self._lingering[place] = _Lingering(epoch=after.epoch, fence=fence)
+            self._unreleased[place] = _Unreleased(epoch=after.epoch, fence=fence)
         elif after.previous != self._node_id:
-            self._lingering.pop(place, None)
-        elif place in self._lingering:
+            self._unreleased.pop(place, None)
+        elif place in self._unreleased:
             # The new owner was lost before it requested the slice; another
             # one will request it.
-            fence = self._lingering[place].fence
-            self._lingering[place] = _Lingering(epoch=after.epoch, fence=fence)
+            fence = self._unreleased[place].fence
+            self._unreleased[place] = _Unreleased(epoch=after.epoch, fence=fence)
 
     def _became_owner(self, service, before, after, now_s):
         """Decide since when the memory of request ids of a new slice is complete.
@@ -242,7 +242,7 @@
         if before is None:
             self._vouched_since_s[place] = now_s
         elif not before.owner and self.holder.owns(now_s):
-            self._vouched_since_s[place] = WHOLE_S
+            self._vouched_since_s[place] = ALWAYS_S
         elif not self._claimed(service, before):
             self._vouched_since_s[place] = now_s
 
@@ -260,7 +260,7 @@
     def slices_merged(self, service, start, next_start):
         """Keep the later of the two parts' memory starts for a merged slice."""
         self._used.pop((service, next_start), None)
-        since_s = self._vouched_since_s.pop((service, next_start), WHOLE_S)
+        since_s = self._vouched_since_s.pop((service, next_start), ALWAYS_S)
         if (service, start) in self._vouched_since_s:
             kept_s = self._vouched_since_s[(service, start)]
             self._vouched_since_s[(service, start)] = max(kept_s, since_s)
@@ -271,7 +271,7 @@
         Slices that were served under an earlier lease may have been served on
         other nodes since, so that the memory of request ids may be incomplete.
         """
-        self._lingering.clear()
+        self._unreleased.clear()
         self._used.clear()
         self._vouched_since_s.clear()
         for service, piece in state.owned_by(self._node_id):
@@ -321,7 +321,7 @@
 
     def stop_serving(self, service, start):
         """Accept no further requests for a slice that the new owner has requested."""
-        self._lingering.pop((service, start), None)
+        self._unreleased.pop((service, start), None)
 
     def vouched_since_s(self, service, start):
         """Return since when the memory of a slice is complete; ``None`` if it isn't."""
--- a/comfreywharf/ownership/tests/test_restarted_memory.py
+++ b/comfreywharf/ownership/tests/test_restarted_memory.py
@@ -4,7 +4,7 @@
 from comfreywharf.records import key_hash
 
 KEY = KEYS[0]
-WHOLE_S = float("-inf")
+ALWAYS_S = float("-inf")
 
 
 def test_a_new_process_vouches_for_nothing_that_an_earlier_one_ran():
@@ -20,4 +20,4 @@
     start = world.truth().owner_of(SERVICE, key_hash(KEY)).start
     node.restart()
     node.fold_some(len(world.log))
-    assert node.agent.table.vouched_since_s(SERVICE, start) > WHOLE_S
+    assert node.agent.table.vouched_since_s(SERVICE, start) > ALWAYS_S
--- a/comfreywharf/ownership/witness.py
+++ b/comfreywharf/ownership/witness.py
@@ -54,10 +54,10 @@
     round: int = -1
     term: int = 0
     takers: dict[str, _Taker] = attrs.Factory(dict)
-    noticed_s: float = NEVER_S
+    notified_s: float = NEVER_S
 
     @property
-    def known(self):
+    def was_held(self):
         """Return whether a node has held this lease since the witness started."""
         return self.round >= 0 or bool(self.takers)
 
@@ -151,7 +151,7 @@
             if claim.view == current.view:
                 # The taker has held its share since then, so that no later
                 # view of the assignment can be in force for this share.
-                return self._share(watched, claim, now_s)
+                return self._grant_share(watched, claim, now_s)
         denial = self._claim_denial(watched, claim, view)
         if denial is not Denial.NONE:
             return self._deny(denial)
@@ -160,7 +160,7 @@
             return self._deny(Denial.HELD, held_until_s - now_s)
         if not watched.takers:
             watched.term = self._new_term()
-        return self._share(watched, claim, now_s)
+        return self._grant_share(watched, claim, now_s)
 
     def _wait_s(self, owner_id, begins, longest_request_s, now_s):
         """Return how long this witness still has to refuse grants of a lease.
@@ -171,7 +171,7 @@
         """
         until_s = self.silent_until_s
         watched = self._watched.get(owner_id)
-        if begins and (watched is None or not watched.known):
+        if begins and (watched is None or not watched.was_held):
             until_s = max(until_s, self._started_s + longest_request_s)
         return until_s - now_s
 
@@ -187,7 +187,7 @@
                 return Denial.OTHER_VIEW
         return Denial.NONE
 
-    def _share(self, watched, claim, now_s):
+    def _grant_share(self, watched, claim, now_s):
         watched.lease_epoch = max(watched.lease_epoch, claim.lease_epoch)
         watched.portfolio_epoch = max(watched.portfolio_epoch, claim.portfolio_epoch)
         watched.takers[claim.taker_id] = _Taker(
@@ -222,13 +222,13 @@
         """
         if now_s < self.silent_until_s:
             return []
-        return [owner_id for owner_id in owner_ids if self._due(owner_id, now_s)]
+        return [owner_id for owner_id in owner_ids if self._notice_due(owner_id, now_s)]
 
-    def _due(self, owner_id, now_s):
+    def _notice_due(self, owner_id, now_s):
         watched = self._lookup(owner_id)
-        if now_s < watched.expires_s or now_s < watched.noticed_s + NOTICE_INTERVAL_S:
+        if now_s < watched.expires_s or now_s < watched.notified_s + NOTICE_INTERVAL_S:
             return False
-        watched.noticed_s = now_s
+        watched.notified_s = now_s
         return True
 
     def forget(self, owner_ids, now_s):
