--- a/comfreywharf/ownership/tests/builders.py
+++ b/comfreywharf/ownership/tests/builders.py
@@ -1,8 +1,8 @@
-"""A small world for the ownership decisions: nodes, clocks, messages, a log.
+"""A simulation for the ownership decisions: nodes, clocks, messages, a log.
 
-Nothing here decides anything about ownership; it only carries messages between
-the very agents and witnesses that run, late, twice, in another order or not at
-all, and keeps account of what each node was allowed to forward until when.
+Nothing here decides on ownership. The simulation carries messages between the agents
+and witnesses of the product, which may arrive late, twice, reordered or not at all,
+and records what each node was allowed to forward until when.
 """
 
 import itertools
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class Forwarded:
-    """A request that a backend server may run until a moment of real time."""
+    """A request that a backend server may run until a point in real time."""
 
     node_id: str
     key: bytes
@@ -42,7 +42,7 @@
 
 @attrs.define(eq=False)
 class Message:
-    """A message on its way; ``deliver`` hands it over."""
+    """A message in transit; ``deliver`` passes it to the target node."""
 
     source: str
     target: str
@@ -51,9 +51,9 @@
 
 
 class World:
-    """Nodes, the log, the network between them, and the account of effects.
+    """Nodes, the log, the network between them, and the forwarded requests.
 
-    Where it is ``fenced`` a backend server holds what it is granted, and may run
+    In a ``fenced`` world a backend server holds what it is granted, and may run
     requests for it, until the grant's time is over or the range is released.
     """
 
@@ -76,7 +76,7 @@
         return f"record-{next(self._ids)}"
 
     def append(self, node, record):
-        """Send a record to the log; it may take effect much later, or never."""
+        """Send a record to the log; it may be appended much later, or never."""
         if not node.appends:
             return
         self.waiting_appends.append(record)
@@ -88,14 +88,14 @@
         self.waiting_appends = []
 
     def send(self, source, target, deliver):
-        """Put a message on its way, unless the link is cut."""
+        """Send a message, unless the link is cut."""
         if (source, target) in self.cuts or target not in self.nodes:
             return
         due_real_s = self.real_s + self.slow_s.get(source, 0.0)
         self.messages.append(Message(source, target, deliver, due_real_s))
 
     def deliver(self, message):
-        """Hand a message over; a frozen process reads it when it goes on."""
+        """Deliver a message; a frozen process reads it once it continues."""
         node = self.nodes[message.target]
         if node.frozen:
             message.due_real_s = self.real_s + STEP_S
@@ -113,7 +113,7 @@
                 self.deliver(message)
 
     def run(self, duration_s, folds=50):
-        """Let everything that works work for a while."""
+        """Run all nodes that aren't frozen for a while."""
         for _ in range(round(duration_s / STEP_S)):
             self.real_s += STEP_S
             if self.log_up:
@@ -127,14 +127,14 @@
             self.check()
 
     def truth(self):
-        """Return the fold of the whole log, as an observer would have it."""
+        """Return the fold of the whole log."""
         state = ClusterState()
         for offset, record in enumerate(self.log):
             fold(state, offset, record)
         return state
 
     def role(self, name, key):
-        """Return the node that has a role for a key, by the whole log."""
+        """Return the node that has a role for a key according to the whole log."""
         state = self.truth()
         piece = state.owner_of(SERVICE, key_hash(key))
         watched = piece.previous or piece.owner
@@ -151,13 +151,13 @@
         return named[name] or other
 
     def witnesses_of(self, key):
-        """Return the witnesses of a key's owner, by the whole log."""
+        """Return the witnesses of a key's owner according to the whole log."""
         state = self.truth()
         owner = state.owner_of(SERVICE, key_hash(key)).owner
         return state.members[owner].witnesses
 
     def request(self, node_id, key, wanted_s=SHORT_S):
-        """Try a request at a node; keep account of what it may forward."""
+        """Try a request at a node; record what the node may forward."""
         node = self.nodes[node_id]
         if node.frozen or not node.caught_up or not node.backend_up:
             return False
@@ -185,9 +185,9 @@
         )
 
     def released(self, node_id, slice_key):
-        """Take note that a node's backend server holds a slice no more.
+        """Register that a node's backend server no longer holds a slice.
 
-        Without fences a release ends nothing that was forwarded before it.
+        Without fences a release doesn't end requests that were forwarded before it.
         """
         if not self.fenced:
             return
@@ -200,7 +200,7 @@
         ]
 
     def _cover(self, node, key, right):
-        """Tell the witnesses of a long deadline, as the shell does."""
+        """Notify the witnesses of a long deadline, as the daemon does."""
         node.tick(forced=True)
         self.deliver_due()
         now_s = node.now_s()
@@ -220,7 +220,7 @@
         self.forwarded.append(new)
 
     def check(self):
-        """Raise `Violation` if two nodes may serve one key at this moment."""
+        """Raise `Violation` if two nodes may serve one key now."""
         for key in KEYS:
             for node_id in self.nodes:
                 self.request(node_id, key, wanted_s=0.001)
--- a/comfreywharf/ownership/tests/list_world.py
+++ b/comfreywharf/ownership/tests/list_world.py
@@ -1,8 +1,9 @@
-"""A small world: a node, its server told by lists, and a node that takes over.
+"""A model of a node, its server that is granted ranges by lists, and a second node.
 
-The node decides with the very `HoldLists` and `ListedHoldBook`. What carries heartbeats
-and answers, the server's lives and its slow clock, the lease and the other node are
-modelled here. All times are of one clock, the server's holds end later by its slowness.
+The node decides with the product's `HoldLists` and `ListedHoldBook`. The transport of
+heartbeats and answers, the server's incarnations and its slow clock, the lease and the
+other node are modelled here. All times are by one clock; the server's holds end later
+because of its slow clock.
 """
 
 import attrs
@@ -29,7 +30,7 @@
 
 @attrs.define
 class Answer:
-    """A list on its way, and the heartbeat that asked for it."""
+    """A list in transit, and the heartbeat that requested it."""
 
     rows: tuple
     hold_s: float
@@ -41,7 +42,7 @@
 
 @attrs.define
 class Server:
-    """A server's present life: what it holds until when, and the fences it has seen."""
+    """A server's current incarnation: its holds and the fences that it has seen."""
 
     life: int = 1
     connection: int = 1
@@ -55,7 +56,7 @@
         return fence if now_s < until_s else None
 
     def take(self, answer, now_s):
-        """Carry a list out."""
+        """Apply a list."""
         if answer.life != self.life:
             return
         listed = {
@@ -78,7 +79,7 @@
 
 @attrs.define
 class ListWorld:
-    """What happens to one node and its server; each method is one event."""
+    """The state of one node and its server; each method is one event."""
 
     now_s: float = 100.0
     epoch: int = 1
@@ -96,7 +97,7 @@
         self.begin_node()
 
     def begin_node(self):
-        """Start the node's process, or start it again beside its living server."""
+        """Start the node's process, or restart it while its server keeps running."""
         self.book = ListedHoldBook.of_new_process(TERMS, self.now_s)
         self.lists = HoldLists(self.book)
         self.releasing.clear()
@@ -104,7 +105,7 @@
         self.mine = {piece: 2 * self.epoch for piece in self.mine}
 
     def pass_time(self, duration_s):
-        """Let time pass; the lease goes on."""
+        """Advance the time; the lease continues."""
         self.now_s += duration_s
 
     def renew(self):
@@ -130,14 +131,14 @@
         return Slice(start=start, end=end, owner="a")
 
     def begin_lease(self):
-        """Have the lease begin anew, with higher fences."""
+        """Start a new lease, with higher fences."""
         self.epoch += 1
         self.mine = {piece: 2 * self.epoch for piece in self.mine}
 
     def heartbeat(self, travels_s, answered, kept):
-        """Send a heartbeat; its answer comes ``answered`` or is on its way.
+        """Send a heartbeat; its answer arrives if ``answered``, or stays in transit.
 
-        ``kept`` is false where the server leaves the connection behind it.
+        ``kept`` is false if the server closes the connection afterwards.
         """
         report = HoldReport(
             service=SERVICE,
@@ -176,7 +177,7 @@
         self._end_releases()
 
     def answer_comes(self):
-        """Let a late answer be carried out, or be dropped with its time."""
+        """Apply a late answer; it has no effect if its time is over."""
         if self.on_their_way:
             self._take(self.on_their_way.pop(0))
 
@@ -195,7 +196,7 @@
         known[holder] = max(fence, known.get(holder, -1))
 
     def move_away(self, piece):
-        """Have the planner give a piece to the other node."""
+        """Have the planner assign a piece to the other node."""
         if piece not in self.mine or piece in self.releasing:
             return
         del self.mine[piece]
@@ -207,7 +208,7 @@
         self._end_releases()
 
     def _end_releases(self):
-        """Let the other node's server hold what this node's server holds no more."""
+        """Grant the other node's server what this node's server no longer holds."""
         for piece, fence in list(self.releasing.items()):
             start, end = range_of_numbers(*piece)
             place = (SERVICE, start, end)
@@ -232,7 +233,7 @@
             self.mine[piece] = 2 * self.epoch
 
     def take_over(self):
-        """Have the other node claim all, once the lease is over."""
+        """Have the other node claim everything, once the lease is over."""
         if self.now_s < self.lease_until_s:
             return
         self.releasing.clear()
@@ -241,7 +242,7 @@
             self._give(piece)
 
     def restart_server(self):
-        """Have the server end, and begin again under its id."""
+        """Restart the server under the same id."""
         self.server = Server(life=self.server.life + 1)
         self.lists.server_restarted()
         self.book.process_changed()
--- a/comfreywharf/ownership/tests/lives_events.py
+++ b/comfreywharf/ownership/tests/lives_events.py
@@ -1,4 +1,4 @@
-"""What may happen next in the small world of `lives_model`."""
+"""The events that may come next in a world of `lives_model`."""
 
 from comfreywharf.ownership.tests.lives_parts import LONG_AGO, NAMES, PLACE, other
 
@@ -6,7 +6,7 @@
 
 
 class Event:
-    """A step: which method of the `World` it is, and whether it is a trouble."""
+    """A step: a method of the `World`, its arguments, and how many faults it is."""
 
     __slots__ = ("text", "method", "arguments", "trouble", "both")
 
@@ -72,7 +72,7 @@
                 yield Event(f"{text} is seen to have ended", "close", name, number)
 
     def _push_events(self, name):
-        """Yield how far an order gets at once, on each of the connections."""
+        """Yield how far an order gets in one step, on each of the connections."""
         node = self._world.nodes[name]
         if not self._world.will_decide(name):
             yield Event(f"{name} asks for a new lease", "push", name)
--- a/comfreywharf/ownership/tests/lives_model.py
+++ b/comfreywharf/ownership/tests/lives_model.py
@@ -1,23 +1,24 @@
-"""A small world of two nodes and their servers, searched step by step.
-
-One slice, two nodes, and beside each node one address at which servers crash and
-begin again. The decisions are those of `ProcessTracker`, `HoldBook` and `ClusterState`
-themselves; what the shell around them does with their answers is modelled here, as
-are leases (an oracle that is as strict as the witnesses) and servers.
-
-An order arrives when it is sent, and its hold counts from then on, whenever it is
-carried out. Time goes in ticks; a lease has two of them. A new life's heartbeat is
-heard at any time after its beginning, or never: so has one under its predecessor's
-name, which nobody can tell from it.
-
-A server takes no note of a release's fence: where it did, an order that comes behind
-a release under a higher fence would be refused. As with the witnesses, the lease of a
-node's new process begins when that of the earlier one is over, and an earlier owner
-releases only where its lease was told of the move.
-
-What goes wrong, or takes its time, is a trouble, and their number is bounded as that
-of steps is. An order that is decided on, sent, carried out and answered without a
-delay is one step and no trouble.
+"""A model of two nodes and their servers, for an exhaustive search of its steps.
+
+The model has one slice, two nodes, and for each node one address at which servers crash
+and restart. The decisions are those of `ProcessTracker`, `HoldBook` and `ClusterState`
+themselves. The daemon's handling of their results is modelled here, as are servers and
+leases, the latter by an oracle that is as strict as the witnesses.
+
+An order arrives when it is sent, and its hold counts from then on, even if the order is
+applied later. Time advances in ticks; a lease lasts two of them. The heartbeat of a new
+incarnation is received at any time after its start, or never. A missing heartbeat also
+stands for a new incarnation that can't be distinguished from the earlier one, since it
+uses the same name.
+
+A server doesn't record the fence of a release: if it did, it would refuse an order that
+arrives after a release under a higher fence. As with the witnesses, the lease of a
+node's new process starts when that of the earlier one is over, and an earlier owner
+releases a slice only if the witnesses of its lease know of the move.
+
+A fault or a delay counts as a trouble. The number of troubles is bounded, as is that of
+steps. An order that is decided on, sent, applied and answered without a delay is one
+step without a trouble.
 """
 
 from comfreywharf.ownership.holds import GrantAnswer, HoldBook
@@ -47,7 +48,7 @@
 class World:
     """The state, and the events that may come next.
 
-    `after` returns the world behind an event, or raises `Breach`.
+    `after` returns the world after an event, or raises `Breach`.
     """
 
     def __init__(self):
@@ -59,8 +60,8 @@
         self.begun = {"a": 1, "b": 1}
         self.dead_had = -1
         self.troubles = 0
-        # Until when the witnesses keep a taker from each node's lease, and until
-        # when they keep the node from it for the sake of a taker.
+        # Until when the witnesses refuse each node's lease to a taker, and until
+        # when they refuse it to the node itself because of a taker.
         self.kept_until = {"a": LEASE, "b": LEASE}
         self.taken_until = {"a": LONG_AGO, "b": LONG_AGO}
         for epoch, name in enumerate(NAMES, 1):
@@ -70,7 +71,7 @@
             self.lives[name] = Life(number=1)
 
     def copy(self, names):
-        """Return an equal world in which these nodes and their servers may change."""
+        """Return a copy in which these nodes and their servers may change."""
         copied = type(self).__new__(type(self))
         vars(copied).update(vars(self))
         copied.nodes = dict(self.nodes)
@@ -92,7 +93,7 @@
         getattr(world, event.method)(*event.arguments)
         return world
 
-    # What a node may serve, as `OwnershipTable` decides it.
+    # What a node may serve, according to `OwnershipTable`.
 
     def owns(self, name):
         node = self.nodes[name]
@@ -129,11 +130,11 @@
         return NextEvents(self, limits)
 
     def leads_to_living(self, name, number):
-        """Return whether a connection leads to the life that there is."""
+        """Return whether a connection leads to the running incarnation."""
         life = self.lives[name]
         return life is not None and life.number == self.nodes[name].connections[number]
 
-    # Events of a node, as `RangeGrants` and its pool have them.
+    # Events of a node, as in `RangeGrants` and its connection pool.
 
     def connect(self, name):
         node = self.nodes[name]
@@ -155,7 +156,7 @@
         node.tracker.closed(number)
 
     def _answer_unsent(self, name):
-        """Answer the orders whose process isn't known any more."""
+        """Answer the unsent orders whose target process is no longer known."""
         node = self.nodes[name]
         for sending in list(node.sendings):
             if sending.connection < 0 and sending.process != node.tracker.process:
@@ -163,7 +164,7 @@
                 node.book.answered(sending.order, GrantAnswer.UNSENT, self.now)
 
     def may_push(self, name):
-        """Return whether a look would do anything."""
+        """Return whether `push` would do anything."""
         node = self.nodes[name]
         if not node.tracker.process or self.serving_fence(name) is None:
             return False
@@ -175,7 +176,7 @@
         return bool(copy_book(node.book).due(served, self.now))
 
     def will_decide(self, name):
-        """Return whether a look would decide on an order."""
+        """Return whether `push` would decide on an order."""
         node = self.nodes[name]
         book = copy_book(node.book)
         if node.met not in (None, node.tracker.process):
@@ -187,8 +188,8 @@
     def push(self, name, number=None, stages=1):
         """Do what `RangeGrants.push` does once a process is reached.
 
-        The order is sent on a connection, carried out and answered at once, or
-        only the first ``stages`` of that.
+        The order is sent on a connection, applied and answered at once, or only the
+        first ``stages`` of these happen.
         """
         node = self.nodes[name]
         if node.met not in (None, node.tracker.process):
@@ -215,7 +216,7 @@
             self.answer(name, index)
 
     def hold_of(self, order):
-        """Return for how long an order is granted when it is sent now."""
+        """Return the hold that an order grants if it is sent now."""
         return order.hold_s_at(self.now)
 
     def send(self, name, index, number):
@@ -241,7 +242,7 @@
         self._answer_unsent(name)
 
     def _leave_orders(self, name, serial=None):
-        """Have nobody wait any more for the answer to an order, or to any."""
+        """Mark an order, or all of them, as no longer awaiting an answer."""
         life = self.lives[name]
         if life:
             life.inbox = tuple(
@@ -250,7 +251,7 @@
             )
 
     def _forget_backend(self, name):
-        """Begin with another object for the server: its connections are new."""
+        """Start with a new object for the server, which has no connections."""
         node = self.nodes[name]
         node.tracker = ProcessTracker()
         node.connections = {}
@@ -282,7 +283,7 @@
         node.known = self.lives[name].number
 
     def restart(self, name):
-        """Begin a node's process anew; the earlier one left no word of its grants."""
+        """Restart a node's process; the earlier one left no record of its grants."""
         node, life = self.nodes[name], self.lives[name]
         unknown_until = self.now + TERMS.lease_s * (1 + TERMS.slow_clock)
         node.book = HoldBook(TERMS, unknown_until_s=unknown_until)
@@ -399,10 +400,10 @@
     # The state as a value.
 
     def key(self):
-        """Return what tells this world from others.
+        """Return a key by which equal worlds are recognized.
 
-        Times count from now, and what is over is over. Of moments only the order
-        counts, and numbers of connections and orders are used again.
+        Times count from now, and past times are equal. Only the order of events
+        counts, and numbers of connections and orders are reused.
         """
         now = self.now
         return (
@@ -422,7 +423,7 @@
 
 
 def _free(numbers):
-    """Return the least number that isn't in use."""
+    """Return the lowest unused number."""
     number = 1
     while number in numbers:
         number += 1
--- a/comfreywharf/ownership/tests/lives_parts.py
+++ b/comfreywharf/ownership/tests/lives_parts.py
@@ -1,6 +1,6 @@
-"""What the small world of `lives_model` is made of: nodes, lives, and orders.
+"""The parts of the worlds of `lives_model`: nodes, incarnations, and orders.
 
-Each part can be copied, and has a key by which two states of the world are alike.
+Each part can be copied, and has a key by which equal states are recognized.
 """
 
 import copy
@@ -26,14 +26,14 @@
 
 
 class Breach(Exception):
-    """The rule on owners was broken."""
+    """The rule of sole ownership was violated."""
 
 
 @attrs.frozen(kw_only=True)
 class Limits:
-    """How large the world gets. ``lives`` are those of each address.
+    """The bounds of a search. ``lives`` limits the incarnations at each address.
 
-    With nodes that aren't ``detailed`` all goes well: their servers don't crash, no
+    Nodes that aren't ``detailed`` have no faults: their servers don't crash, no
     connection is reset, and each order is answered at once.
     """
 
@@ -53,7 +53,7 @@
 
 @functools.lru_cache(maxsize=1 << 16)
 def fences(epoch, owner, standby, lease_epochs):
-    """Return the fences of a slice's owner and of its taker, as the fold has them."""
+    """Return the fences of a slice's owner and of its taker, according to the fold."""
     members = {
         name: Member(
             node_id=name,
@@ -103,12 +103,12 @@
 
 
 def copy_hold(hold):
-    """Return an equal hold that goes its own way."""
+    """Return an independent copy of a hold."""
     return copy.copy(hold)
 
 
 def copy_book(book):
-    """Return an equal book that goes its own way."""
+    """Return an independent copy of a book."""
     copied = HoldBook(book.terms, book.unknown_until_s)
     copied._highest_fence = book._highest_fence
     copied._used_fence = book._used_fence
@@ -122,7 +122,7 @@
 
 
 def book_key(book, now):
-    """Return a book as a value."""
+    """Return a book as a hashable value."""
     earlier = sum(book._earlier.values(), [])
     return (
         book._highest_fence,
@@ -135,7 +135,7 @@
 
 
 def hold_key(hold, now):
-    """Return a hold as a value."""
+    """Return a hold as a hashable value."""
     return (
         hold.fence,
         max(0, hold.taken_until_s - now),
@@ -173,8 +173,9 @@
 class Node:
     """A node: its lease, its book, and its connections to the server beside it.
 
-    ``connections`` says to which life each one leads. ``known`` is the life
-    that was announced, ``None`` while the server is given up.
+    ``connections`` maps each connection to the incarnation to which it leads.
+    ``known`` is the announced incarnation, or ``None`` while the server counts as
+    lost.
     """
 
     book: HoldBook
@@ -212,7 +213,10 @@
         )
 
     def key(self, now):
-        """Return the state as a value; it is kept, since few steps change a node."""
+        """Return the state as a hashable value.
+
+        It is cached, since few steps change a node.
+        """
         if self.written[0] != now:
             self.written = (now, self._key(now))
         return self.written[1]
--- a/comfreywharf/ownership/tests/lives_search.py
+++ b/comfreywharf/ownership/tests/lives_search.py
@@ -1,4 +1,4 @@
-"""The search of all worlds that some steps lead to."""
+"""The search of all worlds that can be reached by a number of steps."""
 
 import attrs
 
@@ -10,7 +10,7 @@
 
 @attrs.define
 class Found:
-    """What a search found: the number of states, and the shortest way to a breach."""
+    """The number of states that a search found, and the shortest path to a breach."""
 
     states: int = 0
     breach: str = ""
@@ -18,7 +18,7 @@
 
 
 def search(limits, world_type=World):
-    """Search all worlds that so many steps lead to; stop at the first breach."""
+    """Search all worlds within the limits; stop at the first breach."""
     found = Found(states=1)
     first = world_type()
     seen = {first.key()}
--- a/comfreywharf/ownership/tests/sim_node.py
+++ b/comfreywharf/ownership/tests/sim_node.py
@@ -1,4 +1,4 @@
-"""One node of the small world: its clock, its fold, its agent and its witness."""
+"""One node of the simulation: its clock, its fold, its agent and its witness."""
 
 from comfreywharf.ownership import (
     Append,
@@ -47,7 +47,7 @@
         self.rate = rate
 
     def restart(self):
-        """Begin anew with an empty memory."""
+        """Restart the process with an empty memory."""
         self.incarnation += 1
         self.state = ClusterState()
         self.agent = OwnershipAgent(
@@ -77,7 +77,7 @@
             self.witness = Witness(TERMS, self.now_s(), self.incarnation)
 
     def tick(self, forced=False):
-        """Let the agent act, and the witness tell of lapses."""
+        """Have the agent act, and the witness report lapses."""
         if self.frozen or not self.caught_up:
             return
         self._announce()
@@ -176,7 +176,7 @@
         self.world.send(self.node_id, action.witness, ask)
 
     def _read_back(self):
-        """Tell the agent of appended records that the fold has reached."""
+        """Notify the agent of appended records that the fold has reached."""
         waiting, self.pending = self.pending, []
         for incarnation, action, since_s in waiting:
             if incarnation != self.incarnation:
--- a/comfreywharf/ownership/tests/test_begin_anew.py
+++ b/comfreywharf/ownership/tests/test_begin_anew.py
@@ -1,4 +1,4 @@
-"""How soon a lease that begins anew is asked for."""
+"""When a lease that is started anew is requested."""
 
 from comfreywharf.ownership.tests.builders import KEYS, STEP_S, make_world
 
@@ -6,17 +6,18 @@
 
 
 def begin_anew(node):
-    """Have a node's lease begin anew, as after its server's process changed."""
+    """Start a node's lease anew, as after its server's process changed."""
     now_s = node.now_s()
     node.carry_out(node.agent.surrender(node.state, "anew", now_s, now_s + 0.8))
     node.agent.recover()
 
 
 def test_a_lease_that_begins_anew_is_asked_for_at_once():
-    """Symptom: keys are dark for up to a quarter of a lease after each restart in
-    place and each reset of a server's connections.
-    Sequence: a renewal is sent; a moment later the lease begins anew.
-    Cause: the next request for it waits for the time of the next renewal."""
+    """Guards against unavailable keys, for up to a quarter of a lease after each
+    restart in place and each reset of a server's connections.
+
+    A renewal is sent, and shortly afterwards the lease starts anew. The next request
+    for it must not wait until the next renewal is due."""
     world = make_world(fenced=True)
     owner = world.nodes[world.role("owner", KEY)]
     while owner.agent.holder.due(owner.now_s()):
--- a/comfreywharf/ownership/tests/test_busy_takers.py
+++ b/comfreywharf/ownership/tests/test_busy_takers.py
@@ -1,4 +1,4 @@
-"""Takeovers by nodes that are busy with requests of their own."""
+"""Takeovers by nodes that are busy with requests for their own keys."""
 
 from comfreywharf.ownership.tests.builders import KEYS, SERVICE, make_world, move
 from comfreywharf.records import SliceMove, key_hash
@@ -8,7 +8,7 @@
 
 
 def own_key(world, node):
-    """Return a key that a node owns by the whole log."""
+    """Return a key that a node owns according to the whole log."""
     state = world.truth()
     keys = (f"key-{number}".encode() for number in range(1000))
     return next(
@@ -17,7 +17,7 @@
 
 
 def plan(world, owner_id=None, standby_id=None):
-    """Have the planner give the key's slice another owner or standby."""
+    """Have the planner assign another owner or standby to the key's slice."""
     piece = world.truth().owner_of(SERVICE, key_hash(KEY))
     change = SliceMove(
         service=SERVICE,
@@ -30,12 +30,12 @@
 
 
 def test_a_busy_standby_is_not_kept_from_a_claim_by_its_own_earlier_one():
-    """Symptom: keys of a lost node have no owner for ten seconds and more.
-    Sequence: a standby claims them; before its record is written the planner changes
-    the slice, so that the record is refused and the claim begins anew; the standby
-    goes on serving keys of its own.
-    Cause: each claim that ended told the witnesses to wait for the standby's newest
-    request. Its earlier claim never ended there, and kept its next ones off."""
+    """Guards against keys of a lost node that have no owner for more than ten seconds.
+
+    A standby claims them. Before its record is written the planner changes the slice,
+    so that the record is refused and a new claim starts, while the standby serves its
+    own keys. If the end of a claim made the witnesses wait for the standby's newest
+    request, the earlier claim would never end there and would block the next ones."""
     world = make_world(count=6, slices=12)
     owner = world.nodes[world.role("owner", KEY)]
     standby = world.nodes[world.role("standby", KEY)]
@@ -54,11 +54,12 @@
 
 
 def test_a_share_that_the_planner_moved_ends_with_its_grants():
-    """Symptom: two servers hold the same keys for a second.
-    Sequence: a standby takes keys over and has them granted to its server; before its
-    record is written the planner moves them from the lost owner to a third node.
-    Cause: the standby gave its claim back as if its record were written, although its
-    server held the keys until the grants' time was over."""
+    """Guards against two servers that hold the same keys for a second.
+
+    A standby takes over keys and has them granted to its server. Before its record is
+    written the planner moves them from the lost owner to a third node. The standby must
+    not end its claim as if its record had been written, since its server holds the keys
+    until the grants' time is over."""
     world = make_world(count=6, slices=6, fenced=True)
     owner = world.nodes[world.role("owner", KEY)]
     standby = world.nodes[world.role("standby", KEY)]
--- a/comfreywharf/ownership/tests/test_dead_takers.py
+++ b/comfreywharf/ownership/tests/test_dead_takers.py
@@ -1,4 +1,4 @@
-"""What a taker tells of its claims when it gives them up with its lease."""
+"""The end of a taker's claims that it sends when it gives up its lease."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 def taker(world):
-    """Have a key's owner freeze; return its taker, whose record isn't written."""
+    """Freeze a key's owner; return its taker, whose record isn't written."""
     owner = world.nodes[world.role("owner", KEY)]
     standby = world.nodes[world.role("standby", KEY)]
     standby.appends = False
@@ -21,7 +21,7 @@
 
 
 def told_of_claims(node, held_until_s):
-    """Return how long its claims still act, as a node tells when it gives up."""
+    """Return for how long a node's claims may act, as it reports when it gives up."""
     actions = node.agent.surrender(
         node.state, "backend lost", node.now_s(), held_until_s
     )
@@ -29,18 +29,19 @@
 
 
 def test_what_a_dead_server_had_under_a_claim_is_not_waited_for():
-    """Symptom: a lost node's keys are dark for a lease after their taker's server
-    crashed as well.
-    Sequence: a standby takes keys over; before its record is written, its server's
-    port refuses, which proves that the server is dead.
-    Cause: the end of the claim's grants is told, as if the server still had them."""
+    """Guards against a lost node's keys being unavailable for a lease after their
+    taker's server crashed as well.
+
+    A standby takes over keys. Before its record is written, its server's port refuses
+    connections, which proves that the server has crashed. The end of the claim's grants
+    must not be sent as if the server still held them."""
     standby = taker(make_world(fenced=True))
     assert told_of_claims(standby, NOTHING_HELD_S) == {0.0}
 
 
 def test_where_it_isnt_known_what_a_server_has_its_claims_last_to_their_end():
-    """Symptom: two servers hold the same keys. Sequence: a taker's node gives up, and
-    its server goes on. Cause: what isn't known was taken for nothing."""
+    """Guards against two servers that hold the same keys: a taker's node gives up its
+    lease while its server continues. An unknown end must not count as no hold."""
     standby = taker(make_world(fenced=True))
     (claim,) = standby.agent.claims.values()
     left_s = claim.lease.until_s() - standby.now_s()
@@ -63,9 +64,9 @@
 
 
 def test_what_a_dead_server_had_under_earlier_claims_is_not_waited_for():
-    """Symptom: as for one claim. Sequence: a claim ends while its grants run, and the
-    next one is tried; then the server is proved dead.
-    Cause: the end of the earlier claim's grants is told with the next one."""
+    """Guards against the same fault after several claims: a claim ends while its grants
+    last, the next one starts, and then the server is proved to have crashed. The end of
+    the earlier claim's grants must not be sent with the next claim."""
     standby = taker(make_world(fenced=True))
     agent, now_s = standby.agent, standby.now_s()
     (owner_id,) = agent.claims
@@ -76,9 +77,10 @@
 
 
 def test_what_was_forwarded_without_fences_counts_until_its_deadline():
-    """Symptom: a request takes effect beside the next owner's. Sequence: a taker's
-    server is taken for dead. Cause: only a server that checks fences ends its work
-    with its grants."""
+    """Guards against a request that takes effect at the same time as the next owner's.
+
+    A taker's server counts as crashed. Only a server that checks fences stops its work
+    when its grants end."""
     world = make_world()
     standby = taker(world)
     assert world.request(standby.node_id, KEY, 0.8)
--- a/comfreywharf/ownership/tests/test_fenced_restart.py
+++ b/comfreywharf/ownership/tests/test_fenced_restart.py
@@ -1,4 +1,4 @@
-"""A process that begins anew beside a backend server that checks fences."""
+"""A node's process that restarts, with a backend server that checks fences."""
 
 from comfreywharf.ownership import LeaseTerms, OwnerView, Renewal, Witness
 
@@ -28,10 +28,11 @@
 
 
 def test_a_new_process_of_a_fenced_server_waits_for_no_request():
-    """Symptom: nothing is served for 8 s after all machines lost power.
-    Sequence: all processes begin at once; their witnesses remember nothing.
-    Cause: they kept silent for the longest request, although the backend server
-    ends work whose grant has ended, which it did with the earlier lease."""
+    """Guards against 8 s without service after all machines lost power.
+
+    All processes start at once, and their witnesses have no memory. They must not wait
+    for the longest request: the backend server stops work whose grant has ended, and
+    the grants ended with the earlier lease."""
     after_s = TERMS.silent_until_s(0.0) + 0.01
     assert after_s < LONGEST_S
     assert not ask(checks_fences=True, now_s=TERMS.silent_until_s(0.0) - 0.01).granted
@@ -39,7 +40,7 @@
 
 
 def test_without_fences_the_longest_request_is_waited_for():
-    """There what an earlier process forwarded may still take effect."""
+    """Requests that an earlier process forwarded may still take effect."""
     after_s = TERMS.silent_until_s(0.0) + 0.01
     assert not ask(checks_fences=False, now_s=after_s).granted
     assert ask(checks_fences=False, now_s=LONGEST_S + 0.01).granted
--- a/comfreywharf/ownership/tests/test_hold_lists.py
+++ b/comfreywharf/ownership/tests/test_hold_lists.py
@@ -1,4 +1,4 @@
-"""Lists in answers to heartbeats: each test is a way to get them wrong."""
+"""Lists in answers to heartbeats; each test guards against a fault in them."""
 
 import attrs
 import pytest
@@ -51,24 +51,26 @@
 
 
 def test_a_hold_counts_from_when_the_heartbeat_came():
-    """Symptom: a server holds keys after its node's lease was taken over.
-    Events: an answer waits 0.5 s; the server counts from when it sent its heartbeat.
-    Cause: the hold was as long as the lease from when the answer was sent."""
+    """Guards against a server that holds keys after its node's lease was taken over.
+
+    An answer is delayed by 0.5 s. The node must not count the hold from the sending of
+    the answer, and the server counts it from the sending of its heartbeat."""
     decided = make_lists().decide(report(), serving(a_slice()), NOW_S + 0.5)
     assert NOW_S + decided.hold_s * 1.02 <= UNTIL_S + 1e-9
 
 
 def test_neighbours_with_one_fence_are_one_row():
-    """Symptom: an answer of more than 4 KiB counts as none.
-    Events: a server holds hundreds of slices."""
+    """Guards against answers of more than 4 KiB, which don't count as answers, for a
+    server that holds hundreds of slices."""
     pieces = [a_slice(n, n + 9) for n in (0, 10, 30, 20)]
     assert rows(make_lists().decide(report(), serving(*pieces), NOW_S)) == [(0, 39, 10)]
 
 
 def test_rows_that_dont_fit_are_the_ones_that_arent_held():
-    """Symptom: keys that were served a moment ago are dark, and others come.
-    Events: more ranges than an answer has room for.
-    Cause: what is left out is released, so the choice must not change."""
+    """Guards against served keys that become unavailable in favour of others.
+
+    There are more ranges than fit in an answer. Ranges that are left out are released,
+    so that the choice must not change."""
     lists = make_lists()
     lists.capacity = hold_lists.ListCapacity(max_bytes=50, row_bytes=25)
     first = serving(a_slice(50, 59), a_slice(80, 89))
@@ -78,9 +80,10 @@
 
 
 def test_a_range_that_the_server_refused_is_noticed():
-    """Symptom: a range is listed again and again, and nobody serves it.
-    Events: the server has seen a higher fence on one of its keys.
-    Cause: nothing but the next heartbeat's list says so."""
+    """Guards against a range that is listed repeatedly and never served.
+
+    The server has seen a higher fence on one of its keys, and shows this only by the
+    ranges in its next heartbeat."""
     lists = make_lists()
     lists.decide(report(), serving(a_slice(), a_slice(100, 199)), NOW_S)
     after = report(arrived_s=NOW_S + 0.87, held=[(0, 99, 10)])
@@ -89,8 +92,9 @@
 
 @pytest.mark.parametrize("connection", ["c", "another"])
 def test_a_lost_answer_is_no_refusal(connection):
-    """Symptom: leases begin anew while heartbeats' answers are lost.
-    Events: the answer with a new range never comes; the next heartbeat, on another
+    """Guards against leases that start anew while answers to heartbeats are lost.
+
+    The answer with a new range never arrives, so that the next heartbeat, on another
     connection, doesn't list the range."""
     lists = make_lists()
     lists.decide(report(), serving(a_slice()), NOW_S)
@@ -99,10 +103,11 @@
 
 
 def test_a_range_whose_fence_isnt_known_yet_stays_listed():
-    """Symptom: keys are dark for a moment, and cold, after their slice was divided.
-    Events: a slice is divided; its halves wait for a round of the witnesses; a
-    heartbeat comes in that moment.
-    Cause: what may not be served just now was left out, and so released."""
+    """Guards against keys that are briefly unavailable, and uncached, after a split.
+
+    A slice is split, its halves wait for a round of the witnesses, and a heartbeat
+    arrives in that time. Ranges that can't be served yet must stay in the list, since
+    the server releases ranges that are left out."""
     lists = make_lists()
     lists.decide(report(), serving(a_slice()), NOW_S)
     halves = (("booking", a_slice(0, 49)), ("booking", a_slice(50, 99)))
@@ -111,10 +116,12 @@
 
 
 def test_a_released_range_waits_for_an_answer_that_may_still_come():
-    """Symptom: two servers hold a key.
-    Events: an answer grants a range and is late; the server gives its connection up
-    and asks on another one; the range is moved away; the late answer is carried out.
-    Cause: the range wasn't reported as held, and counted as free."""
+    """Guards against two servers that hold a key.
+
+    An answer that grants a range is late. The server abandons its connection and sends
+    a heartbeat on another one, the range is moved away, and then the late answer is
+    applied. A range that isn't reported as held may still be granted by such an
+    answer."""
     lists = make_lists()
     lists.decide(report(), serving(a_slice()), NOW_S)
     start, end = range_of_numbers(0, 99)
@@ -124,7 +131,7 @@
 
 
 def test_a_release_that_is_reported_twice_changes_nothing():
-    """A handover comes again until it is acknowledged, and is handed over once."""
+    """A handover is reported until it is acknowledged, and is passed on only once."""
     lists = make_lists()
     told = (hold_lists.ReleasedRange(first=0, last=99, handover="h"),)
     lists.receive(report(released=told), NOW_S)
@@ -134,9 +141,10 @@
 
 
 def test_a_handover_goes_with_its_range_until_that_was_heard():
-    """Symptom: keys are slow for seconds after a planned move.
-    Events: the answer that carries the handover is lost.
-    Cause: it was sent once."""
+    """Guards against keys that are slow for seconds after a planned move.
+
+    The answer that carries the handover is lost, so that the handover has to be sent
+    again."""
     lists = make_lists()
     start, _ = range_of_numbers(0, 99)
     lists.book.take_handover(("booking", start), "h")
@@ -150,8 +158,9 @@
 
 
 def test_a_range_with_a_short_lease_doesnt_shorten_the_others():
-    """Symptom: all keys of a server run out at one lost heartbeat.
-    Events: a claim that has just begun ends soon; a list has one time for all rows."""
+    """Guards against the holds of all keys of a server ending after one lost heartbeat.
+
+    A claim that has just begun ends soon, and a list has one hold time for all rows."""
     short = ("booking", a_slice(100, 199), 11, NOW_S + 0.2)
     both = serving(a_slice())
     both = attrs.evolve(both, served=(*both.served, short))
@@ -160,8 +169,8 @@
 
 
 def test_news_are_what_waits_and_not_a_renewal():
-    """Each answer that is sent early leaves the node without one until the next
-    heartbeat, so only what waits is news."""
+    """After an early answer the node can't send another one until the next heartbeat.
+    Only keys that have to be granted or released count as changes."""
     lists = make_lists()
     assert lists.has_changes(report(), serving(a_slice()), NOW_S)
     lists.decide(report(), serving(a_slice()), NOW_S)
@@ -172,7 +181,7 @@
 
 
 class ListsMachine(RuleBasedStateMachine):
-    """Lost, late and doubled answers, restarts of node and server, moves, takeovers."""
+    """Lost and late answers, restarts of the node and the server, moves, takeovers."""
 
     def __init__(self):
         super().__init__()
@@ -234,7 +243,7 @@
 
 
 def test_no_key_has_two_holders_whatever_is_lost_or_late():
-    """One holder for each key, and fences that only grow, as an outsider sees them."""
+    """Each key has one holder, and its fences only increase."""
     run_state_machine_as_test(ListsMachine, settings=MACHINE_SETTINGS)
 
 
@@ -297,7 +306,7 @@
 
 
 def run(events):
-    """Play events in a world of their own, and look for two holders after each."""
+    """Run events in a new world, and check for two holders after each."""
     world = ListWorld()
     for name, *arguments in events:
         getattr(world, name)(*arguments)
@@ -306,7 +315,7 @@
 
 @pytest.mark.parametrize("name", WORLDS)
 def test_each_mechanism_is_needed(name, monkeypatch):
-    """The events lead to no breach, and to one once the mechanism is off."""
+    """The events lead to a violation only if the mechanism is switched off."""
     switch_off, events = WORLDS[name]
     run(events)
     switch_off(monkeypatch)
--- a/comfreywharf/ownership/tests/test_lives_search.py
+++ b/comfreywharf/ownership/tests/test_lives_search.py
@@ -1,15 +1,18 @@
-"""All that may happen in a small world of servers that crash and begin again.
-
-Each search goes through every sequence of events within its bounds. As measured:
-``CRASHES`` 7 steps, 17,698 states; ``LOSSES`` 8 steps, 5,092; ``RESTARTS`` 8 steps,
-15,123; ``BOTH`` 5 steps, 8,335.
-
-Three mechanisms aren't needed within the bounds of ``CRASHES``: with each of them off,
-no breach was found. That `HoldBook.clear` bars used fences: the lease always begins
-anew after it. That `ProcessTracker.opened` forgets older connections: here each is told
-to the tracker in the moment in which it was accepted, and an older one leads to a dead
-process, which takes no orders. ``unknown_until_s``: a new process of a node gets the
-lease only when its predecessor's is over, and releases nothing before.
+"""Exhaustive searches of a model of servers that crash and restart.
+
+Each search covers every sequence of events within its bounds: ``CRASHES`` 7 steps,
+17,698 states; ``LOSSES`` 8 steps, 5,092; ``RESTARTS`` 8 steps, 15,123; ``BOTH`` 5
+steps, 8,335.
+
+Three mechanisms aren't needed within the bounds of ``CRASHES``: no breach is found
+with any one of them switched off.
+
+- `HoldBook.clear` bars used fences. Here, the lease always starts anew after it.
+- `ProcessTracker.opened` drops older connections. Here, the tracker registers each
+  connection when it is accepted, so that an older one leads to a crashed process, which
+  takes no orders.
+- ``unknown_until_s``. Here, a node's new process gets the lease only when that of its
+  predecessor is over, and releases nothing before.
 """
 
 from unittest import mock
@@ -31,7 +34,7 @@
 
 
 def told(found):
-    """Return what was found as the lines of a message."""
+    """Return the result of a search as the lines of a message."""
     return "\n".join([found.breach, *found.events, f"{found.states} states"])
 
 
@@ -110,15 +113,16 @@
     ],
 )
 def test_no_sequence_breaks_the_rule(limits):
-    """Symptom: two servers hold a key, or a life takes it under a fence that another
-    one had. Sequence: the shortest one is in the message. Cause: as it shows."""
+    """Guards against two servers that hold a key, and against an incarnation that holds
+    it under a fence that another one had. The message has the shortest sequence of
+    events that leads to such a breach."""
     found = search(limits)
     assert not found.breach, told(found)
 
 
 @pytest.mark.parametrize("name", MECHANISMS)
 def test_a_search_finds_what_a_mechanism_keeps_out(name):
-    """With one mechanism off, a sequence of events ends in a breach."""
+    """With one mechanism switched off, a sequence of events ends in a breach."""
     limits, (owner, method, instead) = MECHANISMS[name]
     with mock.patch.object(owner, method, instead):
         found = search(limits)
--- a/comfreywharf/ownership/tests/test_lost_witnesses.py
+++ b/comfreywharf/ownership/tests/test_lost_witnesses.py
@@ -1,4 +1,4 @@
-"""A node whose witnesses are lost: when it may take others, and when it owns again."""
+"""A node that lost its witnesses: when it may choose others, and when it owns again."""
 
 import pytest
 
@@ -17,9 +17,10 @@
 
 
 def test_silence_of_two_witnesses_leads_to_others():
-    """Symptom: a healthy node's keys stay dark for good.
-    Sequence: the machines of two of its witnesses are removed within seconds.
-    Cause: without a majority it could neither own nor replace them."""
+    """Guards against a healthy node's keys being permanently unavailable.
+
+    The machines of two of its witnesses are removed within seconds. Without a majority
+    the node can neither own slices nor replace the witnesses in the regular way."""
     lost = LostWitnesses(TERMS)
     lost.answer_received("a", 10.0)
     assert evaluate(lost, 10.0) == (False, False)
@@ -36,11 +37,12 @@
 
 
 def test_witnesses_that_restart_are_waited_for():
-    """Symptom: after the loss of all nodes two of ten own nothing for ten seconds.
-    Sequence: all nodes are killed; two witnesses of one node are back two seconds
-    later than it.
-    Cause: it wrote down other witnesses after 1.2 s, and then had to wait until no
-    earlier one could have granted anything."""
+    """Guards against nodes that own nothing for ten seconds after the loss of all
+    nodes, seen on two of ten.
+
+    All nodes are killed, and two witnesses of one node restart two seconds later than
+    it. If the node recorded other witnesses after 1.2 s, it would have to wait until no
+    grant of an earlier one can last."""
     lost = LostWitnesses(TERMS)
     for tenth in range(100, 120):
         now_s = tenth / 10
@@ -52,7 +54,7 @@
 
 
 def test_witnesses_that_refuse_are_not_lost():
-    """One that says no may have granted the lease to a taker."""
+    """A witness that refuses may have granted the lease to a taker."""
     lost = LostWitnesses(TERMS)
     for tenth in range(100, 160):
         now_s = tenth / 10
@@ -62,24 +64,25 @@
 
 
 def test_a_node_that_doesnt_ask_has_lost_nothing():
-    """A surrendered node hears from no witness, since it asks none."""
+    """A surrendered node receives no answers, since it sends no requests."""
     lost = LostWitnesses(TERMS)
     assert evaluate(lost, 10.0, requesting=False) == (False, False)
     assert evaluate(lost, 20.0, requesting=False) == (False, False)
 
 
 def test_without_a_bound_on_stale_witnesses_none_are_taken_anew():
-    """Nothing would then bound how long an earlier witness grants."""
+    """Nothing would then bound how long an earlier witness grants claims."""
     lost = LostWitnesses(LeaseTerms())
     assert evaluate(lost, 10.0) == evaluate(lost, 60.0) == (False, False)
 
 
 def test_the_wait_covers_all_that_an_earlier_witness_may_grant():
-    """Symptom: two servers hold a key.
-    Sequence: a taker and two witnesses are cut off from the log and from the
-    owner; the owner takes other witnesses and serves at once.
-    Cause: the earlier two don't know of the record, and go on granting the claim
-    until their fold is stale, and a lease longer."""
+    """Guards against two servers that hold a key.
+
+    A taker and two witnesses are partitioned from the log and from the owner, and the
+    owner chooses other witnesses. It must not serve at once: the earlier two don't know
+    of the record, and grant the claim until their fold is stale; the last grant lasts
+    for a lease."""
     lost = LostWitnesses(TERMS)
     last_grant_s = 50.0 + TERMS.stale_after_s * (1 + TERMS.drift)
     claim_ends_s = TERMS.expires_s(last_grant_s, TERMS.lease_s)
@@ -89,7 +92,7 @@
 
 
 def test_a_new_process_waits_anew():
-    """Nobody remembers when the process before it saw the record."""
+    """It isn't known when the earlier process folded the record."""
     first, second = LostWitnesses(TERMS), LostWitnesses(TERMS)
     first.must_wait(True, 50.0)
     assert second.must_wait(True, 61.0)
@@ -112,7 +115,7 @@
 
 @pytest.mark.parametrize(("base", "accepted"), [(1, True), (0, False)])
 def test_a_reset_stands_on_the_latest_epoch_and_lasts_to_the_next_start(base, accepted):
-    """One that was built on an earlier epoch is refused; the next start ends it."""
+    """A reset that is based on an earlier epoch is refused; the next start ends it."""
     state = ClusterState()
     fold(state, 0, announced("x"))
     start = LeaseStarted(
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -1,8 +1,8 @@
-"""Each mechanism of sole ownership, with the sequence that needs it.
+"""Each mechanism of sole ownership, with a sequence of events that requires it.
 
-Every scenario runs twice on the decision code: as it is, where it must end
-without a violation and with the key served, and with the one mechanism switched
-off, where the same sequence must end in two owners.
+Every scenario runs twice on the decision code. With all mechanisms it must end without
+a violation and with the key served. With its one mechanism switched off, the same
+sequence must end in two owners.
 """
 
 import sys
@@ -39,7 +39,7 @@
 
 
 class Stage:
-    """A world and the nodes that matter for one key."""
+    """A world and the nodes that have a role for one key."""
 
     def __init__(self):
         self.world = make_world()
@@ -90,12 +90,12 @@
 
 
 def restarted_witnesses(stage):
-    """Two witnesses restart during a takeover that the log doesn't know of.
+    """Two witnesses restart during a takeover that isn't recorded in the log.
 
-    Symptom: the returned owner and its standby both answer.
-    Sequence: the owner freezes, its standby takes over and can't reach the log;
-    two witnesses restart; the owner thaws and asks them for its lease.
-    Cause: the restarted witnesses have forgotten what they granted.
+    The owner freezes, and its standby takes over and can't reach the log. Two
+    witnesses restart, and the owner thaws and requests its lease from them. Without
+    the mechanism both nodes answer, since the restarted witnesses have lost the memory
+    of their grants.
     """
     stage.standby.appends = False
     stage.owner.frozen = True
@@ -112,12 +112,11 @@
 def stale_standby_after_move(stage):
     """A standby that hasn't folded a move claims the earlier owner's lease.
 
-    Symptom: the new owner and a stale standby both answer.
-    Sequence: a slice moves to a new owner while the standby can't read the log;
-    the earlier owner releases the slice, then dies; the standby, in whose fold
-    it still stands by for the dead owner, claims its lease.
-    Cause: nothing but the portfolio epoch tells the witnesses that the claim is
-    built on an old assignment.
+    A slice moves to a new owner while the standby can't read the log. The earlier
+    owner releases the slice and freezes. The standby, which still is the earlier
+    owner's standby in its own fold, claims the lease. Without the mechanism the new
+    owner and the stale standby both answer, since only the portfolio epoch shows the
+    witnesses that the claim is based on an outdated assignment.
     """
     stage.standby.reads_log = False
     target = stage.spare()
@@ -130,14 +129,13 @@
 
 
 def unheard_portfolio(stage):
-    """The witnesses haven't folded a move when the owner releases and dies.
-
-    Symptom: the new owner and the former standby both answer.
-    Sequence: neither the witnesses nor the standby read the log when a slice
-    moves, and the earlier owner reaches only the new one; it releases the slice
-    and its lease lapses; the stale standby claims it from stale witnesses.
-    Cause: the release went out before a majority of the witnesses had heard of
-    the move by the owner's renewals.
+    """The witnesses haven't folded a move when the owner releases the slice.
+
+    Neither the witnesses nor the standby read the log when a slice moves, and the
+    earlier owner can reach only the new one. It releases the slice and its lease
+    lapses, and the stale standby claims it from stale witnesses. Without the mechanism
+    the new owner and the former standby both answer, since the release was sent before
+    a majority of the witnesses had learned of the move by the owner's renewals.
     """
     target = stage.spare()
     for node in stage.world.nodes.values():
@@ -156,12 +154,11 @@
 def healed_lapse_after_takeover(stage):
     """An owner thaws after its standby took over and gave the share back.
 
-    Symptom: the owner answers for a slice that the log gave to its standby.
-    Sequence: the owner freezes; its standby takes over, has it recorded and
-    gives the claim back; the owner thaws and gets its lease again before it has
-    folded anything.
-    Cause: a lapse is healed without the log only if nobody else held the lease
-    meanwhile, which the witnesses' terms tell.
+    The owner freezes. Its standby takes over, has the takeover recorded and gives the
+    claim back. The owner thaws and gets its lease again before it has folded any
+    record. Without the mechanism it answers for a slice that the log assigns to its
+    standby: a lapse may be healed without the log only if no other node held the lease
+    meanwhile, which the witnesses' terms show.
     """
     stage.owner.frozen = True
     stage.run(2.5)
@@ -177,10 +174,10 @@
 def long_request(stage):
     """An owner is lost while a request longer than its lease runs.
 
-    Symptom: the effect of the old request comes after the new owner's.
-    Sequence: a request with a deadline of almost 3 s is forwarded; the owner's
-    node dies, and its backend server runs the request on.
-    Cause: the lease has lapsed long before the deadline.
+    A request with a deadline of almost 3 s is forwarded. The owner's node is lost, and
+    its backend server continues the request. Without the mechanism the old request may
+    take effect after the new owner's requests, since the lease lapses long before the
+    deadline.
     """
     assert stage.serves(stage.owner, LONG_S)
     stage.owner.frozen = True
@@ -190,10 +187,9 @@
 
 
 def unheard_long_request(stage):
-    """A long request is forwarded without the witnesses having heard of it.
+    """A long request is forwarded before the witnesses know of its deadline.
 
-    Symptom, sequence and cause are those of a long request, but the owner dies
-    before its next renewal.
+    The fault is that of `long_request`, but the owner is lost before its next renewal.
     """
     stage.world.messages.clear()
     stage.serves(stage.owner, LONG_S)
@@ -205,9 +201,9 @@
 def busy_at_release(stage):
     """A slice moves while a request for it runs.
 
-    Symptom: the new owner serves beside the earlier owner's request.
-    Sequence: a request is forwarded, the slice moves, the release is asked for.
-    Cause: a release before the request's answer or deadline lets both act.
+    A request is forwarded, the slice moves, and the release is requested. Without the
+    mechanism the slice is released before the request's answer or deadline, and the new
+    owner serves while the earlier owner's request may still take effect.
     """
     target = stage.spare()
     assert stage.serves(stage.owner, 0.9)
@@ -220,10 +216,9 @@
 def unreleased_move(stage):
     """A slice moves to a node that folds the move first.
 
-    Symptom: both the new and the earlier owner answer.
-    Sequence: the planner's record reaches the new owner, the earlier one can't
-    read the log.
-    Cause: without the release the new owner can't know that the earlier stopped.
+    The planner's record reaches the new owner, and the earlier one can't read the log.
+    Without the mechanism both answer: the new owner can't know without the release
+    whether the earlier one has stopped.
     """
     stage.owner.reads_log = False
     stage.plan(stage.spare(), stage.owner)
@@ -236,10 +231,10 @@
 def replaced_machine(stage):
     """A frozen machine is replaced by a new process under the same id.
 
-    Symptom: the old machine's request takes effect beside the new one's.
-    Sequence: a long request runs at the owner's backend server; the machine
-    freezes and is replaced at once; the new process asks for the lease.
-    Cause: the witnesses granted the lease before the old process's was over.
+    A long request runs on the owner's backend server. The machine freezes and is
+    replaced at once, and the new process requests the lease. Without the mechanism the
+    witnesses grant it before the old process's lease is over, and requests of both
+    machines take effect at the same time.
     """
     assert stage.serves(stage.owner, LONG_S)
     stage.owner.restart()
@@ -253,10 +248,10 @@
 def backend_lost_under_way(stage):
     """A backend server is lost while a request is in its socket.
 
-    Symptom: the thawed server applies the request after the takeover.
-    Sequence: a request is forwarded; the server freezes; its node gives the
-    lease up; the standby takes over at once; the server thaws.
-    Cause: a surrender that doesn't tell how far deadlines reach.
+    A request is forwarded, and the server freezes. Its node gives up the lease, the
+    standby takes over, and the server thaws. Without the mechanism the surrender
+    doesn't include the outstanding deadlines, and the thawed server applies the request
+    after the takeover.
     """
     assert stage.serves(stage.owner, 0.9)
     node = stage.owner
@@ -268,12 +263,12 @@
 
 
 def surrender_and_recover(stage):
-    """A backend server comes back just after its node gave the lease up.
+    """A backend server returns shortly after its node gave up the lease.
 
-    Symptom: the recovered owner and its standby both answer.
-    Sequence: the node gives the lease up, the standby takes over, the backend
-    server announces itself again within the lease's old length.
-    Cause: the holder counts grants from before the surrender.
+    The node gives up the lease, the standby takes over, and the backend server
+    announces itself again before the original lease would have ended. If the holder
+    counted grants from before the surrender, the recovered owner and its standby would
+    both answer.
     """
     stage.standby.appends = False
     node = stage.owner
@@ -310,12 +305,10 @@
 def share_that_grows(stage):
     """A slice gets another standby while two takers hold their shares.
 
-    Symptom: the former and the new standby both answer.
-    Sequence: an owner of two slices with different standbys is lost, and both
-    claim; the planner, in whose fold nothing is taken over yet, makes one the
-    standby of the other's slice.
-    Cause: a share that follows the fold takes in a slice that the other taker
-    still serves.
+    An owner of two slices with different standbys is lost, and both standbys claim its
+    lease. The planner, whose fold has no takeover yet, makes one the standby of the
+    other's slice. Without the mechanism the share follows the fold and includes a slice
+    that the other taker still serves, so that both answer.
     """
     other = two_shares(stage)
     stage.standby.appends = other.appends = False
@@ -333,10 +326,9 @@
 def two_views(stage):
     """A slice gets another standby while the former one holds a claim.
 
-    Symptom: the former and the new standby both answer.
-    Sequence: an owner is lost, its standby claims and can't reach the log; the
-    planner names another standby, which claims as well.
-    Cause: the two claims are built on different views of the assignment.
+    An owner is lost, and its standby claims the lease and can't reach the log. The
+    planner assigns another standby, which claims it as well. Without the mechanism both
+    standbys answer, since their claims are based on different views of the assignment.
     """
     stage.standby.appends = False
     stage.owner.frozen = True
@@ -352,10 +344,10 @@
 def takeover_before_release(stage):
     """A new owner is lost before the earlier one has released the slice.
 
-    Symptom: the earlier owner and the new owner's standby both answer.
-    Sequence: a slice moves while the earlier owner can't read the log; the new
-    owner is lost; its standby takes over and has it recorded.
-    Cause: the takeover's record forgets that a release is still awaited.
+    A slice moves while the earlier owner can't read the log. The new owner is lost, and
+    its standby takes over and has the takeover recorded. Without the mechanism the
+    record drops the fact that a release is still awaited, and the earlier owner and the
+    new owner's standby both answer.
     """
     target = stage.spare()
     stage.owner.reads_log = False
@@ -368,14 +360,13 @@
 
 
 def stale_taker_of_replaced_witnesses(stage):
-    """A witness is replaced while others haven't heard of it.
-
-    Symptom: the owner and a stale standby both answer.
-    Sequence: one witness is silent for long, the owner replaces it; another one
-    neither reads the log nor hears the owner; the silent one comes back, and a
-    standby that doesn't read the log claims the lease from these two.
-    Cause: the owner counts on the new witnesses before a majority of the earlier
-    ones refuses claims that are built on the epoch before.
+    """A witness is replaced while other witnesses don't know of the replacement.
+
+    One witness is silent for a long time, and the owner replaces it. Another one
+    neither reads the log nor receives messages of the owner. The silent one returns,
+    and a standby that doesn't read the log claims the lease from these two. Without the
+    mechanism the owner relies on the new witnesses before a majority of the earlier
+    ones refuses claims that are based on the earlier epoch, so that both nodes answer.
     """
     standby = stage.standby
     lost = next(node for node in stage.witnesses if node is not standby)
@@ -400,10 +391,9 @@
 def drifting_clocks(stage):
     """An owner's clock runs slower than those of its witnesses.
 
-    Symptom: the owner still answers when its standby has taken over.
-    Sequence: the owner is cut off; its witnesses' clocks reach the lease's end
-    first.
-    Cause: neither side allows for the drift between clocks.
+    The owner is partitioned from the others, and the witnesses' clocks reach the end of
+    the lease first. Without an allowance for the drift between clocks, the owner still
+    answers when its standby has taken over.
     """
     for node in stage.world.nodes.values():
         node.set_rate(1.0 if node is stage.owner else 1.2)
@@ -414,13 +404,13 @@
 
 
 def early_record(stage):
-    """A taker's record is late, and the owner has begun anew meanwhile.
+    """A taker's record is late, and the owner's lease has started anew meanwhile.
 
-    Symptom: the late record gives the slice to the taker, the owner serves on.
-    Sequence: the owner freezes; the standby claims, its record is held up; the
-    standby freezes; the owner thaws, gets its lease back and serves; the record
-    reaches the log, and the standby thaws and folds it, the owner doesn't yet.
-    Cause: a record built on an earlier hold of the lease must be refused.
+    The owner freezes, and the standby claims its lease. The standby's record is
+    delayed, and the standby freezes. The owner thaws, gets its lease back and serves.
+    The record reaches the log, and the standby thaws and folds it before the owner
+    does. A record that is based on an earlier hold of the lease must be refused;
+    otherwise it assigns the slice to the taker while the owner still serves it.
     """
     world = stage.world
     stage.owner.frozen = True
@@ -573,7 +563,7 @@
 
 @pytest.mark.parametrize("name", MECHANISMS)
 def test_scenario_needs_its_mechanism(name):
-    """The same sequence ends in two owners once the mechanism is off."""
+    """The same sequence ends in two owners if the mechanism is switched off."""
     scenario, switched_off = MECHANISMS[name]
     stage = Stage()
     with switched_off(), pytest.raises(Violation):
@@ -582,13 +572,11 @@
 
 
 def test_deaf_owner_lets_go():
-    """An owner that hears no answers stops keeping its standby out.
+    """Guards against keys without an owner although their standby is healthy.
 
-    Symptom: keys have no owner although their standby is well.
-    Sequence: renewals reach the witnesses, their answers don't come back; the
-    owner stops serving, and asks on.
-    Cause: each ask extends the lease at the witnesses, so that no claim is
-    granted.
+    Renewals reach the witnesses, and their answers are lost. The owner stops serving.
+    If it kept sending requests, each one would extend the lease at the witnesses, so
+    that no claim would be granted.
     """
     stage = Stage()
     for name in stage.world.nodes:
@@ -599,11 +587,10 @@
 
 
 def test_losses_one_after_another():
-    """A healthy owner stays one when its witnesses are lost one by one.
+    """Guards against keys of a healthy node that permanently have no owner.
 
-    Symptom: keys of a healthy node have no owner, for good.
-    Sequence: a witness's machine is lost for good, later another one's.
-    Cause: nobody took the first one's place while a majority still stood.
+    A witness's machine is lost permanently, and later another one's. The first one has
+    to be replaced while there still is a majority.
     """
     stage = Stage()
     first, second, _ = stage.witnesses
--- a/comfreywharf/ownership/tests/test_orders_on_their_way.py
+++ b/comfreywharf/ownership/tests/test_orders_on_their_way.py
@@ -1,4 +1,4 @@
-"""Until when a server may hold what an order on its way gives it."""
+"""Until when a server may hold a range by an order in transit."""
 
 from comfreywharf.ownership import SendUnclaim
 from comfreywharf.ownership.holds import GrantAnswer, HoldBook, HoldTerms
@@ -9,15 +9,16 @@
 PIECE = Slice(start=0, end=1000, owner="a", epoch=5)
 LEFT_S = 1.2
 WAITED_S = 0.35
-"""Shorter than an order waits for its answer."""
+"""Shorter than the timeout of an order's answer."""
 
 
 def test_the_end_that_is_told_covers_an_order_on_its_way():
-    """Symptom: two servers hold a key at once.
-    Sequence: a server is slow to take a grant; before its answer is lost its node
-    gives up, and tells until when the server holds anything.
-    Cause: a hold counts from when the grant arrives; told was the lease's end as it
-    was when the order was decided on."""
+    """Guards against two servers that hold a key at the same time.
+
+    A server is slow to accept a grant. Before the answer counts as lost, the node gives
+    up its lease and reports until when the server holds anything. A hold counts from
+    the arrival of the grant, so that the lease's end at the time of the decision isn't
+    sufficient."""
     book = HoldBook(TERMS)
     now_s = 100.0
     (order,) = book.due([("booking", PIECE, 10, now_s + LEFT_S)], now_s)
@@ -27,9 +28,10 @@
 
 
 def test_a_claims_end_covers_an_order_on_its_way():
-    """Symptom and sequence: as above, for an order that rests on a claim, which is
+    """Guards against the same fault for an order that is based on a claim, which is
     renewed meanwhile.
-    Cause: the claim's own end, which is late enough, gave way to the earlier one."""
+
+    The claim's own end is late enough, and must not be replaced by the earlier one."""
     world = make_world(fenced=True)
     owner = world.nodes[world.role("owner", KEYS[0])]
     standby = world.nodes[world.role("standby", KEYS[0])]
--- a/comfreywharf/ownership/tests/test_process_tracker.py
+++ b/comfreywharf/ownership/tests/test_process_tracker.py
@@ -1,4 +1,7 @@
-"""Which connections lead to one process: each test is a way to take two for one."""
+"""Which connections lead to one process.
+
+Each test has a way in which two processes could be mistaken for one.
+"""
 
 from hypothesis import given, settings, strategies as st
 
@@ -6,9 +9,11 @@
 
 
 def test_a_new_connection_is_unknown_until_an_older_one_vouches_for_it():
-    """Symptom: a server that has just begun gets orders that were meant for the one
-    that crashed. Sequence: crash, restart, a new connection beside one whose end hasn't
-    been noticed yet. Cause: all connections to an address counted as alike."""
+    """Guards against orders that reach a restarted server although they were meant for
+    its crashed incarnation.
+
+    After the restart, a new connection is opened while the end of an older one hasn't
+    been noticed yet. Connections to one address may lead to different processes."""
     tracker = ProcessTracker()
     tracker.opened("old")
     tracker.opened("new")
@@ -18,9 +23,11 @@
 
 
 def test_an_answer_to_an_earlier_question_vouches_for_nothing_later():
-    """Symptom as above. Sequence: a question, the crash, the restart, a new connection;
-    then the answer is read that had been sent before the crash.
-    Cause: the moment counted at which the answer was read."""
+    """Guards against the same fault by a late answer.
+
+    The order is: a request, the crash, the restart, a new connection, and then the
+    reading of an answer that was sent before the crash. The time at which the request
+    was sent has to count, not the time at which its answer is read."""
     tracker = ProcessTracker()
     tracker.opened("old")
     asked = tracker.asked()
@@ -30,7 +37,8 @@
 
 
 def test_a_connection_of_an_earlier_process_is_never_vouched_for_by_a_later_one():
-    """One that was opened before the last known one ended may lead to either."""
+    """A connection that was opened before the last confirmed one ended may lead to the
+    earlier or to the later process."""
     tracker = ProcessTracker()
     tracker.opened("first")
     tracker.opened("between")
@@ -42,7 +50,7 @@
 
 
 def test_an_unknown_connection_vouches_for_nobody():
-    """It may lead to another process itself."""
+    """An unconfirmed connection may itself lead to another process."""
     tracker = ProcessTracker()
     for name in ("known", "unknown", "third"):
         tracker.opened(name)
@@ -62,8 +70,8 @@
 @given(EVENTS)
 @settings(derandomize=True, deadline=None, max_examples=400)
 def test_no_number_is_ever_given_to_two_processes(events):
-    """Whatever is opened, asked, answered late, closed late, and however often the
-    server crashes, what is known under one number leads to one process."""
+    """All connections that are confirmed under one number lead to one process, for any
+    order of opened connections, requests, late answers, late closes and crashes."""
     world = _World()
     for event, choice in events:
         getattr(world, event)(choice)
@@ -71,7 +79,7 @@
 
 
 class _World:
-    """A server that crashes, and connections whose ends are noticed later."""
+    """A server that crashes, and connections whose ends are detected later."""
 
     def __init__(self):
         self.tracker = ProcessTracker()
@@ -86,7 +94,7 @@
         self.tracker.opened(connection)
 
     def ask(self, choice):
-        """Send a question; the process answers it if it lives when that arrives."""
+        """Send a request; the process answers it if it still runs at the arrival."""
         known = [c for c in self.accepted_by if self.tracker.leads_to_process(c)]
         if known:
             connection = known[choice % len(known)]
@@ -94,13 +102,13 @@
                 self.questions.append((connection, self.tracker.asked()))
 
     def answer(self, choice):
-        """Read an answer, perhaps long after it was sent."""
+        """Read an answer, possibly long after it was sent."""
         if self.questions:
             connection, asked = self.questions.pop(choice % len(self.questions))
             self.tracker.answered(connection, asked)
 
     def close(self, choice):
-        """Notice that a connection has ended, or give one up."""
+        """Detect that a connection has ended, or close one."""
         if self.accepted_by:
             names = list(self.accepted_by)
             self.tracker.closed(names[choice % len(names)])
--- a/comfreywharf/ownership/tests/test_restarted_memory.py
+++ b/comfreywharf/ownership/tests/test_restarted_memory.py
@@ -1,4 +1,4 @@
-"""What a new process of a node says of requests that an earlier one ran."""
+"""What a new process of a node reports on requests that an earlier one ran."""
 
 from comfreywharf.ownership.tests.builders import KEYS, SERVICE, make_world
 from comfreywharf.records import key_hash
@@ -8,13 +8,14 @@
 
 
 def test_a_new_process_vouches_for_nothing_that_an_earlier_one_ran():
-    """Symptom: a booking that is sent again runs a second time, at the next owner.
+    """Guards against a booking that is sent again and runs a second time at the next
+    owner.
 
-    Sequence: a slice is given to a node while nobody owns it, and a booking runs
-    there; the planner moves it; the node's process is replaced, folds the log from
-    its beginning, and releases the slice before its own lease has begun.
-    Cause: it took the first assignment for news, so that nothing could have run
-    before, and vouched for a memory that had ended with the earlier process."""
+    A slice without an owner is assigned to a node, and a booking runs there. The
+    planner moves the slice. The node's process is replaced, folds the log from its
+    beginning, and releases the slice before its own lease has started. It must not
+    treat the first assignment as new, since the memory of request ids ended with the
+    earlier process."""
     world = make_world()
     node = world.nodes[world.role("owner", KEY)]
     start = world.truth().owner_of(SERVICE, key_hash(KEY)).start
--- a/comfreywharf/ownership/tests/test_snapshot.py
+++ b/comfreywharf/ownership/tests/test_snapshot.py
@@ -1,4 +1,4 @@
-"""A state that comes from a snapshot, under a node that was already serving."""
+"""A state that is replaced by a snapshot while a node is already serving."""
 
 import attrs
 
@@ -9,13 +9,13 @@
 
 
 def test_memory_from_before_a_snapshot_is_not_vouched_for():
-    """
-    Symptom: a booking is applied twice, by two owners.
-    Sequence: a node that owns a slice is frozen until the log has expired what
-    it missed. The slice moves away, the booking runs there, the slice moves
-    back. The node thaws, takes its state from a snapshot, and the caller sends
-    the booking again.
-    Cause: no record told the node that its memory of request ids has a hole.
+    """Guards against a booking that two owners apply.
+
+    A node that owns a slice is frozen until the records that it missed have expired
+    from the log. The slice moves away, the booking runs there, and the slice moves
+    back. The node thaws and loads its state from a snapshot, and the caller sends the
+    booking again. No record shows the node that its memory of request ids is
+    incomplete.
     """
     agent = OwnershipAgent("a", 1, LeaseTerms(lease_s=1.0, drift=0.01), lambda: "id")
     piece = Slice(start=0, end=1 << 63, owner="a", epoch=3)
--- a/comfreywharf/ownership/tests/test_sole_ownership.py
+++ b/comfreywharf/ownership/tests/test_sole_ownership.py
@@ -1,4 +1,4 @@
-"""At no moment do two nodes own one key: the decision code under faults."""
+"""At no time do two nodes own one key: the decision code under faults."""
 
 import pytest
 from hypothesis import settings, strategies as st
@@ -19,10 +19,10 @@
 
 
 class SoleOwnership(RuleBasedStateMachine):
-    """Faults of every kind, in any order, on the agents and witnesses that run.
+    """Faults of every kind, in any order, on agents and witnesses of the product.
 
-    Faults are aimed at the nodes that matter for one key by their roles, since
-    faults elsewhere prove nothing.
+    Faults are injected into nodes that have a role for one key, since faults on other
+    nodes have no effect on it.
     """
 
     @initialize()
@@ -127,7 +127,7 @@
 
     @rule(owner=roles, standby=roles, reader=roles)
     def plan(self, owner, standby, reader):
-        """Move a slice, as a planner with any fold would, fresh or stale."""
+        """Move a slice, as a planner with a fresh or stale fold would."""
         piece = self.node(reader).state.owner_of(SERVICE, key_hash(KEY))
         owner, standby = self.node(owner).node_id, self.node(standby).node_id
         if piece is None or owner == standby:
@@ -157,14 +157,14 @@
 
 
 def test_the_world_serves_every_key():
-    """The world is no empty proof: each key has an owner in it."""
+    """The other tests aren't vacuous: each key has an owner in the world."""
     world = make_world()
     assert all(world.served(key) for key in KEYS)
 
 
 @pytest.mark.parametrize("log_up", [True, False])
 def test_standby_takes_over(log_up):
-    """A lost owner's keys are served again, with and without the log."""
+    """A lost owner's keys are served by its standby, with and without the log."""
     world = make_world()
     piece = world.nodes["node-1"].state.owner_of(SERVICE, key_hash(KEYS[0]))
     world.log_up = log_up
--- a/comfreywharf/ownership/tests/test_told_fences.py
+++ b/comfreywharf/ownership/tests/test_told_fences.py
@@ -1,4 +1,4 @@
-"""No fence is used before the witnesses know of the record that it came with."""
+"""No fence is used before the witnesses know of the record that raised it."""
 
 import pytest
 
@@ -36,7 +36,7 @@
 
 
 def begin_anew(node):
-    """Have a node's lease begin anew, as after its server's process changed."""
+    """Start a node's lease anew, as after its server's process changed."""
     now_s = node.now_s()
     node.carry_out(node.agent.surrender(node.state, "anew", now_s, now_s + 0.8))
     node.agent.recover()
@@ -47,7 +47,7 @@
 
 
 def only_reader(world, node):
-    """Have nobody but one node read the log from now on."""
+    """Have only one node read the log from now on."""
     for other in world.nodes.values():
         other.reads_log = other is node
 
@@ -55,8 +55,8 @@
 def fences_around_a_record_that_few_heard_of(world):
     """Return the highest fence of the owner and that of its taker.
 
-    The log is down with records on their way to it, and nobody but the owner reads it.
-    The owner is cut off from the others at the moment when they are written.
+    The log is down while records are being sent to it, and only the owner reads it. The
+    owner is partitioned from the others when the records are written.
     """
     owner = owner_of(world)
     standby = world.nodes[world.role("standby", KEY)]
@@ -72,13 +72,13 @@
 
 
 def test_a_taker_serves_under_a_higher_fence_than_a_lease_that_few_heard_of():
-    """Symptom: a key goes to a taker's server under a fence below the owner's.
-    Sequence: a lease begins anew, and its record is written; the owner's server is
-    granted its keys at once; the owner is cut off before its next renewal, and the
-    others' reads of the log are behind by a lease.
-    Cause: a fence was used as soon as its record was read back. The witnesses learn of
-    the new lease epoch by the next renewal only, and grant a claim on the one before,
-    whose takeover fence lies below."""
+    """Guards against a taker's server that holds a key under a fence below the owner's.
+
+    A lease starts anew, and its record is written. The owner is partitioned before its
+    next renewal, and the others read the log with a delay of a lease. The owner must
+    not use the fence as soon as its record is read back: the witnesses learn of the new
+    lease epoch only by the next renewal, and until then grant a claim on the earlier
+    one, whose takeover fence is lower."""
     world = make_world(fenced=True)
     owner = owner_of(world)
     before = fence_of(world, owner)
@@ -171,18 +171,19 @@
 
 @pytest.mark.parametrize("change", CHANGES)
 def test_a_taker_serves_under_a_higher_fence_than_a_change_that_few_heard_of(change):
-    """Symptom: a key goes to a taker's server under a fence below the owner's.
-    Sequence: a record raises the fence of a slice that its owner keeps; the owner's
-    server is granted the key under it at once; the owner is cut off before its next
-    renewal, and the others' reads of the log are behind by a lease.
-    Cause: as for a lease that begins anew, and with any record that raises a fence."""
+    """Guards against a taker's server that holds a key under a fence below the owner's.
+
+    A record raises the fence of a slice that its owner keeps. The owner is partitioned
+    before its next renewal, and the others read the log with a delay of a lease. As for
+    a lease that starts anew, the owner must not use the fence at once; this holds for
+    any record that raises a fence."""
     owned, taken = fences_around_a_change(change)
     assert -1 < owned < taken
 
 
 @pytest.mark.parametrize("change", CHANGES)
 def test_without_the_wait_for_the_witnesses_a_taker_serves_below(change, monkeypatch):
-    """Each change is one that needs the wait."""
+    """Each change requires the wait."""
     monkeypatch.setattr(QuorumLease, "acknowledged_epoch", lambda self: 1 << 60)
     owned, taken = fences_around_a_change(change)
     assert -1 < taken < owned
@@ -190,9 +191,10 @@
 
 @pytest.mark.parametrize("change", CHANGES)
 def test_the_witnesses_hear_of_a_change_at_once_and_once(change):
-    """Symptom: keys are dark for a quarter of a lease after each split.
-    Sequence: a record raises the fence of a slice that its owner keeps.
-    Cause: the witnesses would hear of it with the next renewal in turn."""
+    """Guards against keys that are unavailable for a quarter of a lease after a split.
+
+    A record raises the fence of a slice that its owner keeps. The witnesses must not
+    learn of it only by the next regular renewal."""
     world = make_world(fenced=True)
     owner = owner_of(world)
     while owner.agent.holder.due(owner.now_s() + 3 * STEP_S):
@@ -206,7 +208,7 @@
 
 
 def count_rounds(node):
-    """Return a list that gets the number of each round that a node asks."""
+    """Return a list to which the number of each of a node's rounds is added."""
     rounds = []
     renewal = node.agent.holder.renewal
 
@@ -220,9 +222,11 @@
 
 
 def test_a_lease_that_begins_anew_is_used_one_round_after_it_was_read_back():
-    """Symptom: keys are dark for a quarter of a lease after each restart in place.
-    Sequence: a lease begins anew and is written down.
-    Cause: its fences wait for a renewal with the new epoch, which comes in turn."""
+    """Guards against keys that are unavailable for a quarter of a lease after each
+    restart in place.
+
+    A lease starts anew and is recorded. Its fences wait for a renewal with the new
+    epoch, which must not wait until the next regular one."""
     world = make_world(fenced=True)
     owner = owner_of(world)
     before = fence_of(world, owner)
@@ -233,10 +237,11 @@
 
 
 def test_a_slice_that_was_joined_and_divided_again_keeps_no_earlier_fence():
-    """Symptom: a server is granted a key under a lower fence than before.
-    Sequence: two slices are joined, served, and divided at the same place again; the
-    owner is cut off, so that the witnesses don't hear of it.
-    Cause: the owner goes on under the fence that it used last for that place."""
+    """Guards against a server that is granted a key under a lower fence than before.
+
+    Two slices are merged, served, and split again at the same place. The owner is
+    partitioned, so that the witnesses don't learn of it. The owner must not continue
+    under the fence that it last used for that place."""
     world = make_world(fenced=True)
     owner = owner_of(world)
     piece = piece_of(world)
@@ -259,7 +264,7 @@
 
 
 def divided_and_joined_again(world, piece):
-    """Join the two parts of a slice that was divided."""
+    """Merge the two parts of a slice that was split."""
     pieces = world.truth().slices[SERVICE]
     first = pieces.at_start(piece.start)
     append(
--- a/comfreywharf/ownership/tests/test_vouching.py
+++ b/comfreywharf/ownership/tests/test_vouching.py
@@ -1,4 +1,4 @@
-"""Witnesses that restart beside a living owner: what they grant, and what counts."""
+"""Witnesses that restart while an owner is healthy: what they grant and what counts."""
 
 import pytest
 
@@ -11,11 +11,12 @@
 
 
 def test_witnesses_that_restart_together_leave_a_living_owner_its_keys():
-    """Symptom: the keys of healthy nodes are dark for a lease after a loss of many.
+    """Guards against keys of healthy nodes that are unavailable for a lease after many
+    nodes were lost.
 
-    Sequence: two of an owner's three witnesses are killed and restart at once.
-    Cause: each was silent until all that it might have granted was over, to the
-    owner as well, who knows what they had granted to itself."""
+    Two of an owner's three witnesses are killed and restart at once. Each refuses
+    requests until all that it might have granted is over. It must not refuse the owner,
+    which knows what the witness granted to it."""
     world = make_world()
     key = KEYS[0]
     owner = world.role("owner", key)
@@ -29,7 +30,7 @@
 
 
 def test_a_restarted_witness_tells_nobody_else_sooner():
-    """Its word for the owner isn't one for a taker: to others it stays silent."""
+    """A grant to the owner is no grant to a taker: the witness refuses all others."""
     world = make_world()
     key = KEYS[0]
     owner, standby = world.role("owner", key), world.role("standby", key)
@@ -48,12 +49,12 @@
 def test_a_restarted_witness_counts_only_while_its_earlier_grant_does(
     term, received_s, held
 ):
-    """Symptom: an owner and a taker both hold a lease.
+    """Guards against an owner and a taker that both hold a lease.
 
-    Sequence: the owner's grant ends while its next question is on its way; the
-    witnesses grant the lease to a taker and restart; then the question arrives,
-    with the word that a grant still counts. Cause: that word was true when it was
-    sent, and not any more when the witnesses went by it."""
+    The owner's grant ends while its next renewal is in transit. The witnesses grant the
+    lease to a taker and restart, and then the renewal arrives. It says that an earlier
+    grant still counts, which was true at the sending but not when the witnesses
+    processed it."""
     lease = QuorumLease(TERMS, [GROUP])
     first = lease.begin_round(10.0, 0.0, 0)
     for witness in GROUP:
--- a/comfreywharf/ownership/tests/test_witness_groups.py
+++ b/comfreywharf/ownership/tests/test_witness_groups.py
@@ -1,4 +1,4 @@
-"""How many witnesses stand behind a lease, and what their loss does."""
+"""The number of witnesses of a lease, and the effect of their loss."""
 
 import attrs
 
@@ -16,9 +16,10 @@
 
 
 def test_two_lost_witnesses_of_five_leave_a_majority(monkeypatch):
-    """Symptom: keys are dark after three machines went within two seconds.
-    Sequence: an owner and two of its witnesses are lost at the same moment.
-    Cause: of three witnesses one was left, and nobody could take the keys over."""
+    """Guards against unavailable keys after the loss of three machines in two seconds.
+
+    An owner and two of its witnesses are lost at the same time. With three witnesses,
+    only one would be left, and no node could take over the keys."""
     world = five(monkeypatch, count=8)
     standby = world.role("standby", KEY)
     witnesses = [w for w in world.witnesses_of(KEY) if w != standby]
@@ -30,6 +31,6 @@
 
 
 def test_a_small_deployment_has_three(monkeypatch):
-    """With four other members a group of five can't be had, and four are no better."""
+    """With four other members there can't be five witnesses, and four are no better."""
     world = five(monkeypatch, count=5)
     assert len(world.witnesses_of(KEY)) == 3
