--- a/comfreywharf/ownership/tests/lives_events.py
+++ b/comfreywharf/ownership/tests/incarnation_events.py
@@ -1,6 +1,6 @@
-"""The events that may come next in a world of `lives_model`."""
+"""The events that may come next in a world of `incarnation_model`."""
 
-from comfreywharf.ownership.tests.lives_parts import LONG_AGO, NAMES, PLACE, other
+from comfreywharf.ownership.tests.incarnation_parts import LONG_AGO, NAMES, PLACE, other
 
 __all__ = ["Event", "NextEvents"]
 
--- a/comfreywharf/ownership/tests/lives_model.py
+++ b/comfreywharf/ownership/tests/incarnation_model.py
@@ -23,8 +23,8 @@
 
 from comfreywharf.ownership.holds import GrantAnswer, HoldBook
 from comfreywharf.ownership.process_tracker import ProcessTracker
-from comfreywharf.ownership.tests.lives_events import NextEvents
-from comfreywharf.ownership.tests.lives_parts import (
+from comfreywharf.ownership.tests.incarnation_events import NextEvents
+from comfreywharf.ownership.tests.incarnation_parts import (
     LEASE,
     LONG_AGO,
     NAMES,
--- a/comfreywharf/ownership/tests/lives_parts.py
+++ b/comfreywharf/ownership/tests/incarnation_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the worlds of `lives_model`: nodes, incarnations, and orders.
+"""The parts of the worlds of `incarnation_model`: nodes, incarnations, and orders.
 
 Each part can be copied, and has a key by which equal states are recognized.
 """
--- a/comfreywharf/ownership/tests/lives_search.py
+++ b/comfreywharf/ownership/tests/incarnation_search.py
@@ -2,8 +2,8 @@
 
 import attrs
 
-from comfreywharf.ownership.tests.lives_model import World
-from comfreywharf.ownership.tests.lives_parts import Breach
+from comfreywharf.ownership.tests.incarnation_model import World
+from comfreywharf.ownership.tests.incarnation_parts import Breach
 
 __all__ = ["Found", "search"]
 
--- a/comfreywharf/ownership/tests/test_lives_search.py
+++ b/comfreywharf/ownership/tests/test_incarnation_search.py
@@ -21,9 +21,9 @@
 
 from comfreywharf.ownership.holds import HoldBook
 from comfreywharf.ownership.process_tracker import ProcessTracker
-from comfreywharf.ownership.tests.lives_model import World
-from comfreywharf.ownership.tests.lives_parts import LONG_AGO, Limits
-from comfreywharf.ownership.tests.lives_search import search
+from comfreywharf.ownership.tests.incarnation_model import World
+from comfreywharf.ownership.tests.incarnation_parts import LONG_AGO, Limits
+from comfreywharf.ownership.tests.incarnation_search import search
 
 CRASHES = Limits(steps=7, troubles=2, lives=(3, 1), detailed=("a",))
 LOSSES = Limits(
