--- a/comfreywharf/ownership/tests/incarnation_events.py
+++ b/comfreywharf/ownership/tests/incarnation_events.py
@@ -48,14 +48,16 @@
             yield from self._tick_events()
 
     def _node_events(self, name):
-        node, life = self._world.nodes[name], self._world.lives[name]
-        if node.known is not None:
-            if life and len(node.connections) < self._limits.connections:
-                yield Event(f"{name} connects to life {life.number}", "connect", name)
-            if not life:
+        node, incarnation = self._world.nodes[name], self._world.incarnations[name]
+        if node.announced is not None:
+            if incarnation and len(node.connections) < self._limits.connections:
+                yield Event(
+                    f"{name} connects to life {incarnation.number}", "connect", name
+                )
+            if not incarnation:
                 yield Event(f"{name} is refused by the port", "refused", name)
-        if life and node.known != life.number:
-            yield Event(f"{name} hears of life {life.number}", "announce", name)
+        if incarnation and node.announced != incarnation.number:
+            yield Event(f"{name} hears of life {incarnation.number}", "announce", name)
         yield Event(f"{name}'s process restarts", "restart", name, trouble=1)
         yield from self._connection_events(name)
         if self._world.may_push(name):
@@ -110,23 +112,28 @@
         yield Event(lost, "lose", name, index, trouble=trouble)
 
     def _server_events(self, name):
-        life = self._world.lives[name]
-        if life is None:
+        incarnation = self._world.incarnations[name]
+        if incarnation is None:
             yield Event(
-                f"life {self._world.begun[name] + 1} begins at {name}", "begin", name
+                f"life {self._world.latest_incarnation[name] + 1} begins at {name}",
+                "begin",
+                name,
             )
             return
-        if self._world.begun[name] < self._limits.lives[NAMES.index(name)]:
-            text = f"life {life.number} at {name} crashes"
+        if (
+            self._world.latest_incarnation[name]
+            < self._limits.incarnations[NAMES.index(name)]
+        ):
+            text = f"life {incarnation.number} at {name} crashes"
             yield Event(text, "crash", name, trouble=1)
-        for index in range(len(life.inbox)):
-            text = f"life {life.number} at {name} carries an order out"
+        for index in range(len(incarnation.inbox)):
+            text = f"life {incarnation.number} at {name} carries an order out"
             yield Event(text, "carry_out", name, index)
 
     def _lease_events(self, name):
         node, rival = self._world.nodes[name], other(name)
-        if not node.held and node.known is not None:
-            earlier_until = self._world.kept_until[name] if node.fresh else LONG_AGO
+        if not node.held and node.announced is not None:
+            earlier_until = self._world.kept_until[name] if node.restarted else LONG_AGO
             if max(self._world.taken_until[name], earlier_until) <= self._world.now:
                 yield Event(f"{name}'s lease begins anew", "begin_lease", name)
         concerned = rival in (self._world.owner, self._world.previous)
@@ -158,7 +165,8 @@
             return False
         over = self._world.now >= book.held_until_s(*PLACE)
         return over or (
-            self._world.nodes[name].known is not None and self._world.lives[name]
+            self._world.nodes[name].announced is not None
+            and self._world.incarnations[name]
         )
 
     def _awaits_lost(self, name):
--- a/comfreywharf/ownership/tests/incarnation_model.py
+++ b/comfreywharf/ownership/tests/incarnation_model.py
@@ -33,7 +33,7 @@
     TERMS,
     UNAWAITED,
     Breach,
-    Life,
+    Incarnation,
     Node,
     Sending,
     copy_book,
@@ -56,9 +56,9 @@
         self.offset = 3
         self.epoch, self.owner, self.previous = 0, "a", ""
         self.nodes = {}
-        self.lives = {}
-        self.begun = {"a": 1, "b": 1}
-        self.dead_had = -1
+        self.incarnations = {}
+        self.latest_incarnation = {"a": 1, "b": 1}
+        self.highest_crashed_fence = -1
         self.troubles = 0
         # Until when the witnesses refuse each node's lease to a taker, and until
         # when they refuse it to the node itself because of a taker.
@@ -68,21 +68,21 @@
             node = self.nodes[name] = Node(book=HoldBook(TERMS), lease_epoch=epoch)
             node.tracker.opened(1)
             node.connections[1] = 1
-            self.lives[name] = Life(number=1)
+            self.incarnations[name] = Incarnation(number=1)
 
     def copy(self, names):
         """Return a copy in which these nodes and their servers may change."""
         copied = type(self).__new__(type(self))
         vars(copied).update(vars(self))
         copied.nodes = dict(self.nodes)
-        copied.lives = dict(self.lives)
-        copied.begun = dict(self.begun)
+        copied.incarnations = dict(self.incarnations)
+        copied.latest_incarnation = dict(self.latest_incarnation)
         copied.kept_until = dict(self.kept_until)
         copied.taken_until = dict(self.taken_until)
         for name in names:
             copied.nodes[name] = self.nodes[name].copy()
-            if self.lives[name]:
-                copied.lives[name] = self.lives[name].copy()
+            if self.incarnations[name]:
+                copied.incarnations[name] = self.incarnations[name].copy()
         return copied
 
     def after(self, event):
@@ -114,8 +114,8 @@
         free = self.previous in ("", name) or self.claims(name)
         if self.owner == name:
             return self.fences()[0] if free else None
-        if self.previous == name and node.lingering >= 0:
-            return node.lingering
+        if self.previous == name and node.unreleased_fence >= 0:
+            return node.unreleased_fence
         return self.fences()[1] if free and self.claims(name) else None
 
     def served(self, name):
@@ -131,8 +131,11 @@
 
     def leads_to_living(self, name, number):
         """Return whether a connection leads to the running incarnation."""
-        life = self.lives[name]
-        return life is not None and life.number == self.nodes[name].connections[number]
+        incarnation = self.incarnations[name]
+        return (
+            incarnation is not None
+            and incarnation.number == self.nodes[name].connections[number]
+        )
 
     # Events of a node, as in `RangeGrants` and its connection pool.
 
@@ -142,7 +145,7 @@
             for number in node.idle:
                 self._end_connection(name, number)
         number = _free(node.connections)
-        node.connections[number] = self.lives[name].number
+        node.connections[number] = self.incarnations[name].number
         node.tracker.opened(number)
         self._answer_unsent(name)
 
@@ -168,7 +171,7 @@
         node = self.nodes[name]
         if not node.tracker.process or self.serving_fence(name) is None:
             return False
-        if node.met not in (None, node.tracker.process):
+        if node.reached_process not in (None, node.tracker.process):
             return True
         served = self.served(name)
         if node.book.has_used_fence(fence for _, _, fence, _ in served):
@@ -179,7 +182,7 @@
         """Return whether `push` would decide on an order."""
         node = self.nodes[name]
         book = copy_book(node.book)
-        if node.met not in (None, node.tracker.process):
+        if node.reached_process not in (None, node.tracker.process):
             book.process_changed()
         served = self.served(name)
         barred = book.has_used_fence(fence for _, _, fence, _ in served)
@@ -192,12 +195,12 @@
         first ``stages`` of these happen.
         """
         node = self.nodes[name]
-        if node.met not in (None, node.tracker.process):
+        if node.reached_process not in (None, node.tracker.process):
             node.book.process_changed()
-        node.met = node.tracker.process
+        node.reached_process = node.tracker.process
         served = self.served(name)
         if node.book.has_used_fence(fence for _, _, fence, _ in served):
-            self._begin_anew(name)
+            self._restart_lease(name)
             return
         for order in node.book.due(served, self.now):
             serial = _free([sending.serial for sending in node.sendings])
@@ -207,11 +210,11 @@
                 self._send_at_once(name, number, stages)
 
     def _send_at_once(self, name, number, stages):
-        node, life = self.nodes[name], self.lives[name]
+        node, incarnation = self.nodes[name], self.incarnations[name]
         index = len(node.sendings) - 1
         self.send(name, index, number)
         if stages > 1:
-            self.carry_out(name, len(life.inbox) - 1)
+            self.carry_out(name, len(incarnation.inbox) - 1)
         if stages > 2:
             self.answer(name, index)
 
@@ -220,7 +223,7 @@
         return order.hold_s_at(self.now)
 
     def send(self, name, index, number):
-        node, life = self.nodes[name], self.lives[name]
+        node, incarnation = self.nodes[name], self.incarnations[name]
         sending = node.sendings[index]
         hold = self.hold_of(sending.order)
         if not hold:
@@ -229,9 +232,9 @@
             return
         sending.connection = number
         sending.asked = node.tracker.asked()
-        if life and life.number == node.connections[number]:
+        if incarnation and incarnation.number == node.connections[number]:
             arrived = (sending.serial, sending.order.fence, self.now + hold)
-            life.inbox = (*life.inbox, arrived)
+            incarnation.inbox = (*incarnation.inbox, arrived)
 
     def lose(self, name, index):
         node = self.nodes[name]
@@ -243,11 +246,11 @@
 
     def _leave_orders(self, name, serial=None):
         """Mark an order, or all of them, as no longer awaiting an answer."""
-        life = self.lives[name]
-        if life:
-            life.inbox = tuple(
+        incarnation = self.incarnations[name]
+        if incarnation:
+            incarnation.inbox = tuple(
                 (UNAWAITED, *entry[1:]) if serial in (None, entry[0]) else entry
-                for entry in life.inbox
+                for entry in incarnation.inbox
             )
 
     def _forget_backend(self, name):
@@ -256,8 +259,8 @@
         node.tracker = ProcessTracker()
         node.connections = {}
         node.sendings = []
-        if node.met is not None:
-            node.met = "another"
+        if node.reached_process is not None:
+            node.reached_process = "another"
         self._leave_orders(name)
 
     def answer(self, name, index):
@@ -266,67 +269,76 @@
         node.tracker.answered(sending.connection, sending.asked)
         node.book.answered(sending.order, sending.answer, self.now)
         if sending.answer is GrantAnswer.OUTDATED:
-            self._begin_anew(name)
+            self._restart_lease(name)
 
     def refused(self, name):
         node = self.nodes[name]
         self._forget_backend(name)
-        node.known = None
+        node.announced = None
         node.book.clear()
         self._surrender(name, LONG_AGO)
 
     def announce(self, name):
         node = self.nodes[name]
-        if node.known is not None:
+        if node.announced is not None:
             self._forget_backend(name)
             self._surrender(name, node.book.all_held_until_s(self.now))
-        node.known = self.lives[name].number
+        node.announced = self.incarnations[name].number
 
     def restart(self, name):
         """Restart a node's process; the earlier one left no record of its grants."""
-        node, life = self.nodes[name], self.lives[name]
+        node, incarnation = self.nodes[name], self.incarnations[name]
         unknown_until = self.now + TERMS.lease_s * (1 + TERMS.slow_clock)
         node.book = HoldBook(TERMS, unknown_until_s=unknown_until)
         self._forget_backend(name)
-        node.met = None
-        node.known = life.number if life else None
+        node.reached_process = None
+        node.announced = incarnation.number if incarnation else None
         node.held = node.claims = node.released = False
-        node.fresh = True
-        node.lingering = node.stopped = -1
+        node.restarted = True
+        node.unreleased_fence = node.stopped = -1
 
     # Events of servers, and the rule.
 
     def crash(self, name):
-        self.dead_had = max(self.dead_had, self.lives[name].had)
-        self.lives[name] = None
+        self.highest_crashed_fence = max(
+            self.highest_crashed_fence, self.incarnations[name].highest_held_fence
+        )
+        self.incarnations[name] = None
 
     def begin(self, name):
-        self.begun[name] += 1
-        self.lives[name] = Life(number=self.begun[name])
+        self.latest_incarnation[name] += 1
+        self.incarnations[name] = Incarnation(number=self.latest_incarnation[name])
 
     def carry_out(self, name, index):
-        life = self.lives[name]
-        serial, fence, until = life.inbox[index]
-        life.inbox = (*life.inbox[:index], *life.inbox[index + 1 :])
+        incarnation = self.incarnations[name]
+        serial, fence, until = incarnation.inbox[index]
+        incarnation.inbox = (
+            *incarnation.inbox[:index],
+            *incarnation.inbox[index + 1 :],
+        )
         answer = GrantAnswer.OUTDATED
-        if life.highest <= fence:
+        if incarnation.highest_seen_fence <= fence:
             answer = GrantAnswer.TAKEN
-            life.highest = fence
+            incarnation.highest_seen_fence = fence
             if until > self.now:
-                self._take(name, life, fence, until)
+                self._take(name, incarnation, fence, until)
         for sending in self.nodes[name].sendings:
             if sending.serial == serial:
                 sending.answer = answer
 
-    def _take(self, name, life, fence, until):
-        rival = self.lives[other(name)]
+    def _take(self, name, incarnation, fence, until):
+        rival = self.incarnations[other(name)]
         if rival and self.now < rival.held_until:
             raise Breach(f"life {rival.number} at {other(name)} holds the key as well")
-        had = max(self.dead_had, rival.had if rival else -1)
-        if fence <= had:
-            raise Breach(f"taken under fence {fence}; another life had it under {had}")
-        life.held_until = until
-        life.had = max(life.had, fence)
+        other_fence = max(
+            self.highest_crashed_fence, rival.highest_held_fence if rival else -1
+        )
+        if fence <= other_fence:
+            raise Breach(
+                f"taken under fence {fence}; another life had it under {other_fence}"
+            )
+        incarnation.held_until = until
+        incarnation.highest_held_fence = max(incarnation.highest_held_fence, fence)
 
     # Events of leases and of the slice.
 
@@ -341,15 +353,15 @@
             self.taken_until[other(name)] = held_until
         node.held = node.claims = False
 
-    def _begin_anew(self, name):
+    def _restart_lease(self, name):
         self._surrender(name, self.nodes[name].book.all_held_until_s(self.now))
 
     def begin_lease(self, name):
         node = self.nodes[name]
-        node.held, node.fresh = True, False
+        node.held, node.restarted = True, False
         node.lease_until = self.kept_until[name] = self.now + LEASE
         node.lease_epoch = self._record()
-        node.lingering = -1
+        node.unreleased_fence = -1
 
     def claim(self, name):
         node, rival = self.nodes[name], self.nodes[other(name)]
@@ -366,20 +378,20 @@
         fence = self.fences()[0]
         self.epoch, self.owner, self.previous = self._record(), other(before), before
         node = self.nodes[before]
-        node.lingering = fence
+        node.unreleased_fence = fence
         node.released = False
 
     def stop(self, name):
         node = self.nodes[name]
-        node.stopped, node.released, node.lingering = self.epoch, False, -1
+        node.stopped, node.released, node.unreleased_fence = self.epoch, False, -1
         if node.book.stop(*PLACE, 2 * self.epoch, self.now) is None:
             self.hand_over(name)
 
     def release(self, name):
-        node, life = self.nodes[name], self.lives[name]
+        node, incarnation = self.nodes[name], self.incarnations[name]
         node.released = True
         if self.now < node.book.held_until_s(*PLACE):
-            life.held_until = LONG_AGO
+            incarnation.held_until = LONG_AGO
 
     def hand_over(self, name):
         self.previous = ""
@@ -413,12 +425,15 @@
             self.epoch,
             self.owner,
             self.previous,
-            self.dead_had,
+            self.highest_crashed_fence,
             *(max(0, time - now) for time in self.kept_until.values()),
             *(max(0, time - now) for time in self.taken_until.values()),
-            *self.begun.values(),
+            *self.latest_incarnation.values(),
             *(node.key(now) for node in self.nodes.values()),
-            *(life and life.key(now) for life in self.lives.values()),
+            *(
+                incarnation and incarnation.key(now)
+                for incarnation in self.incarnations.values()
+            ),
         )
 
 
--- a/comfreywharf/ownership/tests/incarnation_parts.py
+++ b/comfreywharf/ownership/tests/incarnation_parts.py
@@ -31,7 +31,7 @@
 
 @attrs.frozen(kw_only=True)
 class Limits:
-    """The bounds of a search. ``lives`` limits the incarnations at each address.
+    """The bounds of a search. ``incarnations`` limits those at each address.
 
     Nodes that aren't ``detailed`` have no faults: their servers don't crash, no
     connection is reset, and each order is answered at once.
@@ -40,7 +40,7 @@
     steps: int
     troubles: int
     ticks: int = 4
-    lives: tuple[int, int] = (3, 2)
+    incarnations: tuple[int, int] = (3, 2)
     connections: int = 2
     detailed: tuple[str, ...] = NAMES
     restarts: bool = True
@@ -148,12 +148,12 @@
 
 
 @attrs.define(kw_only=True)
-class Life:
+class Incarnation:
     """One process of a server. ``inbox`` has ``(serial, fence, until)`` of orders."""
 
     number: int
-    highest: int = -1
-    had: int = -1
+    highest_seen_fence: int = -1
+    highest_held_fence: int = -1
     held_until: float = LONG_AGO
     inbox: tuple = ()
 
@@ -162,8 +162,8 @@
 
     def key(self, now):
         return (
-            self.highest,
-            self.had,
+            self.highest_seen_fence,
+            self.highest_held_fence,
             max(0, self.held_until - now),
             tuple((s, fence, max(0, until - now)) for s, fence, until in self.inbox),
         )
@@ -174,7 +174,7 @@
     """A node: its lease, its book, and its connections to the server beside it.
 
     ``connections`` maps each connection to the incarnation to which it leads.
-    ``known`` is the announced incarnation, or ``None`` while the server counts as
+    ``announced`` is the announced incarnation, or ``None`` while the server counts as
     lost.
     """
 
@@ -182,17 +182,17 @@
     tracker: ProcessTracker = attrs.Factory(ProcessTracker)
     connections: dict = attrs.Factory(dict)
     sendings: list = attrs.Factory(list)
-    met: object = None
-    known: int | None = 1
+    reached_process: object = None
+    announced: int | None = 1
     held: bool = True
     lease_until: float = LEASE
     lease_epoch: int = 0
-    lingering: int = -1
+    unreleased_fence: int = -1
     claims: bool = False
     stopped: int = -1
     released: bool = False
-    fresh: bool = False
-    written: tuple = (None, None)
+    restarted: bool = False
+    cached_key: tuple = (None, None)
 
     def copy(self):
         return Node(
@@ -200,16 +200,16 @@
             tracker=copy_tracker(self.tracker),
             connections=dict(self.connections),
             sendings=[sending.copy() for sending in self.sendings],
-            met=self.met,
-            known=self.known,
+            reached_process=self.reached_process,
+            announced=self.announced,
             held=self.held,
             lease_until=self.lease_until,
             lease_epoch=self.lease_epoch,
-            lingering=self.lingering,
+            unreleased_fence=self.unreleased_fence,
             claims=self.claims,
             stopped=self.stopped,
             released=self.released,
-            fresh=self.fresh,
+            restarted=self.restarted,
         )
 
     def key(self, now):
@@ -217,22 +217,24 @@
 
         It is cached, since few steps change a node.
         """
-        if self.written[0] != now:
-            self.written = (now, self._key(now))
-        return self.written[1]
+        if self.cached_key[0] != now:
+            self.cached_key = (now, self._key(now))
+        return self.cached_key[1]
 
     def _key(self, now):
         return (
-            self.known,
-            None if self.met is None else self.met == self.tracker.process,
+            self.announced,
+            None
+            if self.reached_process is None
+            else self.reached_process == self.tracker.process,
             self.held,
             max(0, self.lease_until - now),
             self.lease_epoch,
-            self.lingering,
+            self.unreleased_fence,
             self.claims,
             self.stopped,
             self.released,
-            self.fresh,
+            self.restarted,
             book_key(self.book, now),
             self._tracker_key(),
             tuple(self.connections.items()),
--- a/comfreywharf/ownership/tests/list_world.py
+++ b/comfreywharf/ownership/tests/list_world.py
@@ -35,7 +35,7 @@
     rows: tuple
     hold_s: float
     sent_s: float
-    life: int
+    incarnation: int
     connection: int
     keep: tuple = ()
 
@@ -44,7 +44,7 @@
 class Server:
     """A server's current incarnation: its holds and the fences that it has seen."""
 
-    life: int = 1
+    incarnation: int = 1
     connection: int = 1
     held: dict = attrs.Factory(dict)
     seen: dict = attrs.Factory(dict)
@@ -57,7 +57,7 @@
 
     def take(self, answer, now_s):
         """Apply a list."""
-        if answer.life != self.life:
+        if answer.incarnation != self.incarnation:
             return
         listed = {
             piece: row
@@ -142,7 +142,7 @@
         """
         report = HoldReport(
             service=SERVICE,
-            connection=(self.server.life, self.server.connection),
+            connection=(self.server.incarnation, self.server.connection),
             arrived_s=self.now_s + travels_s,
             held=tuple(
                 HeldRange(first=piece[0], last=piece[1], fence=fence)
@@ -165,7 +165,7 @@
                 rows=decided.rows,
                 hold_s=decided.hold_s,
                 sent_s=sent_s,
-                life=self.server.life,
+                incarnation=self.server.incarnation,
                 connection=self.server.connection,
             )
             if answered:
@@ -187,7 +187,7 @@
         for piece in PIECES:
             fence = self.server.holds(piece, self.now_s)
             if fence is not None and fence != before[piece]:
-                self._note(piece, fence, ("server", self.server.life))
+                self._note(piece, fence, ("server", self.server.incarnation))
 
     def _note(self, piece, fence, holder):
         for other, known in self.fences.get(piece, {}).items():
@@ -243,7 +243,7 @@
 
     def restart_server(self):
         """Restart the server under the same id."""
-        self.server = Server(life=self.server.life + 1)
+        self.server = Server(incarnation=self.server.incarnation + 1)
         self.lists.server_restarted()
         self.book.process_changed()
 
--- a/comfreywharf/ownership/tests/test_incarnation_search.py
+++ b/comfreywharf/ownership/tests/test_incarnation_search.py
@@ -25,15 +25,15 @@
 from comfreywharf.ownership.tests.incarnation_parts import LONG_AGO, Limits
 from comfreywharf.ownership.tests.incarnation_search import search
 
-CRASHES = Limits(steps=7, troubles=2, lives=(3, 1), detailed=("a",))
+CRASHES = Limits(steps=7, troubles=2, incarnations=(3, 1), detailed=("a",))
 LOSSES = Limits(
-    steps=8, troubles=3, ticks=2, lives=(1, 1), connections=1, restarts=False
+    steps=8, troubles=3, ticks=2, incarnations=(1, 1), connections=1, restarts=False
 )
-RESTARTS = Limits(steps=8, troubles=3, ticks=2, lives=(1, 1), connections=1)
+RESTARTS = Limits(steps=8, troubles=3, ticks=2, incarnations=(1, 1), connections=1)
 BOTH = Limits(steps=5, troubles=2)
 
 
-def told(found):
+def describe(found):
     """Return the result of a search as the lines of a message."""
     return "\n".join([found.breach, *found.events, f"{found.states} states"])
 
@@ -57,7 +57,7 @@
     self._holds.clear()
 
 
-def anew_at_once(self, name):
+def surrender_at_once(self, name):
     self._surrender(name, LONG_AGO)
 
 
@@ -90,7 +90,10 @@
         CRASHES,
         (HoldBook, "process_changed", process_forgets),
     ),
-    "a surrender tells of holds": (CRASHES, (World, "_begin_anew", anew_at_once)),
+    "a surrender tells of holds": (
+        CRASHES,
+        (World, "_restart_lease", surrender_at_once),
+    ),
     "a release waits for lost orders": (LOSSES, (HoldBook, "lost_until_s", never)),
     "a release waits for orders under way": (
         LOSSES,
@@ -117,7 +120,7 @@
     it under a fence that another one had. The message has the shortest sequence of
     events that leads to such a breach."""
     found = search(limits)
-    assert not found.breach, told(found)
+    assert not found.breach, describe(found)
 
 
 @pytest.mark.parametrize("name", MECHANISMS)
@@ -126,4 +129,4 @@
     limits, (owner, method, instead) = MECHANISMS[name]
     with mock.patch.object(owner, method, instead):
         found = search(limits)
-    assert found.breach, told(found)
+    assert found.breach, describe(found)
