--- a/comfreywharf/ownership/tests/sim_node.py
+++ b/comfreywharf/ownership/tests/sim_node.py
@@ -60,7 +60,7 @@
         self.witness = None
         self.caught_up = False
         self.announced = False
-        self.asking = {}
+        self.requested_releases = {}
         self.frozen = False
 
     def alive(self, incarnation):
@@ -85,8 +85,8 @@
         now_s = self.now_s()
         self.agent.inflight.expire(now_s)
         self.carry_out(self.agent.tick(self.state, now_s, self.backend_up, forced))
-        self._ask_releases()
-        self._tell_lapses(now_s)
+        self._request_releases()
+        self._report_lapses(now_s)
 
     def _announce(self):
         if self.announced:
@@ -126,34 +126,38 @@
                 self.world.append(self, action.record)
                 self.pending.append((self.incarnation, action, self.world.real_s))
             elif isinstance(action, RequestRelease):
-                self.asking[action.key] = action.previous
+                self.requested_releases[action.key] = action.previous
 
     def _send_renewal(self, action):
         incarnation = self.incarnation
 
-        def ask(node):
+        def deliver_request(node):
             grant = node.on_renewal(action.renewal)
             if grant is not None and grant.granted:
-                self.world.send(node.node_id, self.node_id, lambda me: answer(grant))
+                self.world.send(
+                    node.node_id, self.node_id, lambda me: deliver_answer(grant)
+                )
 
-        def answer(grant):
+        def deliver_answer(grant):
             if self.alive(incarnation):
                 number = action.renewal.round
                 self.carry_out(
                     self.agent.renewed(action.witness, number, grant.term, self.now_s())
                 )
 
-        self.world.send(self.node_id, action.witness, ask)
+        self.world.send(self.node_id, action.witness, deliver_request)
 
     def _send_claim(self, action):
         incarnation = self.incarnation
 
-        def ask(node):
+        def deliver_request(node):
             grant = node.on_claim(action.claim)
             if grant is not None:
-                self.world.send(node.node_id, self.node_id, lambda me: answer(grant))
+                self.world.send(
+                    node.node_id, self.node_id, lambda me: deliver_answer(grant)
+                )
 
-        def answer(grant):
+        def deliver_answer(grant):
             if self.alive(incarnation):
                 claim = action.claim
                 if not grant.granted:
@@ -173,7 +177,7 @@
                     )
                 )
 
-        self.world.send(self.node_id, action.witness, ask)
+        self.world.send(self.node_id, action.witness, deliver_request)
 
     def _read_back(self):
         """Notify the agent of appended records that the fold has reached."""
@@ -189,30 +193,30 @@
                 self.agent.appended(self.state, action.purpose, outcome, self.now_s())
             )
 
-    def _ask_releases(self):
-        for key, previous in list(self.asking.items()):
+    def _request_releases(self):
+        for key, previous in list(self.requested_releases.items()):
             if not self.agent.awaits_release(self.state, key, self.now_s()):
                 self.agent.release_request_ended(key)
-                del self.asking[key]
+                del self.requested_releases[key]
                 continue
-            self._ask_release(key, previous)
+            self._request_release(key, previous)
 
-    def _ask_release(self, key, previous):
+    def _request_release(self, key, previous):
         incarnation = self.incarnation
 
-        def ask(node):
+        def deliver_request(node):
             decision = node.on_release(key)
             if decision is not None and decision.released:
-                self.world.send(node.node_id, self.node_id, lambda me: answer())
+                self.world.send(node.node_id, self.node_id, lambda me: deliver_answer())
 
-        def answer():
-            if self.alive(incarnation) and key in self.asking:
-                del self.asking[key]
+        def deliver_answer():
+            if self.alive(incarnation) and key in self.requested_releases:
+                del self.requested_releases[key]
                 self.carry_out(self.agent.released(key, True, self.now_s()))
 
-        self.world.send(self.node_id, previous, ask)
+        self.world.send(self.node_id, previous, deliver_request)
 
-    def _tell_lapses(self, now_s):
+    def _report_lapses(self, now_s):
         watched = [
             m.node_id
             for m in self.state.members.values()
--- a/comfreywharf/ownership/tests/test_acknowledged_fences.py
+++ b/comfreywharf/ownership/tests/test_acknowledged_fences.py
@@ -35,7 +35,7 @@
     world.cuts |= {(other, node.node_id) for other in others}
 
 
-def begin_anew(node):
+def restart_lease(node):
     """Start a node's lease anew, as after its server's process changed."""
     now_s = node.now_s()
     node.carry_out(node.agent.surrender(node.state, "anew", now_s, now_s + 0.8))
@@ -52,7 +52,7 @@
         other.reads_log = other is node
 
 
-def fences_around_a_record_that_few_heard_of(world):
+def fences_around_a_partition(world):
     """Return the highest fence of the owner and that of its taker.
 
     The log is down while records are being sent to it, and only the owner reads it. The
@@ -84,15 +84,15 @@
     before = fence_of(world, owner)
     only_reader(world, owner)
     world.log_up = False
-    begin_anew(owner)
+    restart_lease(owner)
     while owner.agent.holder.phase != "starting":
         world.run(STEP_S)
     world.run(STEP_S)
-    owned, taken = fences_around_a_record_that_few_heard_of(world)
+    owned, taken = fences_around_a_partition(world)
     assert taken > max(before, owned)
 
 
-def standby_changed(world, piece):
+def change_standby(world, piece):
     other = world.role("other", KEY)
     change = SliceMove(
         service=SERVICE,
@@ -104,7 +104,7 @@
     move(world, [change])
 
 
-def divided(world, piece):
+def split_slice(world, piece):
     at = (piece.start + piece.end) // 2
     append(
         world,
@@ -118,8 +118,8 @@
     )
 
 
-def divided_and_joined(world, piece):
-    divided(world, piece)
+def split_and_merge(world, piece):
+    split_slice(world, piece)
     epoch = len(world.log)
     append(
         world,
@@ -133,7 +133,7 @@
     )
 
 
-def witnesses_written_down(world, piece):
+def record_witnesses(world, piece):
     member = world.truth().members[piece.owner]
     append(
         world,
@@ -153,7 +153,7 @@
         world.land_appends()
 
 
-CHANGES = (standby_changed, divided, divided_and_joined, witnesses_written_down)
+CHANGES = (change_standby, split_slice, split_and_merge, record_witnesses)
 
 
 def piece_of(world):
@@ -166,7 +166,7 @@
     only_reader(world, owner)
     world.log_up = False
     change(world, piece_of(world))
-    return fences_around_a_record_that_few_heard_of(world)
+    return fences_around_a_partition(world)
 
 
 @pytest.mark.parametrize("change", CHANGES)
@@ -212,12 +212,12 @@
     rounds = []
     renewal = node.agent.holder.renewal
 
-    def noted(*args, **options):
+    def recorded(*args, **options):
         message = renewal(*args, **options)
         rounds.append(message.round)
         return message
 
-    node.agent.holder.renewal = noted
+    node.agent.holder.renewal = recorded
     return rounds
 
 
@@ -230,7 +230,7 @@
     world = make_world(fenced=True)
     owner = owner_of(world)
     before = fence_of(world, owner)
-    begin_anew(owner)
+    restart_lease(owner)
     while owner.agent.holder.phase != "held":
         world.run(STEP_S)
     assert fence_of(world, owner) > before
@@ -246,10 +246,10 @@
     owner = owner_of(world)
     piece = piece_of(world)
     highest = -1
-    for change in (divided, divided_and_joined_again, divided):
-        if change is divided and highest > -1:
+    for change in (split_slice, merge_again, split_slice):
+        if change is split_slice and highest > -1:
             isolate(world, owner)
-        change(world, piece_of(world) if change is divided else piece)
+        change(world, piece_of(world) if change is split_slice else piece)
         for _ in range(6):
             world.run(STEP_S)
             fences = [fence_of(world, owner), *fences_within(owner, piece)]
@@ -263,7 +263,7 @@
     return [f for _, p, f, _ in serving if piece.start <= p.start < piece.end]
 
 
-def divided_and_joined_again(world, piece):
+def merge_again(world, piece):
     """Merge the two parts of a slice that was split."""
     pieces = world.truth().slices[SERVICE]
     first = pieces.at_start(piece.start)
--- a/comfreywharf/ownership/tests/test_crashed_takers.py
+++ b/comfreywharf/ownership/tests/test_crashed_takers.py
@@ -20,7 +20,7 @@
     return standby
 
 
-def told_of_claims(node, held_until_s):
+def reported_claim_ends(node, held_until_s):
     """Return for how long a node's claims may act, as it reports when it gives up."""
     actions = node.agent.surrender(
         node.state, "backend lost", node.now_s(), held_until_s
@@ -36,7 +36,7 @@
     connections, which proves that the server has crashed. The end of the claim's grants
     must not be sent as if the server still held them."""
     standby = taker(make_world(fenced=True))
-    assert told_of_claims(standby, NOTHING_HELD_S) == {0.0}
+    assert reported_claim_ends(standby, NOTHING_HELD_S) == {0.0}
 
 
 def test_where_it_isnt_known_what_a_server_has_its_claims_last_to_their_end():
@@ -46,21 +46,21 @@
     (claim,) = standby.agent.claims.values()
     left_s = claim.lease.until_s() - standby.now_s()
     assert left_s > 0
-    assert told_of_claims(standby, None) == {left_s}
+    assert reported_claim_ends(standby, None) == {left_s}
 
 
 def test_a_living_server_has_a_claims_keys_until_its_last_grant_ends():
     standby = taker(make_world(fenced=True))
     now_s = standby.now_s()
-    (told_s,) = told_of_claims(standby, now_s + 0.25)
-    assert told_s == pytest.approx(0.25)
+    (reported_s,) = reported_claim_ends(standby, now_s + 0.25)
+    assert reported_s == pytest.approx(0.25)
 
 
 def test_a_claim_is_never_told_to_last_beyond_its_own_end():
     standby = taker(make_world(fenced=True))
     (claim,) = standby.agent.claims.values()
     left_s = claim.lease.until_s() - standby.now_s()
-    assert told_of_claims(standby, standby.now_s() + 60.0) == {left_s}
+    assert reported_claim_ends(standby, standby.now_s() + 60.0) == {left_s}
 
 
 def test_what_a_dead_server_had_under_earlier_claims_is_not_waited_for():
@@ -73,7 +73,7 @@
     standby.carry_out(agent._end_claim(agent.claims[owner_id], now_s))
     standby.carry_out(agent.lapsed(standby.state, owner_id, now_s))
     assert owner_id in agent.claims
-    assert told_of_claims(standby, NOTHING_HELD_S) == {0.0}
+    assert reported_claim_ends(standby, NOTHING_HELD_S) == {0.0}
 
 
 def test_what_was_forwarded_without_fences_counts_until_its_deadline():
@@ -84,5 +84,5 @@
     world = make_world()
     standby = taker(world)
     assert world.request(standby.node_id, KEY, 0.8)
-    (told_s,) = told_of_claims(standby, NOTHING_HELD_S)
-    assert told_s >= 0.8
+    (reported_s,) = reported_claim_ends(standby, NOTHING_HELD_S)
+    assert reported_s >= 0.8
--- a/comfreywharf/ownership/tests/test_fenced_restart.py
+++ b/comfreywharf/ownership/tests/test_fenced_restart.py
@@ -6,7 +6,7 @@
 LONGEST_S = 5.0
 
 
-def ask(checks_fences, now_s):
+def renew(checks_fences, now_s):
     """Return a witness's answer to a new process; the witness restarted at 0."""
     view = OwnerView(
         incarnation=2,
@@ -35,12 +35,12 @@
     the grants ended with the earlier lease."""
     after_s = TERMS.silent_until_s(0.0) + 0.01
     assert after_s < LONGEST_S
-    assert not ask(checks_fences=True, now_s=TERMS.silent_until_s(0.0) - 0.01).granted
-    assert ask(checks_fences=True, now_s=after_s).granted
+    assert not renew(checks_fences=True, now_s=TERMS.silent_until_s(0.0) - 0.01).granted
+    assert renew(checks_fences=True, now_s=after_s).granted
 
 
 def test_without_fences_the_longest_request_is_waited_for():
     """Requests that an earlier process forwarded may still take effect."""
     after_s = TERMS.silent_until_s(0.0) + 0.01
-    assert not ask(checks_fences=False, now_s=after_s).granted
-    assert ask(checks_fences=False, now_s=LONGEST_S + 0.01).granted
+    assert not renew(checks_fences=False, now_s=after_s).granted
+    assert renew(checks_fences=False, now_s=LONGEST_S + 0.01).granted
--- a/comfreywharf/ownership/tests/test_hold_lists.py
+++ b/comfreywharf/ownership/tests/test_hold_lists.py
@@ -133,9 +133,9 @@
 def test_a_release_that_is_reported_twice_changes_nothing():
     """A handover is reported until it is acknowledged, and is passed on only once."""
     lists = make_lists()
-    told = (hold_lists.ReleasedRange(first=0, last=99, handover="h"),)
-    lists.receive(report(released=told), NOW_S)
-    lists.receive(report(released=told), NOW_S + 0.1)
+    handovers = (hold_lists.ReleasedRange(first=0, last=99, handover="h"),)
+    lists.receive(report(released=handovers), NOW_S)
+    lists.receive(report(released=handovers), NOW_S + 0.1)
     assert lists.pop_handover(*range_of_numbers(0, 99)) == "h"
     assert lists.pop_handover(*range_of_numbers(0, 99)) == ""
 
@@ -273,7 +273,7 @@
     )
 
 
-def _use_fences_again(monkeypatch):
+def _reuse_fences(monkeypatch):
     monkeypatch.setattr(
         listed_holds.ListedHoldBook, "has_used_fence", lambda self, fences: False
     )
@@ -301,7 +301,7 @@
             ("answer_comes",),
         ],
     ),
-    "another life": (_use_fences_again, [TAKEN, ("restart_server",), TAKEN]),
+    "another life": (_reuse_fences, [TAKEN, ("restart_server",), TAKEN]),
 }
 
 
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -128,7 +128,7 @@
     assert stage.serves(target)
 
 
-def unheard_portfolio(stage):
+def unacknowledged_portfolio(stage):
     """The witnesses haven't folded a move when the owner releases the slice.
 
     Neither the witnesses nor the standby read the log when a slice moves, and the
@@ -186,7 +186,7 @@
     assert stage.serves(stage.standby)
 
 
-def unheard_long_request(stage):
+def uncovered_long_request(stage):
     """A long request is forwarded before the witnesses know of its deadline.
 
     The fault is that of `long_request`, but the owner is lost before its next renewal.
@@ -441,7 +441,7 @@
     stage.run(2.0)
 
 
-def no_terms(self, granting):
+def ignore_terms(self, granting):
     self._chart.fire("majority_unbroken")
 
 
@@ -493,19 +493,19 @@
         lambda: off(Witness, "_claim_denial", never_stale),
     ),
     "witnesses told before a release": (
-        unheard_portfolio,
+        unacknowledged_portfolio,
         lambda: off(QuorumLease, "acknowledged_portfolio_epoch", lambda self: 1 << 60),
     ),
     "terms tell of a taker": (
         healed_lapse_after_takeover,
-        lambda: off(Holder, "_regain", no_terms),
+        lambda: off(Holder, "_regain", ignore_terms),
     ),
     "reach in renewals": (
         long_request,
         lambda: off(_Watched, "held_until_s", lambda self, fences: self.expires_s),
     ),
     "coverage before a forward": (
-        unheard_long_request,
+        uncovered_long_request,
         lambda: off(OwnershipTable, "right_to_serve", always_covered()),
     ),
     "a release waits for what is in flight": (
--- a/comfreywharf/ownership/tests/test_orders_in_transit.py
+++ b/comfreywharf/ownership/tests/test_orders_in_transit.py
@@ -22,9 +22,9 @@
     book = HoldBook(TERMS)
     now_s = 100.0
     (order,) = book.due([("booking", PIECE, 10, now_s + LEFT_S)], now_s)
-    told_s = book.all_held_until_s(now_s + WAITED_S)
+    reported_s = book.all_held_until_s(now_s + WAITED_S)
     book.answered(order, GrantAnswer.LOST, now_s + WAITED_S)
-    assert told_s >= book.all_held_until_s(now_s + WAITED_S)
+    assert reported_s >= book.all_held_until_s(now_s + WAITED_S)
 
 
 def test_a_claims_end_covers_an_order_on_its_way():
@@ -49,7 +49,7 @@
     actions = standby.agent.surrender(
         standby.state, "backend lost", now_s, book.all_held_until_s(now_s)
     )
-    (told_s,) = {a.claim.reach_s for a in actions if isinstance(a, SendUnclaim)}
+    (reported_s,) = {a.claim.reach_s for a in actions if isinstance(a, SendUnclaim)}
     book.answered(order, GrantAnswer.LOST, now_s)
     held_s = book.all_held_until_s(now_s) - now_s
-    assert told_s >= min(held_s, claim_left_s)
+    assert reported_s >= min(held_s, claim_left_s)
--- a/comfreywharf/ownership/tests/test_process_tracker.py
+++ b/comfreywharf/ownership/tests/test_process_tracker.py
@@ -85,7 +85,7 @@
         self.tracker = ProcessTracker()
         self.process = 0
         self.accepted_by = {}
-        self.questions = []
+        self.open_requests = []
         self.seen = {}
 
     def open(self, _):
@@ -99,12 +99,12 @@
         if known:
             connection = known[choice % len(known)]
             if self.accepted_by[connection] == self.process:
-                self.questions.append((connection, self.tracker.asked()))
+                self.open_requests.append((connection, self.tracker.asked()))
 
     def answer(self, choice):
         """Read an answer, possibly long after it was sent."""
-        if self.questions:
-            connection, asked = self.questions.pop(choice % len(self.questions))
+        if self.open_requests:
+            connection, asked = self.open_requests.pop(choice % len(self.open_requests))
             self.tracker.answered(connection, asked)
 
     def close(self, choice):
--- a/comfreywharf/ownership/tests/test_restarted_lease.py
+++ b/comfreywharf/ownership/tests/test_restarted_lease.py
@@ -5,7 +5,7 @@
 KEY = KEYS[0]
 
 
-def begin_anew(node):
+def restart_lease(node):
     """Start a node's lease anew, as after its server's process changed."""
     now_s = node.now_s()
     node.carry_out(node.agent.surrender(node.state, "anew", now_s, now_s + 0.8))
@@ -22,5 +22,5 @@
     owner = world.nodes[world.role("owner", KEY)]
     while owner.agent.holder.due(owner.now_s()):
         world.run(STEP_S)
-    begin_anew(owner)
+    restart_lease(owner)
     assert owner.agent.holder.due(owner.now_s())
