--- a/comfreywharf/ownership/tests/test_acknowledged_fences.py
+++ b/comfreywharf/ownership/tests/test_acknowledged_fences.py
@@ -71,7 +71,7 @@
     return owned, taken
 
 
-def test_a_taker_serves_under_a_higher_fence_than_a_lease_that_few_heard_of():
+def test_taker_has_a_higher_fence_than_an_unacknowledged_lease():
     """Guards against a taker's server that holds a key under a fence below the owner's.
 
     A lease starts anew, and its record is written. The owner is partitioned before its
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("change", CHANGES)
-def test_a_taker_serves_under_a_higher_fence_than_a_change_that_few_heard_of(change):
+def test_taker_has_a_higher_fence_than_an_unacknowledged_change(change):
     """Guards against a taker's server that holds a key under a fence below the owner's.
 
     A record raises the fence of a slice that its owner keeps. The owner is partitioned
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize("change", CHANGES)
-def test_without_the_wait_for_the_witnesses_a_taker_serves_below(change, monkeypatch):
+def test_taker_has_a_lower_fence_without_the_wait_for_witnesses(change, monkeypatch):
     """Each change requires the wait."""
     monkeypatch.setattr(QuorumLease, "acknowledged_epoch", lambda self: 1 << 60)
     owned, taken = fences_around_a_change(change)
@@ -190,7 +190,7 @@
 
 
 @pytest.mark.parametrize("change", CHANGES)
-def test_the_witnesses_hear_of_a_change_at_once_and_once(change):
+def test_witnesses_learn_of_a_change_at_once_in_one_round(change):
     """Guards against keys that are unavailable for a quarter of a lease after a split.
 
     A record raises the fence of a slice that its owner keeps. The witnesses must not
@@ -221,7 +221,7 @@
     return rounds
 
 
-def test_a_lease_that_begins_anew_is_used_one_round_after_it_was_read_back():
+def test_restarted_lease_is_used_one_round_after_it_was_read_back():
     """Guards against keys that are unavailable for a quarter of a lease after each
     restart in place.
 
@@ -236,7 +236,7 @@
     assert fence_of(world, owner) > before
 
 
-def test_a_slice_that_was_joined_and_divided_again_keeps_no_earlier_fence():
+def test_slice_that_was_merged_and_split_again_keeps_no_earlier_fence():
     """Guards against a server that is granted a key under a lower fence than before.
 
     Two slices are merged, served, and split again at the same place. The owner is
--- a/comfreywharf/ownership/tests/test_busy_takers.py
+++ b/comfreywharf/ownership/tests/test_busy_takers.py
@@ -29,7 +29,7 @@
     move(world, [change])
 
 
-def test_a_busy_standby_is_not_kept_from_a_claim_by_its_own_earlier_one():
+def test_busy_standby_isnt_blocked_by_its_own_earlier_claim():
     """Guards against keys of a lost node that have no owner for more than ten seconds.
 
     A standby claims them. Before its record is written the planner changes the slice,
@@ -53,7 +53,7 @@
     assert world.served(KEY)
 
 
-def test_a_share_that_the_planner_moved_ends_with_its_grants():
+def test_claim_on_a_moved_share_ends_with_its_grants():
     """Guards against two servers that hold the same keys for a second.
 
     A standby takes over keys and has them granted to its server. Before its record is
--- a/comfreywharf/ownership/tests/test_crashed_takers.py
+++ b/comfreywharf/ownership/tests/test_crashed_takers.py
@@ -28,7 +28,7 @@
     return {a.claim.reach_s for a in actions if isinstance(a, SendUnclaim)}
 
 
-def test_what_a_dead_server_had_under_a_claim_is_not_waited_for():
+def test_claim_ends_at_once_if_the_takers_server_crashed():
     """Guards against a lost node's keys being unavailable for a lease after their
     taker's server crashed as well.
 
@@ -39,7 +39,7 @@
     assert reported_claim_ends(standby, NOTHING_HELD_S) == {0.0}
 
 
-def test_where_it_isnt_known_what_a_server_has_its_claims_last_to_their_end():
+def test_claim_lasts_to_its_end_if_the_servers_holds_are_unknown():
     """Guards against two servers that hold the same keys: a taker's node gives up its
     lease while its server continues. An unknown end must not count as no hold."""
     standby = taker(make_world(fenced=True))
@@ -49,21 +49,21 @@
     assert reported_claim_ends(standby, None) == {left_s}
 
 
-def test_a_living_server_has_a_claims_keys_until_its_last_grant_ends():
+def test_claim_lasts_until_the_last_grant_of_a_running_server():
     standby = taker(make_world(fenced=True))
     now_s = standby.now_s()
     (reported_s,) = reported_claim_ends(standby, now_s + 0.25)
     assert reported_s == pytest.approx(0.25)
 
 
-def test_a_claim_is_never_told_to_last_beyond_its_own_end():
+def test_reported_end_never_exceeds_the_claims_own_end():
     standby = taker(make_world(fenced=True))
     (claim,) = standby.agent.claims.values()
     left_s = claim.lease.until_s() - standby.now_s()
     assert reported_claim_ends(standby, standby.now_s() + 60.0) == {left_s}
 
 
-def test_what_a_dead_server_had_under_earlier_claims_is_not_waited_for():
+def test_earlier_claims_end_at_once_if_the_takers_server_crashed():
     """Guards against the same fault after several claims: a claim ends while its grants
     last, the next one starts, and then the server is proved to have crashed. The end of
     the earlier claim's grants must not be sent with the next claim."""
--- a/comfreywharf/ownership/tests/test_hold_lists.py
+++ b/comfreywharf/ownership/tests/test_hold_lists.py
@@ -50,7 +50,7 @@
     return [(row.first, row.last, row.fence) for row in decided.rows]
 
 
-def test_a_hold_counts_from_when_the_heartbeat_came():
+def test_hold_counts_from_the_arrival_of_the_heartbeat():
     """Guards against a server that holds keys after its node's lease was taken over.
 
     An answer is delayed by 0.5 s. The node must not count the hold from the sending of
@@ -59,7 +59,7 @@
     assert NOW_S + decided.hold_s * 1.02 <= UNTIL_S + 1e-9
 
 
-def test_neighbours_with_one_fence_are_one_row():
+def test_adjacent_ranges_with_one_fence_are_one_row():
     """Guards against answers of more than 4 KiB, which don't count as answers, for a
     server that holds hundreds of slices."""
     pieces = [a_slice(n, n + 9) for n in (0, 10, 30, 20)]
@@ -79,7 +79,7 @@
     assert rows(lists.decide(report(), more, NOW_S)) == [(50, 59, 10), (80, 89, 10)]
 
 
-def test_a_range_that_the_server_refused_is_noticed():
+def test_range_refused_by_the_server_is_detected():
     """Guards against a range that is listed repeatedly and never served.
 
     The server has seen a higher fence on one of its keys, and shows this only by the
@@ -102,7 +102,7 @@
     assert lists.receive(after, NOW_S + 0.87) is (connection == "c")
 
 
-def test_a_range_whose_fence_isnt_known_yet_stays_listed():
+def test_range_with_an_unacknowledged_fence_stays_listed():
     """Guards against keys that are briefly unavailable, and uncached, after a split.
 
     A slice is split, its halves wait for a round of the witnesses, and a heartbeat
@@ -140,7 +140,7 @@
     assert lists.pop_handover(*range_of_numbers(0, 99)) == ""
 
 
-def test_a_handover_goes_with_its_range_until_that_was_heard():
+def test_handover_is_sent_until_its_range_is_reported():
     """Guards against keys that are slow for seconds after a planned move.
 
     The answer that carries the handover is lost, so that the handover has to be sent
@@ -168,7 +168,7 @@
     assert rows(decided) == [(0, 99, 10)]
 
 
-def test_news_are_what_waits_and_not_a_renewal():
+def test_only_waiting_keys_count_as_changes():
     """After an early answer the node can't send another one until the next heartbeat.
     Only keys that have to be granted or released count as changes."""
     lists = make_lists()
--- a/comfreywharf/ownership/tests/test_holds.py
+++ b/comfreywharf/ownership/tests/test_holds.py
@@ -29,7 +29,7 @@
     assert order.hold_s * 1.02 <= 1.5
 
 
-def test_an_order_that_waited_is_granted_for_as_much_shorter():
+def test_delay_of_an_order_shortens_its_hold():
     """Guards against two servers that hold a key after a takeover.
 
     Many slices are due at once, and only a few grants are sent at a time. The last ones
@@ -106,7 +106,7 @@
     assert book.stop("booking", 500, 1000, 20, NOW_S + 0.2) == 10
 
 
-def test_what_an_earlier_process_granted_is_released_or_waited_for():
+def test_grants_of_an_earlier_process_are_released_or_awaited():
     """Guards against two servers that hold a slice, seen for 1.1 s after a restart of
     all nodes.
 
@@ -151,7 +151,7 @@
     assert book.has_used_fence([10])
 
 
-def test_what_was_granted_counts_on_where_the_process_may_be_the_same():
+def test_grants_still_count_if_the_process_may_be_the_same():
     """Guards against two servers that hold a slice after all connections to the first
     were reset, before a planned move.
 
@@ -192,7 +192,7 @@
     assert order.handover == ""
 
 
-def test_a_release_waits_for_a_grant_that_is_on_its_way():
+def test_release_waits_for_a_grant_in_transit():
     """Guards against two servers that hold a slice, seen for 1.4 s after a move.
 
     After a planned move, a renewal is sent, and then the release on another connection,
--- a/comfreywharf/ownership/tests/test_incarnation_search.py
+++ b/comfreywharf/ownership/tests/test_incarnation_search.py
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("name", MECHANISMS)
-def test_a_search_finds_what_a_mechanism_keeps_out(name):
+def test_search_finds_a_breach_without_each_mechanism(name):
     """With one mechanism switched off, a sequence of events ends in a breach."""
     limits, (owner, method, instead) = MECHANISMS[name]
     with mock.patch.object(owner, method, instead):
--- a/comfreywharf/ownership/tests/test_lost_witnesses.py
+++ b/comfreywharf/ownership/tests/test_lost_witnesses.py
@@ -16,7 +16,7 @@
     return lost.evaluate(witnesses, requesting, now_s)
 
 
-def test_silence_of_two_witnesses_leads_to_others():
+def test_two_silent_witnesses_are_replaced():
     """Guards against a healthy node's keys being permanently unavailable.
 
     The machines of two of its witnesses are removed within seconds. Without a majority
@@ -63,14 +63,14 @@
         assert evaluate(lost, now_s) == (False, False)
 
 
-def test_a_node_that_doesnt_ask_has_lost_nothing():
+def test_node_that_sends_no_requests_has_lost_no_witnesses():
     """A surrendered node receives no answers, since it sends no requests."""
     lost = LostWitnesses(TERMS)
     assert evaluate(lost, 10.0, requesting=False) == (False, False)
     assert evaluate(lost, 20.0, requesting=False) == (False, False)
 
 
-def test_without_a_bound_on_stale_witnesses_none_are_taken_anew():
+def test_no_witnesses_are_replaced_without_a_bound_on_stale_ones():
     """Nothing would then bound how long an earlier witness grants claims."""
     lost = LostWitnesses(LeaseTerms())
     assert evaluate(lost, 10.0) == evaluate(lost, 60.0) == (False, False)
@@ -91,7 +91,7 @@
     assert not lost.must_wait(True, 50.0 + TERMS.reset_wait_s)
 
 
-def test_a_new_process_waits_anew():
+def test_new_process_starts_the_wait_again():
     """It isn't known when the earlier process folded the record."""
     first, second = LostWitnesses(TERMS), LostWitnesses(TERMS)
     first.must_wait(True, 50.0)
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize(("base", "accepted"), [(1, True), (0, False)])
-def test_a_reset_stands_on_the_latest_epoch_and_lasts_to_the_next_start(base, accepted):
+def test_reset_is_based_on_the_latest_epoch_and_lasts_to_the_next_start(base, accepted):
     """A reset that is based on an earlier epoch is refused; the next start ends it."""
     state = ClusterState()
     fold(state, 0, announced("x"))
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -571,7 +571,7 @@
         stage.run(2.0)
 
 
-def test_deaf_owner_lets_go():
+def test_owner_that_receives_no_answers_pauses_its_requests():
     """Guards against keys without an owner although their standby is healthy.
 
     Renewals reach the witnesses, and their answers are lost. The owner stops serving.
@@ -586,7 +586,7 @@
     assert stage.world.served(KEY)
 
 
-def test_losses_one_after_another():
+def test_witnesses_lost_one_after_another_are_replaced():
     """Guards against keys of a healthy node that permanently have no owner.
 
     A witness's machine is lost permanently, and later another one's. The first one has
--- a/comfreywharf/ownership/tests/test_orders_in_transit.py
+++ b/comfreywharf/ownership/tests/test_orders_in_transit.py
@@ -12,7 +12,7 @@
 """Shorter than the timeout of an order's answer."""
 
 
-def test_the_end_that_is_told_covers_an_order_on_its_way():
+def test_reported_end_covers_an_order_in_transit():
     """Guards against two servers that hold a key at the same time.
 
     A server is slow to accept a grant. Before the answer counts as lost, the node gives
@@ -27,7 +27,7 @@
     assert reported_s >= book.all_held_until_s(now_s + WAITED_S)
 
 
-def test_a_claims_end_covers_an_order_on_its_way():
+def test_claims_end_covers_an_order_in_transit():
     """Guards against the same fault for an order that is based on a claim, which is
     renewed meanwhile.
 
--- a/comfreywharf/ownership/tests/test_process_tracker.py
+++ b/comfreywharf/ownership/tests/test_process_tracker.py
@@ -8,7 +8,7 @@
 from comfreywharf.ownership.process_tracker import ProcessTracker
 
 
-def test_a_new_connection_is_unknown_until_an_older_one_vouches_for_it():
+def test_new_connection_is_unconfirmed_until_an_older_one_gets_an_answer():
     """Guards against orders that reach a restarted server although they were meant for
     its crashed incarnation.
 
@@ -22,7 +22,7 @@
     assert tracker.leads_to_process("new")
 
 
-def test_an_answer_to_an_earlier_question_vouches_for_nothing_later():
+def test_answer_to_an_earlier_request_confirms_no_later_connection():
     """Guards against the same fault by a late answer.
 
     The order is: a request, the crash, the restart, a new connection, and then the
@@ -36,7 +36,7 @@
     assert not tracker.leads_to_process("new")
 
 
-def test_a_connection_of_an_earlier_process_is_never_vouched_for_by_a_later_one():
+def test_connection_of_an_earlier_process_is_never_confirmed_by_a_later_one():
     """A connection that was opened before the last confirmed one ended may lead to the
     earlier or to the later process."""
     tracker = ProcessTracker()
@@ -49,7 +49,7 @@
     assert not tracker.leads_to_process("between")
 
 
-def test_an_unknown_connection_vouches_for_nobody():
+def test_unconfirmed_connection_confirms_no_other():
     """An unconfirmed connection may itself lead to another process."""
     tracker = ProcessTracker()
     for name in ("known", "unknown", "third"):
--- a/comfreywharf/ownership/tests/test_restarted_lease.py
+++ b/comfreywharf/ownership/tests/test_restarted_lease.py
@@ -12,7 +12,7 @@
     node.agent.recover()
 
 
-def test_a_lease_that_begins_anew_is_asked_for_at_once():
+def test_restarted_lease_is_requested_at_once():
     """Guards against unavailable keys, for up to a quarter of a lease after each
     restart in place and each reset of a server's connections.
 
--- a/comfreywharf/ownership/tests/test_restarted_memory.py
+++ b/comfreywharf/ownership/tests/test_restarted_memory.py
@@ -7,7 +7,7 @@
 ALWAYS_S = float("-inf")
 
 
-def test_a_new_process_vouches_for_nothing_that_an_earlier_one_ran():
+def test_new_process_claims_no_memory_of_an_earlier_ones_requests():
     """Guards against a booking that is sent again and runs a second time at the next
     owner.
 
--- a/comfreywharf/ownership/tests/test_snapshot.py
+++ b/comfreywharf/ownership/tests/test_snapshot.py
@@ -8,7 +8,7 @@
 SERVICE = "booking"
 
 
-def test_memory_from_before_a_snapshot_is_not_vouched_for():
+def test_memory_from_before_a_snapshot_counts_as_incomplete():
     """Guards against a booking that two owners apply.
 
     A node that owns a slice is frozen until the records that it missed have expired
--- a/comfreywharf/ownership/tests/test_vouching.py
+++ b/comfreywharf/ownership/tests/test_vouching.py
@@ -10,7 +10,7 @@
 GROUP = ("a", "b", "c")
 
 
-def test_witnesses_that_restart_together_leave_a_living_owner_its_keys():
+def test_running_owner_keeps_its_keys_when_witnesses_restart_together():
     """Guards against keys of healthy nodes that are unavailable for a lease after many
     nodes were lost.
 
@@ -29,7 +29,7 @@
         assert world.request(owner, key, 0.01)
 
 
-def test_a_restarted_witness_tells_nobody_else_sooner():
+def test_restarted_witness_grants_no_taker_sooner():
     """A grant to the owner is no grant to a taker: the witness refuses all others."""
     world = make_world()
     key = KEYS[0]
