--- a/comfreywharf/ownership/tests/incarnation_events.py
+++ b/comfreywharf/ownership/tests/incarnation_events.py
@@ -52,12 +52,18 @@
         if node.announced is not None:
             if incarnation and len(node.connections) < self._limits.connections:
                 yield Event(
-                    f"{name} connects to life {incarnation.number}", "connect", name
+                    f"{name} connects to incarnation {incarnation.number}",
+                    "connect",
+                    name,
                 )
             if not incarnation:
-                yield Event(f"{name} is refused by the port", "refused", name)
+                yield Event(
+                    f"{name}'s connection is refused by the port", "refused", name
+                )
         if incarnation and node.announced != incarnation.number:
-            yield Event(f"{name} hears of life {incarnation.number}", "announce", name)
+            yield Event(
+                f"{name} learns of incarnation {incarnation.number}", "announce", name
+            )
         yield Event(f"{name}'s process restarts", "restart", name, trouble=1)
         yield from self._connection_events(name)
         if self._world.may_push(name):
@@ -71,27 +77,25 @@
             if self._world.leads_to_living(name, number):
                 yield Event(f"{text} is reset", "close", name, number, trouble=1)
             else:
-                yield Event(f"{text} is seen to have ended", "close", name, number)
+                yield Event(f"{text} is found to have ended", "close", name, number)
 
     def _push_events(self, name):
         """Yield how far an order gets in one step, on each of the connections."""
         node = self._world.nodes[name]
         if not self._world.will_decide(name):
-            yield Event(f"{name} asks for a new lease", "push", name)
+            yield Event(f"{name} requests a new lease", "push", name)
             return
         yield Event(f"{name} decides on an order", "push", name, trouble=1)
         for number in node.idle:
             if not node.tracker.leads_to_process(number):
                 continue
             led = node.connections[number]
-            text = f"{name} sends an order on connection {number} to life {led}"
+            text = f"{name} sends an order on connection {number} to incarnation {led}"
             if not self._world.leads_to_living(name, number):
                 yield Event(text, "push", name, number)
                 continue
             yield Event(f"{text}, it is answered", "push", name, number, 3)
-            yield Event(
-                f"{text}, it is carried out", "push", name, number, 2, trouble=1
-            )
+            yield Event(f"{text}, it is applied", "push", name, number, 2, trouble=1)
             yield Event(text, "push", name, number, trouble=1)
 
     def _sending_events(self, name, index, sending):
@@ -101,13 +105,14 @@
                 if node.tracker.leads_to_process(number):
                     led = node.connections[number]
                     text = (
-                        f"{name} sends its order on connection {number} to life {led}"
+                        f"{name} sends its order on connection {number} "
+                        f"to incarnation {led}"
                     )
                     yield Event(text, "send", name, index, number)
             return
         if sending.answer is not None:
             yield Event(f"{name} reads the answer", "answer", name, index)
-        lost = f"{name} gives its order up for lost"
+        lost = f"{name} counts its order as lost"
         trouble = int(self._world.leads_to_living(name, sending.connection))
         yield Event(lost, "lose", name, index, trouble=trouble)
 
@@ -115,7 +120,8 @@
         incarnation = self._world.incarnations[name]
         if incarnation is None:
             yield Event(
-                f"life {self._world.latest_incarnation[name] + 1} begins at {name}",
+                f"incarnation {self._world.latest_incarnation[name] + 1} "
+                f"starts at {name}",
                 "begin",
                 name,
             )
@@ -124,10 +130,10 @@
             self._world.latest_incarnation[name]
             < self._limits.incarnations[NAMES.index(name)]
         ):
-            text = f"life {incarnation.number} at {name} crashes"
+            text = f"incarnation {incarnation.number} at {name} crashes"
             yield Event(text, "crash", name, trouble=1)
         for index in range(len(incarnation.inbox)):
-            text = f"life {incarnation.number} at {name} carries an order out"
+            text = f"incarnation {incarnation.number} at {name} applies an order"
             yield Event(text, "carry_out", name, index)
 
     def _lease_events(self, name):
@@ -135,7 +141,7 @@
         if not node.held and node.announced is not None:
             earlier_until = self._world.kept_until[name] if node.restarted else LONG_AGO
             if max(self._world.taken_until[name], earlier_until) <= self._world.now:
-                yield Event(f"{name}'s lease begins anew", "begin_lease", name)
+                yield Event(f"{name}'s lease restarts", "begin_lease", name)
         concerned = rival in (self._world.owner, self._world.previous)
         if concerned and self._world.owns(name) and not node.claims:
             if self._world.kept_until[rival] <= self._world.now:
@@ -157,7 +163,7 @@
             elif not node.released and self._may_release(previous):
                 yield Event(f"{previous}'s server releases", "release", previous)
             elif node.released and not self._awaits_lost(previous):
-                yield Event(f"{owner} is told of the release", "hand_over", previous)
+                yield Event(f"{owner} receives the release", "hand_over", previous)
 
     def _may_release(self, name):
         book = self._world.nodes[name].book
--- a/comfreywharf/ownership/tests/incarnation_model.py
+++ b/comfreywharf/ownership/tests/incarnation_model.py
@@ -329,13 +329,15 @@
     def _take(self, name, incarnation, fence, until):
         rival = self.incarnations[other(name)]
         if rival and self.now < rival.held_until:
-            raise Breach(f"life {rival.number} at {other(name)} holds the key as well")
+            raise Breach(
+                f"incarnation {rival.number} at {other(name)} holds the key as well"
+            )
         other_fence = max(
             self.highest_crashed_fence, rival.highest_held_fence if rival else -1
         )
         if fence <= other_fence:
             raise Breach(
-                f"taken under fence {fence}; another life had it under {other_fence}"
+                f"taken under fence {fence}; another incarnation had {other_fence}"
             )
         incarnation.held_until = until
         incarnation.highest_held_fence = max(incarnation.highest_held_fence, fence)
--- a/comfreywharf/ownership/tests/test_hold_lists.py
+++ b/comfreywharf/ownership/tests/test_hold_lists.py
@@ -289,7 +289,7 @@
         _count_from_the_answer,
         [TAKEN, ("pass_time", 2.05), ("take_over",)],
     ),
-    "a late answer behind a release": (
+    "a late answer after a release": (
         _take_each_answer_for_received,
         [
             ("pass_time", 3.0),
@@ -301,7 +301,7 @@
             ("answer_comes",),
         ],
     ),
-    "another life": (_reuse_fences, [TAKEN, ("restart_server",), TAKEN]),
+    "another incarnation": (_reuse_fences, [TAKEN, ("restart_server",), TAKEN]),
 }
 
 
--- a/comfreywharf/ownership/tests/test_incarnation_search.py
+++ b/comfreywharf/ownership/tests/test_incarnation_search.py
@@ -74,11 +74,11 @@
 
 
 MECHANISMS = {
-    "an answer vouches by the order of moments": (
+    "an answer confirms by the order of events": (
         CRASHES,
         (ProcessTracker, "answered", confirms_all),
     ),
-    "a new connection is unknown": (
+    "a new connection is unconfirmed": (
         CRASHES,
         (ProcessTracker, "leads_to_process", leads_all_to_process),
     ),
@@ -86,20 +86,20 @@
         CRASHES,
         (HoldBook, "process_changed", process_bars_nothing),
     ),
-    "a changed process leaves its holds": (
+    "a changed process keeps its holds": (
         CRASHES,
         (HoldBook, "process_changed", process_forgets),
     ),
-    "a surrender tells of holds": (
+    "a surrender reports holds": (
         CRASHES,
         (World, "_restart_lease", surrender_at_once),
     ),
     "a release waits for lost orders": (LOSSES, (HoldBook, "lost_until_s", never)),
-    "a release waits for orders under way": (
+    "a release waits for orders in transit": (
         LOSSES,
         (HoldBook, "awaits_answer", no_answer_awaited),
     ),
-    "a hold is measured when it is sent": (
+    "a hold is sized when it is sent": (
         LOSSES,
         (World, "hold_of", sized_when_decided),
     ),
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -492,19 +492,19 @@
         stale_standby_after_move,
         lambda: off(Witness, "_claim_denial", never_stale),
     ),
-    "witnesses told before a release": (
+    "witnesses know the move before a release": (
         unacknowledged_portfolio,
         lambda: off(QuorumLease, "acknowledged_portfolio_epoch", lambda self: 1 << 60),
     ),
-    "terms tell of a taker": (
+    "terms show a taker": (
         healed_lapse_after_takeover,
         lambda: off(Holder, "_regain", ignore_terms),
     ),
-    "reach in renewals": (
+    "deadlines in renewals": (
         long_request,
         lambda: off(_Watched, "held_until_s", lambda self, fences: self.expires_s),
     ),
-    "coverage before a forward": (
+    "witnesses know the deadline before a forward": (
         uncovered_long_request,
         lambda: off(OwnershipTable, "right_to_serve", always_covered()),
     ),
@@ -520,11 +520,11 @@
         replaced_machine,
         lambda: off(Witness, "renew", forget_earlier_process()),
     ),
-    "a surrender tells what is in flight": (
+    "a surrender reports what is in flight": (
         backend_lost_under_way,
         lambda: off(InFlight, "all_until_s", lambda self, now_s: now_s),
     ),
-    "the lease begins in the log": (
+    "the lease starts with a record": (
         early_record,
         lambda: off(Holder, "granted", start_without_record()),
     ),
@@ -540,7 +540,7 @@
         takeover_before_release,
         lambda: off(fold_module, "_awaited_after_take", lambda *arguments: ""),
     ),
-    "earlier witnesses are asked until they were told": (
+    "earlier witnesses count until they know the new epoch": (
         stale_taker_of_replaced_witnesses,
         lambda: off(fold_module, "_earlier_witnesses", lambda *arguments: ()),
     ),
