--- a/comfreywharf/ownership/holder.py
+++ b/comfreywharf/ownership/holder.py
@@ -34,7 +34,7 @@
 
     A lapse during which no other node held the lease is healed without the log: if
     a majority of the witnesses still has the term that it granted before, no taker
-    can have had a majority since. Otherwise the lease starts anew with a
+    can have had a majority since. Otherwise the lease restarts by a
     `LeaseStarted` record. It is appended only after the majority was gained, so
     that an earlier takeover is refused for its stale epoch.
     """
--- a/comfreywharf/ownership/tests/incarnation_parts.py
+++ b/comfreywharf/ownership/tests/incarnation_parts.py
@@ -171,7 +171,7 @@
 
 @attrs.define(kw_only=True)
 class Node:
-    """A node: its lease, its book, and its connections to the server beside it.
+    """A node: its lease, its book, and its connections to its server.
 
     ``connections`` maps each connection to the incarnation to which it leads.
     ``announced`` is the announced incarnation, or ``None`` while the server counts as
--- a/comfreywharf/ownership/tests/test_acknowledged_fences.py
+++ b/comfreywharf/ownership/tests/test_acknowledged_fences.py
@@ -36,7 +36,7 @@
 
 
 def restart_lease(node):
-    """Start a node's lease anew, as after its server's process changed."""
+    """Restart a node's lease, as after its server's process changed."""
     now_s = node.now_s()
     node.carry_out(node.agent.surrender(node.state, "anew", now_s, now_s + 0.8))
     node.agent.recover()
@@ -74,7 +74,7 @@
 def test_taker_has_a_higher_fence_than_an_unacknowledged_lease():
     """Guards against a taker's server that holds a key under a fence below the owner's.
 
-    A lease starts anew, and its record is written. The owner is partitioned before its
+    A lease restarts, and its record is written. The owner is partitioned before its
     next renewal, and the others read the log with a delay of a lease. The owner must
     not use the fence as soon as its record is read back: the witnesses learn of the new
     lease epoch only by the next renewal, and until then grant a claim on the earlier
@@ -175,7 +175,7 @@
 
     A record raises the fence of a slice that its owner keeps. The owner is partitioned
     before its next renewal, and the others read the log with a delay of a lease. As for
-    a lease that starts anew, the owner must not use the fence at once; this holds for
+    a lease that restarts, the owner must not use the fence at once; this holds for
     any record that raises a fence."""
     owned, taken = fences_around_a_change(change)
     assert -1 < owned < taken
@@ -225,7 +225,7 @@
     """Guards against keys that are unavailable for a quarter of a lease after each
     restart in place.
 
-    A lease starts anew and is recorded. Its fences wait for a renewal with the new
+    A lease restarts and is recorded. Its fences wait for a renewal with the new
     epoch, which must not wait until the next regular one."""
     world = make_world(fenced=True)
     owner = owner_of(world)
--- a/comfreywharf/ownership/tests/test_hold_lists.py
+++ b/comfreywharf/ownership/tests/test_hold_lists.py
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize("connection", ["c", "another"])
 def test_a_lost_answer_is_no_refusal(connection):
-    """Guards against leases that start anew while answers to heartbeats are lost.
+    """Guards against leases that restart while answers to heartbeats are lost.
 
     The answer with a new range never arrives, so that the next heartbeat, on another
     connection, doesn't list the range."""
--- a/comfreywharf/ownership/tests/test_incarnation_search.py
+++ b/comfreywharf/ownership/tests/test_incarnation_search.py
@@ -7,7 +7,7 @@
 Three mechanisms aren't needed within the bounds of ``CRASHES``: no breach is found
 with any one of them switched off.
 
-- `HoldBook.clear` bars used fences. Here, the lease always starts anew after it.
+- `HoldBook.clear` bars used fences. Here, the lease always restarts after it.
 - `ProcessTracker.opened` drops older connections. Here, the tracker registers each
   connection when it is accepted, so that an older one leads to a crashed process, which
   takes no orders.
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -404,7 +404,7 @@
 
 
 def early_record(stage):
-    """A taker's record is late, and the owner's lease has started anew meanwhile.
+    """A taker's record is late, and the owner's lease has restarted meanwhile.
 
     The owner freezes, and the standby claims its lease. The standby's record is
     delayed, and the standby freezes. The owner thaws, gets its lease back and serves.
--- a/comfreywharf/ownership/tests/test_restarted_lease.py
+++ b/comfreywharf/ownership/tests/test_restarted_lease.py
@@ -1,4 +1,4 @@
-"""When a lease that is started anew is requested."""
+"""When a restarted lease is requested."""
 
 from comfreywharf.ownership.tests.builders import KEYS, STEP_S, make_world
 
@@ -6,7 +6,7 @@
 
 
 def restart_lease(node):
-    """Start a node's lease anew, as after its server's process changed."""
+    """Restart a node's lease, as after its server's process changed."""
     now_s = node.now_s()
     node.carry_out(node.agent.surrender(node.state, "anew", now_s, now_s + 0.8))
     node.agent.recover()
@@ -16,7 +16,7 @@
     """Guards against unavailable keys, for up to a quarter of a lease after each
     restart in place and each reset of a server's connections.
 
-    A renewal is sent, and shortly afterwards the lease starts anew. The next request
+    A renewal is sent, and shortly afterwards the lease restarts. The next request
     for it must not wait until the next renewal is due."""
     world = make_world(fenced=True)
     owner = world.nodes[world.role("owner", KEY)]
--- a/comfreywharf/ownership/witness.py
+++ b/comfreywharf/ownership/witness.py
@@ -7,7 +7,7 @@
 The proof of sole ownership, in short: a holder and a taker of one lease each need a
 majority, so that they share a witness, and that witness grants the lease to only one of
 them at a time. Requests that are based on a stale fold are refused by their epochs:
-``lease_epoch`` shows that the owner's lease has started anew since, and
+``lease_epoch`` shows that the owner's lease has restarted since, and
 ``portfolio_epoch`` that the taker hasn't folded the latest change to the owner's
 slices.
 """
