--- a/comfreywharf/ownership/agent.py
+++ b/comfreywharf/ownership/agent.py
@@ -145,9 +145,9 @@
         if self._groups.lost.must_wait(own.reset_pending, now_s):
             return []
         forced = forced and self.holder.may_request(now_s)
-        in_turn = forced or self.holder.due(now_s)
+        regular = forced or self.holder.due(now_s)
         newest_epoch = self.table.newest_epoch(own.lease_epoch)
-        if not in_turn and not self.holder.has_new_epoch(newest_epoch, now_s):
+        if not regular and not self.holder.has_new_epoch(newest_epoch, now_s):
             return []
         witnesses = own.witnesses or self._groups.choose(state)
         if not witnesses or self.holder.phase in ("surrendered", "superseded"):
@@ -155,7 +155,7 @@
         groups = [witnesses, own.earlier_witnesses]
         self.holder.use_witnesses([group for group in groups if group])
         reach_until_s = self.inflight.reach_until_s(now_s)
-        renewal = self.holder.renewal(own, reach_until_s, now_s, extra=not in_turn)
+        renewal = self.holder.renewal(own, reach_until_s, now_s, extra=not regular)
         return [
             SendRenewal(witness, self.holder.vouched(renewal, witness))
             for witness in self.holder.asked
--- a/comfreywharf/ownership/table.py
+++ b/comfreywharf/ownership/table.py
@@ -208,14 +208,14 @@
     def slice_changed(self, state, service, before, after, now_s):
         """Register that a record changed a slice."""
         place = (service, after.start)
-        mine_before = before is not None and before.owner == self._node_id
+        owned_before = before is not None and before.owner == self._node_id
         if after.owner == self._node_id:
             self._newest_slice_epoch = max(self._newest_slice_epoch, after.epoch)
-        if not mine_before or after.owner != self._node_id or before.end != after.end:
+        if not owned_before or after.owner != self._node_id or before.end != after.end:
             self._used.pop(place, None)
-        if after.owner == self._node_id and not mine_before:
+        if after.owner == self._node_id and not owned_before:
             self._became_owner(service, before, after, now_s)
-        if after.previous == self._node_id and mine_before:
+        if after.previous == self._node_id and owned_before:
             fence = state.fence(before)
             self._unreleased[place] = _Unreleased(epoch=after.epoch, fence=fence)
         elif after.previous != self._node_id:
@@ -316,8 +316,8 @@
         if piece.owner == self._node_id:
             return True
         claim = self.claims.get(piece.owner)
-        mine = piece.standby == self._node_id
-        return mine and claim is not None and claim.holds(key, now_s)
+        is_standby = piece.standby == self._node_id
+        return is_standby and claim is not None and claim.holds(key, now_s)
 
     def stop_serving(self, service, start):
         """Accept no further requests for a slice that the new owner has requested."""
