--- a/comfreywharf/ownership/tests/builders.py
+++ b/comfreywharf/ownership/tests/builders.py
@@ -81,9 +81,9 @@
             return
         self.waiting_appends.append(record)
         if self.log_up:
-            self.land_appends()
+            self.append_waiting()
 
-    def land_appends(self):
+    def append_waiting(self):
         self.log += self.waiting_appends
         self.waiting_appends = []
 
@@ -117,7 +117,7 @@
         for _ in range(round(duration_s / STEP_S)):
             self.real_s += STEP_S
             if self.log_up:
-                self.land_appends()
+                self.append_waiting()
             for node in self.nodes.values():
                 if not node.frozen and node.reads_log and self.log_up:
                     node.fold_some(folds)
@@ -126,7 +126,7 @@
             self.deliver_due()
             self.check()
 
-    def truth(self):
+    def folded_log(self):
         """Return the fold of the whole log."""
         state = ClusterState()
         for offset, record in enumerate(self.log):
@@ -135,7 +135,7 @@
 
     def role(self, name, key):
         """Return the node that has a role for a key according to the whole log."""
-        state = self.truth()
+        state = self.folded_log()
         piece = state.owner_of(SERVICE, key_hash(key))
         watched = piece.previous or piece.owner
         witnesses = state.members[watched].witnesses
@@ -152,7 +152,7 @@
 
     def witnesses_of(self, key):
         """Return the witnesses of a key's owner according to the whole log."""
-        state = self.truth()
+        state = self.folded_log()
         owner = state.owner_of(SERVICE, key_hash(key)).owner
         return state.members[owner].witnesses
 
@@ -172,7 +172,7 @@
             return False
         until_s = self._held_until_s(node, right) if self.fenced else right.deadline_s
         until_real_s = self.real_s + (until_s - node.now_s()) / node.rate
-        self._account(Forwarded(node_id, key, until_real_s))
+        self._record_forwarded(Forwarded(node_id, key, until_real_s))
         return True
 
     def _held_until_s(self, node, right):
@@ -209,7 +209,7 @@
         )
         return again.reason is None and again.covered and again.fence == right.fence
 
-    def _account(self, new):
+    def _record_forwarded(self, new):
         self.forwarded = [f for f in self.forwarded if f.until_real_s > self.real_s]
         for old in self.forwarded:
             if old.key == new.key and old.node_id != new.node_id:
@@ -271,4 +271,4 @@
     record = SlicesMoved(record_id=world.make_id(), term=1, moves=tuple(moves))
     world.waiting_appends.append(record)
     if world.log_up:
-        world.land_appends()
+        world.append_waiting()
--- a/comfreywharf/ownership/tests/list_world.py
+++ b/comfreywharf/ownership/tests/list_world.py
@@ -87,7 +87,7 @@
     others: dict = attrs.Factory(dict)
     lease_until_s: float = 102.0
     server: Server = attrs.Factory(Server)
-    on_their_way: list = attrs.Factory(list)
+    in_transit: list = attrs.Factory(list)
     releasing: dict = attrs.Factory(dict)
     fences: dict = attrs.Factory(dict)
     book: ListedHoldBook = None
@@ -171,15 +171,15 @@
             if answered:
                 self._take(answer)
             else:
-                self.on_their_way.append(answer)
+                self.in_transit.append(answer)
         if not kept or not answered:
             self.server.connection += 1
         self._end_releases()
 
     def answer_comes(self):
         """Apply a late answer; it has no effect if its time is over."""
-        if self.on_their_way:
-            self._take(self.on_their_way.pop(0))
+        if self.in_transit:
+            self._take(self.in_transit.pop(0))
 
     def _take(self, answer):
         before = {piece: self.server.holds(piece, self.now_s) for piece in PIECES}
@@ -187,9 +187,9 @@
         for piece in PIECES:
             fence = self.server.holds(piece, self.now_s)
             if fence is not None and fence != before[piece]:
-                self._note(piece, fence, ("server", self.server.incarnation))
+                self._record_fence(piece, fence, ("server", self.server.incarnation))
 
-    def _note(self, piece, fence, holder):
+    def _record_fence(self, piece, fence, holder):
         for other, known in self.fences.get(piece, {}).items():
             assert other == holder or fence > known, (piece, fence, holder, self.fences)
         known = self.fences.setdefault(piece, {})
@@ -218,12 +218,12 @@
             if self.now_s < self.book.lost_until_s(*place):
                 continue
             del self.releasing[piece]
-            self._give(piece)
+            self._grant_other(piece)
 
-    def _give(self, piece):
+    def _grant_other(self, piece):
         self.epoch += 1
         self.others[piece] = 2 * self.epoch
-        self._note(piece, 2 * self.epoch, "other")
+        self._record_fence(piece, 2 * self.epoch, "other")
 
     def move_back(self, piece):
         """Have the other node's server release a piece to this node."""
@@ -239,7 +239,7 @@
         self.releasing.clear()
         for piece in list(self.mine):
             del self.mine[piece]
-            self._give(piece)
+            self._grant_other(piece)
 
     def restart_server(self):
         """Restart the server under the same id."""
--- a/comfreywharf/ownership/tests/test_acknowledged_fences.py
+++ b/comfreywharf/ownership/tests/test_acknowledged_fences.py
@@ -134,7 +134,7 @@
 
 
 def record_witnesses(world, piece):
-    member = world.truth().members[piece.owner]
+    member = world.folded_log().members[piece.owner]
     append(
         world,
         LeaseStarted(
@@ -150,14 +150,14 @@
 def append(world, record):
     world.waiting_appends.append(record)
     if world.log_up:
-        world.land_appends()
+        world.append_waiting()
 
 
 CHANGES = (change_standby, split_slice, split_and_merge, record_witnesses)
 
 
 def piece_of(world):
-    return world.truth().owner_of(SERVICE, key_hash(KEY))
+    return world.folded_log().owner_of(SERVICE, key_hash(KEY))
 
 
 def fences_around_a_change(change):
@@ -265,7 +265,7 @@
 
 def merge_again(world, piece):
     """Merge the two parts of a slice that was split."""
-    pieces = world.truth().slices[SERVICE]
+    pieces = world.folded_log().slices[SERVICE]
     first = pieces.at_start(piece.start)
     append(
         world,
--- a/comfreywharf/ownership/tests/test_busy_takers.py
+++ b/comfreywharf/ownership/tests/test_busy_takers.py
@@ -9,7 +9,7 @@
 
 def own_key(world, node):
     """Return a key that a node owns according to the whole log."""
-    state = world.truth()
+    state = world.folded_log()
     keys = (f"key-{number}".encode() for number in range(1000))
     return next(
         k for k in keys if state.owner_of(SERVICE, key_hash(k)).owner == node.node_id
@@ -18,7 +18,7 @@
 
 def plan(world, owner_id=None, standby_id=None):
     """Have the planner assign another owner or standby to the key's slice."""
-    piece = world.truth().owner_of(SERVICE, key_hash(KEY))
+    piece = world.folded_log().owner_of(SERVICE, key_hash(KEY))
     change = SliceMove(
         service=SERVICE,
         start=piece.start,
--- a/comfreywharf/ownership/tests/test_incarnation_search.py
+++ b/comfreywharf/ownership/tests/test_incarnation_search.py
@@ -65,7 +65,7 @@
     return order.hold_s
 
 
-def never(self, *place):
+def never_awaited(self, *place):
     return LONG_AGO
 
 
@@ -94,7 +94,10 @@
         CRASHES,
         (World, "_restart_lease", surrender_at_once),
     ),
-    "a release waits for lost orders": (LOSSES, (HoldBook, "lost_until_s", never)),
+    "a release waits for lost orders": (
+        LOSSES,
+        (HoldBook, "lost_until_s", never_awaited),
+    ),
     "a release waits for orders in transit": (
         LOSSES,
         (HoldBook, "awaits_answer", no_answer_awaited),
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -57,7 +57,7 @@
         return self.world.request(node.node_id, KEY, wanted_s)
 
     def piece(self):
-        return self.world.truth().owner_of(SERVICE, key_hash(KEY))
+        return self.world.folded_log().owner_of(SERVICE, key_hash(KEY))
 
     def plan(self, owner, standby):
         piece = self.piece()
@@ -288,7 +288,7 @@
     """Give the owner a second slice, whose standby is another node."""
     other = stage.spare()
     first = stage.piece()
-    pieces = stage.world.truth().slices[SERVICE].slices
+    pieces = stage.world.folded_log().slices[SERVICE].slices
     second = next(piece for piece in pieces if piece.start != first.start)
     change = SliceMove(
         service=SERVICE,
@@ -434,7 +434,7 @@
         assert stage.serves(stage.owner)
         stage.owner.reads_log = False
         world.waiting_appends += held_up
-        world.land_appends()
+        world.append_waiting()
         stage.standby.frozen = False
         stage.run(2.0)
     stage.owner.reads_log = True
--- a/comfreywharf/ownership/tests/test_witness_groups.py
+++ b/comfreywharf/ownership/tests/test_witness_groups.py
@@ -8,7 +8,7 @@
 KEY = KEYS[0]
 
 
-def five(monkeypatch, count):
+def make_world_of_five(monkeypatch, count):
     """Return a world whose leases have five witnesses where there are enough."""
     terms = attrs.evolve(sim_node.TERMS, witnesses=5)
     monkeypatch.setattr(sim_node, "TERMS", terms)
@@ -20,7 +20,7 @@
 
     An owner and two of its witnesses are lost at the same time. With three witnesses,
     only one would be left, and no node could take over the keys."""
-    world = five(monkeypatch, count=8)
+    world = make_world_of_five(monkeypatch, count=8)
     standby = world.role("standby", KEY)
     witnesses = [w for w in world.witnesses_of(KEY) if w != standby]
     assert len(world.witnesses_of(KEY)) == 5
@@ -32,5 +32,5 @@
 
 def test_a_small_deployment_has_three(monkeypatch):
     """With four other members there can't be five witnesses, and four are no better."""
-    world = five(monkeypatch, count=5)
+    world = make_world_of_five(monkeypatch, count=5)
     assert len(world.witnesses_of(KEY)) == 3
