--- a/comfreywharf/ownership/tests/incarnation_events.py
+++ b/comfreywharf/ownership/tests/incarnation_events.py
@@ -35,8 +35,8 @@
         name = event.arguments[0]
         if event.method == "restart" and not self._limits.restarts:
             return False
-        calm = name in NAMES and name not in self._limits.detailed
-        return not calm or not event.trouble or event.method == "move"
+        faultless = name in NAMES and name not in self._limits.detailed
+        return not faultless or not event.trouble or event.method == "move"
 
     def _all(self):
         for name in NAMES:
@@ -74,7 +74,7 @@
     def _connection_events(self, name):
         for number in self._world.nodes[name].idle:
             text = f"{name}'s connection {number}"
-            if self._world.leads_to_living(name, number):
+            if self._world.leads_to_running(name, number):
                 yield Event(f"{text} is reset", "close", name, number, trouble=1)
             else:
                 yield Event(f"{text} is found to have ended", "close", name, number)
@@ -91,7 +91,7 @@
                 continue
             led = node.connections[number]
             text = f"{name} sends an order on connection {number} to incarnation {led}"
-            if not self._world.leads_to_living(name, number):
+            if not self._world.leads_to_running(name, number):
                 yield Event(text, "push", name, number)
                 continue
             yield Event(f"{text}, it is answered", "push", name, number, 3)
@@ -113,7 +113,7 @@
         if sending.answer is not None:
             yield Event(f"{name} reads the answer", "answer", name, index)
         lost = f"{name} counts its order as lost"
-        trouble = int(self._world.leads_to_living(name, sending.connection))
+        trouble = int(self._world.leads_to_running(name, sending.connection))
         yield Event(lost, "lose", name, index, trouble=trouble)
 
     def _server_events(self, name):
@@ -139,12 +139,17 @@
     def _lease_events(self, name):
         node, rival = self._world.nodes[name], other(name)
         if not node.held and node.announced is not None:
-            earlier_until = self._world.kept_until[name] if node.restarted else LONG_AGO
-            if max(self._world.taken_until[name], earlier_until) <= self._world.now:
+            earlier_until = (
+                self._world.taker_barred_until[name] if node.restarted else LONG_AGO
+            )
+            if (
+                max(self._world.node_barred_until[name], earlier_until)
+                <= self._world.now
+            ):
                 yield Event(f"{name}'s lease restarts", "begin_lease", name)
         concerned = rival in (self._world.owner, self._world.previous)
         if concerned and self._world.owns(name) and not node.claims:
-            if self._world.kept_until[rival] <= self._world.now:
+            if self._world.taker_barred_until[rival] <= self._world.now:
                 yield Event(f"{name} claims {rival}'s lease", "claim", name, both=True)
         if self._world.owner == rival and self._world.claims(name):
             yield Event(f"{name}'s takeover is recorded", "record", name)
@@ -189,5 +194,5 @@
     def _may_renew(self, name):
         return (
             self._world.nodes[name].held
-            and self._world.taken_until[name] <= self._world.now
+            and self._world.node_barred_until[name] <= self._world.now
         )
--- a/comfreywharf/ownership/tests/incarnation_model.py
+++ b/comfreywharf/ownership/tests/incarnation_model.py
@@ -62,8 +62,8 @@
         self.troubles = 0
         # Until when the witnesses refuse each node's lease to a taker, and until
         # when they refuse it to the node itself because of a taker.
-        self.kept_until = {"a": LEASE, "b": LEASE}
-        self.taken_until = {"a": LONG_AGO, "b": LONG_AGO}
+        self.taker_barred_until = {"a": LEASE, "b": LEASE}
+        self.node_barred_until = {"a": LONG_AGO, "b": LONG_AGO}
         for epoch, name in enumerate(NAMES, 1):
             node = self.nodes[name] = Node(book=HoldBook(TERMS), lease_epoch=epoch)
             node.tracker.opened(1)
@@ -77,8 +77,8 @@
         copied.nodes = dict(self.nodes)
         copied.incarnations = dict(self.incarnations)
         copied.latest_incarnation = dict(self.latest_incarnation)
-        copied.kept_until = dict(self.kept_until)
-        copied.taken_until = dict(self.taken_until)
+        copied.taker_barred_until = dict(self.taker_barred_until)
+        copied.node_barred_until = dict(self.node_barred_until)
         for name in names:
             copied.nodes[name] = self.nodes[name].copy()
             if self.incarnations[name]:
@@ -129,7 +129,7 @@
         """Return what may happen next."""
         return NextEvents(self, limits)
 
-    def leads_to_living(self, name, number):
+    def leads_to_running(self, name, number):
         """Return whether a connection leads to the running incarnation."""
         incarnation = self.incarnations[name]
         return (
@@ -350,9 +350,9 @@
 
     def _surrender(self, name, held_until):
         node = self.nodes[name]
-        self.kept_until[name] = held_until
+        self.taker_barred_until[name] = held_until
         if node.claims:
-            self.taken_until[other(name)] = held_until
+            self.node_barred_until[other(name)] = held_until
         node.held = node.claims = False
 
     def _restart_lease(self, name):
@@ -361,7 +361,7 @@
     def begin_lease(self, name):
         node = self.nodes[name]
         node.held, node.restarted = True, False
-        node.lease_until = self.kept_until[name] = self.now + LEASE
+        node.lease_until = self.taker_barred_until[name] = self.now + LEASE
         node.lease_epoch = self._record()
         node.unreleased_fence = -1
 
@@ -369,7 +369,7 @@
         node, rival = self.nodes[name], self.nodes[other(name)]
         node.claims = True
         rival.held = rival.claims = False
-        self.taken_until[other(name)] = node.lease_until
+        self.node_barred_until[other(name)] = node.lease_until
 
     def record(self, name):
         self.epoch, self.owner = self._record(), name
@@ -402,9 +402,9 @@
         for name in NAMES:
             node = self.nodes[name]
             if name in renewing:
-                node.lease_until = self.kept_until[name] = self.now + 1 + LEASE
+                node.lease_until = self.taker_barred_until[name] = self.now + 1 + LEASE
                 if node.claims:
-                    self.taken_until[other(name)] = node.lease_until
+                    self.node_barred_until[other(name)] = node.lease_until
         self.now += 1
         for name in NAMES:
             # A claim ends with the lease of its taker.
@@ -428,8 +428,8 @@
             self.owner,
             self.previous,
             self.highest_crashed_fence,
-            *(max(0, time - now) for time in self.kept_until.values()),
-            *(max(0, time - now) for time in self.taken_until.values()),
+            *(max(0, time - now) for time in self.taker_barred_until.values()),
+            *(max(0, time - now) for time in self.node_barred_until.values()),
             *self.latest_incarnation.values(),
             *(node.key(now) for node in self.nodes.values()),
             *(
--- a/comfreywharf/ownership/tests/list_world.py
+++ b/comfreywharf/ownership/tests/list_world.py
@@ -83,7 +83,7 @@
 
     now_s: float = 100.0
     epoch: int = 1
-    mine: dict = attrs.Factory(lambda: {piece: 2 for piece in PIECES})
+    own_pieces: dict = attrs.Factory(lambda: {piece: 2 for piece in PIECES})
     others: dict = attrs.Factory(dict)
     lease_until_s: float = 102.0
     server: Server = attrs.Factory(Server)
@@ -102,7 +102,7 @@
         self.lists = HoldLists(self.book)
         self.releasing.clear()
         self.epoch += 1
-        self.mine = {piece: 2 * self.epoch for piece in self.mine}
+        self.own_pieces = {piece: 2 * self.epoch for piece in self.own_pieces}
 
     def pass_time(self, duration_s):
         """Advance the time; the lease continues."""
@@ -118,7 +118,7 @@
             return None
         served = tuple(
             (SERVICE, self._slice(piece), fence, self.lease_until_s)
-            for piece, fence in self.mine.items()
+            for piece, fence in self.own_pieces.items()
         )
         if self.book.has_used_fence(fence for _, _, fence, _ in served):
             self.begin_lease()
@@ -133,7 +133,7 @@
     def begin_lease(self):
         """Start a new lease, with higher fences."""
         self.epoch += 1
-        self.mine = {piece: 2 * self.epoch for piece in self.mine}
+        self.own_pieces = {piece: 2 * self.epoch for piece in self.own_pieces}
 
     def heartbeat(self, travels_s, answered, kept):
         """Send a heartbeat; its answer arrives if ``answered``, or stays in transit.
@@ -197,9 +197,9 @@
 
     def move_away(self, piece):
         """Have the planner assign a piece to the other node."""
-        if piece not in self.mine or piece in self.releasing:
+        if piece not in self.own_pieces or piece in self.releasing:
             return
-        del self.mine[piece]
+        del self.own_pieces[piece]
         self.epoch += 1
         start, end = range_of_numbers(*piece)
         fence = self.book.stop(SERVICE, start, end, 2 * self.epoch, self.now_s)
@@ -230,15 +230,15 @@
         if piece in self.others:
             del self.others[piece]
             self.epoch += 1
-            self.mine[piece] = 2 * self.epoch
+            self.own_pieces[piece] = 2 * self.epoch
 
     def take_over(self):
         """Have the other node claim everything, once the lease is over."""
         if self.now_s < self.lease_until_s:
             return
         self.releasing.clear()
-        for piece in list(self.mine):
-            del self.mine[piece]
+        for piece in list(self.own_pieces):
+            del self.own_pieces[piece]
             self._grant_other(piece)
 
     def restart_server(self):
