--- a/comfreywharf/daemon/connections/bound_pool.py
+++ b/comfreywharf/daemon/connections/bound_pool.py
@@ -8,7 +8,7 @@
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.connections.http import NodelayPool, SingleSendClient
-from comfreywharf.ownership.bond import ProcessBond
+from comfreywharf.ownership.process_tracker import ProcessTracker
 
 __all__ = ["BoundClient"]
 
@@ -87,7 +87,7 @@
     def _wants_refill(self):
         if self._refilling is not None and not self._refilling.ready():
             return False
-        return self._pool.missing or self._pool.tracker.waits
+        return self._pool.missing or self._pool.tracker.has_unconfirmed
 
     def _refill(self):
         self._refill_not_before_s = boottime_s() + REFILL_PAUSE_S
@@ -109,7 +109,7 @@
 
     def __init__(self, *address, **settings):
         super().__init__(*address, **settings)
-        self.tracker = ProcessBond()
+        self.tracker = ProcessTracker()
         self._idle = deque()
         self._open = set()
         self._opening = 0
@@ -186,7 +186,7 @@
         before = len(self._open)
         self._max_open = self.size
         self._open_missing()
-        if self.tracker.waits:
+        if self.tracker.has_unconfirmed:
             send_probe()
         self._drop_closed()
         self._max_open = max(before, len(self._open))
@@ -227,7 +227,7 @@
 
         Using them in turn keeps the server from closing any of them for being idle.
         """
-        known = [sock for sock in self._idle if self.tracker.knows(sock)]
+        known = [sock for sock in self._idle if self.tracker.leads_to_process(sock)]
         # Orders that get no answer have their connections closed. A waiting order
         # that then took the last confirmed one, and got no answer either, would make
         # the process impossible to identify. The last one is therefore kept to confirm
--- a/comfreywharf/daemon/owning/heartbeat_grants.py
+++ b/comfreywharf/daemon/owning/heartbeat_grants.py
@@ -58,7 +58,7 @@
         while this one was waiting.
         """
         self._newest_report = report
-        refused = self.lists.hear(report, boottime_s())
+        refused = self.lists.receive(report, boottime_s())
         self._report_received.set()
         self._report_received.clear()
         if refused and not self._node.closed_to_new_work:
@@ -96,7 +96,7 @@
 
     def _has_changes(self, report):
         serving = self._serving()
-        return serving is not None and self.lists.has_news(
+        return serving is not None and self.lists.has_changes(
             report, serving, boottime_s()
         )
 
@@ -122,7 +122,7 @@
         if not leases.holder.owns(now_s):
             return None
         served = self._served()
-        if self.book.bars(fence for _, _, fence, _ in served):
+        if self.book.has_used_fence(fence for _, _, fence, _ in served):
             self._reacquire_lease("another life of the server")
             return None
         return Serving(
@@ -147,12 +147,12 @@
         if not right.key_hash:
             return True
         place = right.slice_start
-        return self.book.has(right.service, right.key_hash, now_s, near=place)
+        return self.book.holds_key(right.service, right.key_hash, now_s, near=place)
 
     def refused(self, right):
         """Stop sending requests for a key that the server doesn't hold."""
         if right.key_hash and boottime_s() > self._answered_s + REFUSAL_GRACE_S:
-            self.book.doubt(right.service, right.key_hash)
+            self.book.mark_not_held(right.service, right.key_hash)
             self._change.set()
 
     def _try_release(self, place, numbers, fence):
@@ -161,15 +161,15 @@
         self._report_received.wait(RELEASE_PAUSE_S)
         if self._may_be_held(place, fence):
             return None
-        return self.lists.take_out_handover(*place[1:])
+        return self.lists.pop_handover(*place[1:])
 
     def backend_changed(self):
         """Handle a new incarnation, which holds none of the earlier one's ranges."""
         super().backend_changed()
-        self.lists.forget()
+        self.lists.server_restarted()
         self.book.process_changed()
 
     def backend_ended(self):
         """Handle the end of the backend server, which no longer holds any key."""
         super().backend_ended()
-        self.lists.forget()
+        self.lists.server_restarted()
--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -13,10 +13,10 @@
 from comfreywharf.daemon.recording.follower import NotAcknowledged, new_record_id
 from comfreywharf.ownership import (
     Append,
-    AskRelease,
     OwnershipAgent,
     ProbeMembers,
     Report,
+    RequestRelease,
     Right,
     SendClaim,
     SendRenewal,
@@ -73,7 +73,7 @@
             SendClaim: self._send_claim,
             SendUnclaim: self._send_unclaim,
             Append: self._append,
-            AskRelease: self._request_release,
+            RequestRelease: self._request_release,
             Report: self._add_event,
             ProbeMembers: self._probe_members,
         }
@@ -195,7 +195,7 @@
     def run(self):
         """Drive the agent until the greenlet is killed."""
         self._node.begun.wait()
-        self.agent.begin(self._node.incarnation)
+        self.agent.set_incarnation(self._node.incarnation)
         self._node.witnessing.begin(self._node.began_s)
         expired_s = boottime_s()
         while True:
@@ -302,15 +302,15 @@
         grant = self._call_witness(witness, "renew", request)
         now_s = boottime_s()
         if grant is not None:
-            self.agent.lost_witnesses.heard(witness, now_s)
+            self.agent.lost_witnesses.answer_received(witness, now_s)
         if grant is None or not grant.granted:
             why = grant.denial.value if grant else "no answer"
             self._node.report("renewal_denied", witness=witness, why=why)
             return
-        told_epoch = self.holder.lease.told_epoch()
+        acknowledged_epoch = self.holder.lease.acknowledged_epoch()
         self.carry_out(self.agent.renewed(witness, request.round, grant.term, now_s))
         self._grant_counted()
-        if self.holder.lease.told_epoch() > told_epoch:
+        if self.holder.lease.acknowledged_epoch() > acknowledged_epoch:
             self._wake_held_requests()
 
     def _probe_members(self, action):
@@ -319,7 +319,7 @@
     def _probe(self):
         reachable = self._node.gossip.reachable_members()
         reachable.add(self._node.settings.node_id)
-        self.agent.lost_witnesses.probed(reachable, boottime_s())
+        self.agent.lost_witnesses.members_probed(reachable, boottime_s())
         self._wake.set()
 
     def _send_claim(self, action):
@@ -384,7 +384,7 @@
     def _fetch_release(self, action):
         """Request the release until it is done or the slice has moved elsewhere."""
         key, received = action.key, 0
-        while self.agent.awaits(self._node.follower.state, key, boottime_s()):
+        while self.agent.awaits_release(self._node.follower.state, key, boottime_s()):
             reply = self._call_release(action.previous, key, received)
             if reply is None or not reply.released:
                 wait_ms = reply.retry_after_ms if reply else 0
@@ -399,7 +399,7 @@
                 self._wake_held_requests()
                 self._wake.set()
                 return
-        self.agent.stop_asking(key)
+        self.agent.release_request_ended(key)
 
     def _call_release(self, previous, key, received):
         client = self._node.peers.client(previous)
--- a/comfreywharf/daemon/owning/range_grants.py
+++ b/comfreywharf/daemon/owning/range_grants.py
@@ -79,7 +79,7 @@
             return []
         self._track_process(backend, process)
         served = self._served()
-        barred = self.book.bars(fence for _, _, fence, _ in served)
+        barred = self.book.has_used_fence(fence for _, _, fence, _ in served)
         if barred and self._reacquire_lease("another process may be there"):
             return []
         return [
@@ -188,7 +188,7 @@
             return True
         self.push()
         end_s = now_s + ENSURE_TIMEOUT_S
-        while self.book.is_asked_at(place) and boottime_s() < end_s:
+        while self.book.awaits_answer_at(place) and boottime_s() < end_s:
             gevent.sleep(PENDING_GRANT_POLL_S)
         return self.book.holds(place, right.fence, boottime_s())
 
--- a/comfreywharf/daemon/tests/test_bound_pool.py
+++ b/comfreywharf/daemon/tests/test_bound_pool.py
@@ -125,7 +125,7 @@
     """
     process = client.reach()
     for _ in range(10):
-        wait_until(lambda: client.reach() and client._pool.tracker.known_count == 3)
+        wait_until(lambda: client.reach() and client._pool.tracker.confirmed_count == 3)
         assert order(client, process)
         client._pool.release_socket(client.borrow(process))
         assert client.reach() == process
@@ -134,7 +134,7 @@
 def test_borrow_returns_none_once_the_process_is_gone(client, place):
     """A waiting order must not wait for connections that were closed for good."""
     process = client.reach()
-    wait_until(lambda: client.reach() and client._pool.tracker.known_count == 3)
+    wait_until(lambda: client.reach() and client._pool.tracker.confirmed_count == 3)
     taken = [client.borrow(process) for _ in range(2)]
     waiting = gevent.spawn(client.borrow, process)
     gevent.idle()
@@ -153,7 +153,7 @@
     the only one that the server accepts before another was tried.
     """
     process = client.reach()
-    wait_until(lambda: client.reach() and client._pool.tracker.known_count == 3)
+    wait_until(lambda: client.reach() and client._pool.tracker.confirmed_count == 3)
     lost = [client.borrow(process) for _ in range(2)]
     waiting = gevent.spawn(client.borrow, process)
     gevent.idle()
@@ -175,7 +175,7 @@
     since it accepted one more when the refill started.
     """
     process = client.reach()
-    wait_until(lambda: client.reach() and client._pool.tracker.known_count == 3)
+    wait_until(lambda: client.reach() and client._pool.tracker.confirmed_count == 3)
     in_use = [client.borrow(process) for _ in range(2)]
 
     def probe_target():
@@ -252,7 +252,7 @@
     client._pool.release_socket(client.borrow(fill_then_lift_limit(client, place)))
     waiting = gevent.spawn(client.borrow, client.reach())
     gevent.idle()
-    assert client._pool.tracker.known_count > 1 or not waiting.ready()
+    assert client._pool.tracker.confirmed_count > 1 or not waiting.ready()
     waiting.kill()
 
 
--- a/comfreywharf/daemon/tests/test_range_grants.py
+++ b/comfreywharf/daemon/tests/test_range_grants.py
@@ -104,7 +104,7 @@
     )
     orders.may_answer.set()
     gevent.joinall(tasks)
-    assert not grants.book.is_asked("booking", PIECE.start, PIECE.end)
+    assert not grants.book.awaits_answer("booking", PIECE.start, PIECE.end)
 
 
 def test_release_of_an_earlier_fence_ends_after_a_newer_grant():
--- a/comfreywharf/ownership/__init__.py
+++ b/comfreywharf/ownership/__init__.py
@@ -1,11 +1,11 @@
-"""Who may serve a key: leases, witnesses, takeovers and releases."""
+"""Decide which node may serve a key: leases, witnesses, takeovers, releases."""
 
 from comfreywharf.ownership.actions import (
     Append,
-    AskRelease,
     ProbeMembers,
     Purpose,
     Report,
+    RequestRelease,
     SendClaim,
     SendRenewal,
     SendUnclaim,
@@ -25,7 +25,6 @@
 __all__ = [
     "WITNESSES",
     "Append",
-    "AskRelease",
     "Claim",
     "Denial",
     "Grant",
@@ -43,6 +42,7 @@
     "ReleaseDecision",
     "Renewal",
     "Report",
+    "RequestRelease",
     "Right",
     "SendClaim",
     "SendRenewal",
--- a/comfreywharf/ownership/actions.py
+++ b/comfreywharf/ownership/actions.py
@@ -1,4 +1,4 @@
-"""What the ownership decisions ask the shell to do."""
+"""Actions that the ownership decisions request from the daemon."""
 
 import attrs
 
@@ -9,10 +9,10 @@
 __all__ = [
     "Action",
     "Append",
-    "AskRelease",
     "ProbeMembers",
     "Purpose",
     "Report",
+    "RequestRelease",
     "SendClaim",
     "SendRenewal",
     "SendUnclaim",
@@ -21,12 +21,12 @@
 
 
 class Action:
-    """Anything that the shell is asked to do."""
+    """Base class of all requested actions."""
 
 
 @attrs.frozen
 class ProbeMembers(Action):
-    """Find out which members can be reached, and tell the agent."""
+    """Probe which members can be reached, and report them to the agent."""
 
 
 @attrs.frozen
@@ -55,7 +55,7 @@
 
 @attrs.frozen
 class Purpose:
-    """Why a record is appended: told again with its outcome."""
+    """The reason why a record is appended, passed back with its outcome."""
 
     kind: str
     detail: object
@@ -70,8 +70,8 @@
 
 
 @attrs.frozen
-class AskRelease(Action):
-    """Ask an earlier owner for a slice, until `OwnershipAgent.awaits` is false."""
+class RequestRelease(Action):
+    """Request a slice's release while `OwnershipAgent.awaits_release` is true."""
 
     previous: str
     key: SliceKey
--- a/comfreywharf/ownership/listed_holds.py
+++ b/comfreywharf/ownership/listed_holds.py
@@ -1,7 +1,7 @@
-"""What a backend server holds that is told so by lists, in answers to its heartbeats.
+"""Holds of a backend server that is granted ranges by lists in heartbeat answers.
 
-It asks for each list by a heartbeat, and says in it what it holds. A list names all
-that it is to hold, so that what is left out is released.
+Each heartbeat of the server requests a list and reports what the server holds. A list
+contains all that the server is to hold; ranges that are left out are released.
 """
 
 import attrs
@@ -15,112 +15,116 @@
 
 @attrs.define
 class ListedHoldBook(HoldBook):
-    """A `HoldBook` of which lists may grant as well as orders.
+    """A `HoldBook` in which lists grant ranges as well as orders do.
 
-    A list is on its way until its server is heard again on the connection that carried
-    it: the server sends there only after it has read the answer before. A list on a
-    connection that the server left may come late, and counts until its time is over.
+    A list is in transit until the next report arrives on the connection that carried
+    it, since the server sends there only after it has read the earlier answer. A list
+    on a connection that the server abandoned may arrive late, and counts until its
+    time is over.
     """
 
     @classmethod
     def of_new_process(cls, terms, now_s):
-        """Return the book of a process that begins.
+        """Return the book of a process that starts.
 
-        An earlier one that was killed granted nothing for longer than its lease.
+        No grant of an earlier process lasts for longer than its lease.
         """
         unknown_s = terms.lease_s * (1 + terms.slow_clock)
         return cls(terms, unknown_until_s=now_s + unknown_s)
 
     def listed(self, place, end, fence, list_id, until_s, now_s):
-        """Take note that a list which is sent now grants a place until a time.
+        """Register that a list which is sent now grants a place until ``until_s``.
 
-        It carries the place's handover. ``list_id`` names the connection.
+        The list carries the place's handover. ``list_id`` is its connection.
         """
         hold = self._holds.get(place)
         if hold is None or hold.fence < fence or hold.end != end:
             hold = self._begin(place, end, fence, now_s)
         self._highest_fence = max(self._highest_fence, fence)
         hold.listed_until_s[list_id] = until_s
-        hold.maybe_until_s = max(hold.maybe_until_s, until_s)
+        hold.possible_until_s = max(hold.possible_until_s, until_s)
         hold.taken_until_s = until_s
         hold.handover = self.handover_for(place)
 
     def handover_for(self, place):
-        """Return what an earlier holder handed over for the next grant of a place."""
+        """Return an earlier holder's handover for the next grant of a place."""
         return self._handovers.get(place, "")
 
-    def settle(self, service, list_id, reported, now_s):
-        """Take note that the lists on a connection came, and what is held after them.
+    def lists_received(self, service, list_id, reported, now_s):
+        """Register that the lists on a connection arrived, and what is held now.
 
-        ``reported`` are ranges of hashes: the first one, and the one behind the last.
+        ``reported`` are half-open ranges of hashes that the server holds.
         """
         whole = set(reported)
-        for hold in self._of(service):
+        for hold in self._holds_of(service):
             if hold.listed_until_s.pop(list_id, None) is not None:
-                self._handover_came((service, hold.start), hold)
+                self._handover_received((service, hold.start), hold)
             if (hold.start, hold.end) in whole:
                 continue
-            if hold.unheard_until_s > now_s or hold.asking:
+            if hold.unanswered_until_s > now_s or hold.order_pending:
                 continue
             if not any(hold.overlaps(start, end) for start, end in reported):
-                hold.maybe_until_s = hold.taken_until_s = NEVER_S
+                hold.possible_until_s = hold.taken_until_s = NEVER_S
 
-    def _handover_came(self, place, hold):
+    def _handover_received(self, place, hold):
         if hold.handover and self._handovers.get(place) == hold.handover:
             del self._handovers[place]
 
     def adopt(self, service, start, end, fence, now_s):
-        """Take note of a range that an earlier process of this node granted."""
+        """Register a range that an earlier process of this node granted."""
         self._highest_fence = max(self._highest_fence, fence)
         if now_s >= self.unknown_until_s:
-            # What it holds beyond that time this process granted itself.
+            # What the server still holds by then was granted by this process.
             return
         if any(h.fence >= fence for h in self._overlapping(service, start, end)):
             return
         hold = self._make_hold(start, end, fence)
-        hold.maybe_until_s = self.unknown_until_s
+        hold.possible_until_s = self.unknown_until_s
         self._earlier.setdefault(service, []).append(hold)
 
     def process_changed(self):
-        """Count on nothing that an earlier life of the server was granted."""
+        """Treat all grants to an earlier incarnation of the server as unconfirmed."""
         super().process_changed()
         for holds in self._earlier.values():
             for hold in holds:
                 hold.taken_until_s = NEVER_S
 
-    def doubt(self, service, value):
-        """Count on no grant of a key until it is granted once more."""
-        for hold in self._of(service):
+    def mark_not_held(self, service, value):
+        """Treat a key as not held until it is granted again."""
+        for hold in self._holds_of(service):
             if hold.start <= value < hold.end:
                 hold.taken_until_s = NEVER_S
 
-    def has(self, service, value, now_s, near=None):
-        """Return whether the server has a key for a while, under whatever fence.
+    def holds_key(self, service, value, now_s, near=None):
+        """Return whether the server holds a key under any fence, and for long enough.
 
-        A hold ends with the lease that it rested on, so that nobody else has the key. A
-        new fence for the same key comes with the next list, and changes nothing of it.
-        The hold that begins at ``near`` is looked at first: mostly it is the one.
+        That is for at least `HoldTerms.shortest_s`. A hold ends with the lease that
+        it is based on, so that no other server holds the key. A new fence for the key
+        comes with the next list and doesn't affect this. The hold that begins at
+        ``near`` is checked first, since it mostly is the right one.
         """
         likely = self._holds.get((service, value if near is None else near))
         ends_by_s = now_s + self.terms.shortest_s
-        if likely is not None and likely.gives_until_s(value) > ends_by_s:
+        if likely is not None and likely.confirmed_until_s(value) > ends_by_s:
             return True
-        ends_s = [hold.gives_until_s(value) for hold in self._of(service)]
+        ends_s = [hold.confirmed_until_s(value) for hold in self._holds_of(service)]
         return max(ends_s, default=NEVER_S) > ends_by_s
 
-    def kept(self, service, start, end, now_s):
-        """Return ``(start, end, fence)`` of what the server has in a range for now."""
+    def held_parts(self, service, start, end, now_s):
+        """Return ``(start, end, fence)`` of each held part of a range."""
         found = []
         holds = self._overlapping(service, start, end)
         for hold in sorted(holds, key=lambda hold: -hold.fence):
-            first, behind = max(start, hold.start), min(end, hold.end)
+            first, past_end = max(start, hold.start), min(end, hold.end)
             if hold.taken_until_s <= now_s or hold.fence <= self._used_fence:
                 continue
-            if _meets(first, behind, hold.given_away) or _meets(first, behind, found):
+            if _overlaps_any(first, past_end, hold.stopped_ranges) or _overlaps_any(
+                first, past_end, found
+            ):
                 continue
-            found.append((first, behind, hold.fence))
+            found.append((first, past_end, hold.fence))
         return found
 
 
-def _meets(start, end, ranges):
-    return any(start < behind and first < end for first, behind, *_ in ranges)
+def _overlaps_any(start, end, ranges):
+    return any(start < past_end and first < end for first, past_end, *_ in ranges)
--- a/comfreywharf/ownership/table.py
+++ b/comfreywharf/ownership/table.py
@@ -1,4 +1,4 @@
-"""Whether this node may serve a key now, until when, and under which fence."""
+"""Decide whether this node may serve a key, until when, and under which fence."""
 
 import attrs
 
@@ -9,19 +9,19 @@
 
 __all__ = ["OwnershipTable", "Right"]
 
-WHOLE_S = float("-inf")
+ALWAYS_S = float("-inf")
 
 
 @attrs.frozen(kw_only=True)
 class Right:
-    """The answer: a fence and a deadline, or the reason why not.
-
-    ``deadline_s`` is on this machine's monotonic clock, which the backend
-    server beside it shares. ``vouched_since_s`` says since when the memory of
-    request ids is whole for this key: a resend of a request from before may
-    have run elsewhere, and nobody here would know. ``covered`` is false where
-    the deadline lies beyond what a taker would wait for; such a request must
-    not be forwarded before the witnesses were told of it.
+    """The permission to serve a request, or the reason for its refusal.
+
+    A permission has a fence and a deadline. ``deadline_s`` is on this machine's
+    monotonic clock, which the local backend server shares. ``vouched_since_s`` says
+    since when the memory of request ids is complete for this key. An earlier request
+    may have run on another node without a trace in this memory. ``covered`` is false
+    if a taker wouldn't wait until the deadline; such a request must not be forwarded
+    before the witnesses know of its deadline.
     """
 
     reason: Reason | None = None
@@ -31,22 +31,22 @@
     slice_start: int = -1
     fence: int = -1
     deadline_s: float = 0.0
-    vouched_since_s: float = WHOLE_S
+    vouched_since_s: float = ALWAYS_S
     covered: bool = True
     ticket: int = 0
 
 
 @attrs.frozen
 class _Basis:
-    """On what a right rests: a fence and the leases that have to hold."""
+    """The basis of a right: a fence, and the leases that have to be held."""
 
     fence: int
     leases: tuple
 
 
 @attrs.frozen
-class _Lingering:
-    """A slice that moved away and that the new owner hasn't asked for yet."""
+class _Unreleased:
+    """A slice that moved away and that the new owner hasn't requested yet."""
 
     epoch: int
     fence: int
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class _Used:
-    """The fence under which an own slice was served last, and where it ended."""
+    """The fence under which an own slice was last served, and the slice's end."""
 
     end: int
     fence: int
@@ -64,13 +64,13 @@
     """Decide which keys a node may serve, from the fold, its lease and claims.
 
     A slice may be served by its owner, under the owner's lease and after the
-    earlier owner's release; by the earlier owner until the new one asks for
-    that release; and by a taker, under its claim on the owner's lapsed lease.
+    earlier owner's release; by the earlier owner until the new one requests that
+    release; and by a taker, under its claim on the owner's lapsed lease.
 
     An owner uses a fence only once a majority of its witnesses knows of the record that
-    it came with. They would grant a claim on the state before, and the taker's server
-    would be granted the key under a lower fence than the owner's. Until then it goes on
-    under the fence that it had, or waits where it had none for this range.
+    raised it. Otherwise they could grant a claim on the earlier state, and the taker's
+    server would be granted the key under a lower fence than the owner's. Until then the
+    owner continues under its earlier fence, or waits if it had none for this range.
     """
 
     def __init__(self, node_id, holder, inflight, fenced=False):
@@ -80,13 +80,13 @@
         self.fenced = fenced
         self.claims = {}
         self._released = set()
-        self._lingering = {}
+        self._unreleased = {}
         self._vouched_since_s = {}
         self._newest_slice_epoch = -1
         self._used = {}
 
     def right_to_serve(self, state, service, key, now_s, remaining_s):
-        """Return the `Right` to serve one request that came at ``now_s``."""
+        """Return the `Right` to serve one request that arrived at ``now_s``."""
         deadline_s = now_s + remaining_s
         if not key:
             return Right(service=service, deadline_s=deadline_s)
@@ -113,10 +113,10 @@
         key = SliceKey(service, piece.start, piece.epoch)
         if piece.owner == self._node_id:
             return self._owner_basis(state, key, piece, now_s)
-        lingering = self._lingering.get((service, piece.start))
-        if lingering is not None and lingering.epoch == piece.epoch:
-            if self.holder.owns(now_s) and self._told(lingering.fence):
-                return _Basis(lingering.fence, (self.holder.lease,))
+        unreleased = self._unreleased.get((service, piece.start))
+        if unreleased is not None and unreleased.epoch == piece.epoch:
+            if self.holder.owns(now_s) and self._is_acknowledged(unreleased.fence):
+                return _Basis(unreleased.fence, (self.holder.lease,))
         if piece.standby == self._node_id:
             return self._taker_basis(state, key, piece, now_s)
         return Right(reason=Reason.WRONG_OWNER, owner_hint=piece.owner)
@@ -135,18 +135,18 @@
     def _fence_in_use(self, place, piece, state):
         """Return the newest fence of an own slice that may be used, or ``None``."""
         fence = state.fence(piece)
-        if self._told(fence):
+        if self._is_acknowledged(fence):
             self._used[place] = _Used(piece.end, fence)
             return fence
         used = self._used.get(place)
         return used.fence if used is not None and used.end == piece.end else None
 
-    def _told(self, fence):
-        """Return whether each further claim leads to a higher fence than this one."""
-        return fence <= 2 * self.holder.lease.told_epoch()
+    def _is_acknowledged(self, fence):
+        """Return whether any further claim leads to a higher fence than this one."""
+        return fence <= 2 * self.holder.lease.acknowledged_epoch()
 
     def newest_epoch(self, lease_epoch):
-        """Return the epoch that the witnesses have to know before all is served."""
+        """Return the epoch that the witnesses must know before all is served."""
         return max(lease_epoch, self._newest_slice_epoch)
 
     def _taker_basis(self, state, key, piece, now_s):
@@ -162,7 +162,7 @@
         return _Basis(state.takeover_fence(piece), leases)
 
     def _release_leases(self, key, piece, now_s):
-        """Return the leases that stand in for a missing release, if any.
+        """Return the leases that replace a missing release, if any.
 
         ``None`` means that the earlier owner may still serve the slice.
         """
@@ -174,7 +174,7 @@
         return None
 
     def begin(self, right):
-        """Note that a request is about to be forwarded; return its `Right`."""
+        """Register a request that is about to be forwarded; return its `Right`."""
         if right.reason is not None or right.key_hash == 0:
             return right
         ticket = Ticket(
@@ -183,7 +183,7 @@
         return attrs.evolve(right, ticket=self.inflight.add(ticket))
 
     def finish(self, right):
-        """Note that nothing forwarded under a right can take effect any more."""
+        """Register that nothing forwarded under a right can still take effect."""
         if right.ticket:
             self.inflight.remove(right.ticket)
 
@@ -198,7 +198,7 @@
                         yield service, piece, basis.fence, until_s
 
     def pending(self, state, now_s):
-        """Yield ``(service, slice)`` for what is owned and can't be served just yet."""
+        """Yield ``(service, slice)`` for what is owned but can't be served yet."""
         if not self.holder.owns(now_s):
             return
         for service, piece in state.owned_by(self._node_id):
@@ -206,42 +206,43 @@
                 yield service, piece
 
     def slice_changed(self, state, service, before, after, now_s):
-        """Take note that a record changed a slice that concerns this node."""
+        """Register that a record changed a slice."""
         place = (service, after.start)
-        mine_before = before is not None and before.owner == self._node_id
+        owned_before = before is not None and before.owner == self._node_id
         if after.owner == self._node_id:
             self._newest_slice_epoch = max(self._newest_slice_epoch, after.epoch)
-        if not mine_before or after.owner != self._node_id or before.end != after.end:
+        if not owned_before or after.owner != self._node_id or before.end != after.end:
             self._used.pop(place, None)
-        if after.owner == self._node_id and not mine_before:
+        if after.owner == self._node_id and not owned_before:
             self._became_owner(service, before, after, now_s)
-        if after.previous == self._node_id and mine_before:
+        if after.previous == self._node_id and owned_before:
             fence = state.fence(before)
-            self._lingering[place] = _Lingering(epoch=after.epoch, fence=fence)
+            self._unreleased[place] = _Unreleased(epoch=after.epoch, fence=fence)
         elif after.previous != self._node_id:
-            self._lingering.pop(place, None)
-        elif place in self._lingering:
-            # The new owner was lost before it asked; another one will.
-            fence = self._lingering[place].fence
-            self._lingering[place] = _Lingering(epoch=after.epoch, fence=fence)
+            self._unreleased.pop(place, None)
+        elif place in self._unreleased:
+            # The new owner was lost before it requested the slice; another
+            # one will request it.
+            fence = self._unreleased[place].fence
+            self._unreleased[place] = _Unreleased(epoch=after.epoch, fence=fence)
 
     def _became_owner(self, service, before, after, now_s):
-        """Decide since when this node can vouch for a slice that it now owns.
+        """Decide since when the memory of request ids of a new slice is complete.
 
-        A slice that nobody owned has no requests to remember, and a takeover's
-        memory began with its claim. For any other, nothing is known of earlier
-        requests until a release hands the memory over.
+        A slice without an earlier owner has no earlier requests, and the memory of a
+        takeover began with its claim. For any other slice, earlier requests are not
+        known until a release hands the memory over.
 
-        A process that starts folds the log from its beginning, and meets what an
-        earlier process of its node was given. Taken for news, it would vouch for
-        that process's memory when it releases such a slice, and the next owner
-        would run a booking again that had run there.
+        A process that starts folds the log from its beginning, including slices that
+        were assigned to an earlier process of its node. If these counted as new, it
+        would claim a complete memory when it releases such a slice, and the next
+        owner would run a booking again that the earlier process had run.
         """
         place = (service, after.start)
         if before is None:
             self._vouched_since_s[place] = now_s
         elif not before.owner and self.holder.owns(now_s):
-            self._vouched_since_s[place] = WHOLE_S
+            self._vouched_since_s[place] = ALWAYS_S
         elif not self._claimed(service, before):
             self._vouched_since_s[place] = now_s
 
@@ -251,26 +252,26 @@
         return claim is not None and key in claim.share
 
     def slice_split(self, service, start, at):
-        """Let the second part of a divided slice inherit what is known."""
+        """Copy the state of the memory to the second part of a split slice."""
         since_s = self._vouched_since_s.get((service, start))
         if since_s is not None:
             self._vouched_since_s[(service, at)] = since_s
 
     def slices_merged(self, service, start, next_start):
-        """Keep the later of two beginnings for a joined slice."""
+        """Keep the later of the two parts' memory starts for a merged slice."""
         self._used.pop((service, next_start), None)
-        since_s = self._vouched_since_s.pop((service, next_start), WHOLE_S)
+        since_s = self._vouched_since_s.pop((service, next_start), ALWAYS_S)
         if (service, start) in self._vouched_since_s:
             kept_s = self._vouched_since_s[(service, start)]
             self._vouched_since_s[(service, start)] = max(kept_s, since_s)
 
     def lease_began(self, state, now_s):
-        """Take note of a lease that someone else may have held before.
+        """Register a new lease, before which another node may have held it.
 
-        Whatever was remembered or still being served from an earlier hold may
-        have gone on elsewhere.
+        Slices that were served under an earlier lease may have been served on
+        other nodes since, so that the memory of request ids may be incomplete.
         """
-        self._lingering.clear()
+        self._unreleased.clear()
         self._used.clear()
         self._vouched_since_s.clear()
         for service, piece in state.owned_by(self._node_id):
@@ -278,17 +279,17 @@
             self._newest_slice_epoch = max(self._newest_slice_epoch, piece.epoch)
 
     def claim_gained(self, claim, now_s):
-        """Take note that a claim gave this node a share."""
+        """Register that a claim gave this node a share."""
         for key in claim.share:
             self._vouched_since_s[(key.service, key.start)] = now_s
 
     def released(self, key, vouched_since_s):
-        """Take note of an earlier owner's release, and what its memory covers."""
+        """Register an earlier owner's release, and how far back its memory goes."""
         self._released.add(key)
         self._vouched_since_s[(key.service, key.start)] = vouched_since_s
 
     def awaited(self, state, now_s):
-        """Yield ``(key, slice)`` for each slice whose release has to be asked for."""
+        """Yield ``(key, slice)`` for each slice whose release has to be requested."""
         for service, pieces in state.slices.items():
             for piece in pieces.slices:
                 if not piece.previous or piece.previous == self._node_id:
@@ -300,7 +301,7 @@
                     yield key, piece
 
     def unrecorded(self, state):
-        """Yield received releases that the log doesn't have on record yet."""
+        """Yield received releases that are not yet recorded in the log."""
         for key in list(self._released):
             pieces = state.slices.get(key.service)
             piece = pieces.at_start(key.start) if pieces else None
@@ -315,13 +316,13 @@
         if piece.owner == self._node_id:
             return True
         claim = self.claims.get(piece.owner)
-        mine = piece.standby == self._node_id
-        return mine and claim is not None and claim.holds(key, now_s)
+        is_standby = piece.standby == self._node_id
+        return is_standby and claim is not None and claim.holds(key, now_s)
 
     def stop_serving(self, service, start):
-        """Stop new work on a slice that the new owner has asked for."""
-        self._lingering.pop((service, start), None)
+        """Accept no further requests for a slice that the new owner has requested."""
+        self._unreleased.pop((service, start), None)
 
     def vouched_since_s(self, service, start):
-        """Return since when the memory of a slice is whole; ``None``: it isn't."""
+        """Return since when the memory of a slice is complete; ``None`` if it isn't."""
         return self._vouched_since_s.get((service, start))
--- a/comfreywharf/ownership/tests/lives_model.py
+++ b/comfreywharf/ownership/tests/incarnation_model.py
@@ -1,29 +1,30 @@
-"""A small world of two nodes and their servers, searched step by step.
-
-One slice, two nodes, and beside each node one address at which servers crash and
-begin again. The decisions are those of `ProcessBond`, `HoldBook` and `ClusterState`
-themselves; what the shell around them does with their answers is modelled here, as
-are leases (an oracle that is as strict as the witnesses) and servers.
-
-An order arrives when it is sent, and its hold counts from then on, whenever it is
-carried out. Time goes in ticks; a lease has two of them. A new life's heartbeat is
-heard at any time after its beginning, or never: so has one under its predecessor's
-name, which nobody can tell from it.
-
-A server takes no note of a release's fence: where it did, an order that comes behind
-a release under a higher fence would be refused. As with the witnesses, the lease of a
-node's new process begins when that of the earlier one is over, and an earlier owner
-releases only where its lease was told of the move.
-
-What goes wrong, or takes its time, is a trouble, and their number is bounded as that
-of steps is. An order that is decided on, sent, carried out and answered without a
-delay is one step and no trouble.
+"""A model of two nodes and their servers, for an exhaustive search of its steps.
+
+The model has one slice, two nodes, and for each node one address at which servers crash
+and restart. The decisions are those of `ProcessTracker`, `HoldBook` and `ClusterState`
+themselves. The daemon's handling of their results is modelled here, as are servers and
+leases, the latter by an oracle that is as strict as the witnesses.
+
+An order arrives when it is sent, and its hold counts from then on, even if the order is
+applied later. Time advances in ticks; a lease lasts two of them. The heartbeat of a new
+incarnation is received at any time after its start, or never. A missing heartbeat also
+stands for a new incarnation that can't be distinguished from the earlier one, since it
+uses the same name.
+
+A server doesn't record the fence of a release: if it did, it would refuse an order that
+arrives after a release under a higher fence. As with the witnesses, the lease of a
+node's new process starts when that of the earlier one is over, and an earlier owner
+releases a slice only if the witnesses of its lease know of the move.
+
+A fault or a delay counts as a trouble. The number of troubles is bounded, as is that of
+steps. An order that is decided on, sent, applied and answered without a delay is one
+step without a trouble.
 """
 
-from comfreywharf.ownership.bond import ProcessBond
 from comfreywharf.ownership.holds import GrantAnswer, HoldBook
-from comfreywharf.ownership.tests.lives_events import NextEvents
-from comfreywharf.ownership.tests.lives_parts import (
+from comfreywharf.ownership.process_tracker import ProcessTracker
+from comfreywharf.ownership.tests.incarnation_events import NextEvents
+from comfreywharf.ownership.tests.incarnation_parts import (
     LEASE,
     LONG_AGO,
     NAMES,
@@ -32,7 +33,7 @@
     TERMS,
     UNAWAITED,
     Breach,
-    Life,
+    Incarnation,
     Node,
     Sending,
     copy_book,
@@ -47,7 +48,7 @@
 class World:
     """The state, and the events that may come next.
 
-    `after` returns the world behind an event, or raises `Breach`.
+    `after` returns the world after an event, or raises `Breach`.
     """
 
     def __init__(self):
@@ -55,33 +56,33 @@
         self.offset = 3
         self.epoch, self.owner, self.previous = 0, "a", ""
         self.nodes = {}
-        self.lives = {}
-        self.begun = {"a": 1, "b": 1}
-        self.dead_had = -1
+        self.incarnations = {}
+        self.latest_incarnation = {"a": 1, "b": 1}
+        self.highest_crashed_fence = -1
         self.troubles = 0
-        # Until when the witnesses keep a taker from each node's lease, and until
-        # when they keep the node from it for the sake of a taker.
-        self.kept_until = {"a": LEASE, "b": LEASE}
-        self.taken_until = {"a": LONG_AGO, "b": LONG_AGO}
+        # Until when the witnesses refuse each node's lease to a taker, and until
+        # when they refuse it to the node itself because of a taker.
+        self.taker_barred_until = {"a": LEASE, "b": LEASE}
+        self.node_barred_until = {"a": LONG_AGO, "b": LONG_AGO}
         for epoch, name in enumerate(NAMES, 1):
             node = self.nodes[name] = Node(book=HoldBook(TERMS), lease_epoch=epoch)
-            node.bond.opened(1)
+            node.tracker.opened(1)
             node.connections[1] = 1
-            self.lives[name] = Life(number=1)
+            self.incarnations[name] = Incarnation(number=1)
 
     def copy(self, names):
-        """Return an equal world in which these nodes and their servers may change."""
+        """Return a copy in which these nodes and their servers may change."""
         copied = type(self).__new__(type(self))
         vars(copied).update(vars(self))
         copied.nodes = dict(self.nodes)
-        copied.lives = dict(self.lives)
-        copied.begun = dict(self.begun)
-        copied.kept_until = dict(self.kept_until)
-        copied.taken_until = dict(self.taken_until)
+        copied.incarnations = dict(self.incarnations)
+        copied.latest_incarnation = dict(self.latest_incarnation)
+        copied.taker_barred_until = dict(self.taker_barred_until)
+        copied.node_barred_until = dict(self.node_barred_until)
         for name in names:
             copied.nodes[name] = self.nodes[name].copy()
-            if self.lives[name]:
-                copied.lives[name] = self.lives[name].copy()
+            if self.incarnations[name]:
+                copied.incarnations[name] = self.incarnations[name].copy()
         return copied
 
     def after(self, event):
@@ -92,7 +93,7 @@
         getattr(world, event.method)(*event.arguments)
         return world
 
-    # What a node may serve, as `OwnershipTable` decides it.
+    # What a node may serve, according to `OwnershipTable`.
 
     def owns(self, name):
         node = self.nodes[name]
@@ -113,8 +114,8 @@
         free = self.previous in ("", name) or self.claims(name)
         if self.owner == name:
             return self.fences()[0] if free else None
-        if self.previous == name and node.lingering >= 0:
-            return node.lingering
+        if self.previous == name and node.unreleased_fence >= 0:
+            return node.unreleased_fence
         return self.fences()[1] if free and self.claims(name) else None
 
     def served(self, name):
@@ -128,21 +129,24 @@
         """Return what may happen next."""
         return NextEvents(self, limits)
 
-    def leads_to_living(self, name, number):
-        """Return whether a connection leads to the life that there is."""
-        life = self.lives[name]
-        return life is not None and life.number == self.nodes[name].connections[number]
+    def leads_to_running(self, name, number):
+        """Return whether a connection leads to the running incarnation."""
+        incarnation = self.incarnations[name]
+        return (
+            incarnation is not None
+            and incarnation.number == self.nodes[name].connections[number]
+        )
 
-    # Events of a node, as `RangeGrants` and its pool have them.
+    # Events of a node, as in `RangeGrants` and its connection pool.
 
     def connect(self, name):
         node = self.nodes[name]
-        if not node.bond.process:
+        if not node.tracker.process:
             for number in node.idle:
                 self._end_connection(name, number)
         number = _free(node.connections)
-        node.connections[number] = self.lives[name].number
-        node.bond.opened(number)
+        node.connections[number] = self.incarnations[name].number
+        node.tracker.opened(number)
         self._answer_unsent(name)
 
     def close(self, name, number):
@@ -152,74 +156,74 @@
     def _end_connection(self, name, number):
         node = self.nodes[name]
         node.connections.pop(number, None)
-        node.bond.closed(number)
+        node.tracker.closed(number)
 
     def _answer_unsent(self, name):
-        """Answer the orders whose process isn't known any more."""
+        """Answer the unsent orders whose target process is no longer known."""
         node = self.nodes[name]
         for sending in list(node.sendings):
-            if sending.connection < 0 and sending.process != node.bond.process:
+            if sending.connection < 0 and sending.process != node.tracker.process:
                 node.sendings.remove(sending)
                 node.book.answered(sending.order, GrantAnswer.UNSENT, self.now)
 
     def may_push(self, name):
-        """Return whether a look would do anything."""
+        """Return whether `push` would do anything."""
         node = self.nodes[name]
-        if not node.bond.process or self.serving_fence(name) is None:
+        if not node.tracker.process or self.serving_fence(name) is None:
             return False
-        if node.met not in (None, node.bond.process):
+        if node.reached_process not in (None, node.tracker.process):
             return True
         served = self.served(name)
-        if node.book.bars(fence for _, _, fence, _ in served):
+        if node.book.has_used_fence(fence for _, _, fence, _ in served):
             return True
         return bool(copy_book(node.book).due(served, self.now))
 
     def will_decide(self, name):
-        """Return whether a look would decide on an order."""
+        """Return whether `push` would decide on an order."""
         node = self.nodes[name]
         book = copy_book(node.book)
-        if node.met not in (None, node.bond.process):
+        if node.reached_process not in (None, node.tracker.process):
             book.process_changed()
         served = self.served(name)
-        barred = book.bars(fence for _, _, fence, _ in served)
+        barred = book.has_used_fence(fence for _, _, fence, _ in served)
         return not barred and bool(book.due(served, self.now))
 
     def push(self, name, number=None, stages=1):
         """Do what `RangeGrants.push` does once a process is reached.
 
-        The order is sent on a connection, carried out and answered at once, or
-        only the first ``stages`` of that.
+        The order is sent on a connection, applied and answered at once, or only the
+        first ``stages`` of these happen.
         """
         node = self.nodes[name]
-        if node.met not in (None, node.bond.process):
+        if node.reached_process not in (None, node.tracker.process):
             node.book.process_changed()
-        node.met = node.bond.process
+        node.reached_process = node.tracker.process
         served = self.served(name)
-        if node.book.bars(fence for _, _, fence, _ in served):
-            self._begin_anew(name)
+        if node.book.has_used_fence(fence for _, _, fence, _ in served):
+            self._restart_lease(name)
             return
         for order in node.book.due(served, self.now):
             serial = _free([sending.serial for sending in node.sendings])
-            process = node.bond.process
+            process = node.tracker.process
             node.sendings.append(Sending(order=order, process=process, serial=serial))
             if number is not None:
                 self._send_at_once(name, number, stages)
 
     def _send_at_once(self, name, number, stages):
-        node, life = self.nodes[name], self.lives[name]
+        node, incarnation = self.nodes[name], self.incarnations[name]
         index = len(node.sendings) - 1
         self.send(name, index, number)
         if stages > 1:
-            self.carry_out(name, len(life.inbox) - 1)
+            self.carry_out(name, len(incarnation.inbox) - 1)
         if stages > 2:
             self.answer(name, index)
 
     def hold_of(self, order):
-        """Return for how long an order is granted when it is sent now."""
+        """Return the hold that an order grants if it is sent now."""
         return order.hold_s_at(self.now)
 
     def send(self, name, index, number):
-        node, life = self.nodes[name], self.lives[name]
+        node, incarnation = self.nodes[name], self.incarnations[name]
         sending = node.sendings[index]
         hold = self.hold_of(sending.order)
         if not hold:
@@ -227,10 +231,10 @@
             del node.sendings[index]
             return
         sending.connection = number
-        sending.asked = node.bond.asked()
-        if life and life.number == node.connections[number]:
+        sending.asked = node.tracker.asked()
+        if incarnation and incarnation.number == node.connections[number]:
             arrived = (sending.serial, sending.order.fence, self.now + hold)
-            life.inbox = (*life.inbox, arrived)
+            incarnation.inbox = (*incarnation.inbox, arrived)
 
     def lose(self, name, index):
         node = self.nodes[name]
@@ -241,91 +245,102 @@
         self._answer_unsent(name)
 
     def _leave_orders(self, name, serial=None):
-        """Have nobody wait any more for the answer to an order, or to any."""
-        life = self.lives[name]
-        if life:
-            life.inbox = tuple(
+        """Mark an order, or all of them, as no longer awaiting an answer."""
+        incarnation = self.incarnations[name]
+        if incarnation:
+            incarnation.inbox = tuple(
                 (UNAWAITED, *entry[1:]) if serial in (None, entry[0]) else entry
-                for entry in life.inbox
+                for entry in incarnation.inbox
             )
 
     def _forget_backend(self, name):
-        """Begin with another object for the server: its connections are new."""
+        """Start with a new object for the server, which has no connections."""
         node = self.nodes[name]
-        node.bond = ProcessBond()
+        node.tracker = ProcessTracker()
         node.connections = {}
         node.sendings = []
-        if node.met is not None:
-            node.met = "another"
+        if node.reached_process is not None:
+            node.reached_process = "another"
         self._leave_orders(name)
 
     def answer(self, name, index):
         node = self.nodes[name]
         sending = node.sendings.pop(index)
-        node.bond.answered(sending.connection, sending.asked)
+        node.tracker.answered(sending.connection, sending.asked)
         node.book.answered(sending.order, sending.answer, self.now)
         if sending.answer is GrantAnswer.OUTDATED:
-            self._begin_anew(name)
+            self._restart_lease(name)
 
     def refused(self, name):
         node = self.nodes[name]
         self._forget_backend(name)
-        node.known = None
+        node.announced = None
         node.book.clear()
         self._surrender(name, LONG_AGO)
 
     def announce(self, name):
         node = self.nodes[name]
-        if node.known is not None:
+        if node.announced is not None:
             self._forget_backend(name)
             self._surrender(name, node.book.all_held_until_s(self.now))
-        node.known = self.lives[name].number
+        node.announced = self.incarnations[name].number
 
     def restart(self, name):
-        """Begin a node's process anew; the earlier one left no word of its grants."""
-        node, life = self.nodes[name], self.lives[name]
+        """Restart a node's process; the earlier one left no record of its grants."""
+        node, incarnation = self.nodes[name], self.incarnations[name]
         unknown_until = self.now + TERMS.lease_s * (1 + TERMS.slow_clock)
         node.book = HoldBook(TERMS, unknown_until_s=unknown_until)
         self._forget_backend(name)
-        node.met = None
-        node.known = life.number if life else None
+        node.reached_process = None
+        node.announced = incarnation.number if incarnation else None
         node.held = node.claims = node.released = False
-        node.fresh = True
-        node.lingering = node.stopped = -1
+        node.restarted = True
+        node.unreleased_fence = node.stopped = -1
 
     # Events of servers, and the rule.
 
     def crash(self, name):
-        self.dead_had = max(self.dead_had, self.lives[name].had)
-        self.lives[name] = None
+        self.highest_crashed_fence = max(
+            self.highest_crashed_fence, self.incarnations[name].highest_held_fence
+        )
+        self.incarnations[name] = None
 
     def begin(self, name):
-        self.begun[name] += 1
-        self.lives[name] = Life(number=self.begun[name])
+        self.latest_incarnation[name] += 1
+        self.incarnations[name] = Incarnation(number=self.latest_incarnation[name])
 
     def carry_out(self, name, index):
-        life = self.lives[name]
-        serial, fence, until = life.inbox[index]
-        life.inbox = (*life.inbox[:index], *life.inbox[index + 1 :])
+        incarnation = self.incarnations[name]
+        serial, fence, until = incarnation.inbox[index]
+        incarnation.inbox = (
+            *incarnation.inbox[:index],
+            *incarnation.inbox[index + 1 :],
+        )
         answer = GrantAnswer.OUTDATED
-        if life.highest <= fence:
+        if incarnation.highest_seen_fence <= fence:
             answer = GrantAnswer.TAKEN
-            life.highest = fence
+            incarnation.highest_seen_fence = fence
             if until > self.now:
-                self._take(name, life, fence, until)
+                self._take(name, incarnation, fence, until)
         for sending in self.nodes[name].sendings:
             if sending.serial == serial:
                 sending.answer = answer
 
-    def _take(self, name, life, fence, until):
-        rival = self.lives[other(name)]
+    def _take(self, name, incarnation, fence, until):
+        rival = self.incarnations[other(name)]
         if rival and self.now < rival.held_until:
-            raise Breach(f"life {rival.number} at {other(name)} holds the key as well")
-        had = max(self.dead_had, rival.had if rival else -1)
-        if fence <= had:
-            raise Breach(f"taken under fence {fence}; another life had it under {had}")
-        life.held_until = until
-        life.had = max(life.had, fence)
+            raise Breach(
+                f"incarnation {rival.number} at {other(name)} holds the key as well"
+            )
+        other_fence = max(
+            self.highest_crashed_fence, rival.highest_held_fence if rival else -1
+        )
+        if fence <= other_fence:
+            raise Breach(
+                f"taken under fence {fence}; another incarnation had {other_fence}"
+            )
+        incarnation.held_until = until
+        incarnation.highest_held_fence = max(incarnation.highest_held_fence, fence)
 
     # Events of leases and of the slice.
 
@@ -335,26 +350,26 @@
 
     def _surrender(self, name, held_until):
         node = self.nodes[name]
-        self.kept_until[name] = held_until
+        self.taker_barred_until[name] = held_until
         if node.claims:
-            self.taken_until[other(name)] = held_until
+            self.node_barred_until[other(name)] = held_until
         node.held = node.claims = False
 
-    def _begin_anew(self, name):
+    def _restart_lease(self, name):
         self._surrender(name, self.nodes[name].book.all_held_until_s(self.now))
 
     def begin_lease(self, name):
         node = self.nodes[name]
-        node.held, node.fresh = True, False
-        node.lease_until = self.kept_until[name] = self.now + LEASE
+        node.held, node.restarted = True, False
+        node.lease_until = self.taker_barred_until[name] = self.now + LEASE
         node.lease_epoch = self._record()
-        node.lingering = -1
+        node.unreleased_fence = -1
 
     def claim(self, name):
         node, rival = self.nodes[name], self.nodes[other(name)]
         node.claims = True
         rival.held = rival.claims = False
-        self.taken_until[other(name)] = node.lease_until
+        self.node_barred_until[other(name)] = node.lease_until
 
     def record(self, name):
         self.epoch, self.owner = self._record(), name
@@ -365,20 +380,20 @@
         fence = self.fences()[0]
         self.epoch, self.owner, self.previous = self._record(), other(before), before
         node = self.nodes[before]
-        node.lingering = fence
+        node.unreleased_fence = fence
         node.released = False
 
     def stop(self, name):
         node = self.nodes[name]
-        node.stopped, node.released, node.lingering = self.epoch, False, -1
+        node.stopped, node.released, node.unreleased_fence = self.epoch, False, -1
         if node.book.stop(*PLACE, 2 * self.epoch, self.now) is None:
             self.hand_over(name)
 
     def release(self, name):
-        node, life = self.nodes[name], self.lives[name]
+        node, incarnation = self.nodes[name], self.incarnations[name]
         node.released = True
         if self.now < node.book.held_until_s(*PLACE):
-            life.held_until = LONG_AGO
+            incarnation.held_until = LONG_AGO
 
     def hand_over(self, name):
         self.previous = ""
@@ -387,9 +402,9 @@
         for name in NAMES:
             node = self.nodes[name]
             if name in renewing:
-                node.lease_until = self.kept_until[name] = self.now + 1 + LEASE
+                node.lease_until = self.taker_barred_until[name] = self.now + 1 + LEASE
                 if node.claims:
-                    self.taken_until[other(name)] = node.lease_until
+                    self.node_barred_until[other(name)] = node.lease_until
         self.now += 1
         for name in NAMES:
             # A claim ends with the lease of its taker.
@@ -399,10 +414,10 @@
     # The state as a value.
 
     def key(self):
-        """Return what tells this world from others.
+        """Return a key by which equal worlds are recognized.
 
-        Times count from now, and what is over is over. Of moments only the order
-        counts, and numbers of connections and orders are used again.
+        Times count from now, and past times are equal. Only the order of events
+        counts, and numbers of connections and orders are reused.
         """
         now = self.now
         return (
@@ -412,17 +427,20 @@
             self.epoch,
             self.owner,
             self.previous,
-            self.dead_had,
-            *(max(0, time - now) for time in self.kept_until.values()),
-            *(max(0, time - now) for time in self.taken_until.values()),
-            *self.begun.values(),
+            self.highest_crashed_fence,
+            *(max(0, time - now) for time in self.taker_barred_until.values()),
+            *(max(0, time - now) for time in self.node_barred_until.values()),
+            *self.latest_incarnation.values(),
             *(node.key(now) for node in self.nodes.values()),
-            *(life and life.key(now) for life in self.lives.values()),
+            *(
+                incarnation and incarnation.key(now)
+                for incarnation in self.incarnations.values()
+            ),
         )
 
 
 def _free(numbers):
-    """Return the least number that isn't in use."""
+    """Return the lowest unused number."""
     number = 1
     while number in numbers:
         number += 1
--- a/comfreywharf/ownership/tests/lives_parts.py
+++ b/comfreywharf/ownership/tests/incarnation_parts.py
@@ -1,6 +1,6 @@
-"""What the small world of `lives_model` is made of: nodes, lives, and orders.
+"""The parts of the worlds of `incarnation_model`: nodes, incarnations, and orders.
 
-Each part can be copied, and has a key by which two states of the world are alike.
+Each part can be copied, and has a key by which equal states are recognized.
 """
 
 import copy
@@ -8,8 +8,8 @@
 
 import attrs
 
-from comfreywharf.ownership.bond import ProcessBond
 from comfreywharf.ownership.holds import GrantAnswer, HoldBook, HoldTerms
+from comfreywharf.ownership.process_tracker import ProcessTracker
 from comfreywharf.records import Slice
 from comfreywharf.records.state import ClusterState, Member
 
@@ -26,21 +26,21 @@
 
 
 class Breach(Exception):
-    """The rule on owners was broken."""
+    """The rule of sole ownership was violated."""
 
 
 @attrs.frozen(kw_only=True)
 class Limits:
-    """How large the world gets. ``lives`` are those of each address.
+    """The bounds of a search. ``incarnations`` limits those at each address.
 
-    With nodes that aren't ``detailed`` all goes well: their servers don't crash, no
+    Nodes that aren't ``detailed`` have no faults: their servers don't crash, no
     connection is reset, and each order is answered at once.
     """
 
     steps: int
     troubles: int
     ticks: int = 4
-    lives: tuple[int, int] = (3, 2)
+    incarnations: tuple[int, int] = (3, 2)
     connections: int = 2
     detailed: tuple[str, ...] = NAMES
     restarts: bool = True
@@ -53,7 +53,7 @@
 
 @functools.lru_cache(maxsize=1 << 16)
 def fences(epoch, owner, standby, lease_epochs):
-    """Return the fences of a slice's owner and of its taker, as the fold has them."""
+    """Return the fences of a slice's owner and of its taker, according to the fold."""
     members = {
         name: Member(
             node_id=name,
@@ -94,21 +94,21 @@
         return copy.copy(self)
 
 
-def copy_bond(bond):
-    """Return an equal bond that goes its own way."""
-    copied = type(bond)()
-    for name, value in vars(bond).items():
+def copy_tracker(tracker):
+    """Return an independent copy of a process tracker."""
+    copied = type(tracker)()
+    for name, value in vars(tracker).items():
         setattr(copied, name, value.copy() if hasattr(value, "copy") else value)
     return copied
 
 
 def copy_hold(hold):
-    """Return an equal hold that goes its own way."""
+    """Return an independent copy of a hold."""
     return copy.copy(hold)
 
 
 def copy_book(book):
-    """Return an equal book that goes its own way."""
+    """Return an independent copy of a book."""
     copied = HoldBook(book.terms, book.unknown_until_s)
     copied._highest_fence = book._highest_fence
     copied._used_fence = book._used_fence
@@ -122,7 +122,7 @@
 
 
 def book_key(book, now):
-    """Return a book as a value."""
+    """Return a book as a hashable value."""
     earlier = sum(book._earlier.values(), [])
     return (
         book._highest_fence,
@@ -135,25 +135,25 @@
 
 
 def hold_key(hold, now):
-    """Return a hold as a value."""
+    """Return a hold as a hashable value."""
     return (
         hold.fence,
         max(0, hold.taken_until_s - now),
-        max(0, hold.maybe_until_s - now),
+        max(0, hold.possible_until_s - now),
         max(0, hold.lost_until_s - now),
-        hold.asked_s if hold.asking else 0,
-        hold.asking,
+        hold.order_hold_s if hold.order_pending else 0,
+        hold.order_pending,
         hold.outdated,
     )
 
 
 @attrs.define(kw_only=True)
-class Life:
+class Incarnation:
     """One process of a server. ``inbox`` has ``(serial, fence, until)`` of orders."""
 
     number: int
-    highest: int = -1
-    had: int = -1
+    highest_seen_fence: int = -1
+    highest_held_fence: int = -1
     held_until: float = LONG_AGO
     inbox: tuple = ()
 
@@ -162,8 +162,8 @@
 
     def key(self, now):
         return (
-            self.highest,
-            self.had,
+            self.highest_seen_fence,
+            self.highest_held_fence,
             max(0, self.held_until - now),
             tuple((s, fence, max(0, until - now)) for s, fence, until in self.inbox),
         )
@@ -171,81 +171,87 @@
 
 @attrs.define(kw_only=True)
 class Node:
-    """A node: its lease, its book, and its connections to the server beside it.
+    """A node: its lease, its book, and its connections to its server.
 
-    ``connections`` says to which life each one leads. ``known`` is the life
-    that was announced, ``None`` while the server is given up.
+    ``connections`` maps each connection to the incarnation to which it leads.
+    ``announced`` is the announced incarnation, or ``None`` while the server counts as
+    lost.
     """
 
     book: HoldBook
-    bond: ProcessBond = attrs.Factory(ProcessBond)
+    tracker: ProcessTracker = attrs.Factory(ProcessTracker)
     connections: dict = attrs.Factory(dict)
     sendings: list = attrs.Factory(list)
-    met: object = None
-    known: int | None = 1
+    reached_process: object = None
+    announced: int | None = 1
     held: bool = True
     lease_until: float = LEASE
     lease_epoch: int = 0
-    lingering: int = -1
+    unreleased_fence: int = -1
     claims: bool = False
     stopped: int = -1
     released: bool = False
-    fresh: bool = False
-    written: tuple = (None, None)
+    restarted: bool = False
+    cached_key: tuple = (None, None)
 
     def copy(self):
         return Node(
             book=copy_book(self.book),
-            bond=copy_bond(self.bond),
+            tracker=copy_tracker(self.tracker),
             connections=dict(self.connections),
             sendings=[sending.copy() for sending in self.sendings],
-            met=self.met,
-            known=self.known,
+            reached_process=self.reached_process,
+            announced=self.announced,
             held=self.held,
             lease_until=self.lease_until,
             lease_epoch=self.lease_epoch,
-            lingering=self.lingering,
+            unreleased_fence=self.unreleased_fence,
             claims=self.claims,
             stopped=self.stopped,
             released=self.released,
-            fresh=self.fresh,
+            restarted=self.restarted,
         )
 
     def key(self, now):
-        """Return the state as a value; it is kept, since few steps change a node."""
-        if self.written[0] != now:
-            self.written = (now, self._key(now))
-        return self.written[1]
+        """Return the state as a hashable value.
+
+        It is cached, since few steps change a node.
+        """
+        if self.cached_key[0] != now:
+            self.cached_key = (now, self._key(now))
+        return self.cached_key[1]
 
     def _key(self, now):
         return (
-            self.known,
-            None if self.met is None else self.met == self.bond.process,
+            self.announced,
+            None
+            if self.reached_process is None
+            else self.reached_process == self.tracker.process,
             self.held,
             max(0, self.lease_until - now),
             self.lease_epoch,
-            self.lingering,
+            self.unreleased_fence,
             self.claims,
             self.stopped,
             self.released,
-            self.fresh,
+            self.restarted,
             book_key(self.book, now),
-            self._bond_key(),
+            self._tracker_key(),
             tuple(self.connections.items()),
             tuple(self._sending_key(sending, now) for sending in self.sendings),
         )
 
-    def _bond_key(self):
-        opened = [(moment, c) for c, moment in self.bond._opened.items()]
+    def _tracker_key(self):
+        opened = [(moment, c) for c, moment in self.tracker._opened.items()]
         asked = [(sending.asked, -sending.serial) for sending in self.sendings]
         order = tuple(number for _, number in sorted(opened + asked))
-        return order, frozenset(self.bond._known)
+        return order, frozenset(self.tracker._confirmed)
 
     def _sending_key(self, sending, now):
         order = sending.order
         return (
             sending.serial,
-            sending.process == self.bond.process,
+            sending.process == self.tracker.process,
             sending.connection,
             sending.answer and sending.answer.value,
             order.fence,
--- a/comfreywharf/ownership/tests/list_world.py
+++ b/comfreywharf/ownership/tests/list_world.py
@@ -1,8 +1,9 @@
-"""A small world: a node, its server told by lists, and a node that takes over.
+"""A model of a node, its server that is granted ranges by lists, and a second node.
 
-The node decides with the very `HoldLists` and `ListedHoldBook`. What carries heartbeats
-and answers, the server's lives and its slow clock, the lease and the other node are
-modelled here. All times are of one clock, the server's holds end later by its slowness.
+The node decides with the product's `HoldLists` and `ListedHoldBook`. The transport of
+heartbeats and answers, the server's incarnations and its slow clock, the lease and the
+other node are modelled here. All times are by one clock; the server's holds end later
+because of its slow clock.
 """
 
 import attrs
@@ -29,21 +30,21 @@
 
 @attrs.define
 class Answer:
-    """A list on its way, and the heartbeat that asked for it."""
+    """A list in transit, and the heartbeat that requested it."""
 
     rows: tuple
     hold_s: float
     sent_s: float
-    life: int
+    incarnation: int
     connection: int
     keep: tuple = ()
 
 
 @attrs.define
 class Server:
-    """A server's present life: what it holds until when, and the fences it has seen."""
+    """A server's current incarnation: its holds and the fences that it has seen."""
 
-    life: int = 1
+    incarnation: int = 1
     connection: int = 1
     held: dict = attrs.Factory(dict)
     seen: dict = attrs.Factory(dict)
@@ -55,8 +56,8 @@
         return fence if now_s < until_s else None
 
     def take(self, answer, now_s):
-        """Carry a list out."""
-        if answer.life != self.life:
+        """Apply a list."""
+        if answer.incarnation != self.incarnation:
             return
         listed = {
             piece: row
@@ -78,15 +79,15 @@
 
 @attrs.define
 class ListWorld:
-    """What happens to one node and its server; each method is one event."""
+    """The state of one node and its server; each method is one event."""
 
     now_s: float = 100.0
     epoch: int = 1
-    mine: dict = attrs.Factory(lambda: {piece: 2 for piece in PIECES})
+    own_pieces: dict = attrs.Factory(lambda: {piece: 2 for piece in PIECES})
     others: dict = attrs.Factory(dict)
     lease_until_s: float = 102.0
     server: Server = attrs.Factory(Server)
-    on_their_way: list = attrs.Factory(list)
+    in_transit: list = attrs.Factory(list)
     releasing: dict = attrs.Factory(dict)
     fences: dict = attrs.Factory(dict)
     book: ListedHoldBook = None
@@ -96,15 +97,15 @@
         self.begin_node()
 
     def begin_node(self):
-        """Start the node's process, or start it again beside its living server."""
+        """Start the node's process, or restart it while its server keeps running."""
         self.book = ListedHoldBook.of_new_process(TERMS, self.now_s)
         self.lists = HoldLists(self.book)
         self.releasing.clear()
         self.epoch += 1
-        self.mine = {piece: 2 * self.epoch for piece in self.mine}
+        self.own_pieces = {piece: 2 * self.epoch for piece in self.own_pieces}
 
     def pass_time(self, duration_s):
-        """Let time pass; the lease goes on."""
+        """Advance the time; the lease continues."""
         self.now_s += duration_s
 
     def renew(self):
@@ -117,9 +118,9 @@
             return None
         served = tuple(
             (SERVICE, self._slice(piece), fence, self.lease_until_s)
-            for piece, fence in self.mine.items()
+            for piece, fence in self.own_pieces.items()
         )
-        if self.book.bars(fence for _, _, fence, _ in served):
+        if self.book.has_used_fence(fence for _, _, fence, _ in served):
             self.begin_lease()
             return None
         return Serving(served=served, pending=(), lease_until_s=self.lease_until_s)
@@ -130,18 +131,18 @@
         return Slice(start=start, end=end, owner="a")
 
     def begin_lease(self):
-        """Have the lease begin anew, with higher fences."""
+        """Start a new lease, with higher fences."""
         self.epoch += 1
-        self.mine = {piece: 2 * self.epoch for piece in self.mine}
+        self.own_pieces = {piece: 2 * self.epoch for piece in self.own_pieces}
 
     def heartbeat(self, travels_s, answered, kept):
-        """Send a heartbeat; its answer comes ``answered`` or is on its way.
+        """Send a heartbeat; its answer arrives if ``answered``, or stays in transit.
 
-        ``kept`` is false where the server leaves the connection behind it.
+        ``kept`` is false if the server closes the connection afterwards.
         """
         report = HoldReport(
             service=SERVICE,
-            connection=(self.server.life, self.server.connection),
+            connection=(self.server.incarnation, self.server.connection),
             arrived_s=self.now_s + travels_s,
             held=tuple(
                 HeldRange(first=piece[0], last=piece[1], fence=fence)
@@ -155,7 +156,7 @@
         )
         sent_s = self.now_s
         self.now_s += travels_s
-        if self.lists.hear(report, self.now_s):
+        if self.lists.receive(report, self.now_s):
             self.begin_lease()
         serving = self.serving()
         decided = serving and self.lists.decide(report, serving, self.now_s)
@@ -164,21 +165,21 @@
                 rows=decided.rows,
                 hold_s=decided.hold_s,
                 sent_s=sent_s,
-                life=self.server.life,
+                incarnation=self.server.incarnation,
                 connection=self.server.connection,
             )
             if answered:
                 self._take(answer)
             else:
-                self.on_their_way.append(answer)
+                self.in_transit.append(answer)
         if not kept or not answered:
             self.server.connection += 1
         self._end_releases()
 
     def answer_comes(self):
-        """Let a late answer be carried out, or be dropped with its time."""
-        if self.on_their_way:
-            self._take(self.on_their_way.pop(0))
+        """Apply a late answer; it has no effect if its time is over."""
+        if self.in_transit:
+            self._take(self.in_transit.pop(0))
 
     def _take(self, answer):
         before = {piece: self.server.holds(piece, self.now_s) for piece in PIECES}
@@ -186,19 +187,19 @@
         for piece in PIECES:
             fence = self.server.holds(piece, self.now_s)
             if fence is not None and fence != before[piece]:
-                self._note(piece, fence, ("server", self.server.life))
+                self._record_fence(piece, fence, ("server", self.server.incarnation))
 
-    def _note(self, piece, fence, holder):
+    def _record_fence(self, piece, fence, holder):
         for other, known in self.fences.get(piece, {}).items():
             assert other == holder or fence > known, (piece, fence, holder, self.fences)
         known = self.fences.setdefault(piece, {})
         known[holder] = max(fence, known.get(holder, -1))
 
     def move_away(self, piece):
-        """Have the planner give a piece to the other node."""
-        if piece not in self.mine or piece in self.releasing:
+        """Have the planner assign a piece to the other node."""
+        if piece not in self.own_pieces or piece in self.releasing:
             return
-        del self.mine[piece]
+        del self.own_pieces[piece]
         self.epoch += 1
         start, end = range_of_numbers(*piece)
         fence = self.book.stop(SERVICE, start, end, 2 * self.epoch, self.now_s)
@@ -207,7 +208,7 @@
         self._end_releases()
 
     def _end_releases(self):
-        """Let the other node's server hold what this node's server holds no more."""
+        """Grant the other node's server what this node's server no longer holds."""
         for piece, fence in list(self.releasing.items()):
             start, end = range_of_numbers(*piece)
             place = (SERVICE, start, end)
@@ -217,33 +218,33 @@
             if self.now_s < self.book.lost_until_s(*place):
                 continue
             del self.releasing[piece]
-            self._give(piece)
+            self._grant_other(piece)
 
-    def _give(self, piece):
+    def _grant_other(self, piece):
         self.epoch += 1
         self.others[piece] = 2 * self.epoch
-        self._note(piece, 2 * self.epoch, "other")
+        self._record_fence(piece, 2 * self.epoch, "other")
 
     def move_back(self, piece):
         """Have the other node's server release a piece to this node."""
         if piece in self.others:
             del self.others[piece]
             self.epoch += 1
-            self.mine[piece] = 2 * self.epoch
+            self.own_pieces[piece] = 2 * self.epoch
 
     def take_over(self):
-        """Have the other node claim all, once the lease is over."""
+        """Have the other node claim everything, once the lease is over."""
         if self.now_s < self.lease_until_s:
             return
         self.releasing.clear()
-        for piece in list(self.mine):
-            del self.mine[piece]
-            self._give(piece)
+        for piece in list(self.own_pieces):
+            del self.own_pieces[piece]
+            self._grant_other(piece)
 
     def restart_server(self):
-        """Have the server end, and begin again under its id."""
-        self.server = Server(life=self.server.life + 1)
-        self.lists.forget()
+        """Restart the server under the same id."""
+        self.server = Server(incarnation=self.server.incarnation + 1)
+        self.lists.server_restarted()
         self.book.process_changed()
 
     def check(self):
--- a/comfreywharf/ownership/tests/test_told_fences.py
+++ b/comfreywharf/ownership/tests/test_acknowledged_fences.py
@@ -1,4 +1,4 @@
-"""No fence is used before the witnesses know of the record that it came with."""
+"""No fence is used before the witnesses know of the record that raised it."""
 
 import pytest
 
@@ -35,8 +35,8 @@
     world.cuts |= {(other, node.node_id) for other in others}
 
 
-def begin_anew(node):
-    """Have a node's lease begin anew, as after its server's process changed."""
+def restart_lease(node):
+    """Restart a node's lease, as after its server's process changed."""
     now_s = node.now_s()
     node.carry_out(node.agent.surrender(node.state, "anew", now_s, now_s + 0.8))
     node.agent.recover()
@@ -47,16 +47,16 @@
 
 
 def only_reader(world, node):
-    """Have nobody but one node read the log from now on."""
+    """Have only one node read the log from now on."""
     for other in world.nodes.values():
         other.reads_log = other is node
 
 
-def fences_around_a_record_that_few_heard_of(world):
+def fences_around_a_partition(world):
     """Return the highest fence of the owner and that of its taker.
 
-    The log is down with records on their way to it, and nobody but the owner reads it.
-    The owner is cut off from the others at the moment when they are written.
+    The log is down while records are being sent to it, and only the owner reads it. The
+    owner is partitioned from the others when the records are written.
     """
     owner = owner_of(world)
     standby = world.nodes[world.role("standby", KEY)]
@@ -71,28 +71,28 @@
     return owned, taken
 
 
-def test_a_taker_serves_under_a_higher_fence_than_a_lease_that_few_heard_of():
-    """Symptom: a key goes to a taker's server under a fence below the owner's.
-    Sequence: a lease begins anew, and its record is written; the owner's server is
-    granted its keys at once; the owner is cut off before its next renewal, and the
-    others' reads of the log are behind by a lease.
-    Cause: a fence was used as soon as its record was read back. The witnesses learn of
-    the new lease epoch by the next renewal only, and grant a claim on the one before,
-    whose takeover fence lies below."""
+def test_taker_has_a_higher_fence_than_an_unacknowledged_lease():
+    """Guards against a taker's server that holds a key under a fence below the owner's.
+
+    A lease restarts, and its record is written. The owner is partitioned before its
+    next renewal, and the others read the log with a delay of a lease. The owner must
+    not use the fence as soon as its record is read back: the witnesses learn of the new
+    lease epoch only by the next renewal, and until then grant a claim on the earlier
+    one, whose takeover fence is lower."""
     world = make_world(fenced=True)
     owner = owner_of(world)
     before = fence_of(world, owner)
     only_reader(world, owner)
     world.log_up = False
-    begin_anew(owner)
+    restart_lease(owner)
     while owner.agent.holder.phase != "starting":
         world.run(STEP_S)
     world.run(STEP_S)
-    owned, taken = fences_around_a_record_that_few_heard_of(world)
+    owned, taken = fences_around_a_partition(world)
     assert taken > max(before, owned)
 
 
-def standby_changed(world, piece):
+def change_standby(world, piece):
     other = world.role("other", KEY)
     change = SliceMove(
         service=SERVICE,
@@ -104,7 +104,7 @@
     move(world, [change])
 
 
-def divided(world, piece):
+def split_slice(world, piece):
     at = (piece.start + piece.end) // 2
     append(
         world,
@@ -118,8 +118,8 @@
     )
 
 
-def divided_and_joined(world, piece):
-    divided(world, piece)
+def split_and_merge(world, piece):
+    split_slice(world, piece)
     epoch = len(world.log)
     append(
         world,
@@ -133,8 +133,8 @@
     )
 
 
-def witnesses_written_down(world, piece):
-    member = world.truth().members[piece.owner]
+def record_witnesses(world, piece):
+    member = world.folded_log().members[piece.owner]
     append(
         world,
         LeaseStarted(
@@ -150,14 +150,14 @@
 def append(world, record):
     world.waiting_appends.append(record)
     if world.log_up:
-        world.land_appends()
+        world.append_waiting()
 
 
-CHANGES = (standby_changed, divided, divided_and_joined, witnesses_written_down)
+CHANGES = (change_standby, split_slice, split_and_merge, record_witnesses)
 
 
 def piece_of(world):
-    return world.truth().owner_of(SERVICE, key_hash(KEY))
+    return world.folded_log().owner_of(SERVICE, key_hash(KEY))
 
 
 def fences_around_a_change(change):
@@ -166,33 +166,35 @@
     only_reader(world, owner)
     world.log_up = False
     change(world, piece_of(world))
-    return fences_around_a_record_that_few_heard_of(world)
+    return fences_around_a_partition(world)
 
 
 @pytest.mark.parametrize("change", CHANGES)
-def test_a_taker_serves_under_a_higher_fence_than_a_change_that_few_heard_of(change):
-    """Symptom: a key goes to a taker's server under a fence below the owner's.
-    Sequence: a record raises the fence of a slice that its owner keeps; the owner's
-    server is granted the key under it at once; the owner is cut off before its next
-    renewal, and the others' reads of the log are behind by a lease.
-    Cause: as for a lease that begins anew, and with any record that raises a fence."""
+def test_taker_has_a_higher_fence_than_an_unacknowledged_change(change):
+    """Guards against a taker's server that holds a key under a fence below the owner's.
+
+    A record raises the fence of a slice that its owner keeps. The owner is partitioned
+    before its next renewal, and the others read the log with a delay of a lease. As for
+    a lease that restarts, the owner must not use the fence at once; this holds for
+    any record that raises a fence."""
     owned, taken = fences_around_a_change(change)
     assert -1 < owned < taken
 
 
 @pytest.mark.parametrize("change", CHANGES)
-def test_without_the_wait_for_the_witnesses_a_taker_serves_below(change, monkeypatch):
-    """Each change is one that needs the wait."""
-    monkeypatch.setattr(QuorumLease, "told_epoch", lambda self: 1 << 60)
+def test_taker_has_a_lower_fence_without_the_wait_for_witnesses(change, monkeypatch):
+    """Each change requires the wait."""
+    monkeypatch.setattr(QuorumLease, "acknowledged_epoch", lambda self: 1 << 60)
     owned, taken = fences_around_a_change(change)
     assert -1 < taken < owned
 
 
 @pytest.mark.parametrize("change", CHANGES)
-def test_the_witnesses_hear_of_a_change_at_once_and_once(change):
-    """Symptom: keys are dark for a quarter of a lease after each split.
-    Sequence: a record raises the fence of a slice that its owner keeps.
-    Cause: the witnesses would hear of it with the next renewal in turn."""
+def test_witnesses_learn_of_a_change_at_once_in_one_round(change):
+    """Guards against keys that are unavailable for a quarter of a lease after a split.
+
+    A record raises the fence of a slice that its owner keeps. The witnesses must not
+    learn of it only by the next regular renewal."""
     world = make_world(fenced=True)
     owner = owner_of(world)
     while owner.agent.holder.due(owner.now_s() + 3 * STEP_S):
@@ -206,45 +208,48 @@
 
 
 def count_rounds(node):
-    """Return a list that gets the number of each round that a node asks."""
+    """Return a list to which the number of each of a node's rounds is added."""
     rounds = []
     renewal = node.agent.holder.renewal
 
-    def noted(*args, **options):
+    def recorded(*args, **options):
         message = renewal(*args, **options)
         rounds.append(message.round)
         return message
 
-    node.agent.holder.renewal = noted
+    node.agent.holder.renewal = recorded
     return rounds
 
 
-def test_a_lease_that_begins_anew_is_used_one_round_after_it_was_read_back():
-    """Symptom: keys are dark for a quarter of a lease after each restart in place.
-    Sequence: a lease begins anew and is written down.
-    Cause: its fences wait for a renewal with the new epoch, which comes in turn."""
+def test_restarted_lease_is_used_one_round_after_it_was_read_back():
+    """Guards against keys that are unavailable for a quarter of a lease after each
+    restart in place.
+
+    A lease restarts and is recorded. Its fences wait for a renewal with the new
+    epoch, which must not wait until the next regular one."""
     world = make_world(fenced=True)
     owner = owner_of(world)
     before = fence_of(world, owner)
-    begin_anew(owner)
+    restart_lease(owner)
     while owner.agent.holder.phase != "held":
         world.run(STEP_S)
     assert fence_of(world, owner) > before
 
 
-def test_a_slice_that_was_joined_and_divided_again_keeps_no_earlier_fence():
-    """Symptom: a server is granted a key under a lower fence than before.
-    Sequence: two slices are joined, served, and divided at the same place again; the
-    owner is cut off, so that the witnesses don't hear of it.
-    Cause: the owner goes on under the fence that it used last for that place."""
+def test_slice_that_was_merged_and_split_again_keeps_no_earlier_fence():
+    """Guards against a server that is granted a key under a lower fence than before.
+
+    Two slices are merged, served, and split again at the same place. The owner is
+    partitioned, so that the witnesses don't learn of it. The owner must not continue
+    under the fence that it last used for that place."""
     world = make_world(fenced=True)
     owner = owner_of(world)
     piece = piece_of(world)
     highest = -1
-    for change in (divided, divided_and_joined_again, divided):
-        if change is divided and highest > -1:
+    for change in (split_slice, merge_again, split_slice):
+        if change is split_slice and highest > -1:
             isolate(world, owner)
-        change(world, piece_of(world) if change is divided else piece)
+        change(world, piece_of(world) if change is split_slice else piece)
         for _ in range(6):
             world.run(STEP_S)
             fences = [fence_of(world, owner), *fences_within(owner, piece)]
@@ -258,9 +263,9 @@
     return [f for _, p, f, _ in serving if piece.start <= p.start < piece.end]
 
 
-def divided_and_joined_again(world, piece):
-    """Join the two parts of a slice that was divided."""
-    pieces = world.truth().slices[SERVICE]
+def merge_again(world, piece):
+    """Merge the two parts of a slice that was split."""
+    pieces = world.folded_log().slices[SERVICE]
     first = pieces.at_start(piece.start)
     append(
         world,
--- a/comfreywharf/ownership/tests/test_lost_witnesses.py
+++ b/comfreywharf/ownership/tests/test_lost_witnesses.py
@@ -1,4 +1,4 @@
-"""A node whose witnesses are lost: when it may take others, and when it owns again."""
+"""A node that lost its witnesses: when it may choose others, and when it owns again."""
 
 import pytest
 
@@ -12,88 +12,91 @@
 WITNESSES = ("a", "b", "c")
 
 
-def look(lost, now_s, asking=True, witnesses=WITNESSES):
-    return lost.look(witnesses, asking, now_s)
+def evaluate(lost, now_s, requesting=True, witnesses=WITNESSES):
+    return lost.evaluate(witnesses, requesting, now_s)
 
 
-def test_silence_of_two_witnesses_leads_to_others():
-    """Symptom: a healthy node's keys stay dark for good.
-    Sequence: the machines of two of its witnesses are removed within seconds.
-    Cause: without a majority it could neither own nor replace them."""
+def test_two_silent_witnesses_are_replaced():
+    """Guards against a healthy node's keys being permanently unavailable.
+
+    The machines of two of its witnesses are removed within seconds. Without a majority
+    the node can neither own slices nor replace the witnesses in the regular way."""
     lost = LostWitnesses(TERMS)
-    lost.heard("a", 10.0)
-    assert look(lost, 10.0) == (False, False)
-    lost.heard("a", 10.6)
-    assert look(lost, 10.7) == (True, False)
-    lost.probed({"a", "d", "e", "f"}, 10.8)
-    lost.heard("a", 11.2)
-    assert look(lost, 11.3) == (False, False)
-    lost.probed({"a", "d", "e", "f"}, 13.5)
-    lost.heard("a", 13.7)
-    assert look(lost, 13.8) == (False, True)
+    lost.answer_received("a", 10.0)
+    assert evaluate(lost, 10.0) == (False, False)
+    lost.answer_received("a", 10.6)
+    assert evaluate(lost, 10.7) == (True, False)
+    lost.members_probed({"a", "d", "e", "f"}, 10.8)
+    lost.answer_received("a", 11.2)
+    assert evaluate(lost, 11.3) == (False, False)
+    lost.members_probed({"a", "d", "e", "f"}, 13.5)
+    lost.answer_received("a", 13.7)
+    assert evaluate(lost, 13.8) == (False, True)
     state = ClusterState(members={n: make_member(n) for n in "abcdefx"})
     assert set(lost.choose(state, "x")) <= {"a", "d", "e", "f"}
 
 
 def test_witnesses_that_restart_are_waited_for():
-    """Symptom: after the loss of all nodes two of ten own nothing for ten seconds.
-    Sequence: all nodes are killed; two witnesses of one node are back two seconds
-    later than it.
-    Cause: it wrote down other witnesses after 1.2 s, and then had to wait until no
-    earlier one could have granted anything."""
+    """Guards against nodes that own nothing for ten seconds after the loss of all
+    nodes, seen on two of ten.
+
+    All nodes are killed, and two witnesses of one node restart two seconds later than
+    it. If the node recorded other witnesses after 1.2 s, it would have to wait until no
+    grant of an earlier one can last."""
     lost = LostWitnesses(TERMS)
     for tenth in range(100, 120):
         now_s = tenth / 10
-        lost.heard("a", now_s)
-        lost.probed({"a", "d", "e", "f"}, now_s)
-        assert look(lost, now_s)[1] is False
-    lost.heard("b", 12.0)
-    assert look(lost, 12.0) == (False, False)
+        lost.answer_received("a", now_s)
+        lost.members_probed({"a", "d", "e", "f"}, now_s)
+        assert evaluate(lost, now_s)[1] is False
+    lost.answer_received("b", 12.0)
+    assert evaluate(lost, 12.0) == (False, False)
 
 
 def test_witnesses_that_refuse_are_not_lost():
-    """One that says no may have granted the lease to a taker."""
+    """A witness that refuses may have granted the lease to a taker."""
     lost = LostWitnesses(TERMS)
     for tenth in range(100, 160):
         now_s = tenth / 10
-        lost.heard("a", now_s)
-        lost.heard("b", now_s)
-        assert look(lost, now_s) == (False, False)
+        lost.answer_received("a", now_s)
+        lost.answer_received("b", now_s)
+        assert evaluate(lost, now_s) == (False, False)
 
 
-def test_a_node_that_doesnt_ask_has_lost_nothing():
-    """A surrendered node hears from no witness, since it asks none."""
+def test_node_that_sends_no_requests_has_lost_no_witnesses():
+    """A surrendered node receives no answers, since it sends no requests."""
     lost = LostWitnesses(TERMS)
-    assert look(lost, 10.0, asking=False) == (False, False)
-    assert look(lost, 20.0, asking=False) == (False, False)
+    assert evaluate(lost, 10.0, requesting=False) == (False, False)
+    assert evaluate(lost, 20.0, requesting=False) == (False, False)
 
 
-def test_without_a_bound_on_stale_witnesses_none_are_taken_anew():
-    """Nothing would then bound how long an earlier witness grants."""
+def test_no_witnesses_are_replaced_without_a_bound_on_stale_ones():
+    """Nothing would then bound how long an earlier witness grants claims."""
     lost = LostWitnesses(LeaseTerms())
-    assert look(lost, 10.0) == look(lost, 60.0) == (False, False)
+    assert evaluate(lost, 10.0) == evaluate(lost, 60.0) == (False, False)
 
 
 def test_the_wait_covers_all_that_an_earlier_witness_may_grant():
-    """Symptom: two servers hold a key.
-    Sequence: a taker and two witnesses are cut off from the log and from the
-    owner; the owner takes other witnesses and serves at once.
-    Cause: the earlier two don't know of the record, and go on granting the claim
-    until their fold is stale, and a lease longer."""
+    """Guards against two servers that hold a key.
+
+    A taker and two witnesses are partitioned from the log and from the owner, and the
+    owner chooses other witnesses. It must not serve at once: the earlier two don't know
+    of the record, and grant the claim until their fold is stale; the last grant lasts
+    for a lease."""
     lost = LostWitnesses(TERMS)
     last_grant_s = 50.0 + TERMS.stale_after_s * (1 + TERMS.drift)
     claim_ends_s = TERMS.expires_s(last_grant_s, TERMS.lease_s)
-    assert lost.waits(True, 50.0)
-    assert lost.waits(True, claim_ends_s)
-    assert not lost.waits(True, 50.0 + TERMS.reset_wait_s)
+    assert lost.must_wait(True, 50.0)
+    assert lost.must_wait(True, claim_ends_s)
+    assert not lost.must_wait(True, 50.0 + TERMS.reset_wait_s)
 
 
-def test_a_new_process_waits_anew():
-    """Nobody remembers when the process before it saw the record."""
+def test_new_process_starts_the_wait_again():
+    """It isn't known when the earlier process folded the record."""
     first, second = LostWitnesses(TERMS), LostWitnesses(TERMS)
-    first.waits(True, 50.0)
-    assert second.waits(True, 61.0)
-    assert second.waits(True, 61.0 + TERMS.reset_wait_s - 0.1)
+    first.must_wait(True, 50.0)
+    assert second.must_wait(True, 61.0)
+    assert second.must_wait(True, 61.0 + TERMS.reset_wait_s - 0.1)
 
 
 def announced(node_id):
@@ -111,8 +114,8 @@
 
 
 @pytest.mark.parametrize(("base", "accepted"), [(1, True), (0, False)])
-def test_a_reset_stands_on_the_latest_epoch_and_lasts_to_the_next_start(base, accepted):
-    """One that was built on an earlier epoch is refused; the next start ends it."""
+def test_reset_is_based_on_the_latest_epoch_and_lasts_to_the_next_start(base, accepted):
+    """A reset that is based on an earlier epoch is refused; the next start ends it."""
     state = ClusterState()
     fold(state, 0, announced("x"))
     start = LeaseStarted(
--- a/comfreywharf/ownership/tests/test_witness_groups.py
+++ b/comfreywharf/ownership/tests/test_witness_groups.py
@@ -1,4 +1,4 @@
-"""How many witnesses stand behind a lease, and what their loss does."""
+"""The number of witnesses of a lease, and the effect of their loss."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 KEY = KEYS[0]
 
 
-def five(monkeypatch, count):
+def make_world_of_five(monkeypatch, count):
     """Return a world whose leases have five witnesses where there are enough."""
     terms = attrs.evolve(sim_node.TERMS, witnesses=5)
     monkeypatch.setattr(sim_node, "TERMS", terms)
@@ -16,10 +16,11 @@
 
 
 def test_two_lost_witnesses_of_five_leave_a_majority(monkeypatch):
-    """Symptom: keys are dark after three machines went within two seconds.
-    Sequence: an owner and two of its witnesses are lost at the same moment.
-    Cause: of three witnesses one was left, and nobody could take the keys over."""
-    world = five(monkeypatch, count=8)
+    """Guards against unavailable keys after the loss of three machines in two seconds.
+
+    An owner and two of its witnesses are lost at the same time. With three witnesses,
+    only one would be left, and no node could take over the keys."""
+    world = make_world_of_five(monkeypatch, count=8)
     standby = world.role("standby", KEY)
     witnesses = [w for w in world.witnesses_of(KEY) if w != standby]
     assert len(world.witnesses_of(KEY)) == 5
@@ -30,6 +31,6 @@
 
 
 def test_a_small_deployment_has_three(monkeypatch):
-    """With four other members a group of five can't be had, and four are no better."""
-    world = five(monkeypatch, count=5)
+    """With four other members there can't be five witnesses, and four are no better."""
+    world = make_world_of_five(monkeypatch, count=5)
     assert len(world.witnesses_of(KEY)) == 3
