--- a/comfreywharf/events/__init__.py
+++ b/comfreywharf/events/__init__.py
@@ -1,4 +1,4 @@
-"""Numbered events: their catalogue, lines, a bounded ring, a clock, a time line."""
+"""Numbered events of a node: catalogue, log lines, ring buffer, clock, time line."""
 
 from comfreywharf.events.catalogue import CATALOGUE, EventKind, Severity, by_name
 from comfreywharf.events.clock import MAX_AHEAD_MS, EventClock
--- a/comfreywharf/events/catalogue.py
+++ b/comfreywharf/events/catalogue.py
@@ -1,7 +1,8 @@
-"""The catalogue of events, read from `catalogue.toml` beside this module.
+"""The catalogue of events, read from `catalogue.toml` in this package.
 
-Numbers are never used twice. docs/events.md is made from the same file, and CI
-checks that each event in the code is in the catalogue and the reverse.
+A number is never reused for another event. docs/events.md is generated from the
+same file, and CI checks that every event reported by the code is in the catalogue
+and that every event of the catalogue is reported by the code.
 """
 
 import tomllib
@@ -14,7 +15,7 @@
 
 
 class Severity(Enum):
-    """How much an event asks of an operator."""
+    """How urgently an operator has to react to an event."""
 
     INFO = "info"
     WARNING = "warning"
@@ -53,5 +54,5 @@
 
 
 def by_name(name):
-    """Return a kind of event; an unknown name is a `KeyError`."""
+    """Return the kind of event with a name; raise `KeyError` if it is unknown."""
     return CATALOGUE[name]
--- a/comfreywharf/events/clock.py
+++ b/comfreywharf/events/clock.py
@@ -1,4 +1,4 @@
-"""A hybrid logical clock: event order over machines whose clocks disagree.
+"""A hybrid logical clock, which orders events of machines whose clocks differ.
 
 Source: S. Kulkarni et al., "Logical Physical Clocks" (2014).
 """
@@ -8,7 +8,7 @@
 COUNTER_BITS = 16
 
 MAX_AHEAD_MS = 5_000
-"""How far a received time may lie ahead of this machine's clock, in ms."""
+"""How far a received time may be ahead of this machine's wall clock, in ms."""
 
 
 class EventClock:
@@ -24,12 +24,13 @@
         self._last = 0
 
     def tick(self, now_ms):
-        """Return a time for a local event or a message that is sent.
+        """Return the time of a local event or of a message to be sent.
 
-        Times grow, with one exception: a machine whose own clock was far ahead
-        and was then set right would otherwise stay ahead, and all others would
-        refuse its times until they caught up. It starts again from its clock;
-        the order of its own events is told by their sequence numbers.
+        Times increase strictly, with one exception: if the wall clock was far
+        ahead and was corrected, time restarts from the wall clock. Otherwise this
+        node would stay ahead, and all others would reject its times until they
+        caught up. The order of this node's own events remains known from their
+        sequence numbers.
         """
         now = now_ms << COUNTER_BITS
         if self._last - now > (2 * MAX_AHEAD_MS) << COUNTER_BITS:
@@ -39,12 +40,13 @@
         return self._last
 
     def merge(self, received, now_ms):
-        """Take a received time into account; return how far it was too far ahead.
+        """Merge a received time; return how far ahead it is if it is rejected.
 
-        The result is in ms, and zero where the time was taken. One machine with
-        a clock in the future would otherwise drag every node's clock there with
-        its messages, and the time line of the whole deployment would be wrong
-        until then. A time over `MAX_AHEAD_MS` ahead is therefore left out.
+        The result is in ms, and 0 if the time was merged. A time that is more
+        than `MAX_AHEAD_MS` ahead of the wall clock is rejected. Otherwise the
+        messages of one machine whose clock is in the future would advance the
+        clocks of all nodes to that time, and the time line of the whole
+        deployment would be wrong until then.
         """
         ahead_ms = self.milliseconds(received) - now_ms
         if ahead_ms > MAX_AHEAD_MS:
--- a/comfreywharf/events/decisions.py
+++ b/comfreywharf/events/decisions.py
@@ -1,10 +1,11 @@
-"""Lines on single requests: what was decided on one, by what, and how old that was.
+"""Log lines about the decisions on single requests.
 
-On-call engineers have only logs and metrics. Each line is one JSON object with the
-request's id, so that the lines of all nodes on one request can be put together; see
-`explain`. A request that goes well would need a line a hop; only one in
-`SAMPLED_ONE_IN` of those has them, the same ones at all nodes, while every refusal,
-retry, hold and loss has one, up to a bound.
+A line says what was decided on a request, based on which data, and how old the data
+was. On-call engineers have only logs and metrics. Each line is one JSON object with
+the request's id, so that the lines of all nodes about one request can be combined;
+see `explain`. Every refusal, retry, hold and loss is logged, up to a rate limit.
+Successful requests would need one line per hop; only one in `SAMPLED_ONE_IN` of them
+is logged, and all nodes choose the same ones.
 """
 
 import attrs
@@ -18,7 +19,10 @@
 SAMPLED_ONE_IN = 64
 LINES_BURST = 200
 LINES_PER_S = 20.0
-"""For each kind of decision and node, so that a day of refusals fills nothing."""
+"""Lines per second for each kind of decision at a node, above a burst.
+
+The limit keeps a day of refusals from filling the log.
+"""
 
 DECISIONS = {
     "answered": "the caller got the backend server's answer",
@@ -32,20 +36,24 @@
     "not_admitted": "admission refused it before it was sent",
     "backend_failed": "the backend server refused it, or was lost with it",
 }
-"""The kinds of decision; the docs list them, and a test compares."""
+"""The kinds of decision; a test checks that the docs list the same ones."""
 
 
 def is_sampled(request_id):
-    """Return whether the plain lines of a request are written, at all nodes alike."""
+    """Return whether a request's decisions are logged even if it succeeds.
+
+    The result depends on the request's id alone, so all nodes agree on it.
+    """
     return xxhash.xxh3_64_intdigest(request_id.encode()) % SAMPLED_ONE_IN == 0
 
 
 @attrs.define
 class DecisionLog:
-    """Write lines within a bound, and count those left out.
+    """Write decision lines within a rate limit, and count those left out.
 
-    ``write`` takes the bytes of a line and returns whether they were taken; it
-    must not block. ``stamp`` returns the node's hybrid logical time.
+    ``write`` gets the bytes of a line and returns whether it wrote them; it must
+    not block. ``stamp`` returns the node's hybrid logical time. ``dropped`` counts
+    the lines that ``write`` has rejected since the last written one.
     """
 
     node_id: str
@@ -55,7 +63,10 @@
     _limit: RateLimit = attrs.Factory(lambda: RateLimit(LINES_BURST, LINES_PER_S))
 
     def tell(self, now_s, request_id, decision, **facts):
-        """Write that something was decided on a request."""
+        """Write a line about a decision on a request.
+
+        Raises `KeyError` if the decision isn't one of `DECISIONS`.
+        """
         if decision not in DECISIONS:
             raise KeyError(decision)
         left_out = self._limit.admit(decision, now_s)
--- a/comfreywharf/events/explain.py
+++ b/comfreywharf/events/explain.py
@@ -1,4 +1,4 @@
-"""One request's story, put together from the lines of all nodes."""
+"""The decisions on one request, combined from the log lines of all nodes."""
 
 import attrs
 import orjson
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class Step:
-    """One decision on a request, as a node wrote it down."""
+    """One decision on a request, as a node logged it."""
 
     clock: int
     node: str
@@ -19,11 +19,12 @@
 
 
 def read_steps(lines, request_id):
-    """Return the `Step` of each line on a request, in causal order.
+    """Return the `Step` of each line about a request, in causal order.
 
-    Lines may have anything before their JSON, as a collector adds it; those that
-    hold none are passed over. The order is that of the hybrid logical clocks:
-    what a node decided after it heard from another one comes behind it.
+    Any prefix before the JSON object of a line, as log collectors add it, is
+    skipped, and so are lines without a JSON object. Steps are sorted by their
+    hybrid logical clocks: a decision that a node made after it received a message
+    follows the decisions that the sender made before it sent the message.
     """
     steps = []
     for line in lines:
@@ -49,7 +50,7 @@
 
 
 def tell_story(steps):
-    """Yield the lines that tell a request's story to a person.
+    """Yield the steps of a request as lines of text for people.
 
     >>> step = Step(1 << 16, "n1", "refused", {"reason": "overloaded"})
     >>> print("\\n".join(tell_story([step])))
--- a/comfreywharf/events/limit.py
+++ b/comfreywharf/events/limit.py
@@ -1,4 +1,4 @@
-"""How often one kind of event may be written, so that an outage fills nothing."""
+"""A rate limit for each kind of event, so that an outage doesn't fill logs and ring."""
 
 import attrs
 
@@ -13,12 +13,12 @@
 
 
 class RateLimit:
-    """A token bucket for each kind of event, which counts what it holds back.
+    """A token bucket for each kind of event, which counts the withheld events.
 
-    An outage makes every node say the same thing many times a second. One would
-    notice a console of a VM without disks that is full, or a ring in which the
-    cause has been pushed out by its consequences. Each kind has its own bucket,
-    so that a frequent kind can't silence a rare one.
+    During an outage, every node reports the same event many times a second.
+    Without a limit, this would fill the console of a VM without disks, and the
+    consequences of the outage would push its cause out of the ring. Each kind has
+    its own bucket, so that a frequent kind can't suppress a rare one.
 
     >>> limit = RateLimit(burst=1, per_s=0.5)
     >>> [limit.admit("log_unreachable", now_s) for now_s in (0.0, 0.1, 0.2, 9.0)]
@@ -31,7 +31,11 @@
         self._buckets = {}
 
     def admit(self, name, now_s):
-        """Return how many were held back since the last one, or ``None`` to hold."""
+        """Admit an event, or withhold it.
+
+        Returns how many events of its kind were withheld since the last admitted
+        one, or ``None`` if this event has to be withheld as well.
+        """
         bucket = self._filled(name, now_s)
         if bucket.tokens < 1:
             bucket.withheld += 1
@@ -41,7 +45,7 @@
         return withheld
 
     def withhold(self, name, now_s):
-        """Count one that is held back for another reason."""
+        """Count an event that is withheld for another reason than the limit."""
         self._filled(name, now_s).withheld += 1
 
     def _filled(self, name, now_s):
@@ -54,10 +58,11 @@
         return bucket
 
     def take_withheld(self, now_s, quiet_s):
-        """Return ``(name, count)`` for kinds held back and silent for a while.
+        """Return and reset the counts of kinds without an event for ``quiet_s``.
 
-        Without this the last count of an outage would be told only when the next
-        one begins.
+        The result is a list of ``(name, count)`` for the kinds of which events
+        were withheld. Without this, the last count of an outage would be reported
+        only when the next outage begins.
         """
         told = []
         for name, bucket in self._buckets.items():
--- a/comfreywharf/events/lines.py
+++ b/comfreywharf/events/lines.py
@@ -1,9 +1,9 @@
-"""One event as one line of a log, and back.
+"""Format an event as one line of a log, and parse such a line.
 
 A line reads ``E301 lease_lapsed node=booking-2 run=17 seq=9 clock=1234 key=value``.
-A value is written bare where it is an integer or a plain word, and as a JSON
-string or number otherwise, so that a value with blanks, quotes or line ends can
-neither break the line nor pass for another field.
+A value is written without quotes if it is an integer or a plain word, and as a JSON
+string or number otherwise. A value with blanks, quotes or line ends therefore can
+neither break the line nor be mistaken for another field.
 
 >>> line = format_line(Event(number=203, name="log_unreachable", node_id="n-1",
 ...     incarnation=7, sequence=2, clock=65536, fields={"error": "no answer"}))
@@ -23,7 +23,7 @@
 __all__ = ["format_line", "format_value", "parse_line"]
 
 MAX_VALUE_CHARACTERS = 200
-"""A longer text is cut: an error message may quote what it couldn't read."""
+"""Longer texts are cut, as an error message may quote input of any length."""
 
 _BARE = re.compile(r"[A-Za-z_][A-Za-z0-9_.:/@+-]*")
 _LITERALS = {"true": True, "false": False, "null": None}
@@ -33,7 +33,11 @@
 
 
 def format_line(event, repeats=0):
-    """Return an event as one line; ``repeats`` counts the lines left out before."""
+    """Return an event as one line.
+
+    ``repeats`` is the number of lines for this kind of event that were left out
+    since the last one; it is written if it isn't 0.
+    """
     head = (event.node_id, event.incarnation, event.sequence, event.clock)
     pairs = [*zip(_HEAD_KEYS, head, strict=True), *event.fields.items()]
     if repeats:
@@ -43,7 +47,7 @@
 
 
 def format_value(value):
-    """Return a field's value as it stands in a line."""
+    """Return a field's value as it is written in a line."""
     if isinstance(value, bool) or value is None or isinstance(value, int | float):
         return json.dumps(value)
     text = str(value)
@@ -58,9 +62,9 @@
 
 
 def parse_line(line) -> Result[Event, str]:
-    """Return the event of a line, or what is wrong with the line.
+    """Return the event of a line, or a message that says why it has none.
 
-    What the logging library puts before the event is skipped.
+    The prefix of the logging library is skipped.
     """
     head = _HEAD.search(line)
     if head is None:
--- a/comfreywharf/events/ownership.py
+++ b/comfreywharf/events/ownership.py
@@ -1,4 +1,4 @@
-"""Which slices this node gained and lost by a record of the log."""
+"""The slices that this node gained and lost by a record of the log."""
 
 from collections import Counter
 
@@ -11,10 +11,11 @@
 
 @attrs.frozen(kw_only=True)
 class OwnershipChange:
-    """Slices of one service that came from, or went to, one other node.
+    """Slices of one service that this node gained from, or lost to, one other node.
 
     ``owned`` is how many slices of the service this node owns afterwards;
-    ``peer`` is empty where nobody owned the slices before.
+    ``peer`` is empty if the slices had no owner before or have none now, and if the
+    change was found by comparison with a snapshot.
     """
 
     service: str
@@ -25,10 +26,10 @@
 
 
 class OwnershipChanges:
-    """Follow the fold and tell what changed for one node.
+    """Derive the changes of one node's slices from the folded records.
 
-    Only this node's own slices are remembered: every node follows every record,
-    and a copy of all slices at each would be spent memory.
+    Only this node's own slices are stored. Every node folds every record, so a
+    copy of all slices at every node would waste memory.
     """
 
     def __init__(self, node_id):
@@ -41,9 +42,9 @@
         return Counter(service for service, _ in self._mine)
 
     def folded(self, state, record, result):
-        """Return the changes that a record made, as `OwnershipChange` values."""
+        """Return the changes caused by a folded record, as `OwnershipChange` values."""
         if isinstance(record, SliceSplit | SlicesMerged):
-            # The same keys stay with the same owner, in other pieces.
+            # The owners of the keys don't change, only the bounds of slices do.
             self._mine = self._owned(state)
             return []
         gained, lost = Counter(), Counter()
--- a/comfreywharf/events/ring.py
+++ b/comfreywharf/events/ring.py
@@ -1,4 +1,4 @@
-"""A bounded ring of events; the oldest fall out and are counted."""
+"""A ring buffer of events, which counts the oldest events that it drops."""
 
 from collections import deque
 
@@ -13,8 +13,8 @@
 class Event:
     """Something that happened at a node.
 
-    ``clock`` is a hybrid logical time, ``sequence`` counts a node's own events
-    since the start of its process, which ``incarnation`` tells from others.
+    ``clock`` is a hybrid logical time. ``sequence`` counts the node's own events
+    since its process started, and ``incarnation`` identifies that process.
     """
 
     number: int
@@ -27,7 +27,7 @@
 
 
 class EventRing:
-    """The last events of one node."""
+    """The latest events of one node, at most ``capacity`` of them."""
 
     def __init__(self, node_id, incarnation=0, capacity=4096):
         self._node_id = node_id
@@ -36,7 +36,11 @@
         self._sequence = 0
 
     def add(self, name, clock, fields):
-        """Add an event and return it; names and fields must be catalogued."""
+        """Add an event and return it.
+
+        Raises `KeyError` if the catalogue has no event of this name, and
+        `ValueError` if the fields differ from those in the catalogue.
+        """
         kind = by_name(name)
         if set(fields) != set(kind.fields):
             raise ValueError(f"{name} has {sorted(fields)}; expected {kind.fields}")
@@ -54,10 +58,10 @@
         return event
 
     def since(self, sequence=0):
-        """Return the kept events after a sequence number, oldest first."""
+        """Return the stored events after a sequence number, oldest first."""
         return [event for event in self._events if event.sequence > sequence]
 
     @property
     def dropped(self):
-        """Return how many events fell out."""
+        """Return how many events were dropped."""
         return self._sequence - len(self._events)
--- a/comfreywharf/events/timeline/__init__.py
+++ b/comfreywharf/events/timeline/__init__.py
@@ -1,4 +1,4 @@
-"""One time line from the events of many nodes: merged, as text, JSON or a page.
+"""Merge the events of many nodes into one time line, as text, JSON or HTML.
 
 >>> from comfreywharf.events import Event
 >>> first = Event(number=101, name="node_started", node_id="a", sequence=1,
--- a/comfreywharf/events/timeline/merge.py
+++ b/comfreywharf/events/timeline/merge.py
@@ -1,4 +1,4 @@
-"""Order the events of many nodes so that no effect stands before its cause."""
+"""Order the events of many nodes so that no effect precedes its cause."""
 
 import heapq
 from collections import defaultdict
@@ -12,19 +12,20 @@
 __all__ = ["MISSING", "Lane", "lanes_of", "merge", "severity_of", "time_ms"]
 
 MISSING = "events_missing"
-"""The name of the event that stands for events that fell out of a ring."""
+"""The name of the event that represents events that a ring dropped."""
 
 
 def merge(lists):
-    """Return all events of several lists, in causal order, each once.
+    """Return all events of several lists in causal order, without duplicates.
 
-    The lists are rings of nodes as they were fetched, in any order and with
-    overlaps: a node that was asked twice, before and after a fault, is no
-    problem. Within one run of a node the order is that of its sequence numbers.
-    Between nodes it is that of the hybrid clocks, which messages carry.
+    Each list has the events fetched from a node's ring. The lists may be in any
+    order and may overlap, as when a node was queried before and after a fault.
+    Events of one incarnation of a node are ordered by their sequence numbers.
+    Events of different nodes are ordered by the hybrid logical clocks, which are
+    sent with messages.
 
-    Events that fell out of a ring before they were fetched show as an event
-    named `MISSING` with their count.
+    Events that a ring dropped before they were fetched are represented by an
+    event named `MISSING` with their count.
     """
     runs = defaultdict(dict)
     for events in lists:
@@ -59,11 +60,12 @@
 
 
 def _keyed(events):
-    """Return ``(sort key, event)`` pairs that keep one run's own order.
+    """Return ``(sort key, event)`` pairs that keep the order of one incarnation.
 
-    A run's clock steps back where the machine's clock was ahead and was set
-    right. The events before the step would then stand after what followed them;
-    each therefore counts as no later than any event after it.
+    The clock of an incarnation steps back if the machine's wall clock was ahead
+    and was corrected. Sorted by their times alone, the events before the step
+    would follow those after it. The time in an event's key is therefore the
+    earliest time of the event and of all that follow it.
     """
     pairs = []
     latest = None
@@ -81,7 +83,10 @@
 
 
 def severity_of(event):
-    """Return an event's severity; a kind of another version counts as info."""
+    """Return an event's severity, which is `Severity.INFO` if its kind is unknown.
+
+    A kind can be unknown if the node runs another version.
+    """
     if event.name == MISSING:
         return Severity.WARNING
     kind = CATALOGUE.get(event.name)
@@ -90,7 +95,7 @@
 
 @attrs.frozen(kw_only=True)
 class Lane:
-    """One node's place in the picture, under its failure domain."""
+    """One node's row in the picture, below the heading of its failure domain."""
 
     node_id: str
     failure_domain: str
@@ -99,8 +104,8 @@
 def lanes_of(events, domains=None):
     """Return a `Lane` for each node, grouped by failure domain.
 
-    ``domains`` maps node ids to failure domains; a node that isn't in it is
-    looked for in its own ``node_started``.
+    ``domains`` maps node ids to failure domains. The domain of a node that isn't
+    in it is read from the node's own ``node_started`` event.
     """
     known = {
         event.node_id: event.fields["failure_domain"]
--- a/comfreywharf/events/timeline/page.py
+++ b/comfreywharf/events/timeline/page.py
@@ -1,4 +1,4 @@
-"""The time line as one self-contained HTML page with a picture in it."""
+"""The time line as one self-contained HTML page with an SVG picture."""
 
 from collections import Counter
 from html import escape
@@ -11,7 +11,7 @@
 __all__ = ["render_html"]
 
 MAX_ROWS = 500
-"""How many warnings and errors the table shows; the text below has them all."""
+"""How many warnings and errors the table shows; the text below it has all."""
 
 STYLE = """
 :root { color-scheme: light; }
@@ -40,10 +40,10 @@
 
 
 def render_html(events, domains=None, title="Time line"):
-    """Return a page for merged events.
+    """Return an HTML page for merged events.
 
-    ``domains`` maps node ids to failure domains where the events don't say. The
-    page needs no script, no font and no network.
+    ``domains`` maps node ids to failure domains, in addition to those in the
+    events. The page needs no script, no font and no network.
     """
     lanes = lanes_of(events, domains)
     return (
--- a/comfreywharf/events/timeline/picture.py
+++ b/comfreywharf/events/timeline/picture.py
@@ -1,8 +1,9 @@
-"""The picture of a time line: a lane for each node, drawn as SVG.
+"""The SVG picture of a time line, with a lane for each node.
 
-Time runs to the right. A lane's bar is as high as the node's share of slices,
-so that imbalance shows; markers above the bar are events, as large as they are
-serious. Everything has a title that the browser shows on hovering.
+Time runs to the right. The height of a lane's bar is the number of slices that the
+node owns, relative to the largest number, so that imbalance is visible. Markers
+above the bar are events; warnings and errors have larger markers. Bars, markers and
+arrows have a title that the browser shows on hovering.
 """
 
 from html import escape
@@ -24,11 +25,11 @@
 TOP = 74
 DOMAIN_HEIGHT = 20
 MERGE_PX = 7
-"""Markers of one lane and severity that are closer than this become one."""
+"""Markers of one lane and severity that are closer than this, in px, are merged."""
 
 MAX_ARROWS = 400
 LABEL_PX = 34
-"""The narrowest bar that gets its count written inside."""
+"""The width of the narrowest bar with its count written inside, in px."""
 
 TITLE_LINES = 12
 
@@ -47,7 +48,7 @@
 
 @attrs.define(kw_only=True)
 class _Scale:
-    """Where times and nodes stand on the picture, in px."""
+    """The positions of times and nodes in the picture, in px."""
 
     time: TimeScale
     rows: dict[str, float]
@@ -58,7 +59,7 @@
 
 
 def draw(events, lanes):
-    """Return the SVG of merged events; ``lanes`` gives the order of the nodes."""
+    """Return the SVG of merged events, with the nodes in the order of ``lanes``."""
     if not events:
         return ""
     times = [time_ms(event) for event in events]
@@ -108,7 +109,7 @@
 
 
 def _patterns(services):
-    """Return hatched fills: a colour of its own for each service, and for gaps."""
+    """Return the hatched fills, one for each service and one for gaps."""
     colours = {f"wait{i}": _colour(i) for i in range(len(services))}
     colours |= {"gap": "#52606d", "wait": "#52606d"}
     hatches = "".join(
@@ -131,7 +132,7 @@
 
 
 def _legend(services, spans, events):
-    """Return what colours and shapes mean, above the picture."""
+    """Return the legend of colours and shapes, which is above the picture."""
     keys = [
         (_box(_colour(index)), f"{name}: slices owned")
         for index, name in enumerate(services)
@@ -179,7 +180,7 @@
 
 
 def _axis(scale, height):
-    """Yield vertical lines and their times, counted from the first event."""
+    """Yield vertical lines and their times of day, but none in quiet stretches."""
     time = scale.time
     step_ms = next((t for t in _TICKS_MS if time.shown_ms / t <= 11), _TICKS_MS[-1])
     first_ms = -(-time.start_ms // step_ms) * step_ms
@@ -196,7 +197,7 @@
 
 
 def _crowded(scale, x):
-    """Return whether a label at a place would run into that of a quiet stretch."""
+    """Return whether a label at ``x`` would overlap that of a quiet stretch."""
     return any(
         scale.x(quiet.start_ms) - LABEL_PX < x < scale.x(quiet.end_ms) + LABEL_PX
         for quiet in scale.time.quiet
@@ -204,14 +205,14 @@
 
 
 def _label(x, text):
-    """Return a text above the lanes."""
+    """Return a label above the lanes."""
     return (
         f'<text class="faint" x="{x}" y="{TOP - 11}" text-anchor="middle">{text}</text>'
     )
 
 
 def _quiet(scale, height):
-    """Yield a pale column with its length for each stretch that is shortened."""
+    """Yield a pale column, labelled with its duration, for each quiet stretch."""
     for quiet in scale.time.quiet:
         start, end = scale.x(quiet.start_ms), scale.x(quiet.end_ms)
         length_s = (quiet.end_ms - quiet.start_ms) / 1000
@@ -224,7 +225,7 @@
 
 
 def _losses(scale, events):
-    """Yield a cross where a standby first served instead of a node."""
+    """Yield a cross at the first takeover from each node."""
     seen = set()
     for event in events:
         if event.name != "takeover" or event.fields["owner"] not in scale.rows:
@@ -255,7 +256,7 @@
 
 
 def _lives(scale, events):
-    """Yield a line for the time from a node's first to its last event."""
+    """Yield a line from the first to the last event of each node's incarnation."""
     lives = {}
     for event in events:
         run = (event.node_id, event.incarnation)
@@ -270,7 +271,7 @@
 
 
 def _bars(scale, spans, services):
-    """Yield a bar for each span, as high as its share of the largest count."""
+    """Yield a bar for each span, with a height in proportion to its count."""
     most = max((span.count for span in spans), default=1)
     for span in spans:
         x = scale.x(span.start_ms)
@@ -314,7 +315,10 @@
 
 
 def _arrows(scale, events):
-    """Yield an arrow for each move of slices from one lane to another."""
+    """Yield an arrow for each move of slices from one lane to another.
+
+    At most `MAX_ARROWS` arrows are drawn.
+    """
     moves = [
         event
         for event in events
@@ -351,7 +355,10 @@
 
 
 def _markers(scale, events):
-    """Yield a marker for each event, or for several that stand close together."""
+    """Yield a marker for each event, or one for several that are close together.
+
+    The most severe markers come last, so that they are drawn above the others.
+    """
     latest = {}
     markers = []
     for event in events:
@@ -387,7 +394,10 @@
 
 
 def _shape(severity, x, y, size):
-    """Return a dot, a triangle or a diamond, so that colour isn't all there is."""
+    """Return a dot, a triangle or a diamond.
+
+    The shapes make severities distinguishable without their colours.
+    """
     colour = MARKER_COLOURS[severity]
     if severity == Severity.INFO:
         return f'<circle cx="{x}" cy="{y}" r="{size}" fill="{colour}"/>'
--- a/comfreywharf/events/timeline/scale.py
+++ b/comfreywharf/events/timeline/scale.py
@@ -1,4 +1,4 @@
-"""From times to places on the picture, with quiet stretches drawn short."""
+"""The time axis of the picture, on which stretches without events are shortened."""
 
 from bisect import bisect_right
 
@@ -7,29 +7,29 @@
 __all__ = ["Quiet", "TimeScale"]
 
 QUIET_SHARE = 0.1
-"""A stretch without events that takes more of the time than this is shortened."""
+"""A stretch without events is shortened if it is a larger share of the time."""
 
 SHORT_SHARE = 0.04
-"""How much of the width a shortened stretch gets."""
+"""The width of a shortened stretch, as a share of that of all busy stretches."""
 
 EDGE_SHARE = 0.25
-"""How much of a quiet stretch's shown part stays beside the events next to it."""
+"""The part next to an event that isn't shortened, as a share of `QUIET_SHARE`."""
 
 
 @attrs.frozen(kw_only=True)
 class Quiet:
-    """A stretch of time without any event that the picture shortens."""
+    """A stretch of time without events, which is shortened in the picture."""
 
     start_ms: int
     end_ms: int
 
 
 class TimeScale:
-    """Place times between two positions.
+    """Map times to positions between ``left_px`` and ``right_px``.
 
-    An incident is a few busy seconds with quiet minutes between. On a scale that
-    is the same throughout, the busy seconds would be a single column of marks;
-    quiet stretches are therefore drawn short and marked as such.
+    An incident usually is a few busy seconds with quiet minutes between them. On
+    a linear scale, the busy seconds would shrink to a single column of markers.
+    Quiet stretches are therefore shortened, and marked as such.
     """
 
     def __init__(self, times_ms, left_px, right_px):
@@ -46,7 +46,10 @@
             self._anchors_px.append(self._anchors_px[-1] + step_px)
 
     def _segments(self):
-        """Return the ends of all segments, and the weight of each in width."""
+        """Return the bounds of all segments, and each segment's weight in width.
+
+        Busy and quiet segments alternate; the first and the last one are busy.
+        """
         ends = [t for quiet in self.quiet for t in (quiet.start_ms, quiet.end_ms)]
         anchors = [self.start_ms, *ends, self.end_ms]
         lengths = [b - a for a, b in zip(anchors, anchors[1:], strict=False)]
@@ -68,12 +71,12 @@
 
     @property
     def shown_ms(self):
-        """Return how much time is drawn in full."""
+        """Return the time outside of the shortened stretches, in ms."""
         quiet_ms = sum(quiet.end_ms - quiet.start_ms for quiet in self.quiet)
         return self.end_ms - self.start_ms - quiet_ms
 
     def is_quiet(self, at_ms):
-        """Return whether a time lies in a shortened stretch."""
+        """Return whether a time is in a shortened stretch."""
         return any(q.start_ms <= at_ms <= q.end_ms for q in self.quiet)
 
 
--- a/comfreywharf/events/timeline/spans.py
+++ b/comfreywharf/events/timeline/spans.py
@@ -1,4 +1,4 @@
-"""Spans of ownership, read from the events of a time line."""
+"""Spans of ownership, derived from the events of a time line."""
 
 from enum import Enum
 
@@ -10,7 +10,7 @@
 
 
 class SpanState(Enum):
-    """Whether an owner could serve during a span."""
+    """Whether and by what right a node could serve during a span; see `Span`."""
 
     SERVING = "serving"
     WAITING = "waiting"
@@ -19,11 +19,12 @@
 
 @attrs.frozen(kw_only=True)
 class Span:
-    """A node owned ``count`` slices of a service from one time to another.
+    """A time in which a node owned ``count`` slices of a service.
 
-    ``WAITING``: owned by the log's word, but without a lease. ``CLAIMED``: a
-    lost owner's slices, served by its standby before the log has it on record;
-    ``service`` then names the lost owner.
+    ``SERVING`` means that the node owned the slices and had a lease, ``WAITING``
+    that it owned them according to the log but had no lease. ``CLAIMED`` means
+    that the node was the standby of a lost owner, and served the owner's slices
+    before the log had a record of it; ``service`` then is the lost owner's id.
     """
 
     node_id: str
@@ -54,13 +55,14 @@
 
 
 class _Reader:
-    """Follow each node's ownership from event to event."""
+    """Track each node's ownership from event to event."""
 
     def __init__(self, events):
         self.spans = []
         self._views = {}
-        # A killed node can't report what it lost. Its losses are then read off
-        # the gains of others; where it did report them, they count once.
+        # A killed node can't report the slices that it lost. Its losses are then
+        # derived from the gains of other nodes, but not those that it reported,
+        # so that each loss counts once.
         self._told = {
             (event.node_id, event.fields["service"], event.fields["offset"])
             for event in events
@@ -68,7 +70,7 @@
         }
 
     def read(self, event):
-        """Take one event into account."""
+        """Update the ownership with the next event."""
         fields = event.fields
         if event.name in _LEASE_EVENTS:
             self._close(event)
@@ -98,9 +100,11 @@
         view.owned[service] = max(0, view.owned.get(service, 0) - fields["count"])
 
     def _read_lapse(self, event):
-        """End a lost owner's serving: a standby gets its keys after its lease only.
+        """End the lease of a lost owner at the takeover by its standby.
 
-        A killed owner can't report that; its span would otherwise go on.
+        A standby gets the owner's keys only after the owner's lease has expired.
+        A killed owner can't report that itself, so its serving span would
+        otherwise continue.
         """
         lost = event.fields["owner"]
         if lost in self._views:
@@ -113,12 +117,12 @@
         return self._views[event.node_id]
 
     def _close(self, event, node_id=None):
-        """End the running spans of a node at an event's time."""
+        """End the open spans of a node at an event's time."""
         self._view(event)
         self.close(node_id or event.node_id, time_ms(event))
 
     def close(self, node_id, end_ms):
-        """End the running spans of a node."""
+        """End the open spans of a node at a time, and start new ones."""
         view = self._views[node_id]
         state = SpanState.SERVING if view.lease else SpanState.WAITING
         running = [(name, count, state) for name, count in view.owned.items()]
@@ -137,13 +141,13 @@
         view.since_ms = max(view.since_ms, end_ms)
 
     def close_all(self, end_ms):
-        """End all running spans."""
+        """End the open spans of all nodes."""
         for node_id in self._views:
             self.close(node_id, end_ms)
 
 
 def ownership_spans(events):
-    """Return the spans of ownership in merged events, in order of their ends."""
+    """Return the spans of ownership in merged events, ordered by their ends."""
     if not events:
         return []
     reader = _Reader(events)
--- a/comfreywharf/events/timeline/text.py
+++ b/comfreywharf/events/timeline/text.py
@@ -1,4 +1,4 @@
-"""The time line as text for terminals, and as JSON for programs."""
+"""The time line as text for terminals and as JSON for programs."""
 
 import json
 from datetime import UTC, datetime
@@ -13,17 +13,17 @@
 
 
 MAX_NAMED = 5
-"""How many nodes that report the same are named in one line."""
+"""How many nodes with the same event are named in one line."""
 
 
 def clock_text(milliseconds):
-    """Return a time of day in UTC, to the millisecond."""
+    """Return the time of day in UTC; ``milliseconds`` are since 1970."""
     moment = datetime.fromtimestamp(milliseconds / 1000, UTC)
     return f"{moment:%H:%M:%S}.{milliseconds % 1000:03d}"
 
 
 def describe(event):
-    """Return number, name and fields of an event."""
+    """Return the number, name and fields of an event as text."""
     if event.name == MISSING:
         return f"---- {event.fields['count']} events fell out of this node's ring"
     fields = "".join(f" {k}={format_value(v)}" for k, v in event.fields.items())
@@ -31,7 +31,7 @@
 
 
 def render_text(events):
-    """Return one line an event; the same event at several nodes is one line."""
+    """Return one line per event, or per group of equal events of several nodes."""
     if not events:
         return "no events\n"
     start_ms = time_ms(events[0])
@@ -39,7 +39,7 @@
 
 
 def _groups(events):
-    """Join neighbours that differ in their node only."""
+    """Group successive events of different nodes with equal names and fields."""
     groups = []
     for event in events:
         if groups and _same(groups[-1], event):
@@ -80,9 +80,9 @@
 
 
 def from_json(documents):
-    """Return the events of a node's ``/events``, or of `render_json`, decoded.
+    """Return the events in the decoded JSON of ``/events`` or of `render_json`.
 
-    Raises `ValueError` for anything else.
+    Raises `ValueError` if the documents aren't events.
     """
     names = {field.name for field in attrs.fields(Event)}
     try:
