--- a/comfreywharf/cli/explain.py
+++ b/comfreywharf/cli/explain.py
@@ -9,7 +9,7 @@
 from cyclopts import App
 
 from comfreywharf.cli.exits import CommandError, ExitCode
-from comfreywharf.events.explain import read_steps, tell_story
+from comfreywharf.events.explain import format_steps, read_steps
 
 __all__ = ["register"]
 
@@ -53,6 +53,6 @@
         for step in steps:
             print(orjson.dumps(attrs.asdict(step)).decode())
     else:
-        for line in tell_story(steps):
+        for line in format_steps(steps):
             print(line)
     return ExitCode.FINE
--- a/comfreywharf/daemon/operating/decisions.py
+++ b/comfreywharf/daemon/operating/decisions.py
@@ -64,13 +64,13 @@
         }
         if not reply.reason:
             if is_sampled(request.request_id):
-                self._log.tell(now_s, request.request_id, "answered", **facts)
+                self._log.add(now_s, request.request_id, "answered", **facts)
             return
         kind = "refused" if reply.outcome == Outcome.NOT_RUN else "unknown"
         facts["reason"] = reply.reason
         facts["retry_after_ms"] = reply.retry_after_ms
         facts |= self._routes_belief(now_s)
-        self._log.tell(now_s, request.request_id, kind, **facts, **self._belief(now_s))
+        self._log.add(now_s, request.request_id, kind, **facts, **self._belief(now_s))
 
     def turned_away(self, request_id, reply, now_s):
         """Tell of a request that was refused for what it says."""
@@ -78,7 +78,7 @@
             return
         facts = {"status": reply.status, "reason": reply.reason}
         facts |= self._routes_belief(now_s)
-        self._log.tell(now_s, request_id, "turned_away", **facts)
+        self._log.add(now_s, request_id, "turned_away", **facts)
 
     def step(self, call, decision, reply, target, ownership):
         """Tell where a request goes after a refusal."""
@@ -91,14 +91,14 @@
             facts["standby"] = ownership.standby
             facts["previous"] = ownership.previous
         facts |= self._belief(now_s)
-        self._log.tell(now_s, call.request.request_id, decision, **facts)
+        self._log.add(now_s, call.request.request_id, decision, **facts)
 
     def no_right(self, request, right, now_s):
         """Tell that this node may not serve a request's key."""
         if not self.enabled:
             return
         holder = self._node.leases.holder
-        self._log.tell(
+        self._log.add(
             now_s,
             request.request_id,
             "no_right",
@@ -120,7 +120,7 @@
             typical_s = state.typical_s(work_kind(request), now_s)
             facts["typical_ms"] = round(typical_s * 1000)
             facts["target_ms"] = request.target_ms
-        self._log.tell(now_s, request.request_id, "not_admitted", **facts)
+        self._log.add(now_s, request.request_id, "not_admitted", **facts)
 
     def backend_failed(self, request, running, instance, reason, detail):
         """Tell that the backend server didn't answer a request, or refused it."""
@@ -128,7 +128,7 @@
             return
         now_s = boottime_s()
         lease = self._node.leases.holder.lease
-        self._log.tell(
+        self._log.add(
             now_s,
             request.request_id,
             "backend_failed",
--- a/comfreywharf/events/decisions.py
+++ b/comfreywharf/events/decisions.py
@@ -62,7 +62,7 @@
     dropped: int = 0
     _limit: RateLimit = attrs.Factory(lambda: RateLimit(LINES_BURST, LINES_PER_S))
 
-    def tell(self, now_s, request_id, decision, **facts):
+    def add(self, now_s, request_id, decision, **facts):
         """Write a line about a decision on a request.
 
         Raises `KeyError` if the decision isn't one of `DECISIONS`.
--- a/comfreywharf/events/explain.py
+++ b/comfreywharf/events/explain.py
@@ -5,7 +5,7 @@
 
 from comfreywharf.events.decisions import DECISIONS
 
-__all__ = ["Step", "read_steps", "tell_story"]
+__all__ = ["Step", "format_steps", "read_steps"]
 
 
 @attrs.frozen
@@ -49,23 +49,23 @@
     return Step(*(fields[name] for name in names), facts)
 
 
-def tell_story(steps):
+def format_steps(steps):
     """Yield the steps of a request as lines of text for people.
 
     >>> step = Step(1 << 16, "n1", "refused", {"reason": "overloaded"})
-    >>> print("\\n".join(tell_story([step])))
+    >>> print("\\n".join(format_steps([step])))
     +0 ms  n1  refused: the caller was told that its request didn't run
                reason=overloaded
     """
     if not steps:
         return
-    begun_ms = steps[0].clock >> 16
+    start_ms = steps[0].clock >> 16
     width = max(len(step.node) for step in steps)
     for step in steps:
-        after_ms = (step.clock >> 16) - begun_ms
-        what = DECISIONS.get(step.decision, "a decision of another version")
-        head = f"+{after_ms} ms  {step.node:<{width}}"
-        yield f"{head}  {step.decision}: {what}"
+        elapsed_ms = (step.clock >> 16) - start_ms
+        description = DECISIONS.get(step.decision, "a decision of another version")
+        head = f"+{elapsed_ms} ms  {step.node:<{width}}"
+        yield f"{head}  {step.decision}: {description}"
         facts = " ".join(f"{name}={value}" for name, value in step.facts.items())
         if facts:
             yield " " * (len(head) + 2) + facts
--- a/comfreywharf/events/tests/test_decisions.py
+++ b/comfreywharf/events/tests/test_decisions.py
@@ -8,7 +8,7 @@
 
 from comfreywharf.daemon.operating.decisions import StdoutLines
 from comfreywharf.events.decisions import LINES_BURST, DecisionLog, is_sampled
-from comfreywharf.events.explain import read_steps, tell_story
+from comfreywharf.events.explain import format_steps, read_steps
 
 
 class Lines(list):
@@ -33,9 +33,9 @@
     lines = Lines()
     log = make_log(lines)
     for number in range(1000):
-        log.tell(0.0, f"r{number}", "refused", reason="overloaded")
+        log.add(0.0, f"r{number}", "refused", reason="overloaded")
     assert len(lines) == LINES_BURST
-    log.tell(60.0, "last", "refused", reason="overloaded")
+    log.add(60.0, "last", "refused", reason="overloaded")
     assert lines[-1]["left_out_before"] == 1000 - LINES_BURST
 
 
@@ -44,17 +44,17 @@
     lines = Lines()
     log = make_log(lines)
     lines.full = True
-    log.tell(0.0, "a", "held")
+    log.add(0.0, "a", "held")
     lines.full = False
-    log.tell(0.0, "b", "held")
-    log.tell(0.0, "c", "held")
+    log.add(0.0, "b", "held")
+    log.add(0.0, "c", "held")
     assert [line.get("dropped_before") for line in lines] == [1, None]
 
 
 def test_an_unknown_kind_of_decision_is_an_error():
     """The catalogue and the code can't drift apart."""
     with pytest.raises(KeyError):
-        make_log(Lines()).tell(0.0, "a", "improvised")
+        make_log(Lines()).add(0.0, "a", "improvised")
 
 
 def test_a_pipe_that_nobody_reads_doesnt_stop_the_process():
@@ -77,10 +77,10 @@
     clocks = itertools.count(1 << 16, 1 << 16)
     first, second = Lines(), Lines()
     one, two = make_log(first, "ingress", clocks), make_log(second, "owner", clocks)
-    one.tell(0.0, "id", "held", after="not-yet-owner")
-    two.tell(0.0, "id", "not_admitted", reason="overloaded")
-    two.tell(0.0, "other", "not_admitted", reason="overloaded")
-    one.tell(0.0, "id", "refused", reason="overloaded")
+    one.add(0.0, "id", "held", after="not-yet-owner")
+    two.add(0.0, "id", "not_admitted", reason="overloaded")
+    two.add(0.0, "other", "not_admitted", reason="overloaded")
+    one.add(0.0, "id", "refused", reason="overloaded")
     texts = [f"12.5 node {orjson.dumps(f).decode()}" for f in (*second, *first)]
     steps = read_steps(["", "noise id", "{id", *texts], "id")
     assert [(s.node, s.decision) for s in steps] == [
@@ -88,7 +88,7 @@
         ("owner", "not_admitted"),
         ("ingress", "refused"),
     ]
-    story = "\n".join(tell_story(steps))
+    story = "\n".join(format_steps(steps))
     assert "+0 ms" in story and "reason=overloaded" in story
 
 
