--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -32,7 +32,7 @@
 from comfreywharf.daemon.requests.memory import NodeMemory
 from comfreywharf.daemon.requests.routes import Routes
 from comfreywharf.daemon.stopping import stop_gracefully, stop_within
-from comfreywharf.events.ownership import OwnershipChanges
+from comfreywharf.events.ownership import OwnershipTracker
 from comfreywharf.membership import NodeFacts, NodeLifecycle, PauseDetector
 from comfreywharf.metrics import Metrics
 from comfreywharf.ownership import WITNESSES
@@ -98,7 +98,7 @@
         self.load_reports.service_ms = self.load.service_ms
         self.forwarder = Forwarder(self)
         self.ingress = Ingress(self, Dispatcher(self, self.ports.route_limits))
-        self.ownership = OwnershipChanges(settings.node_id)
+        self.ownership = OwnershipTracker(settings.node_id)
         self.meter = Meter(self)
         self._announced_s = float("-inf")
         self._refused = False
@@ -399,7 +399,7 @@
                 count=len(result.changed),
                 offset=state.next_offset - 1,
             )
-        for change in self.ownership.folded(state, record, result):
+        for change in self.ownership.changes_by_record(state, record, result):
             self._report_ownership(change, state.next_offset - 1)
 
     def _report_ownership(self, change, offset):
@@ -426,7 +426,7 @@
     def _on_loaded(self):
         """Tell what a snapshot changed for this node."""
         state = self.follower.state
-        for change in self.ownership.replaced(state):
+        for change in self.ownership.changes_by_snapshot(state):
             self._report_ownership(change, state.next_offset - 1)
 
     def _report_config(self):
--- a/comfreywharf/events/ownership.py
+++ b/comfreywharf/events/ownership.py
@@ -6,7 +6,7 @@
 
 from comfreywharf.records import SlicesMerged, SliceSplit, SlicesTaken
 
-__all__ = ["OwnershipChange", "OwnershipChanges"]
+__all__ = ["OwnershipChange", "OwnershipTracker"]
 
 
 @attrs.frozen(kw_only=True)
@@ -25,7 +25,7 @@
     gained: bool
 
 
-class OwnershipChanges:
+class OwnershipTracker:
     """Derive the changes of one node's slices from the folded records.
 
     Only this node's own slices are stored. Every node folds every record, so a
@@ -34,45 +34,45 @@
 
     def __init__(self, node_id):
         self._node_id = node_id
-        self._mine = set()
+        self._own_slices = set()
 
     @property
     def owned(self):
         """Return how many slices this node owns, by service."""
-        return Counter(service for service, _ in self._mine)
+        return Counter(service for service, _ in self._own_slices)
 
-    def folded(self, state, record, result):
+    def changes_by_record(self, state, record, result):
         """Return the changes caused by a folded record, as `OwnershipChange` values."""
         if isinstance(record, SliceSplit | SlicesMerged):
             # The owners of the keys don't change, only the bounds of slices do.
-            self._mine = self._owned(state)
+            self._own_slices = self._owned(state)
             return []
         gained, lost = Counter(), Counter()
-        for place in result.changed:
-            self._compare(state, record, place, gained, lost)
+        for slice_id in result.changed:
+            self._compare(state, record, slice_id, gained, lost)
         return self._changes(gained, lost)
 
-    def replaced(self, state):
+    def changes_by_snapshot(self, state):
         """Return the changes after the whole state was replaced by a snapshot."""
         owned = self._owned(state)
-        gained = Counter((service, "") for service, _ in owned - self._mine)
-        lost = Counter((service, "") for service, _ in self._mine - owned)
-        self._mine = owned
+        gained = Counter((service, "") for service, _ in owned - self._own_slices)
+        lost = Counter((service, "") for service, _ in self._own_slices - owned)
+        self._own_slices = owned
         return self._changes(gained, lost)
 
     def _owned(self, state):
         owned = state.owned_by(self._node_id)
         return {(service, piece.start) for service, piece in owned}
 
-    def _compare(self, state, record, place, gained, lost):
-        service, start = place
+    def _compare(self, state, record, slice_id, gained, lost):
+        service, start = slice_id
         piece = state.slices[service].at_start(start)
         owner = piece.owner if piece else ""
-        if owner == self._node_id and place not in self._mine:
-            self._mine.add(place)
-            gained[service, _giver(record, piece)] += 1
-        elif owner != self._node_id and place in self._mine:
-            self._mine.discard(place)
+        if owner == self._node_id and slice_id not in self._own_slices:
+            self._own_slices.add(slice_id)
+            gained[service, _previous_owner(record, piece)] += 1
+        elif owner != self._node_id and slice_id in self._own_slices:
+            self._own_slices.discard(slice_id)
             lost[service, owner] += 1
 
     def _changes(self, gained, lost):
@@ -90,5 +90,5 @@
         ]
 
 
-def _giver(record, piece):
+def _previous_owner(record, piece):
     return record.owner_id if isinstance(record, SlicesTaken) else piece.previous
