--- a/comfreywharf/daemon/operating/reporter.py
+++ b/comfreywharf/daemon/operating/reporter.py
@@ -11,8 +11,8 @@
     EventRing,
     RateLimit,
     Severity,
-    by_name,
     format_line,
+    kind_by_name,
 )
 from comfreywharf.metrics import Metrics
 from comfreywharf.transport import Stamps
@@ -49,7 +49,7 @@
     def add(self, name, fields):
         """Add an event whose fields are given as a mapping."""
         now_s = boottime_s()
-        severity = by_name(name).severity
+        severity = kind_by_name(name).severity
         self._metrics.event_reported(name, severity.value)
         unkept = self._kept.admit(name, now_s)
         if unkept is None:
--- a/comfreywharf/daemon/tests/test_operators.py
+++ b/comfreywharf/daemon/tests/test_operators.py
@@ -12,7 +12,7 @@
     make_port,
     patch_order,
 )
-from comfreywharf.events import by_name
+from comfreywharf.events import kind_by_name
 from comfreywharf.records import UnknownRecord, key_hash
 from comfreywharf.records.state import REMEMBERED_RECORDS
 
@@ -188,7 +188,7 @@
     """A tool that asks again gets only what it hasn't seen."""
     port, _ = make_port()
     for incarnation in (1, 2):
-        fields = {field: incarnation for field in by_name("node_started").fields}
+        fields = {field: incarnation for field in kind_by_name("node_started").fields}
         port._node.events.add("node_started", 7 << 16, fields)
     status, events = ask(port, "GET", "/events", query="since=1")
     assert (status, [event["sequence"] for event in events]) == (200, [2])
--- a/comfreywharf/events/__init__.py
+++ b/comfreywharf/events/__init__.py
@@ -1,6 +1,6 @@
 """Numbered events of a node: catalogue, log lines, ring buffer, clock, time line."""
 
-from comfreywharf.events.catalogue import CATALOGUE, EventKind, Severity, by_name
+from comfreywharf.events.catalogue import CATALOGUE, EventKind, Severity, kind_by_name
 from comfreywharf.events.clock import MAX_AHEAD_MS, EventClock
 from comfreywharf.events.limit import RateLimit
 from comfreywharf.events.lines import format_line, parse_line
@@ -15,7 +15,7 @@
     "EventRing",
     "RateLimit",
     "Severity",
-    "by_name",
     "format_line",
+    "kind_by_name",
     "parse_line",
 ]
--- a/comfreywharf/events/catalogue.py
+++ b/comfreywharf/events/catalogue.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-__all__ = ["CATALOGUE", "EventKind", "Severity", "by_name"]
+__all__ = ["CATALOGUE", "EventKind", "Severity", "kind_by_name"]
 
 
 class Severity(Enum):
@@ -53,6 +53,6 @@
 CATALOGUE = _load()
 
 
-def by_name(name):
+def kind_by_name(name):
     """Return the kind of event with a name; raise `KeyError` if it is unknown."""
     return CATALOGUE[name]
--- a/comfreywharf/events/ring.py
+++ b/comfreywharf/events/ring.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from comfreywharf.events.catalogue import by_name
+from comfreywharf.events.catalogue import kind_by_name
 
 __all__ = ["Event", "EventRing"]
 
@@ -41,7 +41,7 @@
         Raises `KeyError` if the catalogue has no event of this name, and
         `ValueError` if the fields differ from those in the catalogue.
         """
-        kind = by_name(name)
+        kind = kind_by_name(name)
         if set(fields) != set(kind.fields):
             raise ValueError(f"{name} has {sorted(fields)}; expected {kind.fields}")
         self._sequence += 1
