--- a/comfreywharf/events/limit.py
+++ b/comfreywharf/events/limit.py
@@ -8,7 +8,7 @@
 @attrs.define
 class _Bucket:
     tokens: float
-    filled_s: float
+    refilled_s: float
     withheld: int = 0
 
 
@@ -36,7 +36,7 @@
         Returns how many events of its kind were withheld since the last admitted
         one, or ``None`` if this event has to be withheld as well.
         """
-        bucket = self._filled(name, now_s)
+        bucket = self._refill(name, now_s)
         if bucket.tokens < 1:
             bucket.withheld += 1
             return None
@@ -46,15 +46,15 @@
 
     def withhold(self, name, now_s):
         """Count an event that is withheld for another reason than the limit."""
-        self._filled(name, now_s).withheld += 1
+        self._refill(name, now_s).withheld += 1
 
-    def _filled(self, name, now_s):
+    def _refill(self, name, now_s):
         bucket = self._buckets.get(name)
         if bucket is None:
             bucket = self._buckets[name] = _Bucket(float(self._burst), now_s)
-        gained = (now_s - bucket.filled_s) * self._per_s
+        gained = (now_s - bucket.refilled_s) * self._per_s
         bucket.tokens = min(self._burst, bucket.tokens + max(gained, 0.0))
-        bucket.filled_s = now_s
+        bucket.refilled_s = now_s
         return bucket
 
     def take_withheld(self, now_s, quiet_s):
@@ -64,9 +64,9 @@
         were withheld. Without this, the last count of an outage would be reported
         only when the next outage begins.
         """
-        told = []
+        counts = []
         for name, bucket in self._buckets.items():
-            if bucket.withheld and now_s - bucket.filled_s >= quiet_s:
-                told.append((name, bucket.withheld))
+            if bucket.withheld and now_s - bucket.refilled_s >= quiet_s:
+                counts.append((name, bucket.withheld))
                 bucket.withheld = 0
-        return told
+        return counts
--- a/comfreywharf/events/tests/test_lines.py
+++ b/comfreywharf/events/tests/test_lines.py
@@ -61,5 +61,5 @@
     assert len(written) <= 20 + 50
     assert limit.admit("log_gap", 99.9) == 0
     assert limit.take_withheld(100.0, quiet_s=5.0) == []
-    told = limit.take_withheld(110.0, quiet_s=5.0)
-    assert len(written) + sum(written) + told[0][1] == 10_000
+    withheld = limit.take_withheld(110.0, quiet_s=5.0)
+    assert len(written) + sum(written) + withheld[0][1] == 10_000
