--- a/comfreywharf/cli/events.py
+++ b/comfreywharf/cli/events.py
@@ -13,7 +13,7 @@
 from comfreywharf.events import Severity
 from comfreywharf.events.timeline import MISSING, from_json, merge, render_json
 from comfreywharf.events.timeline.merge import severity_of, time_ms
-from comfreywharf.events.timeline.text import clock_text
+from comfreywharf.events.timeline.text import format_time
 
 __all__ = ["complain_of", "fetch", "register"]
 
@@ -77,7 +77,7 @@
 def _table(events):
     rows = [
         [
-            clock_text(time_ms(event)),
+            format_time(time_ms(event)),
             event.node_id,
             f"E{event.number}",
             event.name,
--- a/comfreywharf/cli/timeline.py
+++ b/comfreywharf/cli/timeline.py
@@ -20,7 +20,7 @@
     render_json,
     render_text,
 )
-from comfreywharf.events.timeline.picture import draw
+from comfreywharf.events.timeline.picture import render_svg
 
 __all__ = ["register"]
 
@@ -87,7 +87,7 @@
     if format is Format.JSON:
         return render_json(events)
     if format is Format.SVG:
-        return draw(events, lanes_of(events, domains))
+        return render_svg(events, lanes_of(events, domains))
     if format is Format.HTML:
         return render_html(events, domains)
     return render_text(events)
--- a/comfreywharf/events/timeline/merge.py
+++ b/comfreywharf/events/timeline/merge.py
@@ -31,7 +31,7 @@
     for events in lists:
         for event in events:
             runs[event.node_id, event.incarnation][event.sequence] = event
-    ordered = [_keyed(_with_gaps(run)) for run in runs.values()]
+    ordered = [_with_sort_keys(_with_gaps(run)) for run in runs.values()]
     return [event for _, event in heapq.merge(*ordered, key=lambda pair: pair[0])]
 
 
@@ -41,25 +41,25 @@
     for sequence in sorted(run):
         event = run[sequence]
         if sequence > expected:
-            events.append(_gap(event, expected))
+            events.append(_gap_event(event, expected))
         events.append(event)
         expected = sequence + 1
     return events
 
 
-def _gap(following, first_missing):
+def _gap_event(following, first_missing_sequence):
     return Event(
         number=0,
         name=MISSING,
         node_id=following.node_id,
         incarnation=following.incarnation,
-        sequence=first_missing,
+        sequence=first_missing_sequence,
         clock=following.clock,
-        fields={"count": following.sequence - first_missing},
+        fields={"count": following.sequence - first_missing_sequence},
     )
 
 
-def _keyed(events):
+def _with_sort_keys(events):
     """Return ``(sort key, event)`` pairs that keep the order of one incarnation.
 
     The clock of an incarnation steps back if the machine's wall clock was ahead
@@ -68,10 +68,10 @@
     earliest time of the event and of all that follow it.
     """
     pairs = []
-    latest = None
+    earliest = None
     for event in reversed(events):
-        latest = event.clock if latest is None else min(latest, event.clock)
-        key = (latest, event.node_id, event.incarnation, event.sequence)
+        earliest = event.clock if earliest is None else min(earliest, event.clock)
+        key = (earliest, event.node_id, event.incarnation, event.sequence)
         pairs.append((key, event))
     pairs.reverse()
     return pairs
@@ -107,21 +107,23 @@
     ``domains`` maps node ids to failure domains. The domain of a node that isn't
     in it is read from the node's own ``node_started`` event.
     """
-    known = {
+    domain_of_node = {
         event.node_id: event.fields["failure_domain"]
         for event in events
         if event.name == "node_started" and "failure_domain" in event.fields
     }
-    known.update(domains or {})
+    domain_of_node.update(domains or {})
     node_ids = {event.node_id for event in events}
     lanes = [
-        Lane(node_id=node_id, failure_domain=known.get(node_id, ""))
+        Lane(node_id=node_id, failure_domain=domain_of_node.get(node_id, ""))
         for node_id in node_ids
     ]
-    return sorted(lanes, key=lambda lane: (lane.failure_domain, _natural(lane.node_id)))
+    return sorted(
+        lanes, key=lambda lane: (lane.failure_domain, _natural_sort_key(lane.node_id))
+    )
 
 
-def _natural(name):
+def _natural_sort_key(name):
     """Return a key that sorts booking-2 before booking-10."""
     head, _, tail = name.rpartition("-")
     return (head, int(tail), "") if tail.isdecimal() else (name, -1, "")
--- a/comfreywharf/events/timeline/page.py
+++ b/comfreywharf/events/timeline/page.py
@@ -5,8 +5,8 @@
 
 from comfreywharf.events.catalogue import CATALOGUE, Severity
 from comfreywharf.events.timeline.merge import lanes_of, severity_of, time_ms
-from comfreywharf.events.timeline.picture import draw
-from comfreywharf.events.timeline.text import clock_text, describe, render_text
+from comfreywharf.events.timeline.picture import render_svg
+from comfreywharf.events.timeline.text import describe, format_time, render_text
 
 __all__ = ["render_html"]
 
@@ -51,7 +51,7 @@
         f'<html lang="en"><head><meta charset="utf-8"><title>{escape(title)}</title>'
         f"<style>{STYLE}</style></head><body>\n"
         f"<h1>{escape(title)}</h1>\n<p class=lead>{_summary(events, lanes)}</p>\n"
-        f"<div class=picture>{draw(events, lanes)}</div>\n"
+        f"<div class=picture>{render_svg(events, lanes)}</div>\n"
         f"{_notable(events)}\n"
         "<h2>All events</h2>\n<details><summary>Show the time line as text</summary>"
         f"<pre>{escape(render_text(events))}</pre></details>\n"
@@ -68,7 +68,7 @@
     length_s = (max(times) - min(times)) / 1000
     return (
         f"{len(events)} events of {len(lanes)} nodes in {len(domains)} failure "
-        f"domains over {length_s:.1f} s from {clock_text(min(times))} UTC: "
+        f"domains over {length_s:.1f} s from {format_time(min(times))} UTC: "
         f"errors: {counts[Severity.ERROR]}, warnings: {counts[Severity.WARNING]}."
     )
 
@@ -90,7 +90,7 @@
 def _row(event):
     kind = CATALOGUE.get(event.name)
     return (
-        f"<tr><td class=time>{clock_text(time_ms(event))}"
+        f"<tr><td class=time>{format_time(time_ms(event))}"
         f"<td class=node>{escape(event.node_id)}"
         f"<td class={severity_of(event).value}>{escape(describe(event))}"
         f"<td>{escape(kind.meaning if kind else '')}"
--- a/comfreywharf/events/timeline/picture.py
+++ b/comfreywharf/events/timeline/picture.py
@@ -15,9 +15,9 @@
 from comfreywharf.events.timeline.merge import MISSING, severity_of, time_ms
 from comfreywharf.events.timeline.scale import TimeScale
 from comfreywharf.events.timeline.spans import SpanState, ownership_spans
-from comfreywharf.events.timeline.text import clock_text, describe
+from comfreywharf.events.timeline.text import describe, format_time
 
-__all__ = ["draw"]
+__all__ = ["render_svg"]
 
 WIDTH = 1280
 LEFT = 130
@@ -58,7 +58,7 @@
         return self.time.x(at_ms)
 
 
-def draw(events, lanes):
+def render_svg(events, lanes):
     """Return the SVG of merged events, with the nodes in the order of ``lanes``."""
     if not events:
         return ""
@@ -74,12 +74,12 @@
         _legend(services, spans, events),
         *bands,
         *_axis(scale, height),
-        *_names(scale, lanes),
-        *_lives(scale, events),
+        *_node_names(scale, lanes),
+        *_uptimes(scale, events),
         *_bars(scale, spans, services),
-        *_quiet(scale, height),
+        *_quiet_columns(scale, height),
         *_arrows(scale, events),
-        *_losses(scale, events),
+        *_takeovers(scale, events),
         *_markers(scale, events),
         "</svg>",
     ]
@@ -157,12 +157,12 @@
     if MISSING in names:
         keys.append((_box("url(#gap)"), "events missing"))
     parts, x, y = [], 8, 16
-    for drawing, label in keys:
+    for symbol, label in keys:
         width = 34 + 6.4 * len(label)
         if x + width > WIDTH:
             x, y = 8, y + 20
         parts.append(
-            f'<g transform="translate({x},{y})">{drawing}'
+            f'<g transform="translate({x},{y})">{symbol}'
             f'<text x="19" y="4">{escape(label)}</text></g>'
         )
         x = round(x + width, 1)
@@ -189,18 +189,18 @@
             continue
         x = scale.x(at_ms)
         yield f'<path d="M{x} {TOP - 6}V{height - 8}" stroke="#d9dfe5"/>'
-        if not _crowded(scale, x):
-            text = clock_text(at_ms)
+        if not _overlaps_quiet_label(scale, x):
+            text = format_time(at_ms)
             text = text if step_ms < 1000 else text[:-4]
             yield _label(x, text)
     yield f'<text class="faint" x="8" y="{TOP - 11}">UTC</text>'
 
 
-def _crowded(scale, x):
+def _overlaps_quiet_label(scale, x):
     """Return whether a label at ``x`` would overlap that of a quiet stretch."""
     return any(
         scale.x(quiet.start_ms) - LABEL_PX < x < scale.x(quiet.end_ms) + LABEL_PX
-        for quiet in scale.time.quiet
+        for quiet in scale.time.quiet_stretches
     )
 
 
@@ -211,9 +211,9 @@
     )
 
 
-def _quiet(scale, height):
+def _quiet_columns(scale, height):
     """Yield a pale column, labelled with its duration, for each quiet stretch."""
-    for quiet in scale.time.quiet:
+    for quiet in scale.time.quiet_stretches:
         start, end = scale.x(quiet.start_ms), scale.x(quiet.end_ms)
         length_s = (quiet.end_ms - quiet.start_ms) / 1000
         yield (
@@ -224,7 +224,7 @@
         )
 
 
-def _losses(scale, events):
+def _takeovers(scale, events):
     """Yield a cross at the first takeover from each node."""
     seen = set()
     for event in events:
@@ -240,12 +240,12 @@
             f'<path class="mark" d="M{x - 5} {y - 5}l10 10m0 -10l-10 10" '
             f'stroke="{MARKER_COLOURS[Severity.ERROR]}" stroke-width="2.5">'
             f"<title>{escape(owner)}'s lease is over; {escape(event.node_id)} and "
-            f"other standbys serve its keys from {clock_text(time_ms(event))} on"
+            f"other standbys serve its keys from {format_time(time_ms(event))} on"
             "</title></path>"
         )
 
 
-def _names(scale, lanes):
+def _node_names(scale, lanes):
     for lane in lanes:
         y = scale.rows[lane.node_id]
         middle = round(y + scale.row_height / 2 + 4, 1)
@@ -255,14 +255,14 @@
         )
 
 
-def _lives(scale, events):
+def _uptimes(scale, events):
     """Yield a line from the first to the last event of each node's incarnation."""
-    lives = {}
+    uptimes = {}
     for event in events:
         run = (event.node_id, event.incarnation)
-        first_ms, _ = lives.get(run, (time_ms(event), None))
-        lives[run] = (first_ms, time_ms(event))
-    for (node_id, _), (first_ms, last_ms) in lives.items():
+        first_ms, _ = uptimes.get(run, (time_ms(event), None))
+        uptimes[run] = (first_ms, time_ms(event))
+    for (node_id, _), (first_ms, last_ms) in uptimes.items():
         y = scale.rows[node_id] + scale.row_height - 3
         yield (
             f'<path d="M{scale.x(first_ms)} {y}H{scale.x(last_ms)}" '
@@ -272,12 +272,12 @@
 
 def _bars(scale, spans, services):
     """Yield a bar for each span, with a height in proportion to its count."""
-    most = max((span.count for span in spans), default=1)
+    max_count = max((span.count for span in spans), default=1)
     for span in spans:
         x = scale.x(span.start_ms)
         width = round(max(1.0, scale.x(span.end_ms) - x), 1)
-        room = scale.row_height * (0.62 if scale.row_height > 20 else 0.85)
-        height = round(max(3.0, room * span.count / most), 1)
+        max_height = scale.row_height * (0.62 if scale.row_height > 20 else 0.85)
+        height = round(max(3.0, max_height * span.count / max_count), 1)
         bottom = scale.rows[span.node_id] + scale.row_height - 3
         fill = _fill(span, services)
         label = _bar_label(span, width, height)
@@ -304,14 +304,14 @@
 
 
 def _span_title(span):
-    what = {
+    activity = {
         SpanState.SERVING: f"serves {span.count} slices of {span.service}",
         SpanState.WAITING: f"owns {span.count} slices of {span.service}, no lease",
         SpanState.CLAIMED: f"took over {span.count} slices of {span.service}",
     }[span.state]
     length_s = (span.end_ms - span.start_ms) / 1000
-    start, end = clock_text(span.start_ms), clock_text(span.end_ms)
-    return f"{span.node_id} {what}\n{start} to {end} ({length_s:.3f} s)"
+    start, end = format_time(span.start_ms), format_time(span.end_ms)
+    return f"{span.node_id} {activity}\n{start} to {end} ({length_s:.3f} s)"
 
 
 def _arrows(scale, events):
@@ -329,9 +329,9 @@
         middle = scale.row_height - 8
         y1 = round(scale.rows[event.fields["peer"]] + middle, 1)
         y2 = round(scale.rows[event.node_id] + middle, 1)
-        bend = round(x + 12 + abs(y2 - y1) / 30, 1)
+        curve_x = round(x + 12 + abs(y2 - y1) / 30, 1)
         yield (
-            f'<path class="move" d="M{x} {y1}Q{bend} {(y1 + y2) / 2:.1f} {x} {y2}" '
+            f'<path class="move" d="M{x} {y1}Q{curve_x} {(y1 + y2) / 2:.1f} {x} {y2}" '
             'fill="none" stroke="#52606d" stroke-opacity=".6" '
             f'marker-end="url(#arrow)"><title>{escape(_move_title(event))}</title>'
             "</path>"
@@ -363,7 +363,7 @@
     markers = []
     for event in events:
         if event.name == MISSING:
-            yield _missing(scale, event)
+            yield _missing_events(scale, event)
             continue
         place = (event.node_id, severity_of(event))
         x = scale.x(time_ms(event))
@@ -385,7 +385,7 @@
     count = len(marker.events)
     size = 6 if marker.severity != Severity.INFO else 3 + min(1.5, count / 8)
     size = size * 0.75 if small else size
-    lines = [f"{clock_text(time_ms(e))} {describe(e)}" for e in marker.events]
+    lines = [f"{format_time(time_ms(e))} {describe(e)}" for e in marker.events]
     if len(lines) > TITLE_LINES:
         lines[TITLE_LINES:] = [f"and {len(lines) - TITLE_LINES} more"]
     title = escape("\n".join([marker.node_id, *lines]))
@@ -408,7 +408,7 @@
     return f'<path d="{path}" fill="{colour}" stroke="#fff" stroke-width=".7"/>'
 
 
-def _missing(scale, event):
+def _missing_events(scale, event):
     x = scale.x(time_ms(event))
     y = scale.rows[event.node_id]
     title = escape(f"{event.node_id}\n{describe(event)}")
--- a/comfreywharf/events/timeline/scale.py
+++ b/comfreywharf/events/timeline/scale.py
@@ -4,12 +4,12 @@
 
 import attrs
 
-__all__ = ["Quiet", "TimeScale"]
+__all__ = ["QuietStretch", "TimeScale"]
 
 QUIET_SHARE = 0.1
 """A stretch without events is shortened if it is a larger share of the time."""
 
-SHORT_SHARE = 0.04
+SHORTENED_SHARE = 0.04
 """The width of a shortened stretch, as a share of that of all busy stretches."""
 
 EDGE_SHARE = 0.25
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Quiet:
+class QuietStretch:
     """A stretch of time without events, which is shortened in the picture."""
 
     start_ms: int
@@ -37,7 +37,7 @@
         margin_ms = max(10, (times[-1] - times[0]) // 100)
         self.start_ms = times[0] - margin_ms
         self.end_ms = times[-1] + margin_ms
-        self.quiet = tuple(_quiet_stretches(times))
+        self.quiet_stretches = tuple(_find_quiet_stretches(times))
         self._anchors_ms, weights = self._segments()
         total = sum(weights)
         self._anchors_px = [float(left_px)]
@@ -50,12 +50,14 @@
 
         Busy and quiet segments alternate; the first and the last one are busy.
         """
-        ends = [t for quiet in self.quiet for t in (quiet.start_ms, quiet.end_ms)]
+        ends = [
+            t for quiet in self.quiet_stretches for t in (quiet.start_ms, quiet.end_ms)
+        ]
         anchors = [self.start_ms, *ends, self.end_ms]
         lengths = [b - a for a, b in zip(anchors, anchors[1:], strict=False)]
         busy = sum(lengths[::2])
         return anchors, [
-            length if index % 2 == 0 else max(1.0, busy * SHORT_SHARE)
+            length if index % 2 == 0 else max(1.0, busy * SHORTENED_SHARE)
             for index, length in enumerate(lengths)
         ]
 
@@ -72,17 +74,17 @@
     @property
     def shown_ms(self):
         """Return the time outside of the shortened stretches, in ms."""
-        quiet_ms = sum(quiet.end_ms - quiet.start_ms for quiet in self.quiet)
+        quiet_ms = sum(quiet.end_ms - quiet.start_ms for quiet in self.quiet_stretches)
         return self.end_ms - self.start_ms - quiet_ms
 
     def is_quiet(self, at_ms):
         """Return whether a time is in a shortened stretch."""
-        return any(q.start_ms <= at_ms <= q.end_ms for q in self.quiet)
+        return any(q.start_ms <= at_ms <= q.end_ms for q in self.quiet_stretches)
 
 
-def _quiet_stretches(times):
+def _find_quiet_stretches(times):
     length_ms = times[-1] - times[0]
     for earlier, later in zip(times, times[1:], strict=False):
         if later - earlier > length_ms * QUIET_SHARE:
             edge_ms = int(length_ms * QUIET_SHARE * EDGE_SHARE)
-            yield Quiet(start_ms=earlier + edge_ms, end_ms=later - edge_ms)
+            yield QuietStretch(start_ms=earlier + edge_ms, end_ms=later - edge_ms)
--- a/comfreywharf/events/timeline/spans.py
+++ b/comfreywharf/events/timeline/spans.py
@@ -36,7 +36,7 @@
 
 
 @attrs.define(kw_only=True)
-class _NodeView:
+class _NodeState:
     lease: bool = False
     owned: dict[str, int] = attrs.Factory(dict)
     claims: dict[str, int] = attrs.Factory(dict)
@@ -54,16 +54,16 @@
 }
 
 
-class _Reader:
+class _SpanBuilder:
     """Track each node's ownership from event to event."""
 
     def __init__(self, events):
         self.spans = []
-        self._views = {}
+        self._nodes = {}
         # A killed node can't report the slices that it lost. Its losses are then
         # derived from the gains of other nodes, but not those that it reported,
         # so that each loss counts once.
-        self._told = {
+        self._reported_losses = {
             (event.node_id, event.fields["service"], event.fields["offset"])
             for event in events
             if event.name == "slices_lost"
@@ -73,33 +73,36 @@
         """Update the ownership with the next event."""
         fields = event.fields
         if event.name in _LEASE_EVENTS:
-            self._close(event)
-            self._view(event).lease = _LEASE_EVENTS[event.name]
+            self._close_at(event)
+            self._state_of(event).lease = _LEASE_EVENTS[event.name]
         elif event.name in ("slices_gained", "slices_lost"):
-            self._close(event)
-            view = self._view(event)
-            view.owned[fields["service"]] = fields["owned"]
-            view.claims.pop(fields["peer"], None)
+            self._close_at(event)
+            node = self._state_of(event)
+            node.owned[fields["service"]] = fields["owned"]
+            node.claims.pop(fields["peer"], None)
             if event.name == "slices_gained" and fields["peer"]:
-                self._read_loss(event)
+                self._infer_loss(event)
         elif event.name == "takeover":
-            self._close(event)
-            self._view(event).claims[fields["owner"]] = fields["slices"]
-            self._read_lapse(event)
+            self._close_at(event)
+            self._state_of(event).claims[fields["owner"]] = fields["slices"]
+            self._end_lease(event)
         elif event.name == "claim_over":
-            self._close(event)
-            self._view(event).claims.pop(fields["owner"], None)
+            self._close_at(event)
+            self._state_of(event).claims.pop(fields["owner"], None)
 
-    def _read_loss(self, event):
+    def _infer_loss(self, event):
         fields = event.fields
-        loser, service = fields["peer"], fields["service"]
-        view = self._views.get(loser)
-        if view is None or (loser, service, fields["offset"]) in self._told:
+        loser_id, service = fields["peer"], fields["service"]
+        node = self._nodes.get(loser_id)
+        if (
+            node is None
+            or (loser_id, service, fields["offset"]) in self._reported_losses
+        ):
             return
-        self._close(event, loser)
-        view.owned[service] = max(0, view.owned.get(service, 0) - fields["count"])
+        self._close_at(event, loser_id)
+        node.owned[service] = max(0, node.owned.get(service, 0) - fields["count"])
 
-    def _read_lapse(self, event):
+    def _end_lease(self, event):
         """End the lease of a lost owner at the takeover by its standby.
 
         A standby gets the owner's keys only after the owner's lease has expired.
@@ -107,42 +110,42 @@
         otherwise continue.
         """
         lost = event.fields["owner"]
-        if lost in self._views:
-            self._close(event, lost)
-            self._views[lost].lease = False
+        if lost in self._nodes:
+            self._close_at(event, lost)
+            self._nodes[lost].lease = False
 
-    def _view(self, event):
-        if event.node_id not in self._views:
-            self._views[event.node_id] = _NodeView(since_ms=time_ms(event))
-        return self._views[event.node_id]
+    def _state_of(self, event):
+        if event.node_id not in self._nodes:
+            self._nodes[event.node_id] = _NodeState(since_ms=time_ms(event))
+        return self._nodes[event.node_id]
 
-    def _close(self, event, node_id=None):
+    def _close_at(self, event, node_id=None):
         """End the open spans of a node at an event's time."""
-        self._view(event)
+        self._state_of(event)
         self.close(node_id or event.node_id, time_ms(event))
 
     def close(self, node_id, end_ms):
         """End the open spans of a node at a time, and start new ones."""
-        view = self._views[node_id]
-        state = SpanState.SERVING if view.lease else SpanState.WAITING
-        running = [(name, count, state) for name, count in view.owned.items()]
-        running += [(n, count, SpanState.CLAIMED) for n, count in view.claims.items()]
-        for name, count, its_state in running:
-            if count and end_ms > view.since_ms:
+        node = self._nodes[node_id]
+        state = SpanState.SERVING if node.lease else SpanState.WAITING
+        running = [(name, count, state) for name, count in node.owned.items()]
+        running += [(n, count, SpanState.CLAIMED) for n, count in node.claims.items()]
+        for name, count, span_state in running:
+            if count and end_ms > node.since_ms:
                 span = Span(
                     node_id=node_id,
                     service=name,
                     count=count,
-                    state=its_state,
-                    start_ms=view.since_ms,
+                    state=span_state,
+                    start_ms=node.since_ms,
                     end_ms=end_ms,
                 )
                 self.spans.append(span)
-        view.since_ms = max(view.since_ms, end_ms)
+        node.since_ms = max(node.since_ms, end_ms)
 
     def close_all(self, end_ms):
         """End the open spans of all nodes."""
-        for node_id in self._views:
+        for node_id in self._nodes:
             self.close(node_id, end_ms)
 
 
@@ -150,8 +153,8 @@
     """Return the spans of ownership in merged events, ordered by their ends."""
     if not events:
         return []
-    reader = _Reader(events)
+    builder = _SpanBuilder(events)
     for event in events:
-        reader.read(event)
-    reader.close_all(max(time_ms(event) for event in events))
-    return reader.spans
+        builder.read(event)
+    builder.close_all(max(time_ms(event) for event in events))
+    return builder.spans
--- a/comfreywharf/events/timeline/text.py
+++ b/comfreywharf/events/timeline/text.py
@@ -9,17 +9,17 @@
 from comfreywharf.events.ring import Event
 from comfreywharf.events.timeline.merge import MISSING, severity_of, time_ms
 
-__all__ = ["clock_text", "describe", "from_json", "render_json", "render_text"]
+__all__ = ["describe", "format_time", "from_json", "render_json", "render_text"]
 
 
-MAX_NAMED = 5
+MAX_NAMED_NODES = 5
 """How many nodes with the same event are named in one line."""
 
 
-def clock_text(milliseconds):
-    """Return the time of day in UTC; ``milliseconds`` are since 1970."""
-    moment = datetime.fromtimestamp(milliseconds / 1000, UTC)
-    return f"{moment:%H:%M:%S}.{milliseconds % 1000:03d}"
+def format_time(milliseconds):
+    """Return the time of day in UTC, to the millisecond, of ms since 1970."""
+    time_of_day = datetime.fromtimestamp(milliseconds / 1000, UTC)
+    return f"{time_of_day:%H:%M:%S}.{milliseconds % 1000:03d}"
 
 
 def describe(event):
@@ -35,35 +35,35 @@
     if not events:
         return "no events\n"
     start_ms = time_ms(events[0])
-    return "".join(_line(group, start_ms) for group in _groups(events))
+    return "".join(_group_line(group, start_ms) for group in _groups(events))
 
 
 def _groups(events):
     """Group successive events of different nodes with equal names and fields."""
     groups = []
     for event in events:
-        if groups and _same(groups[-1], event):
+        if groups and _can_join(groups[-1], event):
             groups[-1].append(event)
         else:
             groups.append([event])
     return groups
 
 
-def _same(group, event):
+def _can_join(group, event):
     first = group[0]
     if (first.name, first.fields) != (event.name, event.fields):
         return False
     return all(other.node_id != event.node_id for other in group)
 
 
-def _line(group, start_ms):
+def _group_line(group, start_ms):
     first = group[0]
     at_ms = time_ms(first)
     nodes = ",".join(event.node_id for event in group)
-    if len(group) > MAX_NAMED:
+    if len(group) > MAX_NAMED_NODES:
         nodes = f"{len(group)} nodes from {first.node_id} on"
     offset_s = (at_ms - start_ms) / 1000
-    return f"{clock_text(at_ms)} {offset_s:+.3f}s {nodes} {describe(first)}\n"
+    return f"{format_time(at_ms)} {offset_s:+.3f}s {nodes} {describe(first)}\n"
 
 
 def render_json(events):
