--- a/comfreywharf/events/lines.py
+++ b/comfreywharf/events/lines.py
@@ -79,11 +79,13 @@
         try:
             fields[match["key"]] = _unquote(match["value"])
         except ValueError:
-            return Failure(f"column {position + 1}: {match['value']!r} is no value")
+            return Failure(
+                f"column {position + 1}: found {match['value']!r}; expected a value"
+            )
         position = match.end()
     missing = [key for key in _HEAD_KEYS if key not in fields]
     if missing:
-        return Failure(f"missing {', '.join(missing)}")
+        return Failure(f"missing fields: {', '.join(missing)}")
     fields.pop("repeats", None)
     node_id, incarnation, sequence, clock = (fields.pop(key) for key in _HEAD_KEYS)
     return Success(
--- a/comfreywharf/events/ring.py
+++ b/comfreywharf/events/ring.py
@@ -43,7 +43,9 @@
         """
         kind = kind_by_name(name)
         if set(fields) != set(kind.fields):
-            raise ValueError(f"{name} has {sorted(fields)}; expected {kind.fields}")
+            raise ValueError(
+                f"event {name}: found fields {sorted(fields)}; expected {kind.fields}"
+            )
         self._sequence += 1
         event = Event(
             number=kind.number,
