--- a/comfreywharf/events/tests/builders.py
+++ b/comfreywharf/events/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of events as a deployment of any size would report them."""
+"""Builders of events as the nodes of a deployment of any size report them."""
 
 from comfreywharf.events import CATALOGUE, Event
 from comfreywharf.events.clock import COUNTER_BITS
@@ -10,7 +10,7 @@
 
 
 def make_event(name, node_id="booking-1", sequence=1, at_ms=0, incarnation=1, **fields):
-    """Return an event at a time in ms after the story's start."""
+    """Return an event; ``at_ms`` is its time after `START_MS`."""
     return Event(
         number=CATALOGUE[name].number,
         name=name,
@@ -23,7 +23,7 @@
 
 
 class NodeEvents:
-    """The events of one run of a node, numbered as they are added."""
+    """The events of one process of a node, numbered in the order of their addition."""
 
     def __init__(self, node_id, incarnation=1):
         self.node_id = node_id
@@ -31,7 +31,7 @@
         self.events = []
 
     def add(self, name, at_ms, **fields):
-        """Add an event."""
+        """Append an event with the next sequence number."""
         event = make_event(
             name,
             node_id=self.node_id,
@@ -44,7 +44,11 @@
 
 
 def story(nodes):
-    """Return the rings of nodes that start, of which the second one is killed."""
+    """Return the rings of nodes that start, and of which the second is killed.
+
+    The first node takes over from the second one. The third node loses and
+    regains its lease, and finds a gap in the log.
+    """
     rings = [NodeEvents(f"booking-{index + 1}") for index in range(nodes)]
     for index, ring in enumerate(rings):
         domain = DOMAINS[index % len(DOMAINS)]
--- a/comfreywharf/events/tests/test_decisions.py
+++ b/comfreywharf/events/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Lines on single requests: bounded, never blocking, and put together again."""
+"""Decision lines are rate limited, never block, and can be combined per request."""
 
 import itertools
 import os
@@ -12,7 +12,7 @@
 
 
 class Lines(list):
-    """Keeps what is written; ``full`` takes nothing."""
+    """A writer that keeps the decoded lines, and rejects them if it is ``full``."""
 
     full = False
 
@@ -28,8 +28,10 @@
 
 
 def test_lines_are_bounded_and_the_rest_is_counted():
-    """Symptom: a day of refusals fills the log of every node.
-    Sequence: a thousand refusals within a second. Cause: a line for each."""
+    """A day of refusals must not fill the log of every node.
+
+    Without a limit, a thousand refusals within a second would have a line each.
+    """
     lines = Lines()
     log = make_log(lines)
     for number in range(1000):
@@ -40,7 +42,7 @@
 
 
 def test_a_line_that_isnt_taken_is_counted_in_the_next():
-    """Nobody learns of a dropped line but by the next one."""
+    """The next written line reports how many were dropped before it."""
     lines = Lines()
     log = make_log(lines)
     lines.full = True
@@ -52,15 +54,17 @@
 
 
 def test_an_unknown_kind_of_decision_is_an_error():
-    """The catalogue and the code can't drift apart."""
+    """Every kind of decision in the code has to be in `DECISIONS`."""
     with pytest.raises(KeyError):
         make_log(Lines()).add(0.0, "a", "improvised")
 
 
 def test_a_pipe_that_nobody_reads_doesnt_stop_the_process():
-    """Symptom: a node stands still, and all its callers with it.
-    Sequence: the reader of its output is stuck; the pipe fills up.
-    Cause: a write that waits."""
+    """A full pipe must not block the node and with it all of its callers.
+
+    The pipe fills up if the reader of the node's output hangs. A blocking write
+    would then wait for the reader.
+    """
     reader, writer = os.pipe()
     try:
         write = StdoutLines(writer)
@@ -73,7 +77,10 @@
 
 
 def test_one_requests_lines_come_together_in_causal_order():
-    """From several nodes, in any order, with a collector's prefix and noise."""
+    """Lines may come from several nodes, in any order, and with a prefix.
+
+    Other lines and invalid JSON are skipped.
+    """
     clocks = itertools.count(1 << 16, 1 << 16)
     first, second = Lines(), Lines()
     one, two = make_log(first, "ingress", clocks), make_log(second, "owner", clocks)
@@ -93,6 +100,6 @@
 
 
 def test_one_in_64_plain_requests_has_lines():
-    """The same ones at all nodes, since it hangs on the id alone."""
+    """The sampling depends on the id alone, so all nodes choose the same ones."""
     sampled = sum(is_sampled(f"id-{number}") for number in range(6400))
     assert 60 <= sampled <= 140
--- a/comfreywharf/events/tests/test_lines.py
+++ b/comfreywharf/events/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""A line of the log gives back the event that it was written from."""
+"""Log lines are parsed into the events that they were formatted from."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -23,7 +23,7 @@
 @settings(derandomize=True, deadline=None)
 @given(name=NAMES, node_id=st.text(max_size=20), fields=FIELDS, repeats=st.integers(0))
 def test_a_line_is_read_back_whatever_its_values(name, node_id, fields, repeats):
-    """Blanks, quotes, line ends and look-alikes of fields change nothing."""
+    """Blanks, quotes, line ends and text that looks like a field are preserved."""
     event = Event(
         number=203,
         name=name,
@@ -43,17 +43,16 @@
 @settings(derandomize=True, deadline=None)
 @given(st.text())
 def test_any_other_line_is_told_apart(text):
-    """A line that holds no event is a finding and never an exception."""
+    """A line without an event gives a `Failure` and raises no exception."""
     for line in (text, f"E203 name {text}", f"E203 name node=n run=1 seq=1 {text}"):
         parse_line(line)
 
 
 def test_an_outage_does_not_fill_the_console():
-    """A kind of event that never stops is bounded; a rare one beside it isn't.
+    """Frequent events are limited, and rare events of another kind aren't.
 
-    Symptom: a console full of one line, on a VM that has no disk.
-    Sequence: the log service is down and each attempt is reported.
-    Cause: lines were written as fast as attempts were made.
+    While the log service is down, every attempt to reach it is reported. With a
+    line for each attempt, the console of a VM without a disk would be full.
     """
     limit = RateLimit(burst=20, per_s=0.5)
     said = [limit.admit("log_unreachable", now_s / 100) for now_s in range(10_000)]
--- a/comfreywharf/events/tests/test_timeline.py
+++ b/comfreywharf/events/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line: order, gaps, spans, and pages that hold whatever happened."""
+"""The time line: order, gaps, spans, and pages for any events."""
 
 import json
 from html.parser import HTMLParser
@@ -21,7 +21,7 @@
     render_text,
 )
 
-# What happens to three nodes: (from, to) is a message, (node, node) an event.
+# Steps of three nodes: (sender, receiver) is a message, (node, node) a local event.
 STEPS = st.lists(st.tuples(st.integers(0, 2), st.integers(0, 2)), max_size=40)
 OFFSETS = st.tuples(*[st.integers(-2000, 2000)] * 3)
 
@@ -29,7 +29,7 @@
 @settings(derandomize=True, deadline=None)
 @given(steps=STEPS, offsets_ms=OFFSETS, data=st.data())
 def test_no_event_stands_before_its_cause(steps, offsets_ms, data):
-    """A message's receipt follows its sending, however wrong the wall clocks are."""
+    """The receipt of a message follows its sending for any offsets of wall clocks."""
     clocks = [EventClock() for _ in offsets_ms]
     rings = [[], [], []]
     causes = []
@@ -57,11 +57,10 @@
 
 
 def test_a_clock_that_was_set_right_breaks_no_order():
-    """A node's own order holds when its clock steps back.
+    """The order of a node's own events is kept when its clock steps back.
 
-    Symptom: a lease is shown as lapsed before it began.
-    Sequence: a machine's clock is an hour ahead, and is set right.
-    Cause: the events were sorted by their times alone.
+    The machine's clock is an hour ahead and is corrected. Sorted by their times
+    alone, a lease would expire before it started.
     """
     ring = NodeEvents("booking-1")
     ring.add("lease_started", at_ms=3_600_000, offset=4)
@@ -73,7 +72,7 @@
 
 
 def test_events_that_fell_out_show_as_a_gap():
-    """A ring that was too small is seen: its loss stands in the time line."""
+    """The time line shows how many events a ring dropped."""
     events = story(4)[0]
     kept = [events[0], *events[3:]]
     gaps = [event for event in merge([kept]) if event.name == MISSING]
@@ -83,7 +82,7 @@
 
 
 def test_two_runs_of_one_node_are_kept_apart():
-    """A restarted node counts its events from one again; none is lost for that."""
+    """A restarted node numbers its events from 1 again, and none is lost by that."""
     runs = [NodeEvents("booking-1", incarnation=number) for number in (1, 2)]
     for run in runs:
         run.add("lease_healed", at_ms=run.incarnation)
@@ -91,11 +90,10 @@
 
 
 def test_a_killed_owners_span_ends_when_another_serves():
-    """A killed node can't report its loss; its span ends with the takeover.
+    """A takeover ends the span of a killed owner, which can't report its loss.
 
-    Symptom: the picture shows two nodes that serve the same keys.
-    Sequence: an owner is killed, its standby takes over.
-    Cause: spans were ended by the owner's own events only.
+    If only the owner's own events ended its spans, the picture would show two
+    nodes that serve the same keys after the standby took over.
     """
     spans = ownership_spans(merge(story(4)))
     killed = [span for span in spans if span.node_id == "booking-2"]
@@ -111,7 +109,7 @@
 
 
 class _Balance(HTMLParser):
-    """Count what is opened and closed, and what would be fetched or run."""
+    """Track the open tags, and collect those that load resources or run scripts."""
 
     VOID = frozenset({"meta", "tr", "td", "th"})
 
@@ -134,7 +132,7 @@
 
 @pytest.mark.parametrize("nodes", [3, 10, 100])
 def test_the_page_stands_alone_and_is_whole(nodes):
-    """The page needs no network, and each node and event is found in it."""
+    """The page is well-formed, needs no network, and has all nodes and events."""
     events = merge(story(nodes))
     page = render_html(events)
     balance = _Balance()
@@ -145,7 +143,7 @@
 
 
 def test_names_from_elsewhere_cannot_become_markup():
-    """A node that calls itself by markup is shown by that name, as text."""
+    """Markup in node ids, failure domains and fields is escaped."""
     evil = make_event("lease_surrendered", node_id="<script>", reason="</pre><b>")
     page = render_html(merge([[evil]]), domains={"<script>": "<i>"})
     assert "<script" not in page
@@ -154,7 +152,10 @@
 
 
 def test_text_and_json_say_the_same():
-    """JSON gives the events back; no events is a sentence and no failure."""
+    """Events survive the round trip through JSON; an empty list is no error.
+
+    Documents that aren't events raise `ValueError`.
+    """
     events = merge(story(5))
     assert from_json(json.loads(render_json(events))) == events
     assert render_text([]) == "no events\n"
