--- a/comfreywharf/events/tests/builders.py
+++ b/comfreywharf/events/tests/builders.py
@@ -3,7 +3,7 @@
 from comfreywharf.events import CATALOGUE, Event
 from comfreywharf.events.clock import COUNTER_BITS
 
-__all__ = ["DOMAINS", "NodeEvents", "make_event", "story"]
+__all__ = ["DOMAINS", "NodeEvents", "incident_events", "make_event"]
 
 DOMAINS = ("agenskalns", "purvciems", "teika")
 START_MS = 1_764_700_000_000
@@ -43,7 +43,7 @@
         self.events.append(event)
 
 
-def story(nodes):
+def incident_events(nodes):
     """Return the rings of nodes that start, and of which the second is killed.
 
     The first node takes over from the second one. The third node loses and
@@ -54,12 +54,12 @@
         domain = DOMAINS[index % len(DOMAINS)]
         ring.add("node_started", at_ms=index * 7 % 400, failure_domain=domain)
         ring.add("config_in_force", at_ms=700, version=1, offset=0)
-        _gain(ring, at_ms=750, peer="", count=4 + index % 3, owned=4 + index % 3)
+        _add_gain(ring, at_ms=750, peer="", count=4 + index % 3, owned=4 + index % 3)
         ring.add("lease_started", at_ms=1000 + index * 13 % 200, offset=9)
     killed, taker = rings[1], rings[0]
     count = killed.events[2].fields["owned"]
     taker.add("takeover", at_ms=3100, owner=killed.node_id, slices=count)
-    _gain(taker, 3150, peer=killed.node_id, count=count, owned=count + 4)
+    _add_gain(taker, 3150, peer=killed.node_id, count=count, owned=count + 4)
     taker.add("claim_over", at_ms=3200, owner=killed.node_id)
     rings[2].add("lease_lapsed", at_ms=20_000)
     rings[2].add("lease_healed", at_ms=20_600)
@@ -67,7 +67,7 @@
     return [ring.events for ring in rings]
 
 
-def _gain(ring, at_ms, peer, count, owned):
+def _add_gain(ring, at_ms, peer, count, owned):
     ring.add(
         "slices_gained",
         at_ms=at_ms,
--- a/comfreywharf/events/tests/test_decisions.py
+++ b/comfreywharf/events/tests/test_decisions.py
@@ -27,7 +27,7 @@
     return DecisionLog(node, lines, lambda: next(clocks))
 
 
-def test_lines_are_bounded_and_the_rest_is_counted():
+def test_lines_are_limited_and_the_withheld_ones_counted():
     """A day of refusals must not fill the log of every node.
 
     Without a limit, a thousand refusals within a second would have a line each.
@@ -41,7 +41,7 @@
     assert lines[-1]["left_out_before"] == 1000 - LINES_BURST
 
 
-def test_a_line_that_isnt_taken_is_counted_in_the_next():
+def test_a_dropped_line_is_counted_in_the_next_line():
     """The next written line reports how many were dropped before it."""
     lines = Lines()
     log = make_log(lines)
@@ -53,13 +53,13 @@
     assert [line.get("dropped_before") for line in lines] == [1, None]
 
 
-def test_an_unknown_kind_of_decision_is_an_error():
+def test_an_unknown_kind_of_decision_raises_key_error():
     """Every kind of decision in the code has to be in `DECISIONS`."""
     with pytest.raises(KeyError):
         make_log(Lines()).add(0.0, "a", "improvised")
 
 
-def test_a_pipe_that_nobody_reads_doesnt_stop_the_process():
+def test_a_full_pipe_does_not_block_the_process():
     """A full pipe must not block the node and with it all of its callers.
 
     The pipe fills up if the reader of the node's output hangs. A blocking write
@@ -76,7 +76,7 @@
         os.close(writer)
 
 
-def test_one_requests_lines_come_together_in_causal_order():
+def test_lines_of_one_request_are_sorted_in_causal_order():
     """Lines may come from several nodes, in any order, and with a prefix.
 
     Other lines and invalid JSON are skipped.
@@ -95,11 +95,11 @@
         ("owner", "not_admitted"),
         ("ingress", "refused"),
     ]
-    story = "\n".join(format_steps(steps))
-    assert "+0 ms" in story and "reason=overloaded" in story
+    explanation = "\n".join(format_steps(steps))
+    assert "+0 ms" in explanation and "reason=overloaded" in explanation
 
 
-def test_one_in_64_plain_requests_has_lines():
+def test_one_in_64_successful_requests_is_sampled():
     """The sampling depends on the id alone, so all nodes choose the same ones."""
     sampled = sum(is_sampled(f"id-{number}") for number in range(6400))
     assert 60 <= sampled <= 140
--- a/comfreywharf/events/tests/test_lines.py
+++ b/comfreywharf/events/tests/test_lines.py
@@ -22,7 +22,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(name=NAMES, node_id=st.text(max_size=20), fields=FIELDS, repeats=st.integers(0))
-def test_a_line_is_read_back_whatever_its_values(name, node_id, fields, repeats):
+def test_lines_with_any_values_are_parsed_back(name, node_id, fields, repeats):
     """Blanks, quotes, line ends and text that looks like a field are preserved."""
     event = Event(
         number=203,
@@ -42,7 +42,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.text())
-def test_any_other_line_is_told_apart(text):
+def test_lines_without_an_event_raise_no_exception(text):
     """A line without an event gives a `Failure` and raises no exception."""
     for line in (text, f"E203 name {text}", f"E203 name node=n run=1 seq=1 {text}"):
         parse_line(line)
@@ -55,8 +55,8 @@
     line for each attempt, the console of a VM without a disk would be full.
     """
     limit = RateLimit(burst=20, per_s=0.5)
-    said = [limit.admit("log_unreachable", now_s / 100) for now_s in range(10_000)]
-    written = [count for count in said if count is not None]
+    results = [limit.admit("log_unreachable", now_s / 100) for now_s in range(10_000)]
+    written = [count for count in results if count is not None]
     assert len(written) <= 20 + 50
     assert limit.admit("log_gap", 99.9) == 0
     assert limit.take_withheld(100.0, quiet_s=5.0) == []
--- a/comfreywharf/events/tests/test_timeline.py
+++ b/comfreywharf/events/tests/test_timeline.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings, strategies as st
 
 from comfreywharf.events import EventClock
-from comfreywharf.events.tests.builders import NodeEvents, make_event, story
+from comfreywharf.events.tests.builders import NodeEvents, incident_events, make_event
 from comfreywharf.events.timeline import (
     MISSING,
     SpanState,
@@ -28,13 +28,13 @@
 
 @settings(derandomize=True, deadline=None)
 @given(steps=STEPS, offsets_ms=OFFSETS, data=st.data())
-def test_no_event_stands_before_its_cause(steps, offsets_ms, data):
+def test_no_event_precedes_its_cause(steps, offsets_ms, data):
     """The receipt of a message follows its sending for any offsets of wall clocks."""
     clocks = [EventClock() for _ in offsets_ms]
     rings = [[], [], []]
     causes = []
 
-    def happen(node, at_ms):
+    def add_event(node, at_ms):
         sequence = len(rings[node]) + 1
         clock = clocks[node].tick(10_000 + at_ms + offsets_ms[node])
         event = make_event("lease_healed", node_id=f"n-{node}", sequence=sequence)
@@ -42,11 +42,11 @@
         return rings[node][-1]
 
     for at_ms, (sender, receiver) in enumerate(steps):
-        sent = happen(sender, at_ms)
+        sent = add_event(sender, at_ms)
         if sender != receiver:
             now_ms = 10_000 + at_ms + offsets_ms[receiver]
             clocks[receiver].merge(sent.clock, now_ms)
-            causes.append((sent, happen(receiver, at_ms)))
+            causes.append((sent, add_event(receiver, at_ms)))
     merged = merge(data.draw(st.permutations(rings + [rings[0][:3]])))
     assert len(merged) == sum(len(ring) for ring in rings)
     for cause, effect in causes:
@@ -56,7 +56,7 @@
         assert places == sorted(places)
 
 
-def test_a_clock_that_was_set_right_breaks_no_order():
+def test_a_corrected_clock_keeps_the_order_of_a_node():
     """The order of a node's own events is kept when its clock steps back.
 
     The machine's clock is an hour ahead and is corrected. Sorted by their times
@@ -71,9 +71,9 @@
     assert names == ["lease_started", "lease_lapsed", "lease_healed"]
 
 
-def test_events_that_fell_out_show_as_a_gap():
+def test_dropped_events_are_shown_as_a_gap():
     """The time line shows how many events a ring dropped."""
-    events = story(4)[0]
+    events = incident_events(4)[0]
     kept = [events[0], *events[3:]]
     gaps = [event for event in merge([kept]) if event.name == MISSING]
     assert [gap.fields["count"] for gap in gaps] == [2]
@@ -81,7 +81,7 @@
     assert "events missing" in render_html(merge([kept]))
 
 
-def test_two_runs_of_one_node_are_kept_apart():
+def test_events_of_two_incarnations_are_kept():
     """A restarted node numbers its events from 1 again, and none is lost by that."""
     runs = [NodeEvents("booking-1", incarnation=number) for number in (1, 2)]
     for run in runs:
@@ -89,13 +89,13 @@
     assert len(merge([run.events for run in runs])) == 2
 
 
-def test_a_killed_owners_span_ends_when_another_serves():
+def test_a_takeover_ends_the_span_of_a_killed_owner():
     """A takeover ends the span of a killed owner, which can't report its loss.
 
     If only the owner's own events ended its spans, the picture would show two
     nodes that serve the same keys after the standby took over.
     """
-    spans = ownership_spans(merge(story(4)))
+    spans = ownership_spans(merge(incident_events(4)))
     killed = [span for span in spans if span.node_id == "booking-2"]
     assert [span.state for span in killed][1:] == [
         SpanState.SERVING,
@@ -108,7 +108,7 @@
         assert earlier.end_ms <= later.start_ms
 
 
-class _Balance(HTMLParser):
+class _TagChecker(HTMLParser):
     """Track the open tags, and collect those that load resources or run scripts."""
 
     VOID = frozenset({"meta", "tr", "td", "th"})
@@ -116,14 +116,14 @@
     def __init__(self):
         super().__init__()
         self.open = []
-        self.foreign = []
+        self.external = []
 
     def handle_starttag(self, tag, attributes):
         if tag not in self.VOID:
             self.open.append(tag)
         names = {name for name, _ in attributes}
         if tag in ("script", "img", "link") or names & {"src", "href", "onclick"}:
-            self.foreign.append(tag)
+            self.external.append(tag)
 
     def handle_endtag(self, tag):
         if tag not in self.VOID:
@@ -131,32 +131,34 @@
 
 
 @pytest.mark.parametrize("nodes", [3, 10, 100])
-def test_the_page_stands_alone_and_is_whole(nodes):
+def test_the_page_is_self_contained_and_complete(nodes):
     """The page is well-formed, needs no network, and has all nodes and events."""
-    events = merge(story(nodes))
+    events = merge(incident_events(nodes))
     page = render_html(events)
-    balance = _Balance()
-    balance.feed(page)
-    assert (balance.open, balance.foreign) == ([], [])
+    checker = _TagChecker()
+    checker.feed(page)
+    assert (checker.open, checker.external) == ([], [])
     assert f"{len(events)} events of {nodes} nodes in 3 failure domains" in page
     assert all(f">booking-{number + 1}</text>" in page for number in range(nodes))
 
 
-def test_names_from_elsewhere_cannot_become_markup():
+def test_markup_in_events_is_escaped():
     """Markup in node ids, failure domains and fields is escaped."""
-    evil = make_event("lease_surrendered", node_id="<script>", reason="</pre><b>")
-    page = render_html(merge([[evil]]), domains={"<script>": "<i>"})
+    markup_event = make_event(
+        "lease_surrendered", node_id="<script>", reason="</pre><b>"
+    )
+    page = render_html(merge([[markup_event]]), domains={"<script>": "<i>"})
     assert "<script" not in page
     assert "<i>" not in page
     assert "</pre><b>" not in page
 
 
-def test_text_and_json_say_the_same():
+def test_events_round_trip_through_json():
     """Events survive the round trip through JSON; an empty list is no error.
 
     Documents that aren't events raise `ValueError`.
     """
-    events = merge(story(5))
+    events = merge(incident_events(5))
     assert from_json(json.loads(render_json(events))) == events
     assert render_text([]) == "no events\n"
     assert render_html([]).endswith("</html>\n")
