--- a/comfreywharf/events/ring.py
+++ b/comfreywharf/events/ring.py
@@ -44,7 +44,7 @@
         kind = kind_by_name(name)
         if set(fields) != set(kind.fields):
             raise ValueError(
-                f"event {name}: found fields {sorted(fields)}; expected {kind.fields}"
+                f"{name}: found fields {sorted(fields)}; expected {kind.fields}"
             )
         self._sequence += 1
         event = Event(
