--- a/comfreywharf/metrics/__init__.py
+++ b/comfreywharf/metrics/__init__.py
@@ -1,8 +1,8 @@
-"""What a node counts and measures, and how Prometheus reads it.
+"""The metrics of a node, and their exposition for Prometheus.
 
-Counting is plain arithmetic on the request path; only a scrape builds the
-collectors of aioprometheus. The names stand in `families`, each with a page
-under docs/operations/metrics/.
+On the request path, metrics are updated by plain arithmetic; only a scrape builds
+the collectors of aioprometheus. `families` defines the names; each has a page under
+docs/operations/metrics/.
 """
 
 from comfreywharf.metrics.families import FAMILIES, Family, Kind
--- a/comfreywharf/metrics/families.py
+++ b/comfreywharf/metrics/families.py
@@ -1,4 +1,4 @@
-"""The metric families: names by Prometheus convention, labels, one-line help."""
+"""The metric families, with names by Prometheus convention, labels and help texts."""
 
 from enum import Enum
 
@@ -8,7 +8,7 @@
 
 
 class Kind(Enum):
-    """How a family is to be read."""
+    """The Prometheus type of a family."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Family:
-    """One metric family; ``page`` is its page under docs/operations/metrics/."""
+    """One metric family; ``page`` names its page under docs/operations/metrics/."""
 
     name: str
     kind: Kind
--- a/comfreywharf/metrics/registry.py
+++ b/comfreywharf/metrics/registry.py
@@ -1,4 +1,4 @@
-"""Typed functions that count what happens at a node, cheap on the request path."""
+"""The counters and histograms of a node, which are cheap to update per request."""
 
 from bisect import bisect_left
 from collections import defaultdict
@@ -13,11 +13,11 @@
     *(0.001, 0.002, 0.003, 0.005, 0.007, 0.01, 0.015, 0.025),
     *(0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0),
 )
-"""Upper bounds of the latency buckets, dense around the 10 ms of the target."""
+"""Upper bounds of the latency buckets, dense around the target of 10 ms."""
 
 
 class Buckets:
-    """A histogram's counts, one for each bound and one above, and the sum."""
+    """A histogram: a count for each bound and one above all bounds, and the sum."""
 
     __slots__ = ("counts", "sum_s")
 
@@ -26,14 +26,14 @@
         self.sum_s = 0.0
 
     def add(self, value_s):
-        """Count one value."""
+        """Count one value, given in seconds."""
         self.counts[bisect_left(LATENCY_BOUNDS_S, value_s)] += 1
         self.sum_s += value_s
 
 
 @attrs.frozen(kw_only=True)
 class Gauges:
-    """What a node measures at the moment of a scrape."""
+    """The values that a node measures at the time of a scrape."""
 
     owned_slices: dict[str, int]
     backend_running_requests: int
@@ -53,7 +53,7 @@
 
 
 class Metrics:
-    """The counters of one node, as plain numbers."""
+    """The counters and histograms of one node, as plain numbers."""
 
     def __init__(self):
         self.requests = defaultdict(int)
@@ -68,20 +68,20 @@
         self.lateness = Buckets()
 
     def request_ended(self, service, outcome, reason, duration_s):
-        """Count a caller's request; ``service`` is empty where it is unknown."""
+        """Count a caller's request; ``service`` is empty if it is unknown."""
         self.requests[service, outcome, reason] += 1
         self.durations[service].add(duration_s)
 
     def stage_ended(self, service, stage, duration_s):
-        """Count the time that a request spent in one stage at its owner."""
+        """Record the time that a request spent in one stage at its owner."""
         self.stages[service, stage].add(duration_s)
 
     def not_admitted(self, service, reason):
-        """Count a request that got no slot of the own backend server."""
+        """Count a request that got no slot of this node's backend server."""
         self.admission_refusals[service, reason] += 1
 
     def backend_asked(self, service):
-        """Count a request that the own backend server is given."""
+        """Count a request that is sent to this node's backend server."""
         self.backend_requests[service] += 1
 
     def slices_changed(self, service, gained, count):
@@ -89,13 +89,13 @@
         self.slices_moved[service, "gained" if gained else "lost"] += count
 
     def slices_unavailable(self, service, slices, duration_s):
-        """Add time in which owned slices couldn't be served."""
+        """Add the time in which this node owned slices but couldn't serve them."""
         self.owner_unavailable_s[service] += slices * duration_s
 
     def loop_woke(self, late_s):
-        """Count a wake-up of the event loop, and by how much it came late."""
+        """Record a wake-up of the event loop, ``late_s`` later than it was due."""
         self.lateness.add(max(0.0, late_s))
 
     def event_reported(self, name, severity):
-        """Count an event, also one that is held back from log and ring."""
+        """Count an event, even if it is withheld from the log and the ring."""
         self.events[name, severity] += 1
--- a/comfreywharf/metrics/render.py
+++ b/comfreywharf/metrics/render.py
@@ -1,4 +1,4 @@
-"""A scrape: collectors of aioprometheus, built from the plain numbers."""
+"""Render a scrape with collectors of aioprometheus, built from plain numbers."""
 
 from itertools import accumulate
 
@@ -12,10 +12,10 @@
 
 
 class _CountedHistogram(aioprometheus.Histogram):
-    """A histogram whose buckets were counted elsewhere.
+    """A histogram whose buckets are counted in `Buckets`.
 
-    The library's own takes single observations and sorts the labels of each,
-    which costs more than the rest of the bookkeeping of a request.
+    The library's own histogram sorts the labels of each single observation, which
+    costs more than all other bookkeeping of a request.
     """
 
     def get(self, labels):
@@ -37,8 +37,8 @@
 def render(metrics, gauges, accept=""):
     """Return ``(body, headers)`` for a scrape.
 
-    ``accept`` is the request's Accept header: the library answers in the text
-    format or, if asked for, in the binary one.
+    ``accept`` is the Accept header of the request. The library renders the text
+    format unless the header requests the binary one.
     """
     registry = Registry()
     for name, values in _values(metrics, gauges).items():
@@ -51,15 +51,15 @@
 
 
 def _escape(value):
-    """Escape a label's value; the library's text format doesn't.
+    """Escape a label's value, since the library's text format doesn't.
 
-    A service's name with a quote in it would otherwise spoil the whole scrape.
+    Otherwise, a quote in a service's name would make the whole scrape invalid.
     """
     return value.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
 
 def _values(metrics, gauges):
-    """Return the values of each family, by their labels' values."""
+    """Return the values of each family, keyed by their labels' values."""
     return {
         "requests_total": metrics.requests,
         "request_duration_seconds": _single(metrics.durations),
--- a/comfreywharf/metrics/unavailable.py
+++ b/comfreywharf/metrics/unavailable.py
@@ -1,4 +1,4 @@
-"""Unavailable time as callers meet it: per slice, from refusal to answer."""
+"""Unavailable time as callers observe it: per slice, from a refusal to an answer."""
 
 from collections import defaultdict
 
@@ -7,10 +7,10 @@
 __all__ = ["Outages"]
 
 MAX_OPEN = 4096
-"""How many slices may be unavailable at a time before more are left out."""
+"""How many slices' outages are tracked at a time; further ones aren't counted."""
 
 LONGEST_STEP_S = 5.0
-"""The most that is counted between two requests for a slice."""
+"""The longest time that is counted between two requests for a slice, in seconds."""
 
 
 @attrs.define
@@ -19,12 +19,12 @@
 
 
 class Outages:
-    """Add up the time in which a slice's requests found nobody to serve them.
+    """Sum the time in which the requests for a slice found no server, by service.
 
-    An outage begins when the first refused request came in and ends with the
-    first that is answered. A slice that nobody asks for meanwhile would count as
-    unavailable until the next caller comes, perhaps at night for hours; at most
-    `LONGEST_STEP_S` is therefore counted between two requests.
+    An outage begins at the arrival of the first refused request, and ends with
+    the first answered one. At most `LONGEST_STEP_S` is counted between two
+    requests. Otherwise, a slice without requests, perhaps for hours at night,
+    would count as unavailable until its next request.
 
     >>> outages = Outages()
     >>> outages.refused("booking", 0, began_s=10.0, now_s=10.5)
@@ -41,7 +41,7 @@
         return bool(self._open)
 
     def refused(self, service, slice_start, began_s, now_s):
-        """Take note of a request for which there was no server."""
+        """Record a request that found no server; it arrived at ``began_s``."""
         place = (service, slice_start)
         outage = self._open.get(place)
         if outage is None:
@@ -51,7 +51,7 @@
         self._advance(service, outage, now_s)
 
     def answered(self, service, slice_start, now_s):
-        """Take note of an answer: an outage of its slice is over."""
+        """Record an answered request, which ends an outage of its slice."""
         outage = self._open.pop((service, slice_start), None)
         if outage is not None:
             self._advance(service, outage, now_s)
