--- a/comfreywharf/metrics/tests/test_render.py
+++ b/comfreywharf/metrics/tests/test_render.py
@@ -1,4 +1,4 @@
-"""A scrape has every family, in a form that Prometheus reads."""
+"""A scrape has every family, in a format that Prometheus can parse."""
 
 import re
 from pathlib import Path
@@ -48,7 +48,7 @@
 
 
 def test_every_family_is_scraped_and_has_a_page():
-    """Families, samples and operators' pages are the same set."""
+    """The families, the scraped metrics and the operators' pages are the same."""
     lines = scrape(filled())
     assert {line.split()[2] for line in lines if line.startswith("# TYPE")} == set(
         FAMILIES
@@ -62,23 +62,23 @@
 
 
 def test_names_follow_the_convention():
-    """Counters end in _total, and no name but a counter's does."""
+    """Names of counters, and only these, end in ``_total``."""
     for family in FAMILIES.values():
         assert family.name.endswith("_total") == (family.kind == Kind.COUNTER)
 
 
 def test_a_service_name_cannot_spoil_the_scrape():
-    """Symptom: Prometheus drops a node's whole scrape.
+    """A quote in a service's name must not make the whole scrape invalid.
 
-    Sequence: an operator declares a service with a quote in its name.
-    Cause: the library writes label values as they are.
+    The library doesn't escape label values, and Prometheus drops a node's whole
+    scrape if one line is invalid.
     """
     for line in scrape(filled('a"b\\c\nd')):
         assert line.startswith("#") or SAMPLE.fullmatch(line), line
 
 
 def test_histogram_buckets_are_cumulative():
-    """The bucket of a bound holds all faster requests, the last one all."""
+    """The bucket of a bound counts all faster requests, the last one all."""
     lines = scrape(filled())
     name = "comfreywharf_request_duration_seconds"
     assert f'{name}_bucket{{le="0.005",service="booking"}} 1.0' in lines
@@ -87,7 +87,10 @@
 
 
 def test_a_quiet_slice_is_not_unavailable_for_the_whole_night():
-    """Only time near requests counts; an answer ends the outage."""
+    """At most `LONGEST_STEP_S` after a request is counted; an answer ends the outage.
+
+    Otherwise, a slice without requests would count as unavailable all night.
+    """
     outages = Outages()
     outages.refused("booking", 0, began_s=10.0, now_s=10.5)
     outages.answered("booking", 0, now_s=30_000.0)
