--- a/comfreywharf/daemon/requests/forwarder.py
+++ b/comfreywharf/daemon/requests/forwarder.py
@@ -178,7 +178,7 @@
             else:
                 reply = refusal(Reason.DEADLINE_BEFORE_START)
             return StreamedReply(reply)
-        node.metrics.backend_asked(request.service_name)
+        node.metrics.backend_request_sent(request.service_name)
         running = self._running.enter(request, right, deadline_s)
         refused = self._admit(request, body, running)
         if refused is not None:
--- a/comfreywharf/metrics/registry.py
+++ b/comfreywharf/metrics/registry.py
@@ -80,7 +80,7 @@
         """Count a request that got no slot of this node's backend server."""
         self.admission_refusals[service, reason] += 1
 
-    def backend_asked(self, service):
+    def backend_request_sent(self, service):
         """Count a request that is sent to this node's backend server."""
         self.backend_requests[service] += 1
 
--- a/comfreywharf/metrics/render.py
+++ b/comfreywharf/metrics/render.py
@@ -11,7 +11,7 @@
 __all__ = ["render"]
 
 
-class _CountedHistogram(aioprometheus.Histogram):
+class _PrecountedHistogram(aioprometheus.Histogram):
     """A histogram whose buckets are counted in `Buckets`.
 
     The library's own histogram sorts the labels of each single observation, which
@@ -30,7 +30,7 @@
 _CLASSES = {
     Kind.COUNTER: aioprometheus.Counter,
     Kind.GAUGE: aioprometheus.Gauge,
-    Kind.HISTOGRAM: _CountedHistogram,
+    Kind.HISTOGRAM: _PrecountedHistogram,
 }
 
 
@@ -62,36 +62,36 @@
     """Return the values of each family, keyed by their labels' values."""
     return {
         "requests_total": metrics.requests,
-        "request_duration_seconds": _single(metrics.durations),
+        "request_duration_seconds": _with_one_label(metrics.durations),
         "stage_duration_seconds": metrics.stages,
-        "ingress_unavailable_seconds_total": _single(metrics.outages.seconds),
-        "owner_unavailable_seconds_total": _single(metrics.owner_unavailable_s),
+        "ingress_unavailable_seconds_total": _with_one_label(metrics.outages.seconds),
+        "owner_unavailable_seconds_total": _with_one_label(metrics.owner_unavailable_s),
         "slices_moved_total": metrics.slices_moved,
-        "owned_slices": _single(gauges.owned_slices),
-        "backend_requests_total": _single(metrics.backend_requests),
-        "backend_running_requests": _only(gauges.backend_running_requests),
-        "backend_slots": _only(gauges.backend_slots),
+        "owned_slices": _with_one_label(gauges.owned_slices),
+        "backend_requests_total": _with_one_label(metrics.backend_requests),
+        "backend_running_requests": _unlabelled(gauges.backend_running_requests),
+        "backend_slots": _unlabelled(gauges.backend_slots),
         "admission_refusals_total": metrics.admission_refusals,
-        "waiting_requests": _only(gauges.waiting_requests),
-        "streams": _only(gauges.streams),
-        "lease_held": _only(int(gauges.lease_held)),
-        "lease_remaining_seconds": _only(gauges.lease_remaining_s),
+        "waiting_requests": _unlabelled(gauges.waiting_requests),
+        "streams": _unlabelled(gauges.streams),
+        "lease_held": _unlabelled(int(gauges.lease_held)),
+        "lease_remaining_seconds": _unlabelled(gauges.lease_remaining_s),
         "events_total": metrics.events,
-        "log_reachable": _only(int(gauges.log_reachable)),
-        "log_calls_total": _single(gauges.log_calls),
-        "log_bytes_total": _single(gauges.log_bytes),
-        "fold_offset": _only(gauges.fold_offset),
-        "fold_age_seconds": _only(gauges.fold_age_s),
-        "config_version": _only(gauges.config_version),
-        "routes_version": _only(gauges.routes_version),
-        "routes_age_seconds": _only(gauges.routes_age_s),
-        "loop_late_seconds": _only(metrics.lateness),
+        "log_reachable": _unlabelled(int(gauges.log_reachable)),
+        "log_calls_total": _with_one_label(gauges.log_calls),
+        "log_bytes_total": _with_one_label(gauges.log_bytes),
+        "fold_offset": _unlabelled(gauges.fold_offset),
+        "fold_age_seconds": _unlabelled(gauges.fold_age_s),
+        "config_version": _unlabelled(gauges.config_version),
+        "routes_version": _unlabelled(gauges.routes_version),
+        "routes_age_seconds": _unlabelled(gauges.routes_age_s),
+        "loop_late_seconds": _unlabelled(metrics.lateness),
     }
 
 
-def _single(values):
+def _with_one_label(values):
     return {(label,): value for label, value in values.items()}
 
 
-def _only(value):
+def _unlabelled(value):
     return {(): value}
--- a/comfreywharf/metrics/tests/test_render.py
+++ b/comfreywharf/metrics/tests/test_render.py
@@ -28,7 +28,7 @@
 SAMPLE = re.compile(r'[a-z_]+(\{([a-z_]+="([^"\\\n]|\\.)*",?)+\})? [0-9.e+-]+')
 
 
-def filled(service="booking"):
+def make_metrics(service="booking"):
     metrics = Metrics()
     metrics.request_ended(service, "answered", "", 0.004)
     metrics.request_ended(service, "not_run", "no-owner", 9.0)
@@ -37,7 +37,7 @@
     metrics.outages.refused(service, 0, 10.0, 10.5)
     metrics.slices_unavailable(service, 5, 0.25)
     metrics.slices_changed(service, True, 5)
-    metrics.backend_asked(service)
+    metrics.backend_request_sent(service)
     metrics.loop_woke(0.003)
     metrics.event_reported("lease_lapsed", "warning")
     return metrics
@@ -49,7 +49,7 @@
 
 def test_every_family_is_scraped_and_has_a_page():
     """The families, the scraped metrics and the operators' pages are the same."""
-    lines = scrape(filled())
+    lines = scrape(make_metrics())
     assert {line.split()[2] for line in lines if line.startswith("# TYPE")} == set(
         FAMILIES
     )
@@ -61,33 +61,33 @@
     }
 
 
-def test_names_follow_the_convention():
+def test_only_names_of_counters_end_in_total():
     """Names of counters, and only these, end in ``_total``."""
     for family in FAMILIES.values():
         assert family.name.endswith("_total") == (family.kind == Kind.COUNTER)
 
 
-def test_a_service_name_cannot_spoil_the_scrape():
+def test_any_service_name_gives_a_valid_scrape():
     """A quote in a service's name must not make the whole scrape invalid.
 
     The library doesn't escape label values, and Prometheus drops a node's whole
     scrape if one line is invalid.
     """
-    for line in scrape(filled('a"b\\c\nd')):
+    for line in scrape(make_metrics('a"b\\c\nd')):
         assert line.startswith("#") or SAMPLE.fullmatch(line), line
 
 
 def test_histogram_buckets_are_cumulative():
     """The bucket of a bound counts all faster requests, the last one all."""
-    lines = scrape(filled())
+    lines = scrape(make_metrics())
     name = "comfreywharf_request_duration_seconds"
     assert f'{name}_bucket{{le="0.005",service="booking"}} 1.0' in lines
     assert f'{name}_bucket{{le="+Inf",service="booking"}} 2.0' in lines
     assert f'{name}_count{{service="booking"}} 2.0' in lines
 
 
-def test_a_quiet_slice_is_not_unavailable_for_the_whole_night():
-    """At most `LONGEST_STEP_S` after a request is counted; an answer ends the outage.
+def test_a_slice_without_requests_is_not_counted_as_unavailable():
+    """At most `MAX_STEP_S` after a request is counted; an answer ends the outage.
 
     Otherwise, a slice without requests would count as unavailable all night.
     """
--- a/comfreywharf/metrics/unavailable.py
+++ b/comfreywharf/metrics/unavailable.py
@@ -6,23 +6,23 @@
 
 __all__ = ["Outages"]
 
-MAX_OPEN = 4096
+MAX_OPEN_OUTAGES = 4096
 """How many slices' outages are tracked at a time; further ones aren't counted."""
 
-LONGEST_STEP_S = 5.0
+MAX_STEP_S = 5.0
 """The longest time that is counted between two requests for a slice, in seconds."""
 
 
 @attrs.define
 class _Outage:
-    seen_s: float
+    updated_s: float
 
 
 class Outages:
     """Sum the time in which the requests for a slice found no server, by service.
 
     An outage begins at the arrival of the first refused request, and ends with
-    the first answered one. At most `LONGEST_STEP_S` is counted between two
+    the first answered one. At most `MAX_STEP_S` is counted between two
     requests. Otherwise, a slice without requests, perhaps for hours at night,
     would count as unavailable until its next request.
 
@@ -45,7 +45,7 @@
         place = (service, slice_start)
         outage = self._open.get(place)
         if outage is None:
-            if len(self._open) >= MAX_OPEN:
+            if len(self._open) >= MAX_OPEN_OUTAGES:
                 return
             outage = self._open[place] = _Outage(began_s)
         self._advance(service, outage, now_s)
@@ -57,6 +57,6 @@
             self._advance(service, outage, now_s)
 
     def _advance(self, service, outage, now_s):
-        step_s = max(0.0, now_s - outage.seen_s)
-        self.seconds[service] += min(step_s, LONGEST_STEP_S)
-        outage.seen_s = max(outage.seen_s, now_s)
+        step_s = max(0.0, now_s - outage.updated_s)
+        self.seconds[service] += min(step_s, MAX_STEP_S)
+        outage.updated_s = max(outage.updated_s, now_s)
