--- a/comfreywharf/cli/client.py
+++ b/comfreywharf/cli/client.py
@@ -1,4 +1,4 @@
-"""Questions to a node's operators' port, answered by typed documents."""
+"""A client of a node's operators' port, which returns typed documents."""
 
 from typing import Any
 from urllib.parse import urlencode
@@ -26,7 +26,10 @@
 
 
 class AnswerLost(CommandError):
-    """No whole answer came: the node is down, or did what was asked and died."""
+    """No complete answer was received.
+
+    The node may be down, or may have carried out the request and then crashed.
+    """
 
     def __init__(self, message):
         super().__init__(ExitCode.UNREACHABLE, message)
@@ -34,25 +37,30 @@
 
 @attrs.frozen
 class NodeClient:
-    """The operators' port of one node."""
+    """A client of the operators' port of one node.
+
+    All methods raise `CommandError` if the node answers with an error, and its
+    subclass `AnswerLost` if no complete and valid answer is received.
+    """
 
     host: str
     port: int
     timeout_s: float = 10.0
 
     def get(self, path, cls, **query):
-        """Return the answer to a question as ``cls``."""
+        """Return the answer to a GET request as ``cls``."""
         uri = f"{path}?{urlencode(query)}" if query else path
         return self._structure(self._accept("GET", uri, b"", (200,)), cls)
 
     def get_json(self, path, **query):
-        """Return the answer to a question as plain JSON values."""
+        """Return the answer to a GET request as plain JSON values."""
         return self.get(path, Any, **query)
 
     def post(self, path, order, cls):
-        """Send an order and return what became of it as ``cls``.
+        """Post an order and return its outcome as ``cls``.
 
-        200, 202 and 409 carry the same document, which says what it was.
+        Answers with status 200, 202 and 409 have the same kind of document,
+        which says what the outcome is.
         """
         body = orjson.dumps(converter.unstructure(order))
         return self._structure(self._accept("POST", path, body, (200, 202, 409)), cls)
@@ -93,7 +101,7 @@
 
 
 def other_nodes(client):
-    """Return ``(node id, client)`` for each node that the asked one knows."""
+    """Return ``(node id, client)`` for each node in the queried node's list."""
     return [
         (node.node_id, attrs.evolve(client, host=node.host, port=node.operator_port))
         for node in client.get("/nodes", list[NodeDocument])
@@ -101,7 +109,11 @@
 
 
 def ask_all(clients, question):
-    """Return ``(node id, answer)`` for each; an answer may be a `CommandError`."""
+    """Query nodes concurrently and return ``(node id, answer)`` for each of them.
+
+    ``clients`` are pairs as those of `other_nodes`; ``question`` is called with each
+    client. An answer is a `CommandError` if the call raised it.
+    """
 
     def ask(place):
         node_id, client = place
--- a/comfreywharf/cli/clocks.py
+++ b/comfreywharf/cli/clocks.py
@@ -1,4 +1,4 @@
-"""How far machines' clocks are apart, from the times of one question and answer."""
+"""Estimate the offsets of machines' clocks from the times of a query and its answer."""
 
 from statistics import median
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen(kw_only=True)
 class ClockReading:
-    """What a node's wall clock showed between a question and its answer, in ms."""
+    """The time of a node's wall clock between a query and its answer, in ms."""
 
     node_id: str
     sent_ms: float
@@ -19,7 +19,7 @@
 
 @attrs.frozen(kw_only=True)
 class OffsetEstimate:
-    """How far a clock is ahead of the nodes' median, and how surely, in ms."""
+    """How far a clock is ahead of the nodes' median clock, in ms."""
 
     node_id: str
     offset_ms: float
@@ -29,8 +29,8 @@
 def clock_offsets(readings):
     """Return an `OffsetEstimate` for each reading, against the median clock.
 
-    The clock was read somewhere between question and answer; half of the time
-    between bounds the error. Source: F. Cristian, "Probabilistic clock
+    A clock was read at some time between the query and its answer, so half of the
+    time between them bounds the error. Source: F. Cristian, "Probabilistic clock
     synchronization" (1989).
 
     >>> one = ClockReading(node_id="a", sent_ms=0, received_ms=2, shown_ms=501)
--- a/comfreywharf/cli/doctor.py
+++ b/comfreywharf/cli/doctor.py
@@ -1,4 +1,4 @@
-"""The command that looks for what is wrong, and says what to do."""
+"""The command that checks a deployment for faults and gives advice."""
 
 import time
 from pathlib import Path
@@ -21,7 +21,7 @@
 __all__ = ["register"]
 
 MAX_CLOCK_OFFSET_MS = 1000.0
-"""Leases use no wall clocks; beyond this, logs of machines are hard to compare."""
+"""Larger offsets make logs of machines hard to compare; leases use no wall clocks."""
 
 
 def register(app: App):
@@ -99,8 +99,8 @@
 
 
 def _read_clock(client):
-    # The first question opens the way; its connection time would make the
-    # estimate less sure.
+    # The first query isn't measured: connecting takes time, which would make the
+    # estimate less certain.
     client.get("/status", StatusDocument)
     sent_ms = time.time() * 1000
     status = client.get("/status", StatusDocument)
@@ -115,7 +115,7 @@
 
 
 def _check_clock(estimate):
-    # An estimate that is no surer than the bound proves nothing.
+    # Only the part of the offset that exceeds the uncertainty is certain.
     sure_ms = abs(estimate.offset_ms) - estimate.uncertainty_ms
     well = sure_ms <= MAX_CLOCK_OFFSET_MS
     return CheckDocument(
--- a/comfreywharf/cli/events.py
+++ b/comfreywharf/cli/events.py
@@ -1,4 +1,4 @@
-"""Commands about events: what happened at a node, or at all of them."""
+"""The command that shows the events of one node or of all nodes."""
 
 import sys
 from typing import Annotated
@@ -90,7 +90,7 @@
 
 
 def fetch(nodes, since=0):
-    """Return the nodes' lists of events, and ``{node id: error}`` of silent ones."""
+    """Return the nodes' lists of events, and ``{node id: error}`` of failed queries."""
     lists, failed = [], {}
     for node_id, answer in ask_all(nodes, lambda node: _fetch_one(node, since)):
         if isinstance(answer, CommandError):
@@ -108,7 +108,7 @@
 
 
 def complain_of(failed):
-    """Name the nodes that didn't answer, and return the exit code."""
+    """Print the nodes that didn't answer, and return the exit code."""
     for node_id, error in failed.items():
         complain(f"{node_id} doesn't answer, its events are missing: {error}")
     return ExitCode.UNREACHABLE if failed else ExitCode.FINE
--- a/comfreywharf/cli/exits.py
+++ b/comfreywharf/cli/exits.py
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the tool's exit status says; docs/tool.md lists them."""
+    """The exit codes of the tool; docs/tool.md explains them."""
 
     FINE = 0
     REFUSED = 1
@@ -15,7 +15,7 @@
 
 
 class CommandError(Exception):
-    """A command that ends with a message and an exit code."""
+    """A command fails with a message and an exit code."""
 
     def __init__(self, code, message):
         super().__init__(message)
--- a/comfreywharf/cli/explain.py
+++ b/comfreywharf/cli/explain.py
@@ -1,4 +1,4 @@
-"""The command that tells one request's story from the logs of several nodes."""
+"""The command that shows the decisions on one request from the logs of nodes."""
 
 import contextlib
 import sys
--- a/comfreywharf/cli/keys.py
+++ b/comfreywharf/cli/keys.py
@@ -1,4 +1,4 @@
-"""The command that says who owns a key."""
+"""The command that shows the owner of a key."""
 
 import sys
 from typing import Annotated
--- a/comfreywharf/cli/main.py
+++ b/comfreywharf/cli/main.py
@@ -1,4 +1,4 @@
-"""The command ``comfreywharf``."""
+"""The entry point of the command ``comfreywharf``."""
 
 import sys
 
--- a/comfreywharf/cli/nodes.py
+++ b/comfreywharf/cli/nodes.py
@@ -225,7 +225,7 @@
 
 
 def login_name():
-    """Return who runs the tool."""
+    """Return the login name of the user, or ``operator`` if it is unknown."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
--- a/comfreywharf/cli/output.py
+++ b/comfreywharf/cli/output.py
@@ -1,4 +1,4 @@
-"""Tables for people, JSON for scripts."""
+"""Print tables for people and JSON for scripts."""
 
 import sys
 
@@ -10,7 +10,7 @@
 
 
 def table(headings, rows):
-    """Return rows as lines with aligned columns; numbers stand to the right.
+    """Return rows as lines with aligned columns; numbers are right-aligned.
 
     >>> print(table(["node", "slices"], [["booking-1", 12]]))
     node       slices
@@ -31,7 +31,7 @@
 
 
 def show(document, as_json, text):
-    """Print a document as JSON, or as the text made of it."""
+    """Print the document as JSON if ``as_json``, and the text otherwise."""
     if as_json:
         options = orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS
         print(orjson.dumps(converter.unstructure(document), option=options).decode())
@@ -40,17 +40,17 @@
 
 
 def complain(message):
-    """Print a message where it doesn't mix with the output."""
+    """Print a message to standard error, apart from the output."""
     print(f"comfreywharf: {message}", file=sys.stderr)
 
 
 def yes_no(value):
-    """Return a Boolean as people write it."""
+    """Return a Boolean as ``yes`` or ``no``."""
     return "yes" if value else "no"
 
 
 def count_of(number, noun):
-    """Return a number and its noun.
+    """Return a number with its noun in the singular or plural.
 
     >>> count_of(1, "service"), count_of(2, "service")
     ('1 service', '2 services')
--- a/comfreywharf/cli/quarantine.py
+++ b/comfreywharf/cli/quarantine.py
@@ -1,4 +1,4 @@
-"""Commands about requests that crashed backend servers."""
+"""Commands that list and lift the quarantine of requests that crashed servers."""
 
 from cyclopts import App
 
--- a/comfreywharf/cli/rollout.py
+++ b/comfreywharf/cli/rollout.py
@@ -1,4 +1,4 @@
-"""Whether an accepted version is in force everywhere, and its slices served."""
+"""Wait until a configuration version is in force on all nodes and slices are served."""
 
 from collections import Counter
 
@@ -16,7 +16,11 @@
 
 @attrs.frozen(kw_only=True)
 class Rollout:
-    """How far a version has come: which nodes lag, what nobody serves."""
+    """The progress of a version's rollout.
+
+    ``behind`` has the ids of nodes where the version isn't in force yet, or that
+    didn't answer; ``unserved_slices`` counts the slices without a serving owner.
+    """
 
     version: int
     nodes: int
@@ -25,12 +29,12 @@
 
     @property
     def done(self):
-        """Return whether nothing is left to wait for."""
+        """Return whether all nodes have the version and all slices are served."""
         return not self.behind and not self.unserved_slices
 
     @property
     def text(self):
-        """Return the state as a line for people."""
+        """Return the progress as a line of text for people."""
         arrived = self.nodes - len(self.behind)
         line = f"version {self.version} is in force on {arrived} of {self.nodes} nodes"
         if self.behind:
@@ -41,9 +45,9 @@
 
 
 def follow_rollout(client, version, wait_s):
-    """Ask all nodes until a version has come everywhere; return the `Rollout`.
+    """Poll all nodes until the rollout of a version is done; return the `Rollout`.
 
-    It gives up after about ``wait_s`` seconds, with what is still missing.
+    After about ``wait_s`` seconds, the result is returned even if it isn't done.
     """
     for _ in range(int(wait_s / POLL_INTERVAL_S) + 1):
         rollout = _look(client, version)
--- a/comfreywharf/cli/submission.py
+++ b/comfreywharf/cli/submission.py
@@ -1,4 +1,4 @@
-"""Submit a record once, and learn what became of it when the answer is lost."""
+"""Submit a record once, and query its outcome if the answer is lost."""
 
 import gevent
 
@@ -15,12 +15,13 @@
 def submit_once(client, path, order, cls, base_version=None):
     """Post an order; return ``(answer or None, SubmissionDocument)``.
 
-    ``base_version`` is that of a patch; other records have none.
+    ``base_version`` is the base of a patch; other records have none. Raises
+    `CommandError` if no node answers.
 
-    An answer lost on the way says nothing of the record: it may be in the log.
-    Posting it again under a new id could put it there twice, and posting it
-    again at all is not needed. The record is asked for by its id instead, at
-    this node and then at the others, until a node has read it.
+    If the answer is lost, the record may or may not be in the log. Posting it
+    again under a new id could append it twice, and posting it again under any id
+    is unnecessary. Its outcome is queried by its id instead, at this node and
+    then at the others, until a node has read the record.
     """
     try:
         others = other_nodes(client)
@@ -44,7 +45,10 @@
 
 
 def resolve(clients, record_id, base_version=None):
-    """Ask nodes in turn what became of a record; ``None`` if none answers."""
+    """Query the outcome of a record at the nodes in turn, until it is known.
+
+    Returns the last answer, or ``None`` if no node answered.
+    """
     query = {} if base_version is None else {"base_version": base_version}
     document = None
     for number in range(ASK_AGAIN_TIMES):
@@ -66,11 +70,11 @@
 
 
 def ask_again(order, base_version=None):
-    """Return the command that asks for a record."""
+    """Return the command line that queries the outcome of a record."""
     command = f"comfreywharf config outcome {order.record_id}"
     return command if base_version is None else f"{command} --base {base_version}"
 
 
 def exit_code(document):
-    """Return the exit code of a submission."""
+    """Return the exit code for the outcome of a submission."""
     return ExitCode.FINE if document.verdict == Verdict.ACCEPTED else ExitCode.REFUSED
--- a/comfreywharf/cli/target.py
+++ b/comfreywharf/cli/target.py
@@ -1,4 +1,4 @@
-"""Which node a command asks, and how it prints: the options all commands share."""
+"""The options shared by all commands: the queried node and the output format."""
 
 from typing import Annotated
 
@@ -32,7 +32,7 @@
     ] = 10.0
 
     def client(self):
-        """Return the client of the node."""
+        """Return a client of the node; raise `CommandError` for invalid options."""
         kind = AddressKind()
         try:
             address = kind.read(self.node)
--- a/comfreywharf/cli/tests/builders.py
+++ b/comfreywharf/cli/tests/builders.py
@@ -1,4 +1,4 @@
-"""Nodes without processes for tests of the tool: answers in a row."""
+"""Fake nodes with predefined answers, for tests of the tool without processes."""
 
 from comfreywharf.cli.client import AnswerLost
 from comfreywharf.daemon.operating.documents import (
@@ -19,14 +19,17 @@
 
 
 def submission(verdict):
-    """Return what became of the order."""
+    """Return the answer to the order of `order`, with a verdict."""
     return SubmissionDocument(
         record_id="r1", verdict=Verdict(verdict), version=5, next_offset=9
     )
 
 
 class FakeNode:
-    """Answer posts and questions from a list; ``None`` loses the answer."""
+    """A node that answers posts and queries from lists of verdicts.
+
+    ``None`` and the end of a list stand for a lost answer.
+    """
 
     def __init__(self, post=(), outcomes=(), others=()):
         self._answers = {"post": list(post), "outcome": list(outcomes)}
--- a/comfreywharf/cli/tests/test_clocks.py
+++ b/comfreywharf/cli/tests/test_clocks.py
@@ -14,7 +14,7 @@
 )
 @settings(derandomize=True, deadline=None)
 def test_true_offsets_lie_within_the_uncertainty(clocks):
-    """However unequal the ways are, two clocks' distance is within the bounds."""
+    """The bounds hold even if query and answer take different times."""
     readings = [
         ClockReading(
             node_id=str(number),
--- a/comfreywharf/cli/tests/test_commands.py
+++ b/comfreywharf/cli/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The tool's exit codes and messages without any node."""
+"""The exit codes and messages of the tool if no node is running."""
 
 import pytest
 
@@ -23,14 +23,14 @@
     ],
 )
 def test_bad_input_and_silence(capsys, monkeypatch, tokens, code, message):
-    """Bad input ends with 2, a node that doesn't answer with 3; both say what."""
+    """Bad input exits with 2, an unreachable node with 3, each with a message."""
     monkeypatch.delenv("COMFREYWHARF_NODE", raising=False)
     assert run(tokens) == code
     assert message in capsys.readouterr().err
 
 
 def test_findings_of_a_file_come_together(capsys, tmp_path):
-    """A wrong file is told with all its findings before any node is asked."""
+    """All findings of an invalid file are printed, and no node is queried."""
     path = tmp_path / "services.ini"
     path.write_text("[service booking]\nslice = 4\nchurn_weight = -1\n")
     arguments = ["config", "submit", str(path), "--base", "0", "--node", NOBODY]
@@ -42,7 +42,7 @@
 
 
 def test_table():
-    """Numbers stand to the right, and nothing is shown as a dash."""
+    """Numbers are right-aligned, and an empty cell is shown as a dash."""
     text = table(["node", "slices", "log"], [["a", 12, ""], ["booking-1", 3, True]])
     assert text.splitlines() == [
         "node       slices  log",
--- a/comfreywharf/cli/tests/test_submission.py
+++ b/comfreywharf/cli/tests/test_submission.py
@@ -1,4 +1,4 @@
-"""A record is submitted once, whatever becomes of the answers."""
+"""A record is submitted once, even if answers are lost."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -24,10 +24,10 @@
 @given(posted=verdicts, asked=st.lists(verdicts, max_size=14))
 @settings(derandomize=True, deadline=None)
 def test_posted_once_and_reported_as_it_is(posted, asked):
-    """Symptom: a patch stands twice in the log, or its author is told wrongly.
+    """A patch must not be appended twice, nor its outcome be reported wrongly.
 
-    Sequence: the answer to a post is lost or comes too early; the tool asks
-    again. Cause: a lost answer says nothing of what became of the record.
+    Both could happen if the answer to the post is lost, or if it is sent before
+    the outcome is known, since the tool then queries the outcome.
     """
     node = FakeNode([posted], asked)
     final = [v for v in [posted, *asked][: module.ASK_AGAIN_TIMES + 1] if v]
@@ -44,10 +44,10 @@
 
 
 def test_the_asked_node_dies(monkeypatch):
-    """Symptom: a patch in force is reported as failed.
+    """A patch in force must not be reported as failed if the queried node crashes.
 
-    Sequence: the node appends the record and dies; another node has read it.
-    Cause: the tool knew only the node that it asked.
+    The node appends the record and crashes, and another node has read it. The
+    tool has to query the other node as well.
     """
     node = FakeNode([None], [], others=["booking-2"])
     other = FakeNode([], ["accepted"])
@@ -61,5 +61,5 @@
     [("accepted", ExitCode.FINE), ("refused", 1), ("unknown", 1)],
 )
 def test_exit_codes(verdict, code):
-    """Only what was read back counts as done."""
+    """Only an accepted record, which was read back from the log, exits with 0."""
     assert exit_code(submission(verdict)) == code
--- a/comfreywharf/cli/timeline.py
+++ b/comfreywharf/cli/timeline.py
@@ -1,4 +1,4 @@
-"""The command that puts the events of all nodes into one time line."""
+"""The command that merges the events of all nodes into one time line."""
 
 import sys
 from enum import Enum
@@ -26,7 +26,7 @@
 
 
 class Format(Enum):
-    """How the time line is written."""
+    """The output format of the time line."""
 
     TEXT = "text"
     JSON = "json"
@@ -94,7 +94,7 @@
 
 
 def _read_log(path):
-    """Return the events that stand in a node's log; other lines are left out."""
+    """Return the events in a node's log; lines without an event are skipped."""
     try:
         with open(path, encoding="utf-8", errors="replace") as file:
             read = [parse_line(line) for line in file]
