--- a/comfreywharf/cli/client.py
+++ b/comfreywharf/cli/client.py
@@ -15,7 +15,7 @@
 from comfreywharf.daemon.connections.http import SingleSendClient
 from comfreywharf.daemon.operating.documents import ErrorDocument, NodeDocument
 
-__all__ = ["AnswerLost", "NodeClient", "ask_all", "converter", "other_nodes"]
+__all__ = ["AnswerLost", "NodeClient", "converter", "other_nodes", "query_all"]
 
 CONNECT_TIMEOUT_S = 2.0
 MAX_ANSWER_BYTES = 64 << 20
@@ -50,7 +50,7 @@
     def get(self, path, cls, **query):
         """Return the answer to a GET request as ``cls``."""
         uri = f"{path}?{urlencode(query)}" if query else path
-        return self._structure(self._accept("GET", uri, b"", (200,)), cls)
+        return self._parse(self._call_checked("GET", uri, b"", (200,)), cls)
 
     def get_json(self, path, **query):
         """Return the answer to a GET request as plain JSON values."""
@@ -63,15 +63,15 @@
         which says what the outcome is.
         """
         body = orjson.dumps(converter.unstructure(order))
-        return self._structure(self._accept("POST", path, body, (200, 202, 409)), cls)
+        return self._parse(self._call_checked("POST", path, body, (200, 202, 409)), cls)
 
-    def _accept(self, method, uri, body, good):
+    def _call_checked(self, method, uri, body, accepted_statuses):
         status, data = self._call(method, uri, body)
-        if status in good:
+        if status in accepted_statuses:
             return data
         raise CommandError(_exit_code(status), _error_text(status, data))
 
-    def _structure(self, data, cls):
+    def _parse(self, data, cls):
         try:
             return converter.structure(orjson.loads(data), cls)
         except (orjson.JSONDecodeError, cattrs.BaseValidationError, TypeError) as error:
@@ -108,21 +108,21 @@
     ]
 
 
-def ask_all(clients, question):
+def query_all(clients, get_answer):
     """Query nodes concurrently and return ``(node id, answer)`` for each of them.
 
-    ``clients`` are pairs as those of `other_nodes`; ``question`` is called with each
-    client. An answer is a `CommandError` if the call raised it.
+    ``clients`` are pairs as those of `other_nodes`; ``get_answer`` is called with
+    each client. An answer is a `CommandError` if the call raised it.
     """
 
-    def ask(place):
+    def query_one(place):
         node_id, client = place
         try:
-            return node_id, question(client)
+            return node_id, get_answer(client)
         except CommandError as error:
             return node_id, error
 
-    return Pool(CONCURRENT_NODES).map(ask, clients)
+    return Pool(CONCURRENT_NODES).map(query_one, clients)
 
 
 def _exit_code(status):
--- a/comfreywharf/cli/clocks.py
+++ b/comfreywharf/cli/clocks.py
@@ -14,7 +14,7 @@
     node_id: str
     sent_ms: float
     received_ms: float
-    shown_ms: float
+    clock_ms: float
 
 
 @attrs.frozen(kw_only=True)
@@ -33,18 +33,18 @@
     time between them bounds the error. Source: F. Cristian, "Probabilistic clock
     synchronization" (1989).
 
-    >>> one = ClockReading(node_id="a", sent_ms=0, received_ms=2, shown_ms=501)
+    >>> one = ClockReading(node_id="a", sent_ms=0, received_ms=2, clock_ms=501)
     >>> clock_offsets([one])[0].uncertainty_ms
     1.0
     """
     if not readings:
         return []
-    ahead = [r.shown_ms - (r.sent_ms + r.received_ms) / 2 for r in readings]
-    middle = median(ahead)
+    ahead = [r.clock_ms - (r.sent_ms + r.received_ms) / 2 for r in readings]
+    median_ms = median(ahead)
     return [
         OffsetEstimate(
             node_id=reading.node_id,
-            offset_ms=offset - middle,
+            offset_ms=offset - median_ms,
             uncertainty_ms=(reading.received_ms - reading.sent_ms) / 2,
         )
         for reading, offset in zip(readings, ahead, strict=True)
--- a/comfreywharf/cli/config.py
+++ b/comfreywharf/cli/config.py
@@ -11,10 +11,10 @@
 from comfreywharf.cli.exits import CommandError, ExitCode
 from comfreywharf.cli.nodes import login_name
 from comfreywharf.cli.output import count_of, show, table
-from comfreywharf.cli.rollout import follow_rollout
+from comfreywharf.cli.rollout import wait_for_rollout
 from comfreywharf.cli.submission import (
-    ask_again,
     exit_code,
+    outcome_command,
     submit_once,
 )
 from comfreywharf.cli.target import Target
@@ -61,7 +61,7 @@
     file
         The INI file of the deployment.
     """
-    services = _read(file)
+    services = _read_file(file)
     print(f"{file}: {count_of(len(services), 'service')}, no findings")
     return ExitCode.FINE
 
@@ -79,7 +79,7 @@
     version
         An older version, as long as nodes keep it; the one in force by default.
     """
-    document = _fetch(at.client(), version)
+    document = _fetch_config(at.client(), version)
     heading = f"# version {document.version}, at offset {document.offset}"
     if document.author:
         heading += f", by {document.author}"
@@ -102,8 +102,8 @@
     base
         The version to compare with; the one in force by default.
     """
-    services = _read(file)
-    document = _fetch(at.client(), base)
+    services = _read_file(file)
+    document = _fetch_config(at.client(), base)
     found = differences(_services(document), services)
     text = _difference_text(found) or f"no difference from version {document.version}"
     show({"version": document.version, "differences": found}, at.json, text)
@@ -150,11 +150,13 @@
         Wait until the version is in force on every node and every slice is
         served, at most this long, in seconds; exits with 1 if it isn't by then.
     """
-    services = _read(file)
+    services = _read_file(file)
     client = at.client()
-    in_force = _fetch(client, -1)
+    in_force = _fetch_config(client, -1)
     if base != in_force.version:
-        raise CommandError(ExitCode.REFUSED, _stale_text(client, base, in_force, file))
+        raise CommandError(
+            ExitCode.REFUSED, _stale_base_text(client, base, in_force, file)
+        )
     before = _services(in_force)
     found = differences(before, services)
     if not at.json:
@@ -180,7 +182,7 @@
 
 
 def _wait(client, version, wait_s, as_json):
-    rollout = follow_rollout(client, version, wait_s)
+    rollout = wait_for_rollout(client, version, wait_s)
     if not as_json:
         print(rollout.text)
     return ExitCode.FINE if rollout.done else ExitCode.REFUSED
@@ -237,7 +239,7 @@
     return exit_code(document)
 
 
-def _read(file):
+def _read_file(file):
     read = read_declarations(file)
     if isinstance(read, Failure):
         findings = read.failure()
@@ -248,7 +250,7 @@
     return read.unwrap()
 
 
-def _fetch(client, version):
+def _fetch_config(client, version):
     if version < 0:
         return client.get("/config", ConfigDocument)
     return client.get("/config", ConfigDocument, version=version)
@@ -275,16 +277,16 @@
         )
 
 
-def _stale_text(client, base, in_force, file):
+def _stale_base_text(client, base, in_force, file):
     if base > in_force.version:
         return (
             f"--base: found {base}; this node is at version {in_force.version}. "
             "Ask another node, or see `comfreywharf config history`"
         )
-    return _how_to_go_on(client, base, in_force.version, file)
+    return _rebase_instructions(client, base, in_force.version, file)
 
 
-def _how_to_go_on(client, base, version, file):
+def _rebase_instructions(client, base, version, file):
     kept = client.get("/config/history", list[VersionDocument])
     lines = [
         f"refused: built on version {base}, and version {version} is in force.",
@@ -304,10 +306,10 @@
     if document.reason == NOT_SENT:
         return "refused: the node can't write to the log. Nothing was submitted"
     if document.changed_since:
-        return _how_to_go_on(client, base, document.version, file)
+        return _rebase_instructions(client, base, document.version, file)
     return (
         f"{document.verdict.value} ({document.reason}): the record's id is "
-        f"{document.record_id}. Ask again with: {ask_again(document, base)}"
+        f"{document.record_id}. Ask again with: {outcome_command(document, base)}"
     )
 
 
--- a/comfreywharf/cli/doctor.py
+++ b/comfreywharf/cli/doctor.py
@@ -6,7 +6,7 @@
 from cyclopts import App
 from returns.result import Failure
 
-from comfreywharf.cli.client import ask_all, other_nodes
+from comfreywharf.cli.client import other_nodes, query_all
 from comfreywharf.cli.clocks import ClockReading, clock_offsets
 from comfreywharf.cli.exits import CommandError, ExitCode
 from comfreywharf.cli.output import count_of, show, table
@@ -80,7 +80,7 @@
 
 def _check_nodes(client):
     readings, checks, statuses = [], [], []
-    for node_id, answer in ask_all(other_nodes(client), _read_clock):
+    for node_id, answer in query_all(other_nodes(client), _read_clock):
         if isinstance(answer, CommandError):
             checks.append(
                 CheckDocument(
@@ -109,15 +109,15 @@
         node_id=status.node_id,
         sent_ms=sent_ms,
         received_ms=received_ms,
-        shown_ms=status.wall_clock_ms,
+        clock_ms=status.wall_clock_ms,
     )
     return reading, status
 
 
 def _check_clock(estimate):
     # Only the part of the offset that exceeds the uncertainty is certain.
-    sure_ms = abs(estimate.offset_ms) - estimate.uncertainty_ms
-    well = sure_ms <= MAX_CLOCK_OFFSET_MS
+    certain_ms = abs(estimate.offset_ms) - estimate.uncertainty_ms
+    well = certain_ms <= MAX_CLOCK_OFFSET_MS
     return CheckDocument(
         name=f"clock {estimate.node_id}",
         well=well,
--- a/comfreywharf/cli/events.py
+++ b/comfreywharf/cli/events.py
@@ -5,9 +5,9 @@
 
 from cyclopts import App, Parameter
 
-from comfreywharf.cli.client import AnswerLost, ask_all, other_nodes
+from comfreywharf.cli.client import AnswerLost, other_nodes, query_all
 from comfreywharf.cli.exits import CommandError, ExitCode
-from comfreywharf.cli.output import complain, table
+from comfreywharf.cli.output import print_to_stderr, table
 from comfreywharf.cli.target import Target
 from comfreywharf.daemon.operating.documents import StatusDocument
 from comfreywharf.events import Severity
@@ -15,7 +15,7 @@
 from comfreywharf.events.timeline.merge import severity_of, time_ms
 from comfreywharf.events.timeline.text import format_time
 
-__all__ = ["complain_of", "fetch", "register"]
+__all__ = ["fetch", "print_failures", "register"]
 
 _RANKS = {Severity.INFO: 0, Severity.WARNING: 1, Severity.ERROR: 2}
 
@@ -55,7 +55,7 @@
         before effects.
     """
     client = at.client()
-    nodes = other_nodes(client) if all_nodes else [_own(client)]
+    nodes = other_nodes(client) if all_nodes else [_queried_node(client)]
     lists, failed = fetch(nodes, since)
     found = [
         event
@@ -67,10 +67,10 @@
         sys.stdout.write(render_json(found))
     else:
         print(_table(found))
-    return complain_of(failed)
+    return print_failures(failed)
 
 
-def _own(client):
+def _queried_node(client):
     return client.get("/status", StatusDocument).node_id, client
 
 
@@ -92,7 +92,7 @@
 def fetch(nodes, since=0):
     """Return the nodes' lists of events, and ``{node id: error}`` of failed queries."""
     lists, failed = [], {}
-    for node_id, answer in ask_all(nodes, lambda node: _fetch_one(node, since)):
+    for node_id, answer in query_all(nodes, lambda node: _fetch_one(node, since)):
         if isinstance(answer, CommandError):
             failed[node_id] = answer
         else:
@@ -107,8 +107,8 @@
         raise AnswerLost(f"{client.host}:{client.port}: {error}") from error
 
 
-def complain_of(failed):
+def print_failures(failed):
     """Print the nodes that didn't answer, and return the exit code."""
     for node_id, error in failed.items():
-        complain(f"{node_id} doesn't answer, its events are missing: {error}")
+        print_to_stderr(f"{node_id} doesn't answer, its events are missing: {error}")
     return ExitCode.UNREACHABLE if failed else ExitCode.FINE
--- a/comfreywharf/cli/keys.py
+++ b/comfreywharf/cli/keys.py
@@ -68,8 +68,8 @@
     rows = [
         ["key hash", f"{document.key_hash:016x}"],
         ["slice", f"{document.slice_start:016x} to {document.slice_end:016x}"],
-        ["owner", _place(document.owner, document.owner_domain)],
-        ["standby", _place(document.standby, document.standby_domain)],
+        ["owner", _node_text(document.owner, document.owner_domain)],
+        ["standby", _node_text(document.standby, document.standby_domain)],
         ["since", f"offset {document.since_offset}, fence {document.fence}"],
         ["configuration", f"version {version}" if version >= 0 else "not kept"],
         ["why there", document.reason],
@@ -79,5 +79,5 @@
     return table(["service", document.service], rows)
 
 
-def _place(node_id, domain):
+def _node_text(node_id, domain):
     return f"{node_id} ({domain})" if domain else node_id or "nobody"
--- a/comfreywharf/cli/main.py
+++ b/comfreywharf/cli/main.py
@@ -16,7 +16,7 @@
     timeline,
 )
 from comfreywharf.cli.exits import CommandError, ExitCode
-from comfreywharf.cli.output import complain
+from comfreywharf.cli.output import print_to_stderr
 
 __all__ = ["app", "main", "run"]
 
@@ -43,10 +43,10 @@
     try:
         code = app(tokens, exit_on_error=False, print_error=False)
     except CycloptsError as error:
-        complain(f"{error}\nSee: comfreywharf --help")
+        print_to_stderr(f"{error}\nSee: comfreywharf --help")
         return ExitCode.BAD_INPUT
     except CommandError as error:
-        complain(error)
+        print_to_stderr(error)
         return error.code
     except BrokenPipeError:
         return ExitCode.FINE
--- a/comfreywharf/cli/nodes.py
+++ b/comfreywharf/cli/nodes.py
@@ -7,10 +7,10 @@
 import gevent
 from cyclopts import App, Parameter
 
-from comfreywharf.cli.client import ask_all, other_nodes
+from comfreywharf.cli.client import other_nodes, query_all
 from comfreywharf.cli.exits import CommandError, ExitCode
-from comfreywharf.cli.output import complain, count_of, show, table
-from comfreywharf.cli.submission import ask_again, exit_code, submit_once
+from comfreywharf.cli.output import count_of, print_to_stderr, show, table
+from comfreywharf.cli.submission import exit_code, outcome_command, submit_once
 from comfreywharf.cli.target import Target
 from comfreywharf.daemon.operating.documents import (
     DrainDocument,
@@ -55,7 +55,7 @@
     services = client.get("/services", list[ServiceDocument])
     answers = []
     if all_nodes:
-        answers = ask_all(
+        answers = query_all(
             other_nodes(client), lambda node: node.get("/status", StatusDocument)
         )
     troubles = _troubles(own, services, answers)
@@ -63,16 +63,16 @@
         "status": own,
         "nodes": nodes,
         "services": services,
-        "answers": {node_id: _answer(answer) for node_id, answer in answers},
+        "answers": {node_id: _answer_document(answer) for node_id, answer in answers},
         "troubles": troubles,
     }
     show(document, at.json, _status_text(own, nodes, services, answers))
     for trouble in troubles:
-        complain(trouble)
+        print_to_stderr(trouble)
     return ExitCode.REFUSED if troubles else ExitCode.FINE
 
 
-def _answer(answer):
+def _answer_document(answer):
     return {"error": str(answer)} if isinstance(answer, CommandError) else answer
 
 
@@ -176,7 +176,7 @@
     wait_s
         Wait until the node owns no slice, at most this long, in seconds.
     """
-    return _change(node_id, author, wait_s, at, draining=True)
+    return _change_drain(node_id, author, wait_s, at, draining=True)
 
 
 def undrain(node_id: str, *, author: str = "", at: Target):
@@ -186,10 +186,10 @@
 
     `comfreywharf undrain booking-3`
     """
-    return _change(node_id, author, 0.0, at, draining=False)
+    return _change_drain(node_id, author, 0.0, at, draining=False)
 
 
-def _change(node_id, author, wait_s, at, draining):
+def _change_drain(node_id, author, wait_s, at, draining):
     client = at.client()
     order = DrainOrder(
         node_id=node_id, author=author or login_name(), record_id=uuid.uuid4().hex
@@ -202,10 +202,12 @@
         owned = _wait_empty(client, node_id, wait_s)
         if owned:
             code = ExitCode.REFUSED
-            complain(f"{node_id} isn't empty after {wait_s:g} s; the drain goes on")
+            print_to_stderr(
+                f"{node_id} isn't empty after {wait_s:g} s; the drain goes on"
+            )
     text = f"{node_id}: {'drain' if draining else 'undrain'} {document.verdict.value}"
     if document.reason:
-        text += f" ({document.reason}); ask again with: {ask_again(order)}"
+        text += f" ({document.reason}); ask again with: {outcome_command(order)}"
     elif owned >= 0:
         text += f"; it owns {count_of(owned, 'slice')}"
     show({"submission": document, "owned_slices": owned}, at.json, text)
--- a/comfreywharf/cli/output.py
+++ b/comfreywharf/cli/output.py
@@ -6,7 +6,7 @@
 
 from comfreywharf.cli.client import converter
 
-__all__ = ["complain", "count_of", "show", "table", "yes_no"]
+__all__ = ["count_of", "print_to_stderr", "show", "table", "yes_no"]
 
 
 def table(headings, rows):
@@ -21,12 +21,12 @@
         max(len(column[0]), *map(len, column[1:]), 0)
         for column in zip(headings, *texts, strict=True)
     ]
-    right = [
+    right_aligned = [
         bool(rows) and all(isinstance(row[index], int | float) for row in rows)
         for index in range(len(headings))
     ]
-    lines = [_line(headings, widths, right)]
-    lines += [_line(row, widths, right) for row in texts]
+    lines = [_line(headings, widths, right_aligned)]
+    lines += [_line(row, widths, right_aligned) for row in texts]
     return "\n".join(lines)
 
 
@@ -39,7 +39,7 @@
         print(text)
 
 
-def complain(message):
+def print_to_stderr(message):
     """Print a message to standard error, apart from the output."""
     print(f"comfreywharf: {message}", file=sys.stderr)
 
@@ -66,9 +66,9 @@
     return str(cell) if cell != "" else "-"
 
 
-def _line(cells, widths, right):
-    placed = [
-        cell.rjust(width) if to_right else cell.ljust(width)
-        for cell, width, to_right in zip(cells, widths, right, strict=True)
+def _line(cells, widths, right_aligned):
+    aligned = [
+        cell.rjust(width) if is_right else cell.ljust(width)
+        for cell, width, is_right in zip(cells, widths, right_aligned, strict=True)
     ]
-    return "  ".join(placed).rstrip()
+    return "  ".join(aligned).rstrip()
--- a/comfreywharf/cli/rollout.py
+++ b/comfreywharf/cli/rollout.py
@@ -5,11 +5,11 @@
 import attrs
 import gevent
 
-from comfreywharf.cli.client import ask_all, other_nodes
+from comfreywharf.cli.client import other_nodes, query_all
 from comfreywharf.cli.exits import CommandError
 from comfreywharf.daemon.operating.documents import ServiceDocument, StatusDocument
 
-__all__ = ["Rollout", "follow_rollout"]
+__all__ = ["Rollout", "wait_for_rollout"]
 
 POLL_INTERVAL_S = 0.25
 
@@ -35,8 +35,10 @@
     @property
     def text(self):
         """Return the progress as a line of text for people."""
-        arrived = self.nodes - len(self.behind)
-        line = f"version {self.version} is in force on {arrived} of {self.nodes} nodes"
+        up_to_date = self.nodes - len(self.behind)
+        line = (
+            f"version {self.version} is in force on {up_to_date} of {self.nodes} nodes"
+        )
         if self.behind:
             line += f", not yet on {', '.join(self.behind)}"
         if self.unserved_slices:
@@ -44,21 +46,21 @@
         return line
 
 
-def follow_rollout(client, version, wait_s):
+def wait_for_rollout(client, version, wait_s):
     """Poll all nodes until the rollout of a version is done; return the `Rollout`.
 
     After about ``wait_s`` seconds, the result is returned even if it isn't done.
     """
     for _ in range(int(wait_s / POLL_INTERVAL_S) + 1):
-        rollout = _look(client, version)
+        rollout = _check_rollout(client, version)
         if rollout.done:
             break
         gevent.sleep(POLL_INTERVAL_S)
     return rollout
 
 
-def _look(client, version):
-    answers = ask_all(
+def _check_rollout(client, version):
+    answers = query_all(
         other_nodes(client), lambda node: node.get("/status", StatusDocument)
     )
     behind = tuple(
--- a/comfreywharf/cli/submission.py
+++ b/comfreywharf/cli/submission.py
@@ -6,10 +6,10 @@
 from comfreywharf.cli.exits import CommandError, ExitCode
 from comfreywharf.daemon.operating.documents import SubmissionDocument, Verdict
 
-__all__ = ["ask_again", "exit_code", "resolve", "submit_once"]
+__all__ = ["exit_code", "outcome_command", "query_outcome", "submit_once"]
 
-ASK_AGAIN_S = 0.5
-ASK_AGAIN_TIMES = 12
+QUERY_INTERVAL_S = 0.5
+MAX_QUERIES = 12
 
 
 def submit_once(client, path, order, cls, base_version=None):
@@ -34,24 +34,25 @@
         answer, document = None, None
     if document is None or document.verdict == Verdict.UNKNOWN:
         clients = [client, *(other for _, other in others if other != client)]
-        document = resolve(clients, order.record_id, base_version) or document
+        document = query_outcome(clients, order.record_id, base_version) or document
     if document is None:
         raise CommandError(
             ExitCode.UNREACHABLE,
             "no node answers. Whether the record took effect isn't known; its id is "
-            f"{order.record_id}. Ask again with: {ask_again(order, base_version)}",
+            f"{order.record_id}. Ask again with: "
+            f"{outcome_command(order, base_version)}",
         )
     return answer, document
 
 
-def resolve(clients, record_id, base_version=None):
+def query_outcome(clients, record_id, base_version=None):
     """Query the outcome of a record at the nodes in turn, until it is known.
 
     Returns the last answer, or ``None`` if no node answered.
     """
     query = {} if base_version is None else {"base_version": base_version}
     document = None
-    for number in range(ASK_AGAIN_TIMES):
+    for number in range(MAX_QUERIES):
         client = clients[number % len(clients)]
         try:
             document = client.get(
@@ -65,11 +66,11 @@
         else:
             if document.verdict != Verdict.UNKNOWN:
                 return document
-        gevent.sleep(ASK_AGAIN_S)
+        gevent.sleep(QUERY_INTERVAL_S)
     return document
 
 
-def ask_again(order, base_version=None):
+def outcome_command(order, base_version=None):
     """Return the command line that queries the outcome of a record."""
     command = f"comfreywharf config outcome {order.record_id}"
     return command if base_version is None else f"{command} --base {base_version}"
--- a/comfreywharf/cli/tests/test_clocks.py
+++ b/comfreywharf/cli/tests/test_clocks.py
@@ -20,7 +20,7 @@
             node_id=str(number),
             sent_ms=100.0,
             received_ms=100.0 + there + back,
-            shown_ms=100.0 + there + ahead,
+            clock_ms=100.0 + there + ahead,
         )
         for number, (ahead, there, back) in enumerate(clocks)
     ]
--- a/comfreywharf/cli/tests/test_submission.py
+++ b/comfreywharf/cli/tests/test_submission.py
@@ -14,7 +14,7 @@
 
 @pytest.fixture(autouse=True)
 def no_pause(monkeypatch):
-    monkeypatch.setattr(module, "ASK_AGAIN_S", 0)
+    monkeypatch.setattr(module, "QUERY_INTERVAL_S", 0)
 
 
 def submit(node):
@@ -30,7 +30,7 @@
     the outcome is known, since the tool then queries the outcome.
     """
     node = FakeNode([posted], asked)
-    final = [v for v in [posted, *asked][: module.ASK_AGAIN_TIMES + 1] if v]
+    final = [v for v in [posted, *asked][: module.MAX_QUERIES + 1] if v]
     certain = [v for v in final if v != "unknown"]
     if not final:
         with pytest.raises(CommandError, match="config outcome r1 --base 4") as raised:
--- a/comfreywharf/cli/timeline.py
+++ b/comfreywharf/cli/timeline.py
@@ -8,7 +8,7 @@
 from returns.result import Success
 
 from comfreywharf.cli.client import other_nodes
-from comfreywharf.cli.events import complain_of, fetch
+from comfreywharf.cli.events import fetch, print_failures
 from comfreywharf.cli.exits import CommandError, ExitCode
 from comfreywharf.cli.target import Target
 from comfreywharf.daemon.operating.documents import NodeDocument
@@ -80,7 +80,7 @@
         sys.stdout.write(text)
     else:
         _write(output, text)
-    return complain_of(failed)
+    return print_failures(failed)
 
 
 def _render(events, format, domains):
