--- a/comfreywharf/cli/tests/builders.py
+++ b/comfreywharf/cli/tests/builders.py
@@ -8,10 +8,10 @@
     Verdict,
 )
 
-__all__ = ["FakeNode", "order", "submission"]
+__all__ = ["FakeNode", "make_order", "submission"]
 
 
-def order():
+def make_order():
     """Return a patch order."""
     return PatchOrder(
         record_id="r1", base_version=4, author="ilze", services={"booking": None}
@@ -19,7 +19,7 @@
 
 
 def submission(verdict):
-    """Return the answer to the order of `order`, with a verdict."""
+    """Return the answer to the order of `make_order`, with a verdict."""
     return SubmissionDocument(
         record_id="r1", verdict=Verdict(verdict), version=5, next_offset=9
     )
@@ -60,13 +60,13 @@
         if path == "/nodes":
             return self._others
         self.asked.append(query["record_id"])
-        return self._take("outcome")
+        return self._next_answer("outcome")
 
     def post(self, path, order, cls):
         self.posts.append(order.record_id)
-        return self._take("post")
+        return self._next_answer("post")
 
-    def _take(self, kind):
+    def _next_answer(self, kind):
         verdict = self._answers[kind].pop(0) if self._answers[kind] else None
         if verdict is None:
             raise AnswerLost("lost")
--- a/comfreywharf/cli/tests/test_submission.py
+++ b/comfreywharf/cli/tests/test_submission.py
@@ -6,44 +6,44 @@
 from comfreywharf.cli import submission as module
 from comfreywharf.cli.exits import CommandError, ExitCode
 from comfreywharf.cli.submission import exit_code, submit_once
-from comfreywharf.cli.tests.builders import FakeNode, order, submission
+from comfreywharf.cli.tests.builders import FakeNode, make_order, submission
 from comfreywharf.daemon.operating.documents import SubmissionDocument, Verdict
 
 verdicts = st.sampled_from([None, "accepted", "refused", "unknown"])
 
 
 @pytest.fixture(autouse=True)
-def no_pause(monkeypatch):
+def no_query_interval(monkeypatch):
     monkeypatch.setattr(module, "QUERY_INTERVAL_S", 0)
 
 
 def submit(node):
-    return submit_once(node, "/config", order(), SubmissionDocument, 4)[1]
+    return submit_once(node, "/config", make_order(), SubmissionDocument, 4)[1]
 
 
 @given(posted=verdicts, asked=st.lists(verdicts, max_size=14))
 @settings(derandomize=True, deadline=None)
-def test_posted_once_and_reported_as_it_is(posted, asked):
+def test_a_record_is_posted_once_and_its_outcome_reported(posted, asked):
     """A patch must not be appended twice, nor its outcome be reported wrongly.
 
     Both could happen if the answer to the post is lost, or if it is sent before
     the outcome is known, since the tool then queries the outcome.
     """
     node = FakeNode([posted], asked)
-    final = [v for v in [posted, *asked][: module.MAX_QUERIES + 1] if v]
-    certain = [v for v in final if v != "unknown"]
-    if not final:
+    verdicts_read = [v for v in [posted, *asked][: module.MAX_QUERIES + 1] if v]
+    final_verdicts = [v for v in verdicts_read if v != "unknown"]
+    if not verdicts_read:
         with pytest.raises(CommandError, match="config outcome r1 --base 4") as raised:
             submit(node)
         assert raised.value.code == ExitCode.UNREACHABLE
     else:
-        expected = Verdict(certain[0] if certain else "unknown")
+        expected = Verdict(final_verdicts[0] if final_verdicts else "unknown")
         assert submit(node).verdict == expected
     assert node.posts == ["r1"]
     assert set(node.asked) <= {"r1"}
 
 
-def test_the_asked_node_dies(monkeypatch):
+def test_the_outcome_is_queried_at_another_node_after_a_crash(monkeypatch):
     """A patch in force must not be reported as failed if the queried node crashes.
 
     The node appends the record and crashes, and another node has read it. The
