--- a/comfreywharf/cli/client.py
+++ b/comfreywharf/cli/client.py
@@ -1,4 +1,4 @@
-"""Questions to a node's operators' port, answered by typed documents."""
+"""A client of a node's operators' port, which returns typed documents."""
 
 from typing import Any
 from urllib.parse import urlencode
@@ -15,7 +15,7 @@
 from comfreywharf.daemon.connections.http import SingleSendClient
 from comfreywharf.daemon.operating.documents import ErrorDocument, NodeDocument
 
-__all__ = ["AnswerLost", "NodeClient", "ask_all", "converter", "other_nodes"]
+__all__ = ["AnswerLost", "NodeClient", "converter", "other_nodes", "query_all"]
 
 CONNECT_TIMEOUT_S = 2.0
 MAX_ANSWER_BYTES = 64 << 20
@@ -26,7 +26,10 @@
 
 
 class AnswerLost(CommandError):
-    """No whole answer came: the node is down, or did what was asked and died."""
+    """No complete answer was received.
+
+    The node may be down, or may have carried out the request and then crashed.
+    """
 
     def __init__(self, message):
         super().__init__(ExitCode.UNREACHABLE, message)
@@ -34,36 +37,41 @@
 
 @attrs.frozen
 class NodeClient:
-    """The operators' port of one node."""
+    """A client of the operators' port of one node.
+
+    All methods raise `CommandError` if the node answers with an error, and its
+    subclass `AnswerLost` if no complete and valid answer is received.
+    """
 
     host: str
     port: int
     timeout_s: float = 10.0
 
     def get(self, path, cls, **query):
-        """Return the answer to a question as ``cls``."""
+        """Return the answer to a GET request as ``cls``."""
         uri = f"{path}?{urlencode(query)}" if query else path
-        return self._structure(self._accept("GET", uri, b"", (200,)), cls)
+        return self._parse(self._call_checked("GET", uri, b"", (200,)), cls)
 
     def get_json(self, path, **query):
-        """Return the answer to a question as plain JSON values."""
+        """Return the answer to a GET request as plain JSON values."""
         return self.get(path, Any, **query)
 
     def post(self, path, order, cls):
-        """Send an order and return what became of it as ``cls``.
+        """Post an order and return its outcome as ``cls``.
 
-        200, 202 and 409 carry the same document, which says what it was.
+        Answers with status 200, 202 and 409 have the same kind of document,
+        which says what the outcome is.
         """
         body = orjson.dumps(converter.unstructure(order))
-        return self._structure(self._accept("POST", path, body, (200, 202, 409)), cls)
+        return self._parse(self._call_checked("POST", path, body, (200, 202, 409)), cls)
 
-    def _accept(self, method, uri, body, good):
+    def _call_checked(self, method, uri, body, accepted_statuses):
         status, data = self._call(method, uri, body)
-        if status in good:
+        if status in accepted_statuses:
             return data
         raise CommandError(_exit_code(status), _error_text(status, data))
 
-    def _structure(self, data, cls):
+    def _parse(self, data, cls):
         try:
             return converter.structure(orjson.loads(data), cls)
         except (orjson.JSONDecodeError, cattrs.BaseValidationError, TypeError) as error:
@@ -93,24 +101,28 @@
 
 
 def other_nodes(client):
-    """Return ``(node id, client)`` for each node that the asked one knows."""
+    """Return ``(node id, client)`` for each node in the queried node's list."""
     return [
         (node.node_id, attrs.evolve(client, host=node.host, port=node.operator_port))
         for node in client.get("/nodes", list[NodeDocument])
     ]
 
 
-def ask_all(clients, question):
-    """Return ``(node id, answer)`` for each; an answer may be a `CommandError`."""
+def query_all(clients, get_answer):
+    """Query nodes concurrently and return ``(node id, answer)`` for each of them.
+
+    ``clients`` are pairs as those of `other_nodes`; ``get_answer`` is called with
+    each client. An answer is a `CommandError` if the call raised it.
+    """
 
-    def ask(place):
+    def query_one(place):
         node_id, client = place
         try:
-            return node_id, question(client)
+            return node_id, get_answer(client)
         except CommandError as error:
             return node_id, error
 
-    return Pool(CONCURRENT_NODES).map(ask, clients)
+    return Pool(CONCURRENT_NODES).map(query_one, clients)
 
 
 def _exit_code(status):
--- a/comfreywharf/cli/doctor.py
+++ b/comfreywharf/cli/doctor.py
@@ -1,4 +1,4 @@
-"""The command that looks for what is wrong, and says what to do."""
+"""The command that checks a deployment for faults and gives advice."""
 
 import time
 from pathlib import Path
@@ -6,7 +6,7 @@
 from cyclopts import App
 from returns.result import Failure
 
-from comfreywharf.cli.client import ask_all, other_nodes
+from comfreywharf.cli.client import other_nodes, query_all
 from comfreywharf.cli.clocks import ClockReading, clock_offsets
 from comfreywharf.cli.exits import CommandError, ExitCode
 from comfreywharf.cli.output import count_of, show, table
@@ -21,7 +21,7 @@
 __all__ = ["register"]
 
 MAX_CLOCK_OFFSET_MS = 1000.0
-"""Leases use no wall clocks; beyond this, logs of machines are hard to compare."""
+"""Larger offsets make logs of machines hard to compare; leases use no wall clocks."""
 
 
 def register(app: App):
@@ -80,7 +80,7 @@
 
 def _check_nodes(client):
     readings, checks, statuses = [], [], []
-    for node_id, answer in ask_all(other_nodes(client), _read_clock):
+    for node_id, answer in query_all(other_nodes(client), _read_clock):
         if isinstance(answer, CommandError):
             checks.append(
                 CheckDocument(
@@ -99,8 +99,8 @@
 
 
 def _read_clock(client):
-    # The first question opens the way; its connection time would make the
-    # estimate less sure.
+    # The first query isn't measured: connecting takes time, which would make the
+    # estimate less certain.
     client.get("/status", StatusDocument)
     sent_ms = time.time() * 1000
     status = client.get("/status", StatusDocument)
@@ -109,15 +109,15 @@
         node_id=status.node_id,
         sent_ms=sent_ms,
         received_ms=received_ms,
-        shown_ms=status.wall_clock_ms,
+        clock_ms=status.wall_clock_ms,
     )
     return reading, status
 
 
 def _check_clock(estimate):
-    # An estimate that is no surer than the bound proves nothing.
-    sure_ms = abs(estimate.offset_ms) - estimate.uncertainty_ms
-    well = sure_ms <= MAX_CLOCK_OFFSET_MS
+    # Only the part of the offset that exceeds the uncertainty is certain.
+    certain_ms = abs(estimate.offset_ms) - estimate.uncertainty_ms
+    well = certain_ms <= MAX_CLOCK_OFFSET_MS
     return CheckDocument(
         name=f"clock {estimate.node_id}",
         well=well,
--- a/comfreywharf/cli/rollout.py
+++ b/comfreywharf/cli/rollout.py
@@ -1,22 +1,26 @@
-"""Whether an accepted version is in force everywhere, and its slices served."""
+"""Wait until a configuration version is in force on all nodes and slices are served."""
 
 from collections import Counter
 
 import attrs
 import gevent
 
-from comfreywharf.cli.client import ask_all, other_nodes
+from comfreywharf.cli.client import other_nodes, query_all
 from comfreywharf.cli.exits import CommandError
 from comfreywharf.daemon.operating.documents import ServiceDocument, StatusDocument
 
-__all__ = ["Rollout", "follow_rollout"]
+__all__ = ["Rollout", "wait_for_rollout"]
 
 POLL_INTERVAL_S = 0.25
 
 
 @attrs.frozen(kw_only=True)
 class Rollout:
-    """How far a version has come: which nodes lag, what nobody serves."""
+    """The progress of a version's rollout.
+
+    ``behind`` has the ids of nodes where the version isn't in force yet, or that
+    didn't answer; ``unserved_slices`` counts the slices without a serving owner.
+    """
 
     version: int
     nodes: int
@@ -25,14 +29,16 @@
 
     @property
     def done(self):
-        """Return whether nothing is left to wait for."""
+        """Return whether all nodes have the version and all slices are served."""
         return not self.behind and not self.unserved_slices
 
     @property
     def text(self):
-        """Return the state as a line for people."""
-        arrived = self.nodes - len(self.behind)
-        line = f"version {self.version} is in force on {arrived} of {self.nodes} nodes"
+        """Return the progress as a line of text for people."""
+        up_to_date = self.nodes - len(self.behind)
+        line = (
+            f"version {self.version} is in force on {up_to_date} of {self.nodes} nodes"
+        )
         if self.behind:
             line += f", not yet on {', '.join(self.behind)}"
         if self.unserved_slices:
@@ -40,21 +46,21 @@
         return line
 
 
-def follow_rollout(client, version, wait_s):
-    """Ask all nodes until a version has come everywhere; return the `Rollout`.
+def wait_for_rollout(client, version, wait_s):
+    """Poll all nodes until the rollout of a version is done; return the `Rollout`.
 
-    It gives up after about ``wait_s`` seconds, with what is still missing.
+    After about ``wait_s`` seconds, the result is returned even if it isn't done.
     """
     for _ in range(int(wait_s / POLL_INTERVAL_S) + 1):
-        rollout = _look(client, version)
+        rollout = _check_rollout(client, version)
         if rollout.done:
             break
         gevent.sleep(POLL_INTERVAL_S)
     return rollout
 
 
-def _look(client, version):
-    answers = ask_all(
+def _check_rollout(client, version):
+    answers = query_all(
         other_nodes(client), lambda node: node.get("/status", StatusDocument)
     )
     behind = tuple(
--- a/comfreywharf/cli/submission.py
+++ b/comfreywharf/cli/submission.py
@@ -1,4 +1,4 @@
-"""Submit a record once, and learn what became of it when the answer is lost."""
+"""Submit a record once, and query its outcome if the answer is lost."""
 
 import gevent
 
@@ -6,21 +6,22 @@
 from comfreywharf.cli.exits import CommandError, ExitCode
 from comfreywharf.daemon.operating.documents import SubmissionDocument, Verdict
 
-__all__ = ["ask_again", "exit_code", "resolve", "submit_once"]
+__all__ = ["exit_code", "outcome_command", "query_outcome", "submit_once"]
 
-ASK_AGAIN_S = 0.5
-ASK_AGAIN_TIMES = 12
+QUERY_INTERVAL_S = 0.5
+MAX_QUERIES = 12
 
 
 def submit_once(client, path, order, cls, base_version=None):
     """Post an order; return ``(answer or None, SubmissionDocument)``.
 
-    ``base_version`` is that of a patch; other records have none.
+    ``base_version`` is the base of a patch; other records have none. Raises
+    `CommandError` if no node answers.
 
-    An answer lost on the way says nothing of the record: it may be in the log.
-    Posting it again under a new id could put it there twice, and posting it
-    again at all is not needed. The record is asked for by its id instead, at
-    this node and then at the others, until a node has read it.
+    If the answer is lost, the record may or may not be in the log. Posting it
+    again under a new id could append it twice, and posting it again under any id
+    is unnecessary. Its outcome is queried by its id instead, at this node and
+    then at the others, until a node has read the record.
     """
     try:
         others = other_nodes(client)
@@ -33,21 +34,25 @@
         answer, document = None, None
     if document is None or document.verdict == Verdict.UNKNOWN:
         clients = [client, *(other for _, other in others if other != client)]
-        document = resolve(clients, order.record_id, base_version) or document
+        document = query_outcome(clients, order.record_id, base_version) or document
     if document is None:
         raise CommandError(
             ExitCode.UNREACHABLE,
             "no node answers. Whether the record took effect isn't known; its id is "
-            f"{order.record_id}. Ask again with: {ask_again(order, base_version)}",
+            f"{order.record_id}. Ask again with: "
+            f"{outcome_command(order, base_version)}",
         )
     return answer, document
 
 
-def resolve(clients, record_id, base_version=None):
-    """Ask nodes in turn what became of a record; ``None`` if none answers."""
+def query_outcome(clients, record_id, base_version=None):
+    """Query the outcome of a record at the nodes in turn, until it is known.
+
+    Returns the last answer, or ``None`` if no node answered.
+    """
     query = {} if base_version is None else {"base_version": base_version}
     document = None
-    for number in range(ASK_AGAIN_TIMES):
+    for number in range(MAX_QUERIES):
         client = clients[number % len(clients)]
         try:
             document = client.get(
@@ -61,16 +66,16 @@
         else:
             if document.verdict != Verdict.UNKNOWN:
                 return document
-        gevent.sleep(ASK_AGAIN_S)
+        gevent.sleep(QUERY_INTERVAL_S)
     return document
 
 
-def ask_again(order, base_version=None):
-    """Return the command that asks for a record."""
+def outcome_command(order, base_version=None):
+    """Return the command line that queries the outcome of a record."""
     command = f"comfreywharf config outcome {order.record_id}"
     return command if base_version is None else f"{command} --base {base_version}"
 
 
 def exit_code(document):
-    """Return the exit code of a submission."""
+    """Return the exit code for the outcome of a submission."""
     return ExitCode.FINE if document.verdict == Verdict.ACCEPTED else ExitCode.REFUSED
--- a/comfreywharf/cli/timeline.py
+++ b/comfreywharf/cli/timeline.py
@@ -1,4 +1,4 @@
-"""The command that puts the events of all nodes into one time line."""
+"""The command that merges the events of all nodes into one time line."""
 
 import sys
 from enum import Enum
@@ -8,7 +8,7 @@
 from returns.result import Success
 
 from comfreywharf.cli.client import other_nodes
-from comfreywharf.cli.events import complain_of, fetch
+from comfreywharf.cli.events import fetch, print_failures
 from comfreywharf.cli.exits import CommandError, ExitCode
 from comfreywharf.cli.target import Target
 from comfreywharf.daemon.operating.documents import NodeDocument
@@ -20,13 +20,13 @@
     render_json,
     render_text,
 )
-from comfreywharf.events.timeline.picture import draw
+from comfreywharf.events.timeline.picture import render_svg
 
 __all__ = ["register"]
 
 
 class Format(Enum):
-    """How the time line is written."""
+    """The output format of the time line."""
 
     TEXT = "text"
     JSON = "json"
@@ -80,21 +80,21 @@
         sys.stdout.write(text)
     else:
         _write(output, text)
-    return complain_of(failed)
+    return print_failures(failed)
 
 
 def _render(events, format, domains):
     if format is Format.JSON:
         return render_json(events)
     if format is Format.SVG:
-        return draw(events, lanes_of(events, domains))
+        return render_svg(events, lanes_of(events, domains))
     if format is Format.HTML:
         return render_html(events, domains)
     return render_text(events)
 
 
 def _read_log(path):
-    """Return the events that stand in a node's log; other lines are left out."""
+    """Return the events in a node's log; lines without an event are skipped."""
     try:
         with open(path, encoding="utf-8", errors="replace") as file:
             read = [parse_line(line) for line in file]
--- a/comfreywharf/events/explain.py
+++ b/comfreywharf/events/explain.py
@@ -1,16 +1,16 @@
-"""One request's story, put together from the lines of all nodes."""
+"""The decisions on one request, combined from the log lines of all nodes."""
 
 import attrs
 import orjson
 
 from comfreywharf.events.decisions import DECISIONS
 
-__all__ = ["Step", "read_steps", "tell_story"]
+__all__ = ["Step", "format_steps", "read_steps"]
 
 
 @attrs.frozen
 class Step:
-    """One decision on a request, as a node wrote it down."""
+    """One decision on a request, as a node logged it."""
 
     clock: int
     node: str
@@ -19,11 +19,12 @@
 
 
 def read_steps(lines, request_id):
-    """Return the `Step` of each line on a request, in causal order.
+    """Return the `Step` of each line about a request, in causal order.
 
-    Lines may have anything before their JSON, as a collector adds it; those that
-    hold none are passed over. The order is that of the hybrid logical clocks:
-    what a node decided after it heard from another one comes behind it.
+    Any prefix before the JSON object of a line, as log collectors add it, is
+    skipped, and so are lines without a JSON object. Steps are sorted by their
+    hybrid logical clocks: a decision that a node made after it received a message
+    follows the decisions that the sender made before it sent the message.
     """
     steps = []
     for line in lines:
@@ -48,23 +49,23 @@
     return Step(*(fields[name] for name in names), facts)
 
 
-def tell_story(steps):
-    """Yield the lines that tell a request's story to a person.
+def format_steps(steps):
+    """Yield the steps of a request as lines of text for people.
 
     >>> step = Step(1 << 16, "n1", "refused", {"reason": "overloaded"})
-    >>> print("\\n".join(tell_story([step])))
+    >>> print("\\n".join(format_steps([step])))
     +0 ms  n1  refused: the caller was told that its request didn't run
                reason=overloaded
     """
     if not steps:
         return
-    begun_ms = steps[0].clock >> 16
+    start_ms = steps[0].clock >> 16
     width = max(len(step.node) for step in steps)
     for step in steps:
-        after_ms = (step.clock >> 16) - begun_ms
-        what = DECISIONS.get(step.decision, "a decision of another version")
-        head = f"+{after_ms} ms  {step.node:<{width}}"
-        yield f"{head}  {step.decision}: {what}"
+        elapsed_ms = (step.clock >> 16) - start_ms
+        description = DECISIONS.get(step.decision, "a decision of another version")
+        head = f"+{elapsed_ms} ms  {step.node:<{width}}"
+        yield f"{head}  {step.decision}: {description}"
         facts = " ".join(f"{name}={value}" for name, value in step.facts.items())
         if facts:
             yield " " * (len(head) + 2) + facts
--- a/comfreywharf/events/ownership.py
+++ b/comfreywharf/events/ownership.py
@@ -1,4 +1,4 @@
-"""Which slices this node gained and lost by a record of the log."""
+"""The slices that this node gained and lost by a record of the log."""
 
 from collections import Counter
 
@@ -6,15 +6,16 @@
 
 from comfreywharf.records import SlicesMerged, SliceSplit, SlicesTaken
 
-__all__ = ["OwnershipChange", "OwnershipChanges"]
+__all__ = ["OwnershipChange", "OwnershipTracker"]
 
 
 @attrs.frozen(kw_only=True)
 class OwnershipChange:
-    """Slices of one service that came from, or went to, one other node.
+    """Slices of one service that this node gained from, or lost to, one other node.
 
     ``owned`` is how many slices of the service this node owns afterwards;
-    ``peer`` is empty where nobody owned the slices before.
+    ``peer`` is empty if the slices had no owner before or have none now, and if the
+    change was found by comparison with a snapshot.
     """
 
     service: str
@@ -24,54 +25,54 @@
     gained: bool
 
 
-class OwnershipChanges:
-    """Follow the fold and tell what changed for one node.
+class OwnershipTracker:
+    """Derive the changes of one node's slices from the folded records.
 
-    Only this node's own slices are remembered: every node follows every record,
-    and a copy of all slices at each would be spent memory.
+    Only this node's own slices are stored. Every node folds every record, so a
+    copy of all slices at every node would waste memory.
     """
 
     def __init__(self, node_id):
         self._node_id = node_id
-        self._mine = set()
+        self._own_slices = set()
 
     @property
     def owned(self):
         """Return how many slices this node owns, by service."""
-        return Counter(service for service, _ in self._mine)
+        return Counter(service for service, _ in self._own_slices)
 
-    def folded(self, state, record, result):
-        """Return the changes that a record made, as `OwnershipChange` values."""
+    def changes_by_record(self, state, record, result):
+        """Return the changes caused by a folded record, as `OwnershipChange` values."""
         if isinstance(record, SliceSplit | SlicesMerged):
-            # The same keys stay with the same owner, in other pieces.
-            self._mine = self._owned(state)
+            # The owners of the keys don't change, only the bounds of slices do.
+            self._own_slices = self._owned(state)
             return []
         gained, lost = Counter(), Counter()
-        for place in result.changed:
-            self._compare(state, record, place, gained, lost)
+        for slice_id in result.changed:
+            self._compare(state, record, slice_id, gained, lost)
         return self._changes(gained, lost)
 
-    def replaced(self, state):
+    def changes_by_snapshot(self, state):
         """Return the changes after the whole state was replaced by a snapshot."""
         owned = self._owned(state)
-        gained = Counter((service, "") for service, _ in owned - self._mine)
-        lost = Counter((service, "") for service, _ in self._mine - owned)
-        self._mine = owned
+        gained = Counter((service, "") for service, _ in owned - self._own_slices)
+        lost = Counter((service, "") for service, _ in self._own_slices - owned)
+        self._own_slices = owned
         return self._changes(gained, lost)
 
     def _owned(self, state):
         owned = state.owned_by(self._node_id)
         return {(service, piece.start) for service, piece in owned}
 
-    def _compare(self, state, record, place, gained, lost):
-        service, start = place
+    def _compare(self, state, record, slice_id, gained, lost):
+        service, start = slice_id
         piece = state.slices[service].at_start(start)
         owner = piece.owner if piece else ""
-        if owner == self._node_id and place not in self._mine:
-            self._mine.add(place)
-            gained[service, _giver(record, piece)] += 1
-        elif owner != self._node_id and place in self._mine:
-            self._mine.discard(place)
+        if owner == self._node_id and slice_id not in self._own_slices:
+            self._own_slices.add(slice_id)
+            gained[service, _previous_owner(record, piece)] += 1
+        elif owner != self._node_id and slice_id in self._own_slices:
+            self._own_slices.discard(slice_id)
             lost[service, owner] += 1
 
     def _changes(self, gained, lost):
@@ -89,5 +90,5 @@
         ]
 
 
-def _giver(record, piece):
+def _previous_owner(record, piece):
     return record.owner_id if isinstance(record, SlicesTaken) else piece.previous
--- a/comfreywharf/events/tests/test_lines.py
+++ b/comfreywharf/events/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""A line of the log gives back the event that it was written from."""
+"""Log lines are parsed into the events that they were formatted from."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -22,8 +22,8 @@
 
 @settings(derandomize=True, deadline=None)
 @given(name=NAMES, node_id=st.text(max_size=20), fields=FIELDS, repeats=st.integers(0))
-def test_a_line_is_read_back_whatever_its_values(name, node_id, fields, repeats):
-    """Blanks, quotes, line ends and look-alikes of fields change nothing."""
+def test_lines_with_any_values_are_parsed_back(name, node_id, fields, repeats):
+    """Blanks, quotes, line ends and text that looks like a field are preserved."""
     event = Event(
         number=203,
         name=name,
@@ -42,24 +42,23 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.text())
-def test_any_other_line_is_told_apart(text):
-    """A line that holds no event is a finding and never an exception."""
+def test_lines_without_an_event_raise_no_exception(text):
+    """A line without an event gives a `Failure` and raises no exception."""
     for line in (text, f"E203 name {text}", f"E203 name node=n run=1 seq=1 {text}"):
         parse_line(line)
 
 
 def test_an_outage_does_not_fill_the_console():
-    """A kind of event that never stops is bounded; a rare one beside it isn't.
+    """Frequent events are limited, and rare events of another kind aren't.
 
-    Symptom: a console full of one line, on a VM that has no disk.
-    Sequence: the log service is down and each attempt is reported.
-    Cause: lines were written as fast as attempts were made.
+    While the log service is down, every attempt to reach it is reported. With a
+    line for each attempt, the console of a VM without a disk would be full.
     """
     limit = RateLimit(burst=20, per_s=0.5)
-    said = [limit.admit("log_unreachable", now_s / 100) for now_s in range(10_000)]
-    written = [count for count in said if count is not None]
+    results = [limit.admit("log_unreachable", now_s / 100) for now_s in range(10_000)]
+    written = [count for count in results if count is not None]
     assert len(written) <= 20 + 50
     assert limit.admit("log_gap", 99.9) == 0
     assert limit.take_withheld(100.0, quiet_s=5.0) == []
-    told = limit.take_withheld(110.0, quiet_s=5.0)
-    assert len(written) + sum(written) + told[0][1] == 10_000
+    withheld = limit.take_withheld(110.0, quiet_s=5.0)
+    assert len(written) + sum(written) + withheld[0][1] == 10_000
