--- a/comfreywharf/platform/__init__.py
+++ b/comfreywharf/platform/__init__.py
@@ -1,6 +1,5 @@
-"""The adapter to the operators' platform: it translates, and decides nothing.
+"""The adapter to the operators' platform: it translates and makes no decisions.
 
-The names of the platform's messages, settings and headers stand in this folder
-only. Each is decoded once, into types of the product whose fields say what they
-hold.
+The names of the platform's messages, settings and headers are used in this
+subpackage only. Each message is decoded once, into the product's own types.
 """
--- a/comfreywharf/platform/announcements.py
+++ b/comfreywharf/platform/announcements.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself, decoded once into typed values."""
+"""Heartbeats and deregistrations of backend servers, decoded into typed values."""
 
 import ipaddress
 import re
@@ -15,15 +15,15 @@
 __all__ = ["DamagedReport", "Heartbeat", "read_deregistration", "read_heartbeat"]
 
 SPARE_CONNECTIONS = 8
-"""Of the connections that a backend server accepts, those left for orders."""
+"""Connections reserved for orders, beside the one that each slot may use."""
 
 MOST_SLOTS = 65_536
 MOST_HEARTBEATS = 10**9
-"""A heartbeat each millisecond for eleven days. A number beyond it is damaged: taken
-for true, it would make each later heartbeat of that server a late one, for good."""
+"""One heartbeat per millisecond for eleven days. A higher number is damaged: if it were
+accepted, all later heartbeats of that server would be rejected as late."""
 
 MOST_RANGES = 4096
-"""How many ranges a server may hold or have released, by its word."""
+"""How many ranges a heartbeat may list as held, and how many as released."""
 
 HIGHEST_FENCE = 2**63 - 1
 
@@ -37,9 +37,9 @@
 
 
 class DamagedReport(ValueError):
-    """A report that can't be read, or says what no server says; ``field`` is where.
+    """A report that can't be decoded, or has a value out of bounds in ``field``.
 
-    It names no server to use, and changes nothing of what is known of any.
+    A damaged report is ignored: it changes nothing that is known of any server.
     """
 
     def __init__(self, field, found, expected):
@@ -49,9 +49,9 @@
 
 @attrs.frozen(kw_only=True)
 class Heartbeat:
-    """One heartbeat. ``sequence`` counts those of one life of a server.
+    """One heartbeat. ``sequence`` counts the heartbeats of one incarnation.
 
-    ``held`` is ``None`` where it says nothing of keys.
+    ``held`` is ``None`` if the heartbeat doesn't list the keys that are held.
     """
 
     announcement: Announcement
@@ -64,8 +64,8 @@
 def read_heartbeat(instance, body):
     """Return the `Heartbeat` in the bytes of a report; raises `DamagedReport`.
 
-    Each field is checked, also those that aren't used: a writer that garbles one may
-    have garbled the others.
+    Unused fields are checked as well: a sender that corrupts one field may have
+    corrupted the others.
     """
     fields = _fields(body)
     host, port = _address(fields.get("address"))
@@ -100,7 +100,7 @@
 
 
 def _held(fields):
-    """Return what is held; rows overlap while work on an earlier grant goes on."""
+    """Return the held ranges; they overlap while work on an earlier grant goes on."""
     held = []
     for place, (first, last, fence) in _rows(fields, "holds"):
         if type(fence) is not int or not 0 <= fence <= HIGHEST_FENCE:
@@ -119,7 +119,7 @@
 
 
 def _rows(fields, name):
-    """Yield ``(place, row)`` of a list of ranges; raises `DamagedReport`."""
+    """Yield ``(place, row)`` for each range of a list; raises `DamagedReport`."""
     rows = fields[name]
     if not isinstance(rows, list) or len(rows) > MOST_RANGES:
         raise DamagedReport(name, rows, f"a list of {MOST_RANGES} rows at most")
@@ -138,7 +138,7 @@
 def read_deregistration(instance, body):
     """Return the `ServerIncarnation` that leaves; raises `DamagedReport`.
 
-    It may have no body.
+    The body may be empty.
     """
     return _life(instance, _fields(body) if body else {})
 
@@ -193,11 +193,11 @@
 
 
 def _whole(fields, name, most):
-    """Return a whole number from 0 to ``most``.
+    """Return a whole number from 0 to ``most``; raises `DamagedReport`.
 
-    A truth is a number to Python, and one with a fraction compares like one. A start or
-    a sequence of another type would raise with each later heartbeat, and the server be
-    silent for its node.
+    Booleans and floats are rejected, although Python accepts them as numbers. If a
+    start time or sequence number of another type were stored, comparing it with that of
+    each later heartbeat could raise, and the node would lose track of the server.
     """
     value = fields.get(name)
     if type(value) is not int or not 0 <= value <= most:
--- a/comfreywharf/platform/backends.py
+++ b/comfreywharf/platform/backends.py
@@ -1,4 +1,4 @@
-"""How a backend server is asked on the platform: requests, grants, releases."""
+"""Calls to a backend server on the platform: requests, grants and releases."""
 
 import contextlib
 
@@ -22,8 +22,8 @@
 CONNECT_TIMEOUT_S = 0.5
 GRANT_CONNECTIONS = 8
 RELEASE_CONNECTIONS = 16
-"""A release holds its connection until the work on its keys has ended. On those of
-the grants, a few of them would keep all renewals waiting until holds run out."""
+"""A release occupies its connection until the work on its keys has ended. On the
+connections of the grants, a few releases would block renewals until holds expire."""
 MAX_ANSWER_BYTES = 4096
 MAX_PASSED_OVER = 3
 
@@ -36,7 +36,7 @@
     """The platform's headers."""
 
     def request_lines(self, request, running, instance):
-        """Return the header lines; ``None`` for a value with a line end in it."""
+        """Return the header lines; ``None`` if a value contains a line break."""
         left_ms = max(1, int((running.deadline_s - boottime_s()) * 1000))
         lines = [f"{header.name}: {header.value}" for header in request.headers]
         lines.append(f"{ID_HEADER}: {request.request_id}")
@@ -45,10 +45,10 @@
         return join_lines(lines)
 
     def refused(self, response):
-        """Return why an answer proves "not run".
+        """Return the reason if an answer proves that the request wasn't run.
 
-        421 comes from a server that doesn't hold the key, or from another one at
-        the address: either way the key has to find its owner first.
+        421 comes from a server that doesn't hold the key, or from another server at
+        the same address. In both cases the owner of the key has to be found first.
         """
         if response.status_code == 421:
             return Reason.NOT_YET_OWNER
@@ -57,7 +57,7 @@
         return None
 
     def answers_request(self, response, request_id):
-        """Refuse an answer to another request, and a success without its stamp."""
+        """Reject an answer to another request, and a success without its stamp."""
         if response.get("x-attempt-id") != request_id:
             return False
         return response.status_code >= 300 or STAMP_HEADER in response
@@ -82,18 +82,19 @@
         )
 
     def reach(self):
-        """Return the number of the process that grants would reach now."""
+        """Return the number of the server process that grants would reach now."""
         return self._grants.reach()
 
     def grant(self, process, numbers, order):
-        """Return the `GrantAnswer` to an order on the numbers from first to last."""
+        """Return the `GrantAnswer` to an order; ``numbers`` is ``(first, last)``."""
         sent = False
         try:
             with gevent.Timeout(GRANT_TIMEOUT_S):
                 sock = self._grants.borrow(process)
                 if sock is None:
                     return GrantAnswer.UNSENT
-                # Only now it is known how much of the lease the wait has left over.
+                # The wait for a connection has used up a part of the lease, so that
+                # the length of the hold is only computed here.
                 hold_s = order.hold_s_at(boottime_s())
                 if not hold_s:
                     self._grants.give_back(sock)
@@ -106,7 +107,7 @@
         return _GRANT_ANSWERS.get(answer.status_code, GrantAnswer.REFUSED)
 
     def release(self, first, last, fence, timeout_s):
-        """Return what the server hands over, or ``None`` without an answer."""
+        """Return the server's handover, or ``None`` without a successful answer."""
         fields = {"from": first, "to": last, "fence": fence}
         try:
             with gevent.Timeout(timeout_s):
@@ -118,7 +119,7 @@
 
     @property
     def awaits_answer(self):
-        """Return whether the answer to a grant or a release is awaited."""
+        """Return whether a grant or a release awaits its answer."""
         return self._grants.awaits_answer or self._releases.awaits_answer
 
     def close(self):
@@ -148,7 +149,7 @@
 
 
 class PlatformBackend(Backend):
-    """The backend server beside this node; ``health_path()`` is where it is probed."""
+    """The backend server beside this node; it is probed at ``health_path()``."""
 
     def __init__(self, announcement, health_path):
         super().__init__(announcement)
@@ -156,22 +157,22 @@
 
     @property
     def awaits_answer(self):
-        """Return whether an answer of the server is awaited on an open connection."""
+        """Return whether an open connection awaits an answer of the server."""
         return super().awaits_answer or self.orders.awaits_answer
 
     def _make_client(self, connections):
         client = super()._make_client(connections)
-        # The caller's own Host header is passed on.
+        # The caller's own Host header is forwarded.
         client.host_line = ""
         client.unframed = True
         return client
 
     def _read_answer(self, response, request):
-        """Pass over answers to earlier requests, and return this one's.
+        """Skip answers to earlier requests, and return the answer to this one.
 
-        A server may answer a request twice, the second time where the next
-        answer is expected. Taken for the outcome of the request that is under
-        way, it would leave a booking unknown that is answered a moment later.
+        A server may answer a request twice, and the second answer then arrives where
+        the next one is expected. If it were taken for the answer to the running
+        request, a booking that is answered shortly after would end as unknown.
         """
         for _ in range(MAX_PASSED_OVER):
             response.held = True
@@ -188,9 +189,9 @@
         return response
 
     def cancel(self, attempt_id, request_id):
-        """Confirm at once: closing the connection is what cancels a request here.
+        """Confirm at once: on the platform, closing the connection cancels a request.
 
-        What runs on in spite of it ends with the server's grant of the key.
+        Work that goes on nevertheless ends when the server's grant of the key ends.
         """
         return CancelReply(confirmed=True)
 
--- a/comfreywharf/platform/callers.py
+++ b/comfreywharf/platform/callers.py
@@ -1,4 +1,4 @@
-"""Callers' requests on the platform, put into the product's words and back."""
+"""Translate callers' requests on the platform, and the answers to them."""
 
 import re
 
@@ -33,7 +33,7 @@
         "x-target-instance",
     }
 )
-"""Headers of one hop only, and those that the router sets itself."""
+"""Hop-by-hop headers, and headers that the router itself sets."""
 
 _NUMBER = re.compile(r"[0-9]{1,9}")
 _ID = re.compile(r"[\x21-\x7e]{1,128}")
@@ -42,18 +42,18 @@
 
 MIN_LEFT_MS = 1
 ROUTES_RETRY_AFTER_MS = 250
-"""When to come back where the routes aren't known or may be out of date."""
+"""When a caller should retry if the routes are unknown or may be outdated."""
 
 MAX_TOLD_ID = 128
-"""How many characters of a request's id are logged where it may be nonsense."""
+"""How many characters of an unchecked request id are logged."""
 
 ANSWER_MARGIN_MS = 40
-"""How long before its caller stops waiting a request is given up: the answer has
-to travel back, up to 8 ms away, through two nodes that are busy just then."""
+"""How long before its caller's deadline a request is given up. The answer travels back
+up to 8 ms, through two nodes that are busy at that time."""
 
 
 class CallerDesk:
-    """The application of the callers' port."""
+    """Serve the requests that arrive at the callers' port."""
 
     def __init__(self, node, caller_service, routes_apply_s):
         self._node = node
@@ -71,10 +71,10 @@
         )
 
     def waits_for_others(self, head):
-        """Return whether a request isn't begun while others of its row are served.
+        """Return whether a request waits for earlier ones of its connection.
 
-        One that mustn't run twice is begun only where nothing before it can break its
-        connection off.
+        A request that must not run twice starts only after all earlier requests have
+        been answered, since a failure of one of them could close the connection.
         """
         route = self._route(head)
         return route is None or not route.repeatable
@@ -149,10 +149,11 @@
         return Success(CallerRequest(request, service))
 
     def _target_ms(self, head, route):
-        """Return how long an answer is still worth most; 1 if it isn't any more.
+        """Return the time left until the latency target, in ms; 1 if it has passed.
 
-        The target counts from the caller's first attempt. A later attempt has
-        less time left than the longest that callers of the route bring.
+        The target counts from the caller's first attempt. How long ago that was is
+        estimated: the time left of this attempt is compared with the longest that a
+        request of the route has had, which is taken to be that of a first attempt.
         """
         text = head.get("x-deadline-ms")
         if text is None:
@@ -181,7 +182,7 @@
 
 
 def _left_ms(head, route):
-    """Return how long the caller may be kept waiting; ``None`` for nonsense."""
+    """Return how long the caller may wait, in ms; ``None`` if its header is invalid."""
     text = head.get("x-deadline-ms")
     if text is None:
         return route.timeout_ms
--- a/comfreywharf/platform/configuration.py
+++ b/comfreywharf/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: read from the store, put into the product's words."""
+"""The operator's configuration: read from the store, and made a `RouteTable`."""
 
 import gevent
 import orjson
@@ -25,21 +25,21 @@
 TOPIC = "keyed.op"
 KEY = "config"
 WAIT_S = 0.4
-"""How long a read waits for news. The routes' age is known by its end only, and one
-that the store never answers ends a second later."""
+"""How long a read waits for new records. The routes' age is only confirmed when the
+read ends; a read that the store never answers times out one second later."""
 
 GRANT_WAYS = {"direct": GrantWay.ORDERS, "heartbeat": GrantWay.HEARTBEATS}
 
 PAUSE_S = 0.3
 RELAYED_PAUSE_S = 0.1
-"""How often a node that hears from another one looks whether it still does."""
+"""How often a node that receives the configuration from a peer checks that it does."""
 
 
 def route_table(document):
     """Return the `RouteTable` of a configuration; raises `ValueError`.
 
     ``pathPrefix`` begins and ends with a slash. A route without ``trafficSplit``
-    has its one service under ``service``.
+    names its only service in ``service``.
     """
     try:
         fields = orjson.loads(document)
@@ -98,9 +98,10 @@
 
 
 class ConfigurationReader:
-    """Follow the operator's record in the store; see `Routes`.
+    """Read the configuration from the store and apply it to `Routes`.
 
-    While ``relayed()`` is true another node's answers bring the configuration.
+    While ``relayed()`` is true, the node receives the configuration from a peer and
+    doesn't read the store.
     """
 
     def __init__(self, store, routes, report, relayed=lambda: False):
@@ -111,7 +112,7 @@
         self._next = None
 
     def run(self):
-        """Follow until the greenlet is killed."""
+        """Read new configurations until the greenlet is killed."""
         while True:
             if self._relayed():
                 gevent.sleep(RELAYED_PAUSE_S)
@@ -151,7 +152,7 @@
         try:
             table = route_table(document)
         except ValueError as error:
-            # A broken record must not take the node down, nor its routes away.
+            # A broken record must neither stop the node nor remove its routes.
             self._report("bad_routes", error=str(error))
             return
         if self._routes.apply(table):
--- a/comfreywharf/platform/durations.py
+++ b/comfreywharf/platform/durations.py
@@ -1,4 +1,4 @@
-"""Durations as the platform writes them: a number with its unit."""
+"""Durations in the platform's notation: a number with its unit."""
 
 import re
 
@@ -8,7 +8,7 @@
 
 
 def duration_s(text):
-    """Return a duration in seconds; raises `ValueError` for anything else.
+    """Return a duration in seconds; raises `ValueError` for an invalid text.
 
     >>> duration_s("1500ms"), duration_s("2.5s")
     (1.5, 2.5)
@@ -21,7 +21,7 @@
 
 
 def duration_text(seconds):
-    """Return the platform's text for seconds, in whole milliseconds.
+    """Return seconds in the platform's notation, rounded down to milliseconds.
 
     >>> duration_text(1.2345)
     '1234ms'
--- a/comfreywharf/platform/heartbeats.py
+++ b/comfreywharf/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""Where the backend server beside the node says that it lives, or leaves."""
+"""The port for heartbeats and deregistrations of the backend server beside the node."""
 
 import re
 
@@ -19,17 +19,17 @@
 
 _CALL = re.compile(r"/-/instances/([^/]{1,128})/(heartbeat|deregister)")
 MAX_BODY_BYTES = 256 * 1024
-"""Room for some 4,000 ranges that a server holds or released."""
+"""Enough for about 4,000 ranges that a server holds or has released."""
 
 LIST_ROOM = ListRoom(most_bytes=4000, row_bytes=len('[65535,65535,1234567,""],'))
-"""An answer is no acknowledgement if it has more than 4 KiB."""
+"""A server doesn't accept an answer of more than 4 KiB as an acknowledgement."""
 
 
 class HeartbeatPort:
-    """Take heartbeats; each is translated and given to the node.
+    """Receive heartbeats, decode them and pass them to the node.
 
-    ``service`` is the one whose servers stand beside this node. Another one's name is
-    taken as well where the configuration knows it.
+    ``service`` is the service whose servers run beside this node. Heartbeats of other
+    services are accepted if the configuration has the service.
     """
 
     def __init__(self, node, life, address, service):
@@ -67,12 +67,12 @@
             )
             return _respond(start_response, "400 Bad Request", {"error": str(error)})
         except OSError as error:
-            # The writer ended in the middle of its report.
+            # The sender closed the connection within its report.
             return _respond(start_response, "400 Bad Request", {"error": str(error)})
         return _respond(start_response, "200 OK", fields)
 
     def _take(self, instance, call, body, connection, arrived_s):
-        """Give a report to the node; return the fields of the answer."""
+        """Pass a report to the node and return the fields of the answer."""
         if call == "deregister":
             self._life.leaves(read_deregistration(instance, body))
             return {}
@@ -97,7 +97,7 @@
 
 
 def list_fields(hold_list):
-    """Return the fields of the answer that carries a `HoldList`, or none of them."""
+    """Return the fields of the answer that carries a `HoldList`; empty for ``None``."""
     if hold_list is None:
         return {}
     rows = [[row.first, row.last, row.fence, row.handover] for row in hold_list.rows]
--- a/comfreywharf/platform/main.py
+++ b/comfreywharf/platform/main.py
@@ -1,4 +1,4 @@
-"""The process beside a backend server on the platform."""
+"""The node's process, which runs beside a backend server on the platform."""
 
 import os
 import signal
@@ -21,7 +21,7 @@
 
 
 def main():
-    """Run a node by the settings file that the environment names."""
+    """Run a node with the settings file that the environment names."""
     path = os.environ.get(BOOT_VARIABLE, "")
     read = read_boot_file(path)
     if isinstance(read, Failure):
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -1,4 +1,4 @@
-"""The edges of a node that runs on the platform."""
+"""The protocols and limits of a node that runs on the platform."""
 
 import attrs
 import gevent
@@ -34,40 +34,41 @@
 
 IDENTIFY_TIMEOUT_S = 1.0
 MISSED_HEARTBEATS = 1.4
-"""After so many intervals without a heartbeat the server's port is tried."""
+"""After this many intervals without a heartbeat, the server's port is probed."""
 
 REPLACE_WITNESS_AFTER_S = 1.2
-"""Counted from the end of a witness's grant, so that it is replaced 2.7 s after it was
-lost. Machines go for good here, three within seconds; the third loss before the first
-two were replaced leaves a node without a majority. With 2.0 s, plays of the heaviest
-days served 0.65 and 0.72 of the worth, with 1.2 s 0.72 and 0.76, with 0.4 s no more."""
+"""Counted from the end of a witness's grant, so that a witness is replaced 2.7 s after
+it was lost. Machines are lost for good here, up to three within seconds; a third loss
+before the first two are replaced leaves a node without a majority. In simulations of
+the heaviest days, 2.0 s served 0.65 and 0.72 of the requests' worth and 1.2 s served
+0.72 and 0.76; 0.4 s served no more than 1.2 s."""
 
 WITNESSES = 5
-"""Up to three machines go within two seconds. Of three witnesses two are then lost
-with each twelfth node, and its keys stay dark for seconds; of five, it takes three.
-"""
+"""Up to three machines are lost within two seconds. With three witnesses, every
+twelfth node then loses two of them, and its keys are unavailable for seconds; with
+five witnesses, a node loses its majority only if all three were its witnesses."""
 
 STALE_AFTER_S = 10.0
-"""The store is away for up to 9 s; witnesses go on for as long."""
+"""The store is unavailable for up to 9 s; witnesses keep granting for that long."""
 
 RETRY_BURST = 5.0
-"""The platform counts the retries of all nodes together: a fifth of the requests of
-10 s and some 60 more. Ten nodes spend a part of the fifth, and 50 at once."""
+"""The platform bounds the retries of all nodes together: a fifth of the requests within
+10 s, plus about 60. Ten nodes use a part of that fifth, and up to 50 in a burst."""
 
 RETRY_SHARE = 0.7
-"""The part of the platform's bound on retries that is used. Also counted there are
-requests that a server answers 421, which aren't counted here."""
+"""The fraction of the platform's bound on retries that a node uses. The platform also
+counts requests that a server answers with 421, which aren't counted here."""
 
 RESENDS = 2
 """Servers refuse up to 55 in 100 requests for seconds, at any load. With two more
-tries each, seven in eight would be served; the budget bounds their number."""
+attempts each, seven in eight would be served; the retry budget bounds the number."""
 
 REFUSED_RETRY_AFTER_MS = 80
-"""A server that refuses a part of its requests within its slots may well take the
-next try. Back after 0.3 s, a lookup of 120 ms misses its target of 400 ms."""
+"""A server that refuses a part of its requests although it has slots may accept the
+next attempt. After 0.3 s, a lookup that takes 120 ms misses its target of 400 ms."""
 
 LONGEST_WORK_S = 5.0
-"""How long a release waits for the server's work on the range to end."""
+"""How long a release waits until the server has finished its work on the range."""
 
 
 class PlatformPorts(Ports):
@@ -113,7 +114,7 @@
         return self._dialect
 
     def make_log_client(self):
-        """Return the log of records as it is kept in the store."""
+        """Return the client of the record log in the store."""
         return StoreLog(self.store)
 
     def make_backend(self, announcement):
@@ -123,12 +124,12 @@
         )
 
     def _health_path(self, name):
-        """Return where a service's servers are probed; any answer to it will do."""
+        """Return the path for probes of a service's servers; any answer counts."""
         service = self._routes.table.service(name) if self._routes else None
         return service.health_path if service else "/"
 
     def make_grants(self, node):
-        """Return the grants, in the way that each service's configuration names."""
+        """Return the grants, in the way that is configured for each service."""
         settings = self._settings
         terms = HoldTerms(
             lease_s=settings.node.lease_ms / 1000,
@@ -143,7 +144,7 @@
         return GrantsByService(node, ways)
 
     def make_servers(self, node):
-        """Return the servers; they aren't started yet."""
+        """Return the servers, not started yet."""
         settings = self._settings
         self._routes = node.routes
         desk = CallerDesk(node, settings.service, settings.routes_apply_s)
@@ -168,7 +169,7 @@
         return StdoutLines()
 
     def lease_terms(self, settings):
-        """Return terms with which lost witnesses are replaced soon."""
+        """Return lease terms with which lost witnesses are replaced soon."""
         return attrs.evolve(
             super().lease_terms(settings),
             replace_witness_after_s=REPLACE_WITNESS_AFTER_S,
@@ -177,34 +178,34 @@
         )
 
     def make_chooser(self):
-        """Return a choice that saves bytes between zones."""
+        """Return a choice of members that saves traffic between zones."""
         return NearFirst()
 
     def make_limit(self, slots):
-        """Return the slots as they are: no ramp and no cuts.
+        """Return a constant limit of ``slots``, without ramp-up and without reduction.
 
-        A cold server is slow at any load, and one that refuses requests within its
-        slots does so at any load as well.
+        A cold server is slow at any load, and a server that refuses requests although
+        it has slots does so at any load as well.
         """
         return ConcurrencyLimit(slots, cold=False, cuts=False)
 
     def make_queue(self):
-        """Return a queue by priority: no key can use up a server's slots here."""
+        """Return a queue by priority: here, no key can use up a server's slots."""
         return RankedQueue()
 
     def backend_lost(self):
-        """Take note that the backend server is gone."""
+        """Report to the lifecycle that the backend server is lost."""
         self.life.lost()
 
     def greenlets(self, node):
-        """Return what follows the configuration and declares its services."""
+        """Return the functions that read the configuration and declare its services."""
         reader = ConfigurationReader(
             self.store, node.routes, node.report, lambda: node.follower.relayed
         )
         return (reader.run, Declaring(node).run)
 
     def identify(self, node, announcement):
-        """Return the instance that answers at an address, or nothing."""
+        """Return the instance id that answers at an address, or an empty text."""
         service = node.routes.table.service(announcement.service)
         if service is None:
             return ""
--- a/comfreywharf/platform/settings.py
+++ b/comfreywharf/platform/settings.py
@@ -18,26 +18,27 @@
 """The environment variable that holds the file's path."""
 
 LEASE_MS = 1500
-"""Short enough that keys of a lost node are served again within 2 s, and long
-enough that a node which the platform turns slow keeps it."""
+"""Short enough that the keys of a lost node are served again within 2 s, and long
+enough that a node which the platform slows down keeps its lease."""
 
 HEARTBEATS_PER_HOLD = 2
-"""Where keys are granted in answers to heartbeats, a hold outlives one that is lost."""
+"""If keys are granted in answers to heartbeats, a hold outlasts one lost heartbeat."""
 
 HOLD_MARGIN_S = 0.15
-"""By which a heartbeat may come later than its interval, with its answer."""
+"""How late a heartbeat and its answer may be, beyond the heartbeat interval."""
 
 DRIFT_PER_MILLE = 25
-"""Backend servers' clocks may run 2% slow; the rest is for the machines' own."""
+"""Backend servers' clocks may run 2% slow; the rest is for the machines' clocks."""
 
 
 @attrs.frozen(kw_only=True)
 class PlatformSettings:
-    """What the platform tells a process, in the product's words.
+    """The settings that the platform gives a process, as the product's types.
 
-    ``callers`` is where callers and the backend server beside this node send
-    requests, ``ready`` where the platform asks whether it is ready,
-    ``heartbeats`` where the backend server announces itself. Times are in seconds.
+    ``callers`` is the address to which callers and the backend server beside this
+    node send requests, ``ready`` that of the platform's readiness probe, and
+    ``heartbeats`` that to which the backend server sends its heartbeats. Times are
+    in seconds.
     """
 
     node: NodeSettings
@@ -57,7 +58,7 @@
 
 
 class _Fields:
-    """The file's fields; each one that is missing or wrong is a finding."""
+    """The file's fields; a missing or invalid field adds a finding."""
 
     def __init__(self, path, text):
         self._path = path
@@ -74,7 +75,7 @@
         self.findings.append(f"{self._path}:{number}: {what}")
 
     def read(self, name, kind, default=None):
-        """Return a field as ``kind`` makes it."""
+        """Return a field converted by ``kind``, or the default with a finding."""
         number, text = self._fields.get(name, (0, ""))
         if not text:
             if default is None:
@@ -115,7 +116,7 @@
 
 
 def _heartbeat_lease_ms(interval_s):
-    """Return the lease on which a hold can rest that outlives a lost heartbeat.
+    """Return the lease in milliseconds that covers a hold through a lost heartbeat.
 
     >>> _heartbeat_lease_ms(0.87)
     1978
@@ -126,7 +127,7 @@
 
 
 def read_boot_file(path) -> Result[PlatformSettings, list]:
-    """Return the settings, or all findings with their places."""
+    """Return ``Success(PlatformSettings)``, or ``Failure`` with all findings."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/comfreywharf/platform/store.py
+++ b/comfreywharf/platform/store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, and the log of records kept in it."""
+"""The client of the platform's store, and the record log in the store."""
 
 import base64
 import struct
@@ -20,8 +20,8 @@
 __all__ = ["Newest", "Records", "Store", "StoreLog"]
 
 CALL_TIMEOUT_S = 1.0
-"""An answer takes about 4 ms. A connection may fall silent for good, and this is
-what notices it; the next call opens another."""
+"""An answer takes about 4 ms. This timeout detects a connection that has gone silent;
+the next call opens another one."""
 
 CONNECT_TIMEOUT_S = 0.5
 CONCURRENCY = 8
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class Records:
-    """Records read from a topic: the end's offset, the first kept one, the data."""
+    """Records read from a topic, with its end offset and that of its first record."""
 
     end: int
     first: int
@@ -43,14 +43,14 @@
 
 @attrs.frozen
 class Newest:
-    """The newest value of each key of a topic, and the offset behind them."""
+    """The newest value of each key of a topic, and the topic's end offset."""
 
     values: dict
     end: int
 
 
 class Store:
-    """Calls to the store; each raises `LogError` where it has no usable answer."""
+    """Calls to the store; each raises `LogError` if there is no usable answer."""
 
     def __init__(self, address):
         self.traffic = LogTraffic()
@@ -61,8 +61,8 @@
     def append(self, topic, records, position=None):
         """Append records to a topic, all or none; return the first one's offset.
 
-        With a ``position`` they are appended only if the topic ends there;
-        ``None`` is returned where it doesn't.
+        With a ``position``, they are appended only if the topic ends at this offset;
+        otherwise ``None`` is returned.
         """
         body = b"".join(_LENGTH.pack(len(data)) + data for data in records)
         target = f"/-/log-append?topic={topic}&part=0"
@@ -76,12 +76,12 @@
         return _field(answer, "offset")
 
     def append_keyed(self, topic, key, value, position=None):
-        """Make a value the newest of a key; see `append`."""
+        """Append a value that becomes the newest of its key; see `append`."""
         name = key.encode("ascii")
         return self.append(topic, [bytes([len(name)]) + name + value], position)
 
     def read(self, topic, start, wait_s, max_kb=1024):
-        """Return `Records` from an offset on, waiting for the first one."""
+        """Return the `Records` from an offset on, waiting up to ``wait_s`` for one."""
         target = (
             f"/-/log-read?topic={topic}&part=0&from={start}"
             f"&waitMs={int(wait_s * 1000)}&maxKb={max_kb}"
@@ -95,7 +95,7 @@
         return _records(data)
 
     def newest(self, topic):
-        """Return the `Newest` values of a topic whose name begins with ``keyed.``."""
+        """Return the `Newest` values of a topic; its name begins with ``keyed.``."""
         values, after, end = {}, "", 0
         while True:
             target = f"/-/log-newest?topic={topic}&part=0"
@@ -104,8 +104,8 @@
             status, data = self._call("GET", target, b"", CALL_TIMEOUT_S)
             if status != 200:
                 raise LogError(f"newest: status {status}")
-            # Pages aren't a snapshot: what came after the first page is read as
-            # records from its end on.
+            # The pages aren't a consistent snapshot: records appended after the
+            # first page was read are read from its end position on.
             if not after:
                 end = _field(data, "endPosition")
             for item in _field(data, "items"):
@@ -158,10 +158,10 @@
 
 
 class StoreLog:
-    """The log of records as the product's `LogClient`, kept in the store.
+    """A `LogClient` that keeps the record log in the store.
 
-    Records lie in one partition of a topic, so that all nodes fold them in one
-    order. Snapshots are values of a topic that keeps the newest of each key.
+    Records are in a single partition of a topic, so that all nodes fold them in the
+    same order. Snapshots are in a topic that keeps the newest value of each key.
     """
 
     keeps_newest = True
@@ -172,21 +172,21 @@
 
     @property
     def traffic(self):
-        """Return the `LogTraffic` with the store, of whatever part of the node."""
+        """Return the `LogTraffic` with the store, of all parts of the node."""
         return self._store.traffic
 
     def append(self, stream, data):
-        """Append a record, or a part of a snapshot; return its offset."""
+        """Append a record or a part of a snapshot, and return its offset."""
         if stream.endswith(SNAPSHOT_SUFFIX):
             return self._store.append_keyed(_topic(stream), "newest", data)
         return self.append_all(stream, [data])
 
     def append_all(self, stream, records):
-        """Append several records at once; return the first one's offset."""
+        """Append several records at once and return the offset of the first."""
         return self._store.append(stream, records)
 
     def read(self, stream, start, limit=200, wait_ms=0):
-        """Return a `Batch` from an offset on, waiting for the first record."""
+        """Return a `Batch` from an offset on; wait up to ``wait_ms`` for a record."""
         found = self._store.read(stream, start, wait_ms / 1000)
         return Batch(first=found.first, next=found.end, records=found.data)
 
@@ -196,7 +196,7 @@
         return newest.values.values(), newest.end
 
     def replace_newest(self, stream, data, position):
-        """Write a snapshot unless another was written since; return whether."""
+        """Write a snapshot if none was written since; return whether it was written."""
         topic = _topic(stream)
         return self._store.append_keyed(topic, "newest", data, position) is not None
 
