--- a/comfreywharf/transport/__init__.py
+++ b/comfreywharf/transport/__init__.py
@@ -1,6 +1,6 @@
-"""Thrift between nodes, over gevent sockets: a server, and pools of connections.
+"""Thrift between nodes over gevent sockets: a server, and pools of connections.
 
-One request at a time uses a connection. A connection on which an answer may
+A connection carries one request at a time. A connection on which an answer may
 still arrive is closed and never used again.
 """
 
--- a/comfreywharf/transport/clients.py
+++ b/comfreywharf/transport/clients.py
@@ -1,4 +1,4 @@
-"""Calls to other nodes, each over a connection that it has to itself."""
+"""Calls to other nodes, each with exclusive use of a connection."""
 
 import gevent
 from gevent import socket
@@ -15,10 +15,10 @@
 
 
 class CallError(Exception):
-    """A call that has no answer.
+    """A call without an answer.
 
-    ``sent`` is false only where no byte of the call can have left: the callee
-    then can't have run it.
+    ``sent`` is false only if no byte of the call can have been sent, so that the
+    callee can't have run it.
     """
 
     def __init__(self, what, sent):
@@ -51,8 +51,8 @@
 class PeerClient:
     """A pool of connections to one node.
 
-    ``call`` either returns the answer or raises `CallError`. It never sends
-    twice: whether a request may be tried again is decided by `routing`.
+    ``call`` either returns the answer or raises `CallError`. It never sends a
+    call twice: `comfreywharf.routing` decides whether a request may be retried.
     """
 
     def __init__(self, host, port, stamps=None):
@@ -73,8 +73,8 @@
                 sent = True
                 answer = connection.call(method, arguments)
         except (OSError, TException, EOFError, gevent.Timeout) as error:
-            # The answer may still come. The next call on this connection would
-            # read it as its own; closing it is what makes that impossible.
+            # The answer may still arrive, and the next call on this connection
+            # would read it as its own. Closing the connection prevents that.
             self._retire(connection)
             what = f"{method} to {self.host}:{self.port}: {error or 'timeout'}"
             raise CallError(what, sent) from error
@@ -91,8 +91,8 @@
             self._idle.pop().close()
 
     def _take(self):
-        # A node that restarted has closed all of them. A call on one is lost
-        # without an answer, and its caller is told that it may have run.
+        # A node that restarted has closed all connections. A call on one of them
+        # would end without an answer, as one that may have been run.
         while self._idle:
             connection = self._idle.pop()
             if connection.is_quiet():
--- a/comfreywharf/transport/server.py
+++ b/comfreywharf/transport/server.py
@@ -15,11 +15,11 @@
 
 
 class PeerServer:
-    """Serve the thrift interface ``Node`` by a handler object.
+    """Serve the thrift interface ``Node`` with a handler object.
 
-    ``on_bad_peer(address, error)`` is told of a connection that spoke no thrift,
-    the wrong version, or an absurd length; the connection ends, the process
-    lives.
+    ``on_bad_peer(address, error)`` is called if the data on a connection isn't
+    thrift, has the wrong version or an invalid length. Only that connection is
+    closed.
     """
 
     def __init__(self, host, port, handler, on_bad_peer, stamps=None):
@@ -36,11 +36,11 @@
 
     @property
     def port(self):
-        """Return the port it listens on, also where the system chose it."""
+        """Return the port that the server listens on, also if the system chose it."""
         return self._server.server_port
 
     def stop(self):
-        """Stop listening and end the connections."""
+        """Stop listening and close the connections."""
         self._server.stop(timeout=0)
 
     def _serve(self, sock, address):
--- a/comfreywharf/transport/sockets.py
+++ b/comfreywharf/transport/sockets.py
@@ -1,4 +1,4 @@
-"""A thrift transport over a gevent socket, and the protocol bound to it."""
+"""A thrift transport over a gevent socket, and the protocol that uses it."""
 
 import select
 
@@ -22,7 +22,7 @@
 ]
 
 MAX_FRAME_BYTES = 4 << 20
-"""The longest thrift frame that is read; a longer one ends the connection."""
+"""The longest thrift frame that is read; a longer one closes the connection."""
 
 _RECEIVE_BYTES = 64 * 1024
 VERSION_MASK = TBinaryProtocolAccelerated.VERSION_MASK
@@ -33,10 +33,10 @@
 def is_quiet(sock):
     """Return whether an idle connection is open and has nothing to read.
 
-    Whatever can be read while nobody asked is the end of the stream, or an
-    answer to somebody else.
+    Anything to read while no call is running is either the end of the stream or
+    an answer to an earlier call.
     """
-    # select() fails for file numbers over 1,023, and poll() doesn't.
+    # select() fails for file descriptors above 1,023; poll() doesn't.
     if sock.fileno() < 0:
         return False
     poll = select.poll()
@@ -45,9 +45,9 @@
 
 
 def has_ended(sock):
-    """Return whether the other end of a connection has closed it, or is gone.
+    """Return whether the peer of a connection has closed or reset it.
 
-    Bytes that wait to be read don't matter, unlike in `is_quiet`.
+    Unread bytes make no difference, unlike in `is_quiet`.
     """
     if sock.fileno() < 0:
         return True
@@ -57,27 +57,27 @@
 
 
 class SocketTransport(TTransportBase):
-    """Bytes to and from a gevent socket, read ahead to spare system calls."""
+    """Bytes to and from a gevent socket, read ahead to save system calls."""
 
     def __init__(self, sock):
         self._sock = sock
         self._buffer = b""
-        # Nagle's algorithm holds a small answer back until the other end's
-        # delayed acknowledgement: a hop then shows a median of 40 ms.
+        # Nagle's algorithm delays a small answer until the peer's delayed
+        # acknowledgement: the median time of a hop is then 40 ms.
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def isOpen(self):  # noqa: N802 - thrift's name
-        """Return whether the socket is still there."""
+        """Return whether the socket is open."""
         return self._sock is not None
 
     def close(self):
-        """Close the socket; a second call does nothing."""
+        """Close the socket; further calls do nothing."""
         sock, self._sock = self._sock, None
         if sock is not None:
             sock.close()
 
     def read(self, size):
-        """Return up to ``size`` bytes, or raise at the end of the stream."""
+        """Return up to ``size`` bytes; raises `TTransportException` at the end."""
         if not self._buffer:
             self._buffer = self._receive()
         if len(self._buffer) <= size:
@@ -101,26 +101,26 @@
         self._sock.sendall(data)
 
     def flush(self):
-        """Do nothing: `write` sends at once, and frames are written whole."""
+        """Do nothing: `write` sends at once, and frames are written in one call."""
 
 
 class CheckedProtocol(TBinaryProtocolAccelerated):
-    """The binary protocol, refusing an answer to another call.
+    """The binary protocol, with a check that an answer belongs to its call.
 
-    Generated clients read a sequence number and ignore it. An answer that
-    arrived late would then be taken for the answer to the next call, and one
-    caller would receive another's.
+    Generated clients ignore the sequence number of an answer. A late answer would
+    be taken for the answer to the next call, and a caller would receive the answer
+    to another caller's request.
     """
 
     expected_seqid = None
 
     def readMessageBegin(self):  # noqa: N802 - thrift's name
-        """Return name, type and sequence number, after checking the last.
+        """Return name, type and sequence number, and check the sequence number.
 
-        A message lies in one frame, so its head is read from there at once.
-        Through the transport, each of the four reads could wait for a further
-        frame: a peer that sent half a head would hold its connection for ever,
-        and each call would pay for reads that never have to wait.
+        A message is in one frame, so its head is read from the frame's buffer. Read
+        through the transport, each of the four fields could wait for another frame:
+        a peer that sent half a head would keep its connection open forever, and
+        each call would cost reads that never need to wait.
         """
         version = self.readI32()
         if version & VERSION_MASK != VERSION_1:
@@ -150,6 +150,6 @@
 
 
 def protocol_over(sock, max_frame_bytes=MAX_FRAME_BYTES):
-    """Return the framed, checked protocol over a connected socket."""
+    """Return the framed `CheckedProtocol` over a connected socket."""
     framed = TFramedTransport(SocketTransport(sock), max_frame_bytes)
     return CheckedProtocol(framed, string_length_limit=max_frame_bytes)
--- a/comfreywharf/transport/stamps.py
+++ b/comfreywharf/transport/stamps.py
@@ -1,4 +1,4 @@
-"""Event clocks on the messages between nodes, set and read in one place."""
+"""Event clocks on the messages between nodes, set and read here only."""
 
 from abc import ABC, abstractmethod
 
@@ -8,42 +8,42 @@
 
 
 class Stamps(ABC):
-    """Where the times of messages come from and go to.
+    """Provide the event clock of outgoing messages, and receive that of others.
 
-    Each message that has a field ``event_clock`` carries a time of the sender's
-    `comfreywharf.events.EventClock`; that orders what the receiver does next
-    after what the sender did before, whatever the machines' clocks say.
+    Each message with a field ``event_clock`` carries a time of the sender's
+    `comfreywharf.events.EventClock`. It orders later events of the receiver after
+    earlier events of the sender, even if the machines' clocks differ.
     """
 
     @abstractmethod
     def stamp(self):
-        """Return the time for a message that is sent now."""
+        """Return the event clock for a message that is sent now."""
 
     @abstractmethod
     def receive(self, peer, received):
-        """Take a peer's time into account; ``peer`` names it for reports."""
+        """Merge a peer's event clock; ``peer`` names the peer in reports."""
 
     def set_on(self, message):
-        """Set the time on a message that has room for it."""
+        """Set the event clock of a message that has the field."""
         if hasattr(message, "event_clock"):
             message.event_clock = self.stamp()
 
     def read_from(self, message, peer=""):
-        """Read the time off a message, if it has one."""
+        """Receive the event clock of a message, if it has one."""
         received = getattr(message, "event_clock", None)
         if received:
             self.receive(peer or _sender_of(message), received)
 
 
 class NoStamps(Stamps):
-    """For programs that keep no events: messages carry no time."""
+    """For programs that record no events: messages carry no event clock."""
 
     def stamp(self):
-        """Return no time."""
+        """Return 0, which stands for no event clock."""
         return 0
 
     def receive(self, peer, received):
-        """Leave the time out."""
+        """Ignore the event clock."""
 
 
 def _sender_of(message):
@@ -55,14 +55,14 @@
 
 
 class StampedHandler:
-    """Read the time off each call's arguments and set it on the answer."""
+    """Receive the event clock of each call's arguments, and set that of its answer."""
 
     def __init__(self, handler, stamps):
         self._handler = handler
         self._stamps = stamps
 
     def __getattr__(self, name):
-        """Return the handler's method, with the times taken care of."""
+        """Return the handler's method, wrapped to read and set event clocks."""
         method = getattr(self._handler, name)
 
         def stamped(*arguments):
@@ -72,6 +72,6 @@
             self._stamps.set_on(answer)
             return answer
 
-        # Kept, so that the next call finds it without this function.
+        # Stored as an attribute, so that later calls skip `__getattr__`.
         setattr(self, name, stamped)
         return stamped
--- a/comfreywharf/transport/transits.py
+++ b/comfreywharf/transport/transits.py
@@ -1,9 +1,10 @@
-"""How long a message of a peer was on its way, though two machines share no clock.
+"""Estimate the queueing delay of a peer's messages without synchronised clocks.
 
-The difference between the receiver's clock and the time that the sender put into the
-message has two parts: how far the clocks are apart, which stays, and how long the way
-was. The least difference seen lately stands for a way without a queue; what a message
-has above it, it spent in queues. Source: RFC 6817 (LEDBAT), section 3.
+The difference between the receiver's clock and the sender's time in the message is the
+sum of the offset between the two clocks, which is constant, and the transit time. The
+least recent difference stands for a message that waited in no queue; the excess of
+another message over it is that message's queueing delay. Source: RFC 6817 (LEDBAT),
+section 3.
 """
 
 import attrs
@@ -11,16 +12,17 @@
 __all__ = ["TransitTimes"]
 
 WINDOW_S = 10.0
-"""How long a least difference counts at least. Clocks that drift apart by 5 in 1,000
-are 50 ms off by then."""
+"""For how long a least difference is used, at the minimum. Clocks that drift by 5 in
+1,000 are off by 50 ms after this time."""
 
 LONGEST_S = 8.0
-"""A longer way means another clock: a machine that was replaced under its name."""
+"""A longer delay means that the clock is another one: the machine was replaced by one
+of the same name."""
 
 
 @attrs.define
 class TransitTimes:
-    """The ways of one peer's messages.
+    """The transit times of one peer's messages.
 
     >>> times = TransitTimes()
     >>> times.queued_s(sent_s=100.0, now_s=5.0)
@@ -34,7 +36,7 @@
     _began_s: float = float("-inf")
 
     def queued_s(self, sent_s, now_s):
-        """Return how much longer a message took than the fastest one lately."""
+        """Return how much longer a message took than the fastest recent one."""
         difference_s = now_s - sent_s
         if now_s - self._began_s > WINDOW_S:
             self._begin(now_s, self._least_s)
