--- a/comfreywharf/declarations/__init__.py
+++ b/comfreywharf/declarations/__init__.py
@@ -1,4 +1,4 @@
-"""Services as declarations: INI files in version control, and patches from them."""
+"""Declarations of services in INI files, and configuration patches made of them."""
 
 from comfreywharf.declarations.differences import (
     Change,
--- a/comfreywharf/declarations/differences.py
+++ b/comfreywharf/declarations/differences.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, and the patch that makes one the other."""
+"""The differences between two configurations, and the patch from one to the other."""
 
 from enum import Enum
 
@@ -10,7 +10,7 @@
 
 
 class Change(Enum):
-    """What happens to a service."""
+    """The kind of change of a service."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -19,7 +19,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceDifference:
-    """One service's change: the texts before and after, by key."""
+    """The change of one service: its texts before and after, by key."""
 
     name: str
     change: Change
@@ -27,7 +27,7 @@
     after: dict[str, str] = attrs.Factory(dict)
 
     def lines(self):
-        """Yield the difference as lines with a sign, for people."""
+        """Yield the difference as lines that begin with a sign, to be displayed."""
         signs = {Change.ADDED: "+", Change.REMOVED: "-", Change.CHANGED: " "}
         yield f"{signs[self.change]} [service {self.name}]"
         for key in self.before | self.after:
@@ -57,7 +57,7 @@
 
 
 def make_patch(before, after):
-    """Return the services of a patch: ``None`` for one that is removed."""
+    """Return the services of a patch by name; ``None`` for a removed service."""
     return {
         difference.name: after.get(difference.name)
         for difference in differences(before, after)
--- a/comfreywharf/declarations/fields.py
+++ b/comfreywharf/declarations/fields.py
@@ -1,4 +1,4 @@
-"""The keys of a service's section, and services made of them."""
+"""The keys of a service's section, and conversions of services to and from texts."""
 
 from returns.result import Failure, Result, Success
 
@@ -38,7 +38,7 @@
 
 
 def service_to_fields(service):
-    """Return a service's values as texts by key, as an INI file holds them.
+    """Return a service's values as texts by key, as in an INI file.
 
     >>> service_to_fields(ServiceConfig(name="booking"))["divided_by_key"]
     'yes'
@@ -49,10 +49,10 @@
 
 
 def service_from_fields(name, fields) -> Result[ServiceConfig, list[str]]:
-    """Return ``Success(ServiceConfig)`` or what is wrong with the texts.
+    """Return ``Success(ServiceConfig)``, or ``Failure`` with the errors in the texts.
 
-    This is the check of what comes over the network; a file is checked by
-    `read_declarations`, which knows the lines.
+    This checks services that arrive over the network. Files are checked by
+    `read_declarations`, which reports line numbers.
     """
     wrong = []
     values = {}
@@ -73,7 +73,7 @@
 
 
 def contradictions(service):
-    """Yield ``(key, what was expected)`` where two values contradict."""
+    """Yield ``(key, expected)`` for each value that contradicts another one."""
     if service.default_timeout_ms > service.longest_request_ms:
         limit = service.longest_request_ms
         yield "default_timeout_ms", f"at most longest_request_ms, which is {limit}"
--- a/comfreywharf/declarations/reader.py
+++ b/comfreywharf/declarations/reader.py
@@ -17,10 +17,10 @@
 
 
 def read_declarations(path) -> Result[dict[str, ServiceConfig], list[Finding]]:
-    """Return ``Success`` of the services by name, or ``Failure`` of findings.
+    """Return ``Success`` with the services by name, or ``Failure`` with findings.
 
-    The file has a section ``[service NAME]`` for each service; a key that is
-    left out has its default. The file is the whole configuration, not a part.
+    The file has a section ``[service NAME]`` for each service; missing keys have
+    their defaults. The file declares the whole configuration, not a part of it.
     """
     document = read_document(path)
     services = {}
--- a/comfreywharf/declarations/writer.py
+++ b/comfreywharf/declarations/writer.py
@@ -1,4 +1,4 @@
-"""Write services in the format in which they are declared."""
+"""Write services in the format of declarations."""
 
 from comfreywharf.declarations.fields import service_to_fields
 
@@ -8,8 +8,8 @@
 def write_declarations(services):
     """Return the text of a file that declares exactly these services.
 
-    `read_declarations` of the text gives the same services back, so that an
-    operator can start a file from what is in force.
+    `read_declarations` returns the same services from this text, so that an
+    operator can create the file from the configuration in force.
     """
     return "\n".join(_section(services[name]) for name in sorted(services))
 
--- a/comfreywharf/settings/__init__.py
+++ b/comfreywharf/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of a node: an INI file, checked as a whole."""
+"""The settings of a node, read from an INI file that is checked as a whole."""
 
 from comfreywharf.settings.document import Document, read_document
 from comfreywharf.settings.findings import Finding, suggest
--- a/comfreywharf/settings/document.py
+++ b/comfreywharf/settings/document.py
@@ -1,4 +1,4 @@
-"""An INI file as sections of values, each with the line it stands on."""
+"""An INI file as sections of values, each with its line number."""
 
 from configparser import ConfigParser, Error
 
@@ -13,7 +13,7 @@
 
 @attrs.frozen(kw_only=True)
 class Entry:
-    """A key's value and line."""
+    """The value of a key and its line number."""
 
     value: str
     line: int
@@ -21,7 +21,7 @@
 
 @attrs.frozen(kw_only=True)
 class Section:
-    """A section's line and entries, by key."""
+    """The line number of a section's heading, and its entries by key."""
 
     line: int
     entries: dict[str, Entry]
@@ -29,7 +29,7 @@
 
 @attrs.define(kw_only=True)
 class Document:
-    """A whole file; ``findings`` are those of its form."""
+    """The content of a file, and the findings about it."""
 
     path: str
     sections: dict[str, Section] = attrs.Factory(dict)
@@ -58,7 +58,7 @@
 
 
 def read_document(path):
-    """Return the `Document` of a file; what can't be read is a finding."""
+    """Return the `Document` of a file; a file that can't be read is a finding."""
     document = Document(path=str(path))
     try:
         with open(path, "rb") as file:
@@ -81,9 +81,9 @@
 def parse_text(document, text):
     """Fill a document from the text of an INI file.
 
-    The library's parser stops at the first fault of form and keeps no line
-    numbers. The lines are therefore indexed first, by the parser's own
-    expressions, faulty ones are blanked, and the parser reads the rest.
+    `ConfigParser` stops at the first syntax error and keeps no line numbers.
+    Therefore the lines are indexed first, with the parser's own regular
+    expressions; lines with errors are blanked, and the parser reads the rest.
     """
     index = _LineIndex(document)
     lines = text.split("\n")
@@ -110,7 +110,7 @@
 
 
 class _LineIndex:
-    """Where each section and key stands; faults of form become findings."""
+    """The line of each section and key; syntax errors become findings."""
 
     def __init__(self, document):
         self.lines = {}
@@ -119,7 +119,7 @@
         self._key_indent = None
 
     def take(self, number, line):
-        """Index one line; return whether the parser should see it."""
+        """Index one line and return whether the parser is to read it."""
         text = line.strip()
         if not text or text[0] in "#;":
             self._key_indent = None
@@ -147,8 +147,8 @@
         if self._section is None or not match or not match["option"].strip():
             self._key_indent = None
             expected = "KEY = VALUE" if self._section else "a [SECTION] heading first"
-            # What stands on a line of no form may be anything, a password
-            # pasted by mistake among it; its beginning is enough to find it.
+            # A line without valid syntax may hold anything, such as a password
+            # that was pasted by mistake. Its beginning is enough to find it.
             self._document.find(expected, text[:24], self._section or "", line=number)
             return False
         key = match["option"].rstrip().lower()
--- a/comfreywharf/settings/findings.py
+++ b/comfreywharf/settings/findings.py
@@ -1,4 +1,4 @@
-"""What is wrong in an INI file, where, and what was expected instead."""
+"""Errors in an INI file: where, what was found, and what was expected."""
 
 from difflib import get_close_matches
 
@@ -9,11 +9,11 @@
 
 @attrs.frozen(kw_only=True)
 class Finding:
-    """One thing that is wrong in a settings file, and where.
+    """One error in a settings file.
 
-    ``line`` counts from 1; for something that is missing it is the line of the
-    section's heading, and 0 where there is no such section. ``found`` is
-    ``None`` for what is missing.
+    ``line`` counts from 1. For a missing key it is the line of the section's
+    heading, or 0 if there is no such section. ``found`` is ``None`` if something
+    is missing.
 
     >>> print(Finding(path="n.ini", line=3, section="node", key="host",
     ...               found="wharf", expected="an IP number"))
@@ -37,7 +37,7 @@
 
 
 def suggest(name, known):
-    """Return a hint at the known name that is most like ``name``, or "".
+    """Return a hint at the known name that is closest to ``name``, or "".
 
     >>> suggest("caler_port", ["caller_port", "peer_port"])
     "; did you mean 'caller_port'?"
--- a/comfreywharf/settings/kinds.py
+++ b/comfreywharf/settings/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of values that INI files hold, and how each is read and written."""
+"""The kinds of values in INI files, and how each is parsed and formatted."""
 
 import math
 import re
@@ -28,20 +28,20 @@
 
 
 class Kind(ABC):
-    """A kind of value: what is expected, and how it is read and written.
+    """A kind of value, with its parser and formatter.
 
-    `read` returns the value or raises `ValueError`; `expected` is the phrase
-    that a finding gives then.
+    `read` returns the value or raises `ValueError`; `expected` describes valid
+    values in findings.
     """
 
     expected: str
 
     @abstractmethod
     def read(self, text):
-        """Return the value that a text stands for."""
+        """Parse a text and return its value; raises `ValueError`."""
 
     def write(self, value):
-        """Return the text that stands for a value."""
+        """Return the text of a value."""
         return str(value)
 
 
@@ -80,7 +80,7 @@
 
 @attrs.frozen
 class NumberKind(Kind):
-    """A number, perhaps with a fraction, within bounds."""
+    """A finite decimal number within bounds."""
 
     low: float
     high: float
@@ -100,12 +100,12 @@
 
 @attrs.frozen
 class YesNoKind(Kind):
-    """A choice between yes and no."""
+    """A Boolean, written as yes or no."""
 
     expected = "yes or no"
 
     def read(self, text):
-        """Return a Boolean."""
+        """Return the Boolean."""
         try:
             return _YES_NO[text.lower()]
         except KeyError:
@@ -163,7 +163,7 @@
 
 @attrs.frozen
 class AddressesKind(Kind):
-    """Addresses with blanks between them, none twice."""
+    """Addresses separated by blanks, without duplicates."""
 
     expected = "IP-NUMBER:PORT with blanks between, none twice"
 
@@ -175,5 +175,5 @@
         return addresses
 
     def write(self, value):
-        """Return the addresses as one line."""
+        """Return the addresses as one text, separated by blanks."""
         return " ".join(AddressKind().write(address) for address in value)
--- a/comfreywharf/settings/model.py
+++ b/comfreywharf/settings/model.py
@@ -15,13 +15,13 @@
 
 @attrs.frozen(kw_only=True)
 class NodeSettings:
-    """What a node is told: who it is, where it listens, whom it knows.
+    """The settings of a node: its identity, its ports, its log and its seeds.
 
-    ``seeds`` are peer addresses of some other nodes; everything else about
-    other nodes comes from the log. ``backend_port`` listens on loopback only.
+    ``seeds`` are the peer addresses of some other nodes; the log holds everything
+    else about other nodes. ``backend_port`` listens on loopback only.
     ``drift_per_mille`` bounds how much faster one machine's clock runs than
-    another's. ``advertised_peer_port`` is where other nodes reach the peer port,
-    if not at ``peer_port`` itself, as behind a translated address; 0 means the same.
+    another's. ``advertised_peer_port`` is the port at which other nodes reach the
+    peer port, if address translation changes it; 0 stands for ``peer_port``.
     """
 
     node_id: str
--- a/comfreywharf/settings/reader.py
+++ b/comfreywharf/settings/reader.py
@@ -51,9 +51,9 @@
 def read_settings(path) -> Result[NodeSettings, list[Finding]]:
     """Return ``Success(NodeSettings)`` or ``Failure`` with every finding.
 
-    The findings are ordered by line. A file that has any isn't used in part: a
-    node that started with a default in place of a mistyped key would run, with
-    a lease or a port that nobody meant.
+    The findings are ordered by line. A file with findings isn't used in part: a
+    node that used a default in place of a mistyped key would run with a lease or
+    a port that its operator didn't intend.
     """
     document = read_document(path)
     if document.sections or not document.findings:
@@ -75,7 +75,7 @@
 
 
 def _check_ports(document, values):
-    """Find ports used twice, which otherwise fail one by one at the start."""
+    """Add findings for ports used twice, which would fail one by one at the start."""
     used = {}
     for name in _PORTS:
         port = values.get(name)
@@ -87,7 +87,7 @@
 
 
 def _check_seeds(document, values):
-    """Find a node that names only itself: it would never meet another one."""
+    """Add a finding if the only seed is the node itself: it would find no peers."""
     own = Address(values.get("host"), values.get("peer_port"))
     if values.get("seeds") == (own,):
         document.find(
--- a/comfreywharf/settings/schema.py
+++ b/comfreywharf/settings/schema.py
@@ -1,4 +1,4 @@
-"""What a section may hold, and the check of a document against it."""
+"""The keys that a section may have, and the check of a document against them."""
 
 import attrs
 
@@ -18,7 +18,7 @@
 
 
 def check_names(document, known):
-    """Add a finding for each section whose name isn't known."""
+    """Add a finding for each section with an unknown name."""
     for name in document.sections:
         if name not in known:
             listed = ", ".join(f"[{other}]" for other in known)
@@ -28,7 +28,7 @@
 
 
 def read_keys(document, section, keys):
-    """Return the right values of a section by key; the rest becomes findings."""
+    """Return the valid values of a section by key; the others add findings."""
     entries = {}
     if section in document.sections:
         entries = document.sections[section].entries
