--- a/deploy/node.py
+++ b/deploy/node.py
@@ -1,12 +1,11 @@
 """Start a node on the platform.
 
-It lies here and not beside ``comfreywharf/platform``: the folder of a script
-comes first on Python's path, and a ``platform`` there would hide the standard
-library's module of that name.
+This script isn't in ``comfreywharf``: the folder of a script comes first on Python's
+path, and ``comfreywharf/platform`` would then hide the standard library's ``platform``.
 """
 
-# First of all, since it notes when the process began: the imports below take most of a
-# second, and what an earlier process granted is waited out from then on.
+# Imported first, because it records when the process started: the imports below take
+# most of a second, and the wait for grants of an earlier process counts from the start.
 import comfreywharf.clock  # noqa: F401, I001
 from comfreywharf.platform.main import main
 
--- a/idl/comfreywharf.thrift
+++ b/idl/comfreywharf.thrift
@@ -1,16 +1,16 @@
 // Messages between comfreywharfd processes.
 //
-// Regenerate with `make gen` (needs the thrift compiler); the generated code is
-// committed, so that building, testing and running need no generator.
+// Regenerate the code with `make gen`, which needs the thrift compiler. The
+// generated code is committed, so that building, testing and running don't.
 //
-// Durations are relative (`_ms`), since two machines share no clock. Event
+// Durations are relative (`_ms`), since machines have no common clock. Event
 // clocks are hybrid logical clocks, packed as milliseconds << 16 | counter.
 
 namespace py comfreywharf.transport.gen
 
 enum Outcome {
-  ANSWERED = 1,   // the backend server's whole answer follows
-  NOT_RUN = 2,    // proved: no backend server ran the request
+  ANSWERED = 1,   // the backend server answered; its answer follows
+  NOT_RUN = 2,    // proven: no backend server ran the request
   UNKNOWN = 3     // it may or may not have run
 }
 
@@ -22,30 +22,30 @@
 struct ForwardRequest {
   1: required string request_id,
   2: required string service_name,
-  3: required binary key,              // empty: the service isn't divided by key
+  3: required binary key,              // empty if the service isn't divided by key
   4: required string method,
   5: required string path,
   6: required list<Header> headers,
   7: required binary body,             // the first part of a streamed body
   8: required i32 remaining_ms,        // until the caller's deadline
   9: required string ingress_node_id,
-  10: required i32 retries_left,       // of the whole request, over all hops
+  10: required i32 retries_left,       // of the request, over all hops
   11: required i64 event_clock,
-  12: required i32 first_sent_ago_ms,  // 0: this is the first send; -1: unknown
+  12: required i32 first_sent_ago_ms,  // 0: this is the first attempt; -1: unknown
   13: required i32 priority,           // 0 is the most urgent
-  14: required bool repeatable,        // it may run more than once
-  15: required i32 target_ms,          // until an answer is worth less; 0: never
-  // Of a body that follows its request:
-  16: required string fingerprint = "",  // what the quarantine knows it by
-  17: required i64 body_mark = 0,      // what resends of one request id are compared by
+  14: required bool repeatable,        // whether it may run more than once
+  15: required i32 target_ms,          // until the latency target; 0: no target
+  // For a body that is sent after its request:
+  16: required string fingerprint = "",  // identifies the request in the quarantine
+  17: required i64 body_mark = 0,      // compared between resends of one request id
   18: required i64 body_bytes = -1,    // its length; -1: unknown
-  // By the sender's clock, which the receiver compares with earlier ones only:
+  // By the sender's clock; the receiver compares it only with earlier values:
   19: required i64 sent_ms = 0         // 0: unknown
 }
 
 struct UploadOpened {
   1: required i64 stream_id,
-  2: required bool wanted              // false: decided on without the body
+  2: required bool wanted              // false: the request was decided without it
 }
 
 struct ForwardReply {
@@ -53,10 +53,10 @@
   2: required i32 status,
   3: required list<Header> headers,
   4: required binary body,
-  5: required i64 stream_id,           // 0: the body is whole
-  6: required string reason,           // a name of routing.Reason; empty: answered
-  7: required i32 retry_after_ms,      // 0: nothing to say
-  8: required string owner_hint,       // on WRONG_OWNER: who should be asked
+  5: required i64 stream_id,           // 0: the body is complete
+  6: required string reason,           // a value of routing.Reason; empty if answered
+  7: required i32 retry_after_ms,      // 0: no advice
+  8: required string owner_hint,       // on WRONG_OWNER: the node to try
   9: required i64 event_clock,
   10: required i32 retries_left
 }
@@ -64,7 +64,7 @@
 struct BodyChunk {
   1: required binary data,
   2: required bool last,
-  3: required bool failed              // the rest can't be had: cut, not short
+  3: required bool failed              // the rest is lost: the body is incomplete
 }
 
 struct RenewRequest {
@@ -73,18 +73,18 @@
   3: required i64 lease_epoch,
   4: required i64 portfolio_epoch,
   5: required i32 lease_ms,
-  6: required i32 reach_ms,            // outstanding deadlines, from the sending
+  6: required i32 reach_ms,            // until the last outstanding deadline
   7: required i64 event_clock,
-  8: required i64 round,               // grows with each renewal of an incarnation
-  9: required bool vouched             // a grant of this witness still counts
+  8: required i64 round,               // increases with each renewal of an incarnation
+  9: required bool vouched             // a grant of this witness is still in force
 }
 
 struct ClaimRequest {
-  1: required string owner_id,         // whose lease lapsed
+  1: required string owner_id,         // the node whose lease expired
   2: required string taker_id,
   3: required i64 taker_incarnation,
-  4: required i64 lease_epoch,         // of the owner, as the taker folded it
-  5: required i64 portfolio_epoch,     // of the owner, as the taker folded it
+  4: required i64 lease_epoch,         // the owner's, as folded by the taker
+  5: required i64 portfolio_epoch,     // the owner's, as folded by the taker
   6: required i32 lease_ms,
   7: required i32 reach_ms,
   8: required i64 event_clock,
@@ -93,7 +93,7 @@
 
 struct GrantReply {
   1: required bool granted,
-  2: required i64 term,                // changes with each holder and restart
+  2: required i64 term,                // changes with each holder and each restart
   3: required i32 retry_after_ms,
   4: required string reason,
   5: required i64 event_clock
@@ -117,13 +117,13 @@
   9: required i64 fingerprint,         // of the request: method, path, body
   10: required string reason           // as in ForwardReply
 }
-// An entry with an empty request id bounds the list: the sender's memory holds
-// every request id since age_ms ago, and may have dropped older ones.
+// An entry with an empty request id bounds the list: the sender has kept every
+// request id of the last age_ms, and may have dropped older ones.
 
 struct ReleaseRequest {
   1: required string service_name,
   2: required i64 slice_start,
-  3: required i64 slice_epoch,         // of the move that asks for the release
+  3: required i64 slice_epoch,         // of the move that requests the release
   4: required string asker_id,
   5: required i32 skip,                // remembered answers already received
   6: required i64 event_clock
@@ -134,9 +134,9 @@
   2: required i32 retry_after_ms,
   3: required list<RememberedAnswer> answers,
   4: required bool more,
-  5: required bool vouched,            // false: the memory isn't whole
+  5: required bool vouched,            // false: the sender's answers are incomplete
   6: required i64 event_clock,
-  7: required string handover          // what the server gave for its next owner
+  7: required string handover          // from the server, for the next owner
 }
 
 struct Notice {
@@ -153,9 +153,9 @@
   3: required i64 next_offset,
   4: required list<Notice> notices,
   5: required i64 event_clock,
-  6: required i64 routes_version,      // 0: none known
-  7: required i32 wait_ms,             // how long the answer may wait for news
-  8: required string host,             // where the asker's own peer port is
+  6: required i64 routes_version,      // 0: the sender has none
+  7: required i32 wait_ms,             // how long the answer may wait for new records
+  8: required string host,             // the address of the sender's peer port
   9: required i32 peer_port
 }
 
@@ -165,9 +165,9 @@
   3: required list<Notice> notices,
   4: required i64 event_clock,
   5: required i64 routes_version,
-  6: required binary routes,           // where the asker's are older, else empty
+  6: required binary routes,           // empty unless the requester's are older
   7: required i32 log_age_ms,          // since the log confirmed the fold; -1: never
-  8: required i32 routes_age_ms        // the same of the routes
+  8: required i32 routes_age_ms        // the same for the routes
 }
 
 struct SliceLoad {
@@ -193,7 +193,7 @@
   6: required bool backend_up,
   7: required bool lease_held,
   8: required i64 event_clock,
-  9: required double service_ms        // a request's mean time at the server; 0: unknown
+  9: required double service_ms        // mean time per request at the server; 0: unknown
 }
 
 struct LoadReportReply {
@@ -204,9 +204,9 @@
 
 service Node {
   ForwardReply forward(1: ForwardRequest request),
-  // Bodies that follow their request: open, write parts, finish. Open returns once
-  // the body is wanted, or the request was decided on without it; each further call
-  // returns when there is room for the next part, which is the backpressure.
+  // For bodies that are sent after their request: open, write parts, finish. Open
+  // returns when the body is wanted or the request was decided without it. Each write
+  // returns when the next part can be accepted, which provides backpressure.
   UploadOpened open_upload(1: ForwardRequest request),
   bool write_upload(1: i64 stream_id, 2: binary data),
   ForwardReply finish_upload(1: i64 stream_id),
