--- a/comfreywharf/platform/callers.py
+++ b/comfreywharf/platform/callers.py
@@ -14,7 +14,7 @@
 from comfreywharf.routing import Reason
 from comfreywharf.transport.gen.ttypes import ForwardRequest, Header
 
-__all__ = ["CallerDesk"]
+__all__ = ["CallerApplication"]
 
 _DROPPED = frozenset(
     {
@@ -52,7 +52,7 @@
 up to 8 ms, through two nodes that are busy at that time."""
 
 
-class CallerDesk:
+class CallerApplication:
     """Serve the requests that arrive at the callers' port."""
 
     def __init__(self, node, caller_service, routes_apply_s):
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -23,7 +23,7 @@
 from comfreywharf.ownership.listed_holds import ListedHoldBook
 from comfreywharf.placement import PlacementPace
 from comfreywharf.platform.backends import PlatformBackend, PlatformDialect
-from comfreywharf.platform.callers import CallerDesk
+from comfreywharf.platform.callers import CallerApplication
 from comfreywharf.platform.configuration import ConfigurationReader
 from comfreywharf.platform.heartbeats import LIST_ROOM, HeartbeatPort
 from comfreywharf.platform.store import Store, StoreLog
@@ -147,13 +147,13 @@
         """Return the servers, not started yet."""
         settings = self._settings
         self._routes = node.routes
-        desk = CallerDesk(node, settings.service, settings.routes_apply_s)
+        application = CallerApplication(node, settings.service, settings.routes_apply_s)
         self.front = CallerServer(
             settings.callers.host,
             settings.callers.port,
-            desk,
-            desk.limits,
-            desk.waits_for_others,
+            application,
+            application.limits,
+            application.waits_for_others,
         )
         self.life = BackendLife(node, settings.drain_s)
         operators = OperatorPort(node)
