--- a/comfreywharf/platform/callers.py
+++ b/comfreywharf/platform/callers.py
@@ -16,7 +16,7 @@
 
 __all__ = ["CallerApplication"]
 
-_DROPPED = frozenset(
+_DROPPED_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -44,7 +44,7 @@
 ROUTES_RETRY_AFTER_MS = 250
 """When a caller should retry if the routes are unknown or may be outdated."""
 
-MAX_TOLD_ID = 128
+MAX_LOGGED_ID_CHARS = 128
 """How many characters of an unchecked request id are logged."""
 
 ANSWER_MARGIN_MS = 40
@@ -59,7 +59,7 @@
         self._node = node
         self._caller_service = caller_service
         self._routes_apply_s = routes_apply_s
-        self._most_left_ms = {}
+        self._max_left_ms = {}
 
     def limits(self):
         """Return the `CallerConnectionLimits` in force."""
@@ -88,7 +88,7 @@
         now_s = boottime_s()
         parsed = self._parse(head, now_s)
         if isinstance(parsed, Failure):
-            request_id = head.get("x-attempt-id", "")[:MAX_TOLD_ID]
+            request_id = head.get("x-attempt-id", "")[:MAX_LOGGED_ID_CHARS]
             reply = self._node.ingress.refuse(parsed.failure(), now_s, request_id)
             if reply.status == 503:
                 reply.retry_after_ms = ROUTES_RETRY_AFTER_MS
@@ -159,18 +159,20 @@
         if text is None:
             return route.latency_target_ms
         left_ms = int(text)
-        most_ms = self._most_left_ms.get(route.name, 0)
-        if left_ms > most_ms:
-            most_ms = self._most_left_ms[route.name] = left_ms
-        return target_left_ms(route.latency_target_ms - (most_ms - left_ms))
+        max_left_ms = self._max_left_ms.get(route.name, 0)
+        if left_ms > max_left_ms:
+            max_left_ms = self._max_left_ms[route.name] = left_ms
+        return target_left_ms(route.latency_target_ms - (max_left_ms - left_ms))
 
     def _headers(self, head):
         named = head.get("connection", "").lower()
-        once = {name.strip() for name in named.split(",")} if named else frozenset()
+        hop_by_hop = (
+            {name.strip() for name in named.split(",")} if named else frozenset()
+        )
         headers = [
             Header(name=name, value=value)
             for name, value in head.headers
-            if name not in _DROPPED and name not in once
+            if name not in _DROPPED_HEADERS and name not in hop_by_hop
         ]
         headers.append(Header(name="X-Caller-Service", value=self._caller_service))
         return headers
