--- a/comfreywharf/platform/announcements.py
+++ b/comfreywharf/platform/announcements.py
@@ -17,17 +17,17 @@
 SPARE_CONNECTIONS = 8
 """Connections reserved for orders, beside the one that each slot may use."""
 
-MOST_SLOTS = 65_536
-MOST_HEARTBEATS = 10**9
+MAX_SLOTS = 65_536
+MAX_SEQUENCE = 10**9
 """One heartbeat per millisecond for eleven days. A higher number is damaged: if it were
 accepted, all later heartbeats of that server would be rejected as late."""
 
-MOST_RANGES = 4096
+MAX_RANGES = 4096
 """How many ranges a heartbeat may list as held, and how many as released."""
 
-HIGHEST_FENCE = 2**63 - 1
+MAX_FENCE = 2**63 - 1
 
-LATEST_START_MS = 10**14
+MAX_START_MS = 10**14
 """The year 5138, as a Unix time in milliseconds."""
 
 _INSTANCE = re.compile(r"[!-.0-~]{1,128}")
@@ -72,7 +72,7 @@
     _text(fields, "zone")
     _text(fields, "version")
     _duration(fields, "coldRemaining")
-    slots = _whole(fields, "slots", MOST_SLOTS)
+    slots = _integer(fields, "slots", MAX_SLOTS)
     if slots < 1:
         raise DamagedReport("slots", slots, "one or more")
     state = fields.get("state")
@@ -92,7 +92,7 @@
     )
     return Heartbeat(
         announcement=announcement,
-        sequence=_whole(fields, "sequence", MOST_HEARTBEATS),
+        sequence=_integer(fields, "sequence", MAX_SEQUENCE),
         leaving=state == "draining",
         held=_held(fields) if "holds" in fields else None,
         released=_released(fields) if "released" in fields else (),
@@ -103,8 +103,8 @@
     """Return the held ranges; they overlap while work on an earlier grant goes on."""
     held = []
     for place, (first, last, fence) in _rows(fields, "holds"):
-        if type(fence) is not int or not 0 <= fence <= HIGHEST_FENCE:
-            raise DamagedReport(place, fence, f"a fence from 0 to {HIGHEST_FENCE}")
+        if type(fence) is not int or not 0 <= fence <= MAX_FENCE:
+            raise DamagedReport(place, fence, f"a fence from 0 to {MAX_FENCE}")
         held.append(HeldRange(first=first, last=last, fence=fence))
     return tuple(held)
 
@@ -121,8 +121,8 @@
 def _rows(fields, name):
     """Yield ``(place, row)`` for each range of a list; raises `DamagedReport`."""
     rows = fields[name]
-    if not isinstance(rows, list) or len(rows) > MOST_RANGES:
-        raise DamagedReport(name, rows, f"a list of {MOST_RANGES} rows at most")
+    if not isinstance(rows, list) or len(rows) > MAX_RANGES:
+        raise DamagedReport(name, rows, f"a list of {MAX_RANGES} rows at most")
     for number, row in enumerate(rows):
         place = f"{name}[{number}]"
         if not isinstance(row, list) or len(row) != 3:
@@ -158,7 +158,7 @@
         raise DamagedReport("id", instance, "visible characters")
     born_ms = fields.get("born")
     if born_ms is not None:
-        born_ms = _whole(fields, "born", LATEST_START_MS)
+        born_ms = _integer(fields, "born", MAX_START_MS)
     return ServerIncarnation(instance, born_ms)
 
 
@@ -192,14 +192,14 @@
         raise DamagedReport(name, fields.get(name), expected) from error
 
 
-def _whole(fields, name, most):
-    """Return a whole number from 0 to ``most``; raises `DamagedReport`.
+def _integer(fields, name, maximum):
+    """Return a whole number from 0 to ``maximum``; raises `DamagedReport`.
 
     Booleans and floats are rejected, although Python accepts them as numbers. If a
     start time or sequence number of another type were stored, comparing it with that of
     each later heartbeat could raise, and the node would lose track of the server.
     """
     value = fields.get(name)
-    if type(value) is not int or not 0 <= value <= most:
-        raise DamagedReport(name, value, f"a whole number from 0 to {most}")
+    if type(value) is not int or not 0 <= value <= maximum:
+        raise DamagedReport(name, value, f"a whole number from 0 to {maximum}")
     return value
