--- a/comfreywharf/platform/announcements.py
+++ b/comfreywharf/platform/announcements.py
@@ -78,7 +78,7 @@
     state = fields.get("state")
     if state not in _STATES:
         raise DamagedReport("state", state, " or ".join(_STATES))
-    life = _life(instance, fields)
+    incarnation = _incarnation(instance, fields)
     announcement = Announcement(
         name=instance,
         service=_text(fields, "service"),
@@ -88,7 +88,7 @@
         connections=slots + SPARE_CONNECTIONS,
         checks_fences=True,
         instance=instance,
-        born_ms=life.started_ms,
+        born_ms=incarnation.started_ms,
     )
     return Heartbeat(
         announcement=announcement,
@@ -140,7 +140,7 @@
 
     The body may be empty.
     """
-    return _life(instance, _fields(body) if body else {})
+    return _incarnation(instance, _fields(body) if body else {})
 
 
 def _fields(body):
@@ -153,7 +153,7 @@
     return fields
 
 
-def _life(instance, fields):
+def _incarnation(instance, fields):
     if not _INSTANCE.fullmatch(instance):
         raise DamagedReport("id", instance, "visible characters")
     born_ms = fields.get("born")
