--- a/comfreywharf/platform/heartbeats.py
+++ b/comfreywharf/platform/heartbeats.py
@@ -15,13 +15,13 @@
 )
 from comfreywharf.platform.durations import duration_text
 
-__all__ = ["LIST_ROOM", "HeartbeatPort", "list_fields"]
+__all__ = ["HOLD_LIST_LIMIT", "HeartbeatPort", "list_fields"]
 
 _CALL = re.compile(r"/-/instances/([^/]{1,128})/(heartbeat|deregister)")
 MAX_BODY_BYTES = 256 * 1024
 """Enough for about 4,000 ranges that a server holds or has released."""
 
-LIST_ROOM = ListRoom(most_bytes=4000, row_bytes=len('[65535,65535,1234567,""],'))
+HOLD_LIST_LIMIT = ListRoom(most_bytes=4000, row_bytes=len('[65535,65535,1234567,""],'))
 """A server doesn't accept an answer of more than 4 KiB as an acknowledgement."""
 
 
@@ -32,9 +32,9 @@
     services are accepted if the configuration has the service.
     """
 
-    def __init__(self, node, life, address, service):
+    def __init__(self, node, lifecycle, address, service):
         self._node = node
-        self._life = life
+        self._lifecycle = lifecycle
         self._service = service
         self._server = pywsgi.WSGIServer(
             (address.host, address.port),
@@ -60,7 +60,7 @@
         connection = environ.get("comfreywharf.socket")
         try:
             body = environ["wsgi.input"].read(MAX_BODY_BYTES)
-            fields = self._take(instance, call, body, connection, arrived_s)
+            fields = self._handle(instance, call, body, connection, arrived_s)
         except DamagedReport as error:
             self._node.report(
                 "damaged_report", name=instance, field=error.field, why=str(error)
@@ -71,23 +71,25 @@
             return _respond(start_response, "400 Bad Request", {"error": str(error)})
         return _respond(start_response, "200 OK", fields)
 
-    def _take(self, instance, call, body, connection, arrived_s):
+    def _handle(self, instance, call, body, connection, arrived_s):
         """Pass a report to the node and return the fields of the answer."""
         if call == "deregister":
-            self._life.leaves(read_deregistration(instance, body))
+            self._lifecycle.leaves(read_deregistration(instance, body))
             return {}
-        said = read_heartbeat(instance, body)
-        service = said.announcement.service
+        heartbeat = read_heartbeat(instance, body)
+        service = heartbeat.announcement.service
         self._check_service(service)
-        living = self._life.heard(said.announcement, said.sequence, said.leaving)
-        if not living or said.held is None:
+        is_current = self._lifecycle.heard(
+            heartbeat.announcement, heartbeat.sequence, heartbeat.leaving
+        )
+        if not is_current or heartbeat.held is None:
             return {}
         report = HoldReport(
             service=service,
             connection=connection,
             arrived_s=arrived_s,
-            held=said.held,
-            released=said.released,
+            held=heartbeat.held,
+            released=heartbeat.released,
         )
         return list_fields(self._node.grants.answer(report))
 
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -25,7 +25,7 @@
 from comfreywharf.platform.backends import PlatformBackend, PlatformDialect
 from comfreywharf.platform.callers import CallerApplication
 from comfreywharf.platform.configuration import ConfigurationReader
-from comfreywharf.platform.heartbeats import LIST_ROOM, HeartbeatPort
+from comfreywharf.platform.heartbeats import HOLD_LIST_LIMIT, HeartbeatPort
 from comfreywharf.platform.store import Store, StoreLog
 from comfreywharf.routes import GrantWay
 from comfreywharf.routing import RouteLimits
@@ -105,7 +105,7 @@
         self.retry_fraction = RETRY_SHARE * settings.retry_fraction
         self.routes_apply_s = settings.routes_apply_s
         self.front = None
-        self.life = None
+        self.lifecycle = None
         self._routes = None
 
     @property
@@ -139,7 +139,9 @@
         interval_s = settings.heartbeat_interval_s
         ways = {
             GrantWay.ORDERS: RangeGrants(node, book, LONGEST_WORK_S),
-            GrantWay.HEARTBEATS: HeartbeatGrants(node, book, interval_s, LIST_ROOM),
+            GrantWay.HEARTBEATS: HeartbeatGrants(
+                node, book, interval_s, HOLD_LIST_LIMIT
+            ),
         }
         return GrantsByService(node, ways)
 
@@ -155,11 +157,11 @@
             application.limits,
             application.waits_for_others,
         )
-        self.life = BackendLife(node, settings.drain_s)
+        self.lifecycle = BackendLife(node, settings.drain_s)
         operators = OperatorPort(node)
         return [
             self.front,
-            HeartbeatPort(node, self.life, settings.heartbeats, settings.service),
+            HeartbeatPort(node, self.lifecycle, settings.heartbeats, settings.service),
             _ready_server(node, settings.ready),
             operators.make_server(settings.node.host, settings.node.operator_port),
         ]
@@ -195,7 +197,7 @@
 
     def backend_lost(self):
         """Report to the lifecycle that the backend server is lost."""
-        self.life.lost()
+        self.lifecycle.lost()
 
     def greenlets(self, node):
         """Return the functions that read the configuration and declare its services."""
--- a/comfreywharf_dev/bench/list_cost.py
+++ b/comfreywharf_dev/bench/list_cost.py
@@ -12,7 +12,7 @@
 from comfreywharf.ownership.holds import HoldTerms
 from comfreywharf.ownership.listed_holds import ListedHoldBook
 from comfreywharf.platform.announcements import read_heartbeat
-from comfreywharf.platform.heartbeats import LIST_ROOM, list_fields
+from comfreywharf.platform.heartbeats import HOLD_LIST_LIMIT, list_fields
 from comfreywharf.records import Slice, range_of_numbers
 from comfreywharf_dev.bench.figures import Figure
 
@@ -53,7 +53,7 @@
 def _measure(size, fences):
     """Return the processor time of all heartbeats, and the last answer's bytes."""
     lists = HoldLists(ListedHoldBook(HoldTerms(lease_s=LEASE_S, longest_s=10.0)))
-    lists.room = LIST_ROOM
+    lists.room = HOLD_LIST_LIMIT
     held, answer = [], b""
     began_s = time.process_time()
     for number in range(HEARTBEATS):
