--- a/comfreywharf/platform/main.py
+++ b/comfreywharf/platform/main.py
@@ -43,4 +43,4 @@
     gevent.signal_handler(signal.SIGINT, stopped.set)
     gevent.signal_handler(signal.SIGHUP, lambda: None)
     stopped.wait()
-    node.stop_within(settings.grace_s, ports.front)
+    node.stop_within(settings.grace_s, ports.caller_server)
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -104,7 +104,7 @@
         self.doubt_s = MISSED_HEARTBEATS * settings.heartbeat_interval_s
         self.retry_fraction = RETRY_SHARE * settings.retry_fraction
         self.routes_apply_s = settings.routes_apply_s
-        self.front = None
+        self.caller_server = None
         self.lifecycle = None
         self._routes = None
 
@@ -150,7 +150,7 @@
         settings = self._settings
         self._routes = node.routes
         application = CallerApplication(node, settings.service, settings.routes_apply_s)
-        self.front = CallerServer(
+        self.caller_server = CallerServer(
             settings.callers.host,
             settings.callers.port,
             application,
@@ -160,7 +160,7 @@
         self.lifecycle = BackendLife(node, settings.drain_s)
         operators = OperatorPort(node)
         return [
-            self.front,
+            self.caller_server,
             HeartbeatPort(node, self.lifecycle, settings.heartbeats, settings.service),
             _ready_server(node, settings.ready),
             operators.make_server(settings.node.host, settings.node.operator_port),
--- a/comfreywharf/platform/tests/test_stopping.py
+++ b/comfreywharf/platform/tests/test_stopping.py
@@ -13,7 +13,7 @@
     Its peers don't hear that it stops while the store is away."""
     node = deployment.nodes["n3"]
     deployment.store.fault = "busy"
-    stopping = gevent.spawn(node.stop_within, GRACE_S, node.ports.front)
+    stopping = gevent.spawn(node.stop_within, GRACE_S, node.ports.caller_server)
     wait_for(lambda: node.finishing)
     answer = deployment.ask("n0", "/stock/1", key=None, method="POST", body=b"b")
     assert answer.status == 503
