--- a/comfreywharf/platform/configuration.py
+++ b/comfreywharf/platform/configuration.py
@@ -24,14 +24,14 @@
 
 TOPIC = "keyed.op"
 KEY = "config"
-WAIT_S = 0.4
+READ_WAIT_S = 0.4
 """How long a read waits for new records. The routes' age is only confirmed when the
 read ends; a read that the store never answers times out one second later."""
 
 GRANT_WAYS = {"direct": GrantWay.ORDERS, "heartbeat": GrantWay.HEARTBEATS}
 
-PAUSE_S = 0.3
-RELAYED_PAUSE_S = 0.1
+ERROR_PAUSE_S = 0.3
+RELAY_CHECK_INTERVAL_S = 0.1
 """How often a node that receives the configuration from a peer checks that it does."""
 
 
@@ -88,13 +88,13 @@
     )
 
 
-def _grant_way(service, word):
+def _grant_way(service, text):
     try:
-        return GRANT_WAYS[word]
+        return GRANT_WAYS[text]
     except KeyError as error:
         expected = " or ".join(GRANT_WAYS)
         place = f"{TOPIC}/{KEY}: services.{service}.grants"
-        raise ValueError(f"{place}: found {word!r}; expected {expected}") from error
+        raise ValueError(f"{place}: found {text!r}; expected {expected}") from error
 
 
 class ConfigurationReader:
@@ -115,40 +115,40 @@
         """Read new configurations until the greenlet is killed."""
         while True:
             if self._relayed():
-                gevent.sleep(RELAYED_PAUSE_S)
+                gevent.sleep(RELAY_CHECK_INTERVAL_S)
                 continue
             try:
                 if self._next is None:
                     self._read_newest()
                 else:
-                    self._read_on()
+                    self._read_next()
             except LogTruncated:
                 self._next = None
             except LogError as error:
                 logging.info("configuration: %s", error)
-                gevent.sleep(PAUSE_S)
+                gevent.sleep(ERROR_PAUSE_S)
 
     def _read_newest(self):
         sent_s = boottime_s()
         newest = self._store.newest(TOPIC)
         document = newest.values.get(KEY)
         if document:
-            self._use(document)
+            self._apply(document)
         self._next = newest.end
         self._routes.confirm(sent_s)
 
-    def _read_on(self):
+    def _read_next(self):
         sent_s = boottime_s()
-        found = self._store.read(TOPIC, self._next, WAIT_S)
+        found = self._store.read(TOPIC, self._next, READ_WAIT_S)
         for record in found.data:
             size = record[0] if record else 0
             if record[1 : 1 + size] == KEY.encode():
-                self._use(record[1 + size :])
+                self._apply(record[1 + size :])
         self._next += len(found.data)
         if self._next >= found.end:
-            self._routes.confirm(known_at_s(sent_s, WAIT_S, bool(found.data)))
+            self._routes.confirm(known_at_s(sent_s, READ_WAIT_S, bool(found.data)))
 
-    def _use(self, document):
+    def _apply(self, document):
         try:
             table = route_table(document)
         except ValueError as error:
