--- a/comfreywharf/platform/backends.py
+++ b/comfreywharf/platform/backends.py
@@ -25,7 +25,7 @@
 """A release occupies its connection until the work on its keys has ended. On the
 connections of the grants, a few releases would block renewals until holds expire."""
 MAX_ANSWER_BYTES = 4096
-MAX_PASSED_OVER = 3
+MAX_SKIPPED_ANSWERS = 3
 
 ID_HEADER = "X-Attempt-Id"
 STAMP_HEADER = "x-response-stamp"
@@ -66,11 +66,11 @@
 class PlatformOrders(Orders):
     """Grants and releases as calls to the backend server."""
 
-    def __init__(self, host, port, question):
+    def __init__(self, host, port, probe_target):
         self._grants = BoundClient(
             host,
             port,
-            probe_target=question,
+            probe_target=probe_target,
             concurrency=GRANT_CONNECTIONS,
             connect_timeout_s=CONNECT_TIMEOUT_S,
         )
@@ -174,7 +174,7 @@
         the next one is expected. If it were taken for the answer to the running
         request, a booking that is answered shortly after would end as unknown.
         """
-        for _ in range(MAX_PASSED_OVER):
+        for _ in range(MAX_SKIPPED_ANSWERS):
             response.held = True
             response.read_head()
             echoed = response.get(ID_HEADER)
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -67,7 +67,7 @@
 """A server that refuses a part of its requests although it has slots may accept the
 next attempt. After 0.3 s, a lookup that takes 120 ms misses its target of 400 ms."""
 
-LONGEST_WORK_S = 5.0
+RELEASE_TIMEOUT_S = 5.0
 """How long a release waits until the server has finished its work on the range."""
 
 
@@ -138,7 +138,7 @@
         book = ListedHoldBook.of_new_process(terms, node.began_s)
         interval_s = settings.heartbeat_interval_s
         ways = {
-            GrantWay.ORDERS: RangeGrants(node, book, LONGEST_WORK_S),
+            GrantWay.ORDERS: RangeGrants(node, book, RELEASE_TIMEOUT_S),
             GrantWay.HEARTBEATS: HeartbeatGrants(
                 node, book, interval_s, HOLD_LIST_LIMIT
             ),
