--- a/comfreywharf/platform/store.py
+++ b/comfreywharf/platform/store.py
@@ -17,7 +17,7 @@
     LogTruncated,
 )
 
-__all__ = ["Newest", "Records", "Store", "StoreLog"]
+__all__ = ["NewestValues", "Store", "StoreLog", "TopicRecords"]
 
 CALL_TIMEOUT_S = 1.0
 """An answer takes about 4 ms. This timeout detects a connection that has gone silent;
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class Records:
+class TopicRecords:
     """Records read from a topic, with its end offset and that of its first record."""
 
     end: int
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen
-class Newest:
+class NewestValues:
     """The newest value of each key of a topic, and the topic's end offset."""
 
     values: dict
@@ -81,7 +81,7 @@
         return self.append(topic, [bytes([len(name)]) + name + value], position)
 
     def read(self, topic, start, wait_s, max_kb=1024):
-        """Return the `Records` from an offset on, waiting up to ``wait_s`` for one."""
+        """Return `TopicRecords` from an offset on, waiting up to ``wait_s`` for one."""
         target = (
             f"/-/log-read?topic={topic}&part=0&from={start}"
             f"&waitMs={int(wait_s * 1000)}&maxKb={max_kb}"
@@ -95,7 +95,7 @@
         return _records(data)
 
     def newest(self, topic):
-        """Return the `Newest` values of a topic; its name begins with ``keyed.``."""
+        """Return the `NewestValues` of a topic; its name begins with ``keyed.``."""
         values, after, end = {}, "", 0
         while True:
             target = f"/-/log-newest?topic={topic}&part=0"
@@ -112,7 +112,7 @@
                 values[item["key"]] = base64.b64decode(item["value"])
                 after = item["key"]
             if not _field(data, "hasMore"):
-                return Newest(values, end)
+                return NewestValues(values, end)
 
     def _call(self, method, target, body, timeout_s):
         response = None
@@ -154,7 +154,7 @@
             raise LogError("a record that is cut")
         found.append(data[place : place + size])
         place += size
-    return Records(end, first, tuple(found))
+    return TopicRecords(end, first, tuple(found))
 
 
 class StoreLog:
