--- a/comfreywharf/platform/settings.py
+++ b/comfreywharf/platform/settings.py
@@ -69,22 +69,22 @@
             if mark:
                 self._fields[name] = (number, value)
             elif name and not name.startswith("#"):
-                self._find(number, f"found {line!r}; expected NAME=VALUE")
+                self._add_finding(number, f"found {line!r}; expected NAME=VALUE")
 
-    def _find(self, number, what):
+    def _add_finding(self, number, what):
         self.findings.append(f"{self._path}:{number}: {what}")
 
-    def read(self, name, kind, default=None):
-        """Return a field converted by ``kind``, or the default with a finding."""
+    def read(self, name, convert, default=None):
+        """Return a field converted by ``convert``, or the default with a finding."""
         number, text = self._fields.get(name, (0, ""))
         if not text:
             if default is None:
                 self.findings.append(f"{self._path}: {name}: missing")
             return default
         try:
-            return kind(text)
+            return convert(text)
         except ValueError as error:
-            self._find(number, f"{name}: {error}")
+            self._add_finding(number, f"{name}: {error}")
             return default
 
 
