--- a/comfreywharf/daemon/connections/http.py
+++ b/comfreywharf/daemon/connections/http.py
@@ -8,7 +8,7 @@
 from geventhttpclient.connectionpool import ConnectionPool
 from geventhttpclient.response import HTTPParseError, HTTPResponse
 
-from comfreywharf.transport.sockets import has_ended, is_quiet
+from comfreywharf.transport.sockets import is_closed_by_peer, is_open_and_idle
 
 __all__ = [
     "BackendResponse",
@@ -46,7 +46,7 @@
     @property
     def has_open_in_use(self):
         """Return whether a connection is in use that the peer hasn't closed."""
-        return any(not has_ended(sock) for sock in self._in_use)
+        return any(not is_closed_by_peer(sock) for sock in self._in_use)
 
     def get_socket(self):
         """Return an idle connection, or a new one."""
@@ -77,7 +77,7 @@
     def _is_socket_alive(self, sock):
         # The library uses select(), which fails for file descriptors over 1,023. A
         # node with many callers would then open a new connection for each request.
-        return is_quiet(sock)
+        return is_open_and_idle(sock)
 
 
 class NodelayHandler(pywsgi.WSGIHandler):
--- a/comfreywharf/daemon/owning/heartbeat_grants.py
+++ b/comfreywharf/daemon/owning/heartbeat_grants.py
@@ -5,7 +5,7 @@
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.owning.key_grants import BookedGrants
 from comfreywharf.ownership.hold_lists import HoldList, HoldLists, Serving
-from comfreywharf.transport.sockets import is_quiet
+from comfreywharf.transport.sockets import is_open_and_idle
 
 __all__ = ["HeartbeatGrants"]
 
@@ -82,7 +82,7 @@
             left_s = end_s - boottime_s()
             if left_s <= 0 or self._has_news(report):
                 return
-            if not is_quiet(report.connection):
+            if not is_open_and_idle(report.connection):
                 self._look_at_server()
                 return
             self._news.clear()
--- a/comfreywharf/transport/clients.py
+++ b/comfreywharf/transport/clients.py
@@ -5,7 +5,7 @@
 from thrift.Thrift import TException
 
 from comfreywharf.transport.gen import Node
-from comfreywharf.transport.sockets import is_quiet, protocol_over
+from comfreywharf.transport.sockets import is_open_and_idle, protocol_over
 from comfreywharf.transport.stamps import NoStamps
 
 __all__ = ["CallError", "PeerClient"]
@@ -41,8 +41,8 @@
         self._protocol.expected_seqid = self._seqid
         return getattr(self._client, method)(*arguments)
 
-    def is_quiet(self):
-        return is_quiet(self._sock)
+    def is_open_and_idle(self):
+        return is_open_and_idle(self._sock)
 
     def close(self):
         self._protocol.trans.close()
@@ -95,7 +95,7 @@
         # would end without an answer, as one that may have been run.
         while self._idle:
             connection = self._idle.pop()
-            if connection.is_quiet():
+            if connection.is_open_and_idle():
                 return connection
             connection.close()
         return self._connect()
--- a/comfreywharf/transport/sockets.py
+++ b/comfreywharf/transport/sockets.py
@@ -16,8 +16,8 @@
     "MAX_FRAME_BYTES",
     "CheckedProtocol",
     "SocketTransport",
-    "has_ended",
-    "is_quiet",
+    "is_closed_by_peer",
+    "is_open_and_idle",
     "protocol_over",
 ]
 
@@ -30,7 +30,7 @@
 TYPE_MASK = TBinaryProtocolAccelerated.TYPE_MASK
 
 
-def is_quiet(sock):
+def is_open_and_idle(sock):
     """Return whether an idle connection is open and has nothing to read.
 
     Anything to read while no call is running is either the end of the stream or
@@ -44,10 +44,10 @@
     return not poll.poll(0)
 
 
-def has_ended(sock):
+def is_closed_by_peer(sock):
     """Return whether the peer of a connection has closed or reset it.
 
-    Unread bytes make no difference, unlike in `is_quiet`.
+    Unread bytes make no difference, unlike in `is_open_and_idle`.
     """
     if sock.fileno() < 0:
         return True
