--- a/comfreywharf/transport/clients.py
+++ b/comfreywharf/transport/clients.py
@@ -21,8 +21,8 @@
     callee can't have run it.
     """
 
-    def __init__(self, what, sent):
-        super().__init__(what)
+    def __init__(self, message, sent):
+        super().__init__(message)
         self.sent = sent
 
 
@@ -69,17 +69,17 @@
         connection = None
         try:
             with gevent.Timeout(timeout_s):
-                connection = self._take()
+                connection = self._borrow()
                 sent = True
                 answer = connection.call(method, arguments)
         except (OSError, TException, EOFError, gevent.Timeout) as error:
             # The answer may still arrive, and the next call on this connection
             # would read it as its own. Closing the connection prevents that.
-            self._retire(connection)
-            what = f"{method} to {self.host}:{self.port}: {error or 'timeout'}"
-            raise CallError(what, sent) from error
+            self._discard(connection)
+            message = f"{method} to {self.host}:{self.port}: {error or 'timeout'}"
+            raise CallError(message, sent) from error
         except BaseException:
-            self._retire(connection)
+            self._discard(connection)
             raise
         self._give_back(connection)
         self._stamps.read_from(answer, f"{self.host}:{self.port}")
@@ -90,7 +90,7 @@
         while self._idle:
             self._idle.pop().close()
 
-    def _take(self):
+    def _borrow(self):
         # A node that restarted has closed all connections. A call on one of them
         # would end without an answer, as one that may have been run.
         while self._idle:
@@ -107,7 +107,7 @@
         sock.settimeout(None)
         return _Connection(sock)
 
-    def _retire(self, connection):
+    def _discard(self, connection):
         if connection is not None:
             connection.close()
 
--- a/comfreywharf/transport/tests/test_transits.py
+++ b/comfreywharf/transport/tests/test_transits.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from comfreywharf.transport.transits import LONGEST_S, WINDOW_S, TransitTimes
+from comfreywharf.transport.transits import MAX_QUEUED_S, WINDOW_S, TransitTimes
 
 APART_S = -4_000.0
 """How far the receiver's clock is ahead of the sender's."""
@@ -33,5 +33,5 @@
     """Guards against a replaced machine whose requests are all refused."""
     times = TransitTimes()
     arrive(times, 5_000.0, took_s=0.01)
-    assert arrive(times, 10.0, took_s=LONGEST_S + 6_000.0) == 0.0
-    assert arrive(times, 11.0, took_s=LONGEST_S + 6_000.2) == pytest.approx(0.2)
+    assert arrive(times, 10.0, took_s=MAX_QUEUED_S + 6_000.0) == 0.0
+    assert arrive(times, 11.0, took_s=MAX_QUEUED_S + 6_000.2) == pytest.approx(0.2)
--- a/comfreywharf/transport/transits.py
+++ b/comfreywharf/transport/transits.py
@@ -15,7 +15,7 @@
 """For how long a least difference is used, at the minimum. Clocks that drift by 5 in
 1,000 are off by 50 ms after this time."""
 
-LONGEST_S = 8.0
+MAX_QUEUED_S = 8.0
 """A longer delay means that the clock is another one: the machine was replaced by one
 of the same name."""
 
@@ -31,24 +31,26 @@
     1.5
     """
 
-    _least_s: float = float("inf")
-    _least_before_s: float = float("inf")
-    _began_s: float = float("-inf")
+    _min_difference_s: float = float("inf")
+    _previous_min_difference_s: float = float("inf")
+    _window_start_s: float = float("-inf")
 
     def queued_s(self, sent_s, now_s):
         """Return how much longer a message took than the fastest recent one."""
         difference_s = now_s - sent_s
-        if now_s - self._began_s > WINDOW_S:
-            self._begin(now_s, self._least_s)
-        self._least_s = min(self._least_s, difference_s)
-        queued_s = difference_s - min(self._least_s, self._least_before_s)
-        if queued_s > LONGEST_S:
-            self._begin(now_s, float("inf"))
-            self._least_s = difference_s
+        if now_s - self._window_start_s > WINDOW_S:
+            self._start_window(now_s, self._min_difference_s)
+        self._min_difference_s = min(self._min_difference_s, difference_s)
+        queued_s = difference_s - min(
+            self._min_difference_s, self._previous_min_difference_s
+        )
+        if queued_s > MAX_QUEUED_S:
+            self._start_window(now_s, float("inf"))
+            self._min_difference_s = difference_s
             return 0.0
         return queued_s
 
-    def _begin(self, now_s, least_before_s):
-        self._began_s = now_s
-        self._least_before_s = least_before_s
-        self._least_s = float("inf")
+    def _start_window(self, now_s, previous_min_difference_s):
+        self._window_start_s = now_s
+        self._previous_min_difference_s = previous_min_difference_s
+        self._min_difference_s = float("inf")
