--- a/comfreywharf/declarations/reader.py
+++ b/comfreywharf/declarations/reader.py
@@ -40,24 +40,24 @@
             continue
         service = ServiceConfig(name=name, **values)
         for key, expected in contradictions(service):
-            document.find(expected, str(getattr(service, key)), section, key)
+            document.add_finding(expected, str(getattr(service, key)), section, key)
         if name in services:
-            document.find("each service once", f"{name} again", section)
+            document.add_finding("each service once", f"{name} again", section)
         services[name] = service
     if not services and not document.findings:
-        document.find("at least one section [service NAME]", None)
+        document.add_finding("at least one section [service NAME]", None)
     if len(services) > MAX_SERVICES:
-        document.find(f"at most {MAX_SERVICES} services", str(len(services)))
+        document.add_finding(f"at most {MAX_SERVICES} services", str(len(services)))
     return services
 
 
 def _service_name(document, section):
     words = section.split()
     if len(words) != 2 or words[0] != HEADING:
-        document.find("[service NAME]", f"[{section}]", section)
+        document.add_finding("[service NAME]", f"[{section}]", section)
         return ""
     try:
         return NAME.read(words[1])
     except ValueError:
-        document.find(NAME.expected, words[1], section)
+        document.add_finding(NAME.expected, words[1], section)
         return ""
--- a/comfreywharf/settings/document.py
+++ b/comfreywharf/settings/document.py
@@ -35,7 +35,7 @@
     sections: dict[str, Section] = attrs.Factory(dict)
     findings: list[Finding] = attrs.Factory(list)
 
-    def find(self, expected, found, section="", key="", line=None):
+    def add_finding(self, expected, found, section="", key="", line=None):
         """Add a finding at a key, a section, or a line."""
         if line is None:
             line = self._line(section, key)
@@ -65,14 +65,16 @@
             data = file.read(MAX_FILE_BYTES + 1)
         text = data.decode("utf-8")
     except OSError as error:
-        document.find("a file that can be read", error.strerror)
+        document.add_finding("a file that can be read", error.strerror)
         return document
     except UnicodeDecodeError as error:
         line = data[: error.start].count(b"\n") + 1
-        document.find("UTF-8 text", f"byte {data[error.start]:#x}", line=line)
+        document.add_finding("UTF-8 text", f"byte {data[error.start]:#x}", line=line)
         return document
     if len(data) > MAX_FILE_BYTES:
-        document.find(f"at most {MAX_FILE_BYTES} bytes", f"{len(data)} bytes or more")
+        document.add_finding(
+            f"at most {MAX_FILE_BYTES} bytes", f"{len(data)} bytes or more"
+        )
         return document
     parse_text(document, text)
     return document
@@ -88,7 +90,8 @@
     index = _LineIndex(document)
     lines = text.split("\n")
     kept = [
-        line if index.take(number, line) else "" for number, line in enumerate(lines, 1)
+        line if index.index_line(number, line) else ""
+        for number, line in enumerate(lines, 1)
     ]
     parser = ConfigParser(
         interpolation=None,
@@ -99,7 +102,7 @@
     try:
         parser.read_string("\n".join(kept), source=document.path)
     except Error as error:
-        document.find("an INI file", str(error))
+        document.add_finding("an INI file", str(error))
         return
     for name in parser.sections():
         entries = {
@@ -118,7 +121,7 @@
         self._section = None
         self._key_indent = None
 
-    def take(self, number, line):
+    def index_line(self, number, line):
         """Index one line and return whether the parser is to read it."""
         text = line.strip()
         if not text or text[0] in "#;":
@@ -129,33 +132,35 @@
             return True
         heading = ConfigParser.SECTCRE.match(text)
         if heading:
-            return self._take_heading(number, heading["header"])
-        return self._take_key(number, text, indent)
+            return self._index_heading(number, heading["header"])
+        return self._index_key(number, text, indent)
 
-    def _take_heading(self, number, name):
+    def _index_heading(self, number, name):
         self._key_indent = None
         self._section = name
         first = self.lines.setdefault((name, ""), number)
         if first != number:
-            self._document.find(
+            self._document.add_finding(
                 "each section once", f"again after line {first}", name, line=number
             )
         return True
 
-    def _take_key(self, number, text, indent):
+    def _index_key(self, number, text, indent):
         match = ConfigParser.OPTCRE.match(text)
         if self._section is None or not match or not match["option"].strip():
             self._key_indent = None
             expected = "KEY = VALUE" if self._section else "a [SECTION] heading first"
             # A line without valid syntax may hold anything, such as a password
             # that was pasted by mistake. Its beginning is enough to find it.
-            self._document.find(expected, text[:24], self._section or "", line=number)
+            self._document.add_finding(
+                expected, text[:24], self._section or "", line=number
+            )
             return False
         key = match["option"].rstrip().lower()
         self._key_indent = indent
         first = self.lines.setdefault((self._section, key), number)
         if first != number:
-            self._document.find(
+            self._document.add_finding(
                 "each key once", f"again after line {first}", self._section, key, number
             )
         return True
--- a/comfreywharf/settings/reader.py
+++ b/comfreywharf/settings/reader.py
@@ -82,7 +82,9 @@
         if port is None:
             continue
         if port in used:
-            document.find(f"a port that {used[port]} has not", str(port), "node", name)
+            document.add_finding(
+                f"a port that {used[port]} has not", str(port), "node", name
+            )
         used.setdefault(port, name)
 
 
@@ -90,7 +92,7 @@
     """Add a finding if the only seed is the node itself: it would find no peers."""
     own = Address(values.get("host"), values.get("peer_port"))
     if values.get("seeds") == (own,):
-        document.find(
+        document.add_finding(
             "peer addresses of other nodes",
             AddressKind().write(own),
             "cluster",
--- a/comfreywharf/settings/schema.py
+++ b/comfreywharf/settings/schema.py
@@ -22,7 +22,7 @@
     for name in document.sections:
         if name not in known:
             listed = ", ".join(f"[{other}]" for other in known)
-            document.find(
+            document.add_finding(
                 f"one of {listed}{suggest(name, known)}", f"[{name}]", section=name
             )
 
@@ -36,16 +36,16 @@
     for name in entries:
         if name not in names:
             expected = f"one of {', '.join(names)}{suggest(name, names)}"
-            document.find(expected, name, section, name)
+            document.add_finding(expected, name, section, name)
     values = {}
     for key in keys:
         entry = entries.get(key.name)
         if entry is None:
             if key.required:
-                document.find(key.kind.expected, None, section, key.name)
+                document.add_finding(key.kind.expected, None, section, key.name)
             continue
         try:
             values[key.name] = key.kind.read(entry.value)
         except ValueError:
-            document.find(key.kind.expected, entry.value, section, key.name)
+            document.add_finding(key.kind.expected, entry.value, section, key.name)
     return values
