--- a/comfreywharf/declarations/fields.py
+++ b/comfreywharf/declarations/fields.py
@@ -4,7 +4,7 @@
 
 from comfreywharf.records import ServiceConfig
 from comfreywharf.records.validation import MAX_BODY_BYTES, MAX_SERVICES, MAX_SLICES
-from comfreywharf.settings.kinds import IntegerKind, NumberKind, WordKind, YesNoKind
+from comfreywharf.settings.kinds import IntegerKind, NameKind, NumberKind, YesNoKind
 from comfreywharf.settings.schema import Key
 
 __all__ = [
@@ -20,7 +20,7 @@
 MAX_WEIGHT = 1000.0
 MAX_QUEUE_LENGTH = 100_000
 
-NAME = WordKind()
+NAME = NameKind()
 
 SERVICE_KEYS = (
     Key("divided_by_key", YesNoKind()),
@@ -54,22 +54,22 @@
     This checks services that arrive over the network. Files are checked by
     `read_declarations`, which reports line numbers.
     """
-    wrong = []
+    errors = []
     values = {}
-    if not _reads(NAME, name):
-        wrong.append(f"service name: found {name!r}; expected {NAME.expected}")
+    if not _is_valid(NAME, name):
+        errors.append(f"service name: found {name!r}; expected {NAME.expected}")
     for key, text in fields.items():
         if key not in _BY_NAME:
-            wrong.append(f"{name}.{key}: expected one of {', '.join(_BY_NAME)}")
+            errors.append(f"{name}.{key}: expected one of {', '.join(_BY_NAME)}")
             continue
         kind = _BY_NAME[key].kind
-        if _reads(kind, text):
+        if _is_valid(kind, text):
             values[key] = kind.read(text)
         else:
-            wrong.append(f"{name}.{key}: found {text!r}; expected {kind.expected}")
+            errors.append(f"{name}.{key}: found {text!r}; expected {kind.expected}")
     service = ServiceConfig(name=str(name), **values)
-    wrong += [f"{name}.{key}: {what}" for key, what in contradictions(service)]
-    return Failure(wrong) if wrong else Success(service)
+    errors += [f"{name}.{key}: {what}" for key, what in contradictions(service)]
+    return Failure(errors) if errors else Success(service)
 
 
 def contradictions(service):
@@ -81,7 +81,7 @@
         yield "churn_weight", "one of the two weights above 0"
 
 
-def _reads(kind, text):
+def _is_valid(kind, text):
     if not isinstance(text, str):
         return False
     try:
--- a/comfreywharf/settings/kinds.py
+++ b/comfreywharf/settings/kinds.py
@@ -15,13 +15,13 @@
     "HostKind",
     "IntegerKind",
     "Kind",
+    "NameKind",
     "NumberKind",
     "PortKind",
-    "WordKind",
     "YesNoKind",
 ]
 
-_WORD = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")
+_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")
 _DIGITS = re.compile(r"-?[0-9]{1,18}")
 _YES_NO = {"yes": True, "no": False, "true": True, "false": False}
 _YES_NO |= {"on": True, "off": False, "1": True, "0": False}
@@ -117,14 +117,14 @@
 
 
 @attrs.frozen
-class WordKind(Kind):
+class NameKind(Kind):
     """A name that is safe in paths, logs and file names."""
 
     expected = "a name of letters, digits, '_', '.' and '-', at most 64 long"
 
     def read(self, text):
         """Return the name."""
-        if not _WORD.fullmatch(text):
+        if not _NAME.fullmatch(text):
             raise ValueError(text)
         return text
 
--- a/comfreywharf/settings/reader.py
+++ b/comfreywharf/settings/reader.py
@@ -9,8 +9,8 @@
     AddressKind,
     HostKind,
     IntegerKind,
+    NameKind,
     PortKind,
-    WordKind,
 )
 from comfreywharf.settings.model import Address, NodeSettings
 from comfreywharf.settings.schema import Key, check_names, read_keys
@@ -23,19 +23,19 @@
 
 SECTIONS = {
     "node": (
-        Key("id", WordKind(), required=True),
+        Key("id", NameKind(), required=True),
         Key("host", HostKind(), required=True),
         Key("caller_port", PortKind(), required=True),
         Key("peer_port", PortKind(), required=True),
         Key("operator_port", PortKind(), required=True),
         Key("backend_port", PortKind(), required=True),
-        Key("failure_domain", WordKind(), required=True),
-        Key("region", WordKind(), required=True),
+        Key("failure_domain", NameKind(), required=True),
+        Key("region", NameKind(), required=True),
         Key("advertised_peer_port", PortKind()),
     ),
     "log": (
         Key("address", AddressKind(), required=True),
-        Key("stream", WordKind()),
+        Key("stream", NameKind()),
     ),
     "cluster": (
         Key("seeds", AddressesKind()),
