--- a/comfreywharf/platform/tests/builders.py
+++ b/comfreywharf/platform/tests/builders.py
@@ -1,7 +1,7 @@
 """Builders for tests of the adapter: settings files, and nodes in this process.
 
-The nodes and the stand-ins run as greenlets of the test's process and talk over
-loopback, so that what is sent is what would be sent on the platform.
+The nodes and the stand-ins run as greenlets of the test's process and communicate over
+loopback, so that they send the same data as on the platform.
 """
 
 import contextlib
@@ -34,7 +34,7 @@
 PORTS_OF_A_WORKER = 2_000
 
 LONG_MS = 20_000
-"""More than any machine takes for a few requests."""
+"""Longer than any machine takes for a few requests."""
 
 BOOT = """\
 grants={grants}
@@ -85,7 +85,7 @@
 
 
 def configuration(version=1, **fields):
-    """Return the operator's record: a keyed and a plain service, three routes."""
+    """Return a configuration record: a keyed and a plain service, three routes."""
     route = {
         "host": "a.example",
         "timeout": "1000ms",
@@ -134,7 +134,7 @@
 
 
 def wait_for(condition, timeout_s=20.0):
-    """Let greenlets run until a condition holds; `TimeoutError` if it never does."""
+    """Let greenlets run until a condition holds; raises `TimeoutError`."""
     end_s = boottime_s() + timeout_s
     while not condition():
         if boottime_s() > end_s:
@@ -143,11 +143,11 @@
 
 
 def free_ports():
-    """Return six ports in a row that were free a moment ago.
+    """Return six consecutive ports on which nothing listens.
 
-    They lie below those that the system gives to outgoing connections. Each worker of
-    the tests has a region of its own: another one's could be free when they are looked
-    at, and taken when a node listens.
+    They are below the ports that the system uses for outgoing connections. Each test
+    worker has its own range: a port of another worker's range could be unused at the
+    check, and taken when a node listens.
     """
     worker = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:]) % WORKERS
     first_port = FIRST_PORT + worker * PORTS_OF_A_WORKER
@@ -168,7 +168,7 @@
 
 
 class Answered:
-    """An answer as a caller read it."""
+    """An answer as a caller received it."""
 
     def __init__(self, data):
         head, _, self.body = data.partition(b"\r\n\r\n")
@@ -179,7 +179,7 @@
 
 
 class Deployment:
-    """Nodes on the platform's stand-ins, each with its backend server."""
+    """Nodes that use the platform's stand-ins, each with its backend server."""
 
     def __init__(
         self,
@@ -206,7 +206,7 @@
         return self
 
     def configure(self, version, timeout_ms=1000):
-        """Put a configuration in force that names the way of granting."""
+        """Write a configuration that names the way of granting to the store."""
         document = configuration(version)
         for route in document["routes"].values():
             route["timeout"] = f"{timeout_ms}ms"
@@ -214,7 +214,7 @@
         self.store.put("keyed.op", "config", document)
 
     def allow_long_requests(self, version=2):
-        """Have the routes give a request `LONG_MS`, and wait until they are known."""
+        """Set the routes' timeout to `LONG_MS`, and wait until all nodes apply it."""
         self.configure(version, timeout_ms=LONG_MS)
         nodes = self.nodes.values()
         wait_for(lambda: all(node.routes.version == version for node in nodes))
@@ -246,7 +246,7 @@
         self.store.stop()
 
     def settled(self):
-        """Return whether each key is held by one server."""
+        """Return whether each key is held by exactly one server."""
         holders = [s for s in self.servers.values() if s.service == "booking"]
         keys = range(0, 65536, 4096)
         return all(sum(s.holds(key) for s in holders) == 1 for key in keys)
@@ -260,11 +260,11 @@
         return next(iter(self.holders(key)), None)
 
     def elsewhere(self, key):
-        """Return a node beside another server than the one that holds a key."""
+        """Return the name of a node whose server doesn't hold a key."""
         return next(name for name in self.nodes if name != self.holder(key))
 
     def ask(self, name, path="/look/1", key=7, method="GET", body=b"", **headers):
-        """Send one request to a node; return what came back as `Answered`."""
+        """Send one request to a node; return its answer as `Answered`."""
         self._requests += 1
         lines = {
             "Host": "a.example",
@@ -282,7 +282,7 @@
         return self.send(name, data)
 
     def send(self, name, data, timeout_s=30.0):
-        """Send bytes to a node's callers' port and read until it closes."""
+        """Send bytes to a node's callers' port, and read until it closes."""
         port = self.ports[name][1]
         parts = []
         with contextlib.closing(
--- a/comfreywharf/platform/tests/conftest.py
+++ b/comfreywharf/platform/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The deployment that tests of faults begin with."""
+"""The deployment of the tests of faults."""
 
 import pytest
 
@@ -7,6 +7,6 @@
 
 @pytest.fixture
 def deployment(tmp_path):
-    """Yield four nodes with their servers, all keys held."""
+    """Yield four nodes with their servers; all keys are held."""
     with Deployment(tmp_path) as started:
         yield started
--- a/comfreywharf/platform/tests/reports.py
+++ b/comfreywharf/platform/tests/reports.py
@@ -1,4 +1,4 @@
-"""Builders of what backend servers say, whole and damaged."""
+"""Builders of heartbeats, valid and damaged."""
 
 import orjson
 from hypothesis import strategies as st
@@ -29,15 +29,16 @@
 
 
 def report(**changed):
-    """Return the bytes of a heartbeat with some fields changed."""
+    """Return the bytes of a valid heartbeat with some fields changed."""
     return orjson.dumps({**GOOD, **changed})
 
 
 @st.composite
 def damaged_reports(draw):
-    """Draw a heartbeat that was changed in its fields, and then in its bytes.
+    """Draw a heartbeat with changes to its fields, and then to its bytes.
 
-    It may still be a good one: a text in the place of another, or nothing changed.
+    The result may still be valid, for example with one text in place of another or
+    without any change.
     """
     fields = dict(GOOD)
     for name in draw(st.lists(st.sampled_from(sorted(GOOD)), max_size=3)):
--- a/comfreywharf/platform/tests/test_announcements.py
+++ b/comfreywharf/platform/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""Reports that another writer damaged: none of them names a server to use."""
+"""Damaged reports of backend servers are refused and change nothing."""
 
 from types import SimpleNamespace
 
@@ -19,7 +19,7 @@
 
 
 def test_a_good_heartbeat_is_read():
-    """All that is used of it, under the product's words."""
+    """All fields that are used are decoded into the product's types."""
     said = read_heartbeat("i-1", report(state="draining"))
     announced = said.announcement
     assert (said.sequence, said.leaving) == (4, True)
@@ -29,7 +29,7 @@
 
 
 def test_a_server_that_doesnt_say_when_it_began_is_read():
-    """Not each server says it."""
+    """The start time is optional."""
     fields = {name: value for name, value in GOOD.items() if name != "born"}
     said = read_heartbeat("i-1", orjson.dumps(fields))
     assert said.announcement.life == ServerIncarnation("i-1", None)
@@ -53,10 +53,11 @@
 
 @pytest.mark.parametrize(("name", "value"), DAMAGED)
 def test_a_damaged_field_is_told_by_its_name(name, value):
-    """Symptom: a server that doesn't exist is used, or a good one's heartbeats are
-    refused from then on.
-    Sequence: another writer's report has a field of another type, or out of bounds.
-    Cause: it was taken as it came, and compared with the next one's."""
+    """Guards against use of a server that doesn't exist, or against refused heartbeats.
+
+    A report has a field of a wrong type or out of bounds. If the value were stored, it
+    would be compared with that of the next heartbeat.
+    """
     with pytest.raises(DamagedReport) as caught:
         read_heartbeat("i-1", report(**{name: value}))
     assert caught.value.field == name
@@ -64,7 +65,7 @@
 
 @pytest.mark.parametrize("name", [name for name in GOOD if name != "born"])
 def test_a_missing_field_is_told_by_its_name(name):
-    """A report without it may lack more than that."""
+    """A report without one field may lack others as well."""
     fields = {other: value for other, value in GOOD.items() if other != name}
     with pytest.raises(DamagedReport) as caught:
         read_heartbeat("i-1", orjson.dumps(fields))
@@ -85,14 +86,14 @@
     ],
 )
 def test_bytes_that_cant_be_read_name_no_server(body):
-    """Cut, empty, in another encoding, nested too deep, or too long."""
+    """The bytes are cut, empty, badly encoded, nested too deep, or too long."""
     with pytest.raises(DamagedReport):
         read_heartbeat("i-1", body)
 
 
 @pytest.mark.parametrize("instance", ["", "i 1", "i\r\nX: 1", "i\x00", "ï", "i" * 129])
 def test_an_id_that_no_header_could_carry_is_refused(instance):
-    """A server's id goes into a header of each request to it."""
+    """The server's id is sent in a header of each request to it."""
     with pytest.raises(DamagedReport):
         read_heartbeat(instance, report())
     with pytest.raises(DamagedReport):
@@ -105,7 +106,7 @@
 @example(report(address="10.0.0.9:8_0"))
 @example(report(sequence=2**63))
 def test_whatever_is_said_is_read_whole_or_refused(body):
-    """No other error, and nothing of it that isn't in bounds."""
+    """No other error is raised, and all decoded values are within bounds."""
     try:
         said = read_heartbeat("i-1", body)
     except DamagedReport:
@@ -119,7 +120,7 @@
 
 
 def make_port():
-    """Return a port for heartbeats, what it told of life, and its events."""
+    """Return a heartbeat port, the calls to its lifecycle, and its events."""
     told, events = [], []
     life = SimpleNamespace(
         heard=lambda *said: told.append(said), leaves=lambda life: told.append(life)
@@ -148,9 +149,11 @@
 
 
 def test_a_damaged_report_changes_nothing_and_is_told():
-    """Symptom: a living server is lost, or nobody knows why it is silent.
-    Sequence: a damaged report comes between two good ones.
-    Cause: its error ended the answer without a word."""
+    """Guards against a live server that is lost, or is silent without any event.
+
+    A damaged report arrives between two valid ones. Its error has to be answered and
+    reported as an event.
+    """
     port, told, events = make_port()
     assert post(port, report()) == 200
     assert post(port, report(address=8080)) == 400
@@ -161,7 +164,7 @@
 
 
 def test_a_service_that_nobody_named_has_no_servers():
-    """Its own service and those of the configuration are known; no other is."""
+    """A heartbeat may name the node's own service or a configured one."""
     port, told, events = make_port()
     assert post(port, report(service="stock")) == 200
     assert post(port, report(service="nobody")) == 400
@@ -170,7 +173,7 @@
 
 
 def test_a_writer_that_ends_in_the_middle_is_no_error_of_the_node():
-    """Its connection ends before the body does."""
+    """The connection closes before the end of the body."""
     port, told, _ = make_port()
 
     class Cut:
@@ -201,9 +204,10 @@
 
 @pytest.mark.parametrize(("name", "value", "place"), DAMAGED_RANGES)
 def test_a_damaged_range_is_told_by_its_place(name, value, place):
-    """Symptom: a node releases keys that nobody released, or grants under a fence that
-    no server may have.
-    Events: a report's lists have rows of another shape, out of range or without end."""
+    """Guards against releases that didn't happen, and grants with an invalid fence.
+
+    The lists of a report have rows of another shape, out of bounds, or too many rows.
+    """
     with pytest.raises(DamagedReport) as caught:
         read_heartbeat("i-1", report(**{name: value}))
     assert caught.value.field == place
@@ -211,7 +215,7 @@
 
 
 def test_what_a_server_holds_is_read():
-    """Rows overlap while it works on under an earlier grant; both count."""
+    """Ranges overlap while work under an earlier grant goes on; both count."""
     rows = [[0, 99, 4], [0, 49, 6]]
     said = read_heartbeat("i-1", report(holds=rows, released=[[100, 199, "5c0e"]]))
     assert [(h.first, h.last, h.fence) for h in said.held] == [(0, 99, 4), (0, 49, 6)]
--- a/comfreywharf/platform/tests/test_backends.py
+++ b/comfreywharf/platform/tests/test_backends.py
@@ -1,4 +1,4 @@
-"""Answers of the platform's backend servers, on real sockets."""
+"""Answers of the platform's backend servers over real sockets."""
 
 import struct
 
@@ -28,7 +28,7 @@
 
 
 def exchange(server):
-    """Return the response to one request, whose body was read."""
+    """Return the response to one request, with its body read."""
     backend = make_backend(server)
     response = backend.exchange(request("POST"), "Host: a\r\n", b"", running())
     body = response.read(1000)
@@ -37,9 +37,11 @@
 
 
 def test_an_answer_to_an_earlier_request_is_passed_over():
-    """Symptom: a booking's outcome is unknown, and a moment later it is answered.
-    Sequence: a server answers an earlier request a second time, where the next
-    answer is expected. Cause: the first answer to come decided."""
+    """Guards against an unknown outcome of a booking that is answered shortly after.
+
+    A server answers an earlier request a second time, where the next answer is
+    expected.
+    """
 
     class Twice(ScriptedServer):
         def _serve(self, sock, address):
@@ -53,7 +55,7 @@
 
 
 def test_only_answers_to_others_are_no_answer():
-    """Nothing is made up where the own one never comes."""
+    """If the own answer never arrives, the request is lost."""
     reply = Reply(whole(b"x", *OTHER), close=True)
     with ScriptedServer(reply) as server, pytest.raises(BackendError) as caught:
         exchange(server)
@@ -61,16 +63,20 @@
 
 
 def test_an_answer_that_ends_with_its_connection_is_whole():
-    """Symptom: callers get no answer of a server that gives no length.
-    Sequence: head, body, and a close. Cause: only framed answers were taken."""
+    """Guards against callers without an answer from a server that sends no length.
+
+    The server sends a head and a body, and closes the connection.
+    """
     head = "\r\n".join(["HTTP/1.1 200 OK", *OWN, "", ""]).encode()
     with ScriptedServer(Reply(head + b"all of it", close=True)) as server:
         assert exchange(server)[:3] == (200, b"all of it", True)
 
 
 def test_one_that_is_reset_on_the_way_is_not():
-    """Symptom: a caller takes a part for the whole.
-    Sequence: as above, but the connection is reset. Cause: any end was an end."""
+    """Guards against a partial answer that is taken for a complete one.
+
+    The connection is reset within a body without a length.
+    """
 
     class Resets(ScriptedServer):
         def _serve(self, sock, address):
@@ -96,9 +102,11 @@
     ],
 )
 def test_only_what_says_so_has_not_run(status, extra, reason):
-    """Symptom: a booking is run twice.
-    Sequence: a server's failure is taken for a refusal, and the request sent again.
-    Cause: a status alone was believed."""
+    """Guards against a booking that runs twice.
+
+    A server's failure must not be taken for a refusal because of its status alone,
+    since the request would then be sent again.
+    """
     data = whole(b"", *OWN, *extra).replace(b"200 OK", b"%d X" % status)
     with ScriptedServer(Reply(data)) as server:
         backend = make_backend(server)
@@ -107,15 +115,17 @@
 
 
 def test_a_success_without_its_stamp_isnt_passed_on():
-    """It is no whole answer of the server's."""
+    """Without the stamp it isn't a complete answer of the server."""
     data = whole(b"x", "X-Attempt-Id: id")
     with ScriptedServer(Reply(data)) as server:
         assert exchange(server)[2] is False
 
 
 def test_a_header_with_a_line_end_cant_reach_the_server():
-    """Symptom: a caller writes headers that only the router may write.
-    Sequence: a value with a line end in it. Cause: it was copied as it was."""
+    """Guards against callers who inject headers that only the router may set.
+
+    A header's value contains a line break.
+    """
     message = request()
     message.headers = [attrs.make_class("H", ["name", "value"])("X", "a\r\nY: b")]
     assert PlatformDialect().request_lines(message, running(), "i") is None
--- a/comfreywharf/platform/tests/test_calm.py
+++ b/comfreywharf/platform/tests/test_calm.py
@@ -1,4 +1,4 @@
-"""A small deployment on the platform's stand-ins, on a calm day."""
+"""Requests in a small deployment on the platform's stand-ins, without faults."""
 
 import pytest
 
@@ -10,15 +10,16 @@
 
 @pytest.fixture(scope="module")
 def deployment(tmp_path_factory):
-    """Yield four nodes with their servers, all keys held."""
+    """Yield four nodes with their servers; all keys are held."""
     with Deployment(tmp_path_factory.mktemp("calm")) as started:
         yield started
 
 
 def test_a_request_reaches_the_server_that_holds_its_key(deployment):
-    """From any node, for keys at both ends and one between.
+    """From any node, for the lowest key, the highest key and one between.
 
-    A server of the stand-in runs nothing whose key it doesn't hold."""
+    A stand-in server doesn't run a request if it doesn't hold the key.
+    """
     for key in (0, 30_000, 65_535):
         for name in deployment.nodes:
             answer = deployment.ask(name, key=key)
@@ -29,7 +30,7 @@
 
 
 def test_a_request_is_passed_on_as_it_came(deployment):
-    """Method, path, query and body unchanged, the router's own headers set."""
+    """Method, path, query and body are unchanged; the router's headers are set."""
     body = bytes(range(256)) * 2000
     name = deployment.elsewhere(7)
     answer = deployment.ask(
@@ -49,7 +50,7 @@
 
 
 def test_a_service_without_keys_is_served_by_any_of_its_servers(deployment):
-    """The one route that leads to it, from each node."""
+    """The only route to the service works from each node."""
     for name in deployment.nodes:
         answer = deployment.ask(name, "/stock/1", key=None, method="POST", body=b"b")
         assert (answer.status, answer.body) == (200, b"b")
@@ -68,16 +69,18 @@
     ],
 )
 def test_bad_input_is_refused_with_its_status(deployment, fields, status):
-    """Each fault of a request has its own answer, and nothing is run."""
+    """Each error in a request has its own status, and nothing is run."""
     runs = len(deployment.ledger)
     assert deployment.ask("n0", **fields).status == status
     assert len(deployment.ledger) == runs
 
 
 def test_a_smuggled_request_isnt_run(deployment):
-    """Symptom: a server runs a request that no caller sent.
-    Sequence: a body that looks like a request, under two lengths.
-    Cause: two hops that disagree on where the first request ends."""
+    """Guards against a request that no caller sent (request smuggling).
+
+    A body that looks like a request has two contradictory lengths, so that two hops
+    could disagree on where the first request ends.
+    """
     inner = b"GET /look/smuggled HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: s\r\n\r\n"
     head = (
         b"POST /book/1 HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: o\r\n"
@@ -89,9 +92,11 @@
 
 
 def test_a_node_refuses_a_request_for_another_service(deployment):
-    """Symptom: a server runs a request that no route leads to it.
-    Sequence: a machine is replaced by one of another service at its address; a node
-    that hasn't folded this sends on. Cause: the node there compared no service."""
+    """Guards against a server that runs requests of another service.
+
+    A machine is replaced at its address by one of another service, and a node that
+    hasn't folded this yet forwards a request. The receiver has to compare the service.
+    """
     message = request(method="GET", path="/stock/1")
     message.service_name, message.key = "stock", b""
     name = next(n for n, s in deployment.servers.items() if s.service == "booking")
--- a/comfreywharf/platform/tests/test_closing.py
+++ b/comfreywharf/platform/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""Servers that close their port before they end."""
+"""Servers that close their port before they stop."""
 
 import gevent
 import pytest
@@ -11,14 +11,13 @@
 def test_a_server_that_closes_its_port_keeps_its_keys_while_it_works(
     deployment, leaves
 ):
-    """Symptom: a key is given on while its last holder still works on it.
-    Sequence: a server that leaves closes its port and its idle connections, and goes
-    on with the request that it has; its node is refused a connection for the next
-    grant.
-    Cause: a port that refuses was taken for the proof that the process had ended.
-    Evidence: two of four plays of a day with planned leaves only broke the rule; in the
-    lines of one the node gives the server up as refused at 31.405 s, the keys go on at
-    31.473 s, and the server's request ends well at 31.613 s."""
+    """Guards against a key that is granted again while its last holder works on it.
+
+    A server that leaves closes its port and its idle connections, and goes on with its
+    request. Its node is then refused a connection for the next grant. A refused
+    connection is no proof that the process has ended: taken for one, the keys moved
+    0.14 s before the server's request ended, on days with planned leaves only.
+    """
     deployment.allow_long_requests()
     name = deployment.holder(7)
     server = deployment.servers[name]
--- a/comfreywharf/platform/tests/test_faults.py
+++ b/comfreywharf/platform/tests/test_faults.py
@@ -6,9 +6,11 @@
 
 
 def test_an_answer_to_another_request_isnt_passed_on(deployment):
-    """Symptom: a caller gets the answer to somebody else's request.
-    Sequence: a server answers with another request's id.
-    Cause: the answer was taken by its place on the connection alone."""
+    """Guards against a caller who receives the answer to another caller's request.
+
+    A server answers with the id of another request. Its position on the connection
+    alone doesn't identify an answer.
+    """
     for server in deployment.servers.values():
         server.answer_id = "other"
     answer = deployment.ask("n0", method="POST", path="/book/1", body=b"b")
@@ -16,7 +18,7 @@
 
 
 def test_a_newer_configuration_is_in_force_and_never_an_older_one(deployment):
-    """A route that is dropped is gone at all nodes, and stays gone."""
+    """A removed route is gone at all nodes, and an older version doesn't restore it."""
     newer = configuration(version=5)
     del newer["routes"]["look"]
     deployment.store.put("keyed.op", "config", newer)
@@ -28,7 +30,7 @@
 
 
 def test_a_broken_configuration_changes_nothing(deployment):
-    """The process lives and keeps what it had."""
+    """The node keeps running with the configuration that it had."""
     deployment.store.put("keyed.op", "config", {"version": 9, "routes": []})
     gevent.sleep(0.5)
     assert deployment.ask("n0").status == 200
--- a/comfreywharf/platform/tests/test_hanging.py
+++ b/comfreywharf/platform/tests/test_hanging.py
@@ -1,4 +1,4 @@
-"""Servers that never answer what they can't queue, nor anything more on that line."""
+"""Servers that accept a request and never answer it."""
 
 import gevent
 import pytest
@@ -15,14 +15,16 @@
 
 
 def hang(server):
-    """Have a server answer nothing any more, whatever it is asked."""
+    """Make a server answer no further request."""
     server.work_s = 60.0
 
 
 def test_a_request_that_hangs_ends_at_its_time_and_frees_its_slot(deployment):
-    """Symptom: a server's slots are all in use, and it does nothing.
-    Events: a server takes a request and never answers it.
-    Cause: nobody ends the wait, or the slot is kept behind it."""
+    """Guards against slots that are occupied while the server does nothing.
+
+    A server accepts a request and never answers it. The wait has to end at the
+    deadline, and the slot has to be released with it.
+    """
     name = deployment.holder(7)
     hang(deployment.servers[name])
     assert deployment.ask("n3", X_Deadline_Ms="400").status == 504
@@ -31,9 +33,11 @@
 
 
 def test_a_connection_that_hung_carries_no_further_request(deployment):
-    """Symptom: one request after the other hangs, though the server has room again.
-    Events: a request hangs; the server goes on with what comes on other connections.
-    Cause: its connection was given back, and the next request went out there."""
+    """Guards against requests that hang one after the other at a recovered server.
+
+    A request hangs, and the server goes on with requests on other connections. The
+    connection that hung must not return to the pool.
+    """
     name = deployment.holder(7)
     server = deployment.servers[name]
     hang(server)
@@ -43,8 +47,10 @@
 
 
 def test_a_server_that_hangs_on_everything_is_left_alone(deployment):
-    """Symptom: half of a service's requests end at their deadline for seconds.
-    Events: one of two servers hangs on everything; the other one has room."""
+    """Guards against half of a service's requests ending at their deadline for seconds.
+
+    One of two servers never answers; the other one has capacity.
+    """
     hang(deployment.servers["n3"])
     for _ in range(4):
         asked = [
--- a/comfreywharf/platform/tests/test_lists.py
+++ b/comfreywharf/platform/tests/test_lists.py
@@ -1,4 +1,4 @@
-"""Grants in answers to heartbeats, on the platform's stand-ins, over real sockets."""
+"""Grants in answers to heartbeats, over real sockets to the platform's stand-ins."""
 
 import contextlib
 
@@ -12,13 +12,13 @@
 
 @pytest.fixture
 def deployment(tmp_path):
-    """Yield four nodes with their servers, all keys held by lists."""
+    """Yield four nodes with their servers; all keys are held by lists."""
     with Deployment(tmp_path, grants="heartbeat") as started:
         yield started
 
 
 def served(deployment, key=7):
-    """Return whether a key is served within some seconds."""
+    """Return whether a key is served within 8 s."""
     with contextlib.suppress(TimeoutError):
         wait_for(lambda: deployment.ask("n3", key=key).status == 200, 8)
         return True
@@ -26,7 +26,7 @@
 
 
 def one_holder(deployment, duration_s):
-    """Watch for a while that no key has two holders."""
+    """Assert for some seconds that no key has two holders."""
     end_s = boottime_s() + duration_s
     while boottime_s() < end_s:
         for key in range(0, 65536, 4096):
@@ -35,18 +35,21 @@
 
 
 def test_keys_are_held_and_served(deployment):
-    """Symptom: nothing that is divided by key is served.
-    Sequence: servers learn of their keys in answers to heartbeats only.
-    Cause: the node sent orders, and answered heartbeats with nothing."""
+    """Guards against keys that are never served.
+
+    Servers receive their keys in answers to heartbeats only; the node must neither send
+    orders nor leave the answers empty.
+    """
     assert deployment.ask("n3").status == 200
     server = deployment.servers[deployment.holder(7)]
     assert server.taken_lists and not server.misdirected
 
 
 def test_a_lost_answer_leaves_a_living_server_its_keys(deployment):
-    """Symptom: keys of a living server are dark for a heartbeat.
-    Sequence: the answer to one heartbeat is lost.
-    Cause: a hold that is shorter than two intervals."""
+    """Guards against keys that are unavailable for a heartbeat interval.
+
+    The answer to one heartbeat is lost. The hold has to last longer than two intervals.
+    """
     server = deployment.servers[deployment.holder(7)]
     server.lose_answers = 1
     wait_for(lambda: not server.lose_answers)
@@ -57,8 +60,10 @@
 
 
 def test_a_crashed_servers_keys_go_to_the_next_one(deployment):
-    """Symptom: two servers hold a key, or none for good.
-    Sequence: a server crashes and doesn't come back."""
+    """Guards against two holders of a key, or none for good.
+
+    A server crashes and doesn't restart.
+    """
     name = deployment.holder(7)
     deployment.servers[name].mute = True
     deployment.servers[name].crash()
@@ -68,9 +73,10 @@
 
 
 def test_a_server_that_begins_again_takes_its_keys_under_higher_fences(deployment):
-    """Symptom: a life takes a key under a fence that the one before it had.
-    Sequence: a server ends and begins again under its id.
-    Cause: the lists went on under the same lease."""
+    """Guards against an incarnation that has a key under its predecessor's fence.
+
+    A server restarts under its id. Its lists must not go on under the same lease.
+    """
     name = deployment.holder(7)
     server = deployment.servers[name]
     before = max(taken.fence for taken in server.taken)
@@ -81,9 +87,11 @@
 
 
 def test_a_node_that_begins_again_goes_on_beside_its_living_server(deployment):
-    """Symptom: two servers hold a key, or a server refuses its ranges for good.
-    Sequence: a node's process is killed and starts again while its server lives.
-    Cause: the new process knows nothing of what the one before it granted."""
+    """Guards against two holders of a key, or a server that refuses its ranges.
+
+    A node's process is killed and restarts while its server runs on. The new process
+    doesn't know what the earlier one granted.
+    """
     name = deployment.holder(7)
     deployment.nodes.pop(name).kill()
     deployment.start(name, "z0", "booking")
@@ -93,8 +101,10 @@
 
 
 def test_a_leaving_servers_keys_move_with_their_handover(deployment):
-    """Symptom: keys of a leaving server are slow at the next one, or dark.
-    Sequence: a server says that it leaves, with a request at work."""
+    """Guards against keys that are unavailable, or slow at their next server.
+
+    A server reports that it is draining.
+    """
     name = deployment.holder(7)
     deployment.servers[name].state = "draining"
     wait_for(lambda: deployment.holder(7) not in (None, name), 8)
@@ -104,8 +114,10 @@
 
 
 def test_an_outage_of_the_store_leaves_the_keys_held(deployment):
-    """Symptom: keys are dark while the store is away.
-    Sequence: the store is away for some seconds; holds rest on witnesses only."""
+    """Guards against keys that are unavailable while the store is.
+
+    During an outage of some seconds, holds depend on witnesses only.
+    """
     deployment.store.stop()
     servers = [s for s in deployment.servers.values() if s.by_lists]
     before = {server: server.taken_lists for server in servers}
@@ -114,8 +126,10 @@
 
 
 def test_a_configuration_may_change_a_services_way(deployment):
-    """Symptom: after a change of the way nobody holds the keys, or two do.
-    Sequence: a service's servers take orders from one version on."""
+    """Guards against two holders or none after a change of the way of granting.
+
+    From one version of the configuration on, a service's servers receive orders.
+    """
     deployment.grants = "direct"
     for server in deployment.servers.values():
         server.by_lists = False
@@ -126,9 +140,11 @@
 
 
 def test_a_planned_move_waits_for_the_work_and_hands_over(deployment):
-    """Symptom: a key is given on while its last holder works on it, or is cold there.
-    Events: a server leaves while a request for one of its keys is at work.
-    Cause: a range that no list names counted as free, and the handover was lost."""
+    """Guards against a key that moves during work on it, or without its handover.
+
+    A server leaves while it works on a request for one of its keys. A range that no
+    list names must not count as released before that work has ended.
+    """
     deployment.allow_long_requests()
     name = deployment.holder(7)
     server = deployment.servers[name]
@@ -147,9 +163,11 @@
 
 
 def test_a_server_behind_a_cut_loses_its_keys_by_their_time(deployment):
-    """Symptom: two servers hold a key, or none for good.
-    Events: a server's heartbeats don't come any more, and it lives.
-    Cause: its node counted it as dead, or as alive, for good."""
+    """Guards against two holders of a key, or none for good.
+
+    A server's heartbeats don't arrive any more, although it runs. Its node must count
+    it neither as crashed nor as running for good.
+    """
     name = deployment.holder(7)
     deployment.servers[name].mute = True
     end_s = boottime_s() + 3.0
--- a/comfreywharf/platform/tests/test_lives.py
+++ b/comfreywharf/platform/tests/test_lives.py
@@ -1,4 +1,4 @@
-"""Servers that crash and are back at their address, as another life."""
+"""Servers that crash and restart at their address as another incarnation."""
 
 import gevent
 import pytest
@@ -10,14 +10,12 @@
 def test_a_new_life_is_never_granted_what_an_earlier_one_had_under_its_fence(
     deployment,
 ):
-    """Symptom: a key goes to a server that began 2 ms ago, under the very fence under
-    which the one before it at that address had it.
-    Sequence: a server crashes and another life begins at its address; before that
-    one's first heartbeat the node renews what it had granted the first.
-    Cause: an order goes to an address, and so to whoever listens there.
-    Evidence: a played day with four such crashes broke the rule 178 times; the node's
-    own lines name the crashed server until 32 ms after the first breach, and tell of
-    nothing but refused connections for the second before it."""
+    """Guards against a server that is granted a key under its predecessor's fence.
+
+    A server crashes and another incarnation starts at its address. Before its first
+    heartbeat (in one case 2 ms after its start), the node renews what it had granted to
+    the first one. An order goes to an address, and so to any server that listens there.
+    """
     name = deployment.holder(7)
     server = deployment.servers[name]
     server.mute = True
@@ -31,11 +29,12 @@
 
 
 def test_a_server_that_began_again_under_its_id_can_still_leave(deployment):
-    """Symptom: a leaving server gets new work until it is gone.
-    Sequence: a server crashes and begins again under its id, counting its heartbeats
-    anew; then it says that it drains.
-    Cause: a life was known by its id alone, and its low numbers were those of late
-    heartbeats."""
+    """Guards against a leaving server that gets new work until it is gone.
+
+    A server restarts under its id, with heartbeat numbers from the start, and later
+    drains. If incarnations were told apart by the id alone, its low numbers would look
+    like those of late heartbeats.
+    """
     name = deployment.holder(7)
     server = deployment.servers[name]
     wait_for(lambda: server.beats > 10)
@@ -48,9 +47,11 @@
 
 @pytest.mark.parametrize("born", ["1", True, 1.0, 1.5, -1, [], {}])
 def test_a_heartbeat_with_a_damaged_start_names_no_server(deployment, born):
-    """Symptom: a good server's heartbeats are refused from then on.
-    Sequence: one whose start is of another type is taken, and compared with the next.
-    Cause: the start was taken as it came."""
+    """Guards against a server whose heartbeats are refused for good.
+
+    A heartbeat has a start time of another type, which must not be stored and compared
+    with that of the next heartbeat.
+    """
     name = deployment.holder(7)
     server = deployment.servers[name]
     fields = {**server.word(), "born": born, "sequence": 10**6}
@@ -60,9 +61,11 @@
 
 
 def test_a_late_deregistration_of_an_earlier_life_changes_nothing(deployment):
-    """Symptom: a server that has just begun gets no work.
-    Sequence: the deregistration of the life before it was held up on its way.
-    Cause: it was taken for that of whichever life has the id."""
+    """Guards against a restarted server that gets no work.
+
+    The deregistration of the earlier incarnation is delayed, and must not apply to any
+    server with this id.
+    """
     name = deployment.holder(7)
     server = deployment.servers[name]
     path = f"/-/instances/{server.instance}/deregister"
@@ -77,10 +80,12 @@
 def test_the_keys_of_a_dead_server_are_served_before_its_heartbeats_are_missed(
     deployment,
 ):
-    """Symptom: keys are dark for two seconds after a crash, while hundreds of requests
-    to the server are refused at connecting.
-    Sequence: a server crashes, and nothing listens at its port.
-    Cause: only missed heartbeats led to a look at the port."""
+    """Guards against keys that are unavailable for two seconds after a crash.
+
+    Nothing listens at the port of the crashed server, and hundreds of requests are
+    refused a connection. These have to lead to a probe of the port as well as missed
+    heartbeats.
+    """
     name = deployment.holder(7)
     deployment.nodes[name].ports.doubt_s = float("inf")
     deployment.servers[name].crash()
@@ -91,10 +96,11 @@
 def test_a_server_whose_connections_are_all_reset_keeps_its_keys_under_higher_fences(
     deployment,
 ):
-    """Symptom: two servers hold a key, or none does for good.
-    Sequence: every connection to a living server is reset at once.
-    Cause: nothing tells it from a server that was started again, so its node may
-    neither go on under the same fences nor take what it granted for over."""
+    """Guards against two holders of a key, or none for good.
+
+    All connections to a running server are reset at once, as by a restart. Its node may
+    neither continue with the same fences nor assume that its grants have ended.
+    """
     name = deployment.holder(7)
     server = deployment.servers[name]
     before = max(grant.fence for grant in server.taken)
@@ -108,11 +114,12 @@
 
 
 def test_keys_whose_lease_cant_begin_anew_are_served_by_a_standby(deployment):
-    """Symptom: keys are dark for as long as the store is away.
-    Sequence: the store is away; a server's connections are all reset, so that its node
-    may grant nothing more under the fences it has, and a new lease needs a record.
-    Cause: the node went on asking its witnesses for the lease that it couldn't write
-    down, and they let no standby claim it."""
+    """Guards against keys that are unavailable during an outage of the store.
+
+    A server's connections are all reset, so that its node may grant nothing under the
+    fences it has, and a new lease needs a record in the store. The node must stop
+    renewing a lease that it can't record, or the witnesses let no standby claim it.
+    """
     deployment.store.fault = "busy"
     nodes = deployment.nodes.values()
     wait_for(lambda: not any(node.follower.reachable for node in nodes))
@@ -125,15 +132,15 @@
 def test_a_lease_that_cant_begin_anew_is_taken_over_only_behind_its_last_grant(
     deployment,
 ):
-    """Symptom: a standby's server holds keys for a second beside their owner's.
-    Sequence: a server's connections are all closed, as when it drains, and its node
-    gives the lease up for one with higher fences; the witnesses grant that one, and the
-    store is away before it is written down, so that it is given up as well.
-    Cause: the second time the witnesses weren't told until when the server still holds
-    what it was granted, and let the standby begin at once.
-    Evidence: the lines of a played day that broke the rule: given up at 23.52 s, again
-    at 23.74 s, taken over at 23.75 s, two holders until the owner's last grant ended at
-    24.71 s."""
+    """Guards against keys that a standby's server holds for 1 s beside the owner's.
+
+    A server's connections all close, as when it drains, and its node surrenders the
+    lease to reacquire it with higher fences. The witnesses grant the new lease, but the
+    store is unavailable before it is recorded, so that it is surrendered as well. Both
+    times the witnesses have to learn until when the server holds what it was granted.
+    Otherwise the standby claims the lease at once: in one case, 0.96 s before the
+    owner's last grant ended.
+    """
     name = deployment.holder(7)
 
     def taken_over():
@@ -146,9 +153,12 @@
 
 
 def test_a_server_that_leaves_while_its_lease_begins_anew_gets_it_no_more(deployment):
-    """Symptom: keys are dark at a leaving server. Sequence: its lease begins anew, and
-    before it is held again the server leaves, so that the node gives the lease up.
-    Cause: that passed for the surrender with which a lease begins anew."""
+    """Guards against unavailable keys at a leaving server.
+
+    A lease is being reacquired, and before it is held again the server leaves, so that
+    the node surrenders it. That must not count as the surrender with which a lease is
+    reacquired.
+    """
     name = deployment.holder(7)
     node = deployment.nodes[name]
     node.leases.begin_anew("test")
@@ -159,7 +169,10 @@
 
 
 def repeated_fences(taken):
-    """Return the grants whose fence isn't above all of another, earlier life's."""
+    """Return the grants whose fence isn't above an earlier incarnation's.
+
+    Only grants with overlapping ranges are compared.
+    """
     return [
         later
         for place, later in enumerate(taken)
--- a/comfreywharf/platform/tests/test_losses.py
+++ b/comfreywharf/platform/tests/test_losses.py
@@ -6,18 +6,22 @@
 
 
 def test_keys_are_served_while_the_store_is_away(deployment):
-    """Symptom: no key is served during an outage of the store.
-    Sequence: the store answers nobody for several leases.
-    Cause: a lease that is renewed through the store."""
+    """Guards against unavailable keys during an outage of the store.
+
+    The store answers no node for the time of several leases, which must not be renewed
+    through the store.
+    """
     deployment.store.fault = "busy"
     gevent.sleep(4)
     assert all(deployment.ask(name).status == 200 for name in deployment.nodes)
 
 
 def test_a_restarted_node_goes_on_beside_its_living_server(deployment):
-    """Symptom: a key is held by two servers, or by none for good.
-    Sequence: a node is killed beside its server, and comes back.
-    Cause: the new process doesn't know what the earlier one granted."""
+    """Guards against two holders of a key, or none for good.
+
+    A node is killed and restarts while its server runs on. The new process doesn't know
+    what the earlier one granted.
+    """
     name = deployment.holder(7)
     server = deployment.servers[name]
     deployment.nodes[name].kill()
@@ -28,10 +32,12 @@
 
 
 def test_a_node_that_restarts_while_the_store_is_away_hears_from_its_peers(deployment):
-    """Symptom: a node refuses every request for 8 s, with no owner for any key.
-    Sequence: it is killed and comes back while the store answers nobody.
-    Cause: it knew no peer; those that asked it for news are no members of an empty
-    state, and it asked none of them."""
+    """Guards against a node that knows no owners and refuses all requests for 8 s.
+
+    It restarts while the store answers nobody, and knows no peer. Nodes that request
+    records from it aren't members of its empty state; it has to query them
+    nevertheless.
+    """
     deployment.store.fault = "busy"
     name = deployment.elsewhere(7)
     deployment.nodes[name].kill()
@@ -40,9 +46,10 @@
 
 
 def test_a_leaving_server_gets_nothing_after_its_bound(deployment):
-    """Symptom: a server that drains still gets requests.
-    Sequence: it says so while the store is away, so that no record can tell.
-    Cause: only the record ended its work."""
+    """Guards against requests to a server that drains.
+
+    It reports this during an outage of the store, so that no record can announce it.
+    """
     deployment.store.fault = "busy"
     name = deployment.holder(7)
     server = deployment.servers[name]
@@ -55,9 +62,11 @@
 
 
 def test_a_grant_that_comes_late_brings_no_second_holder(deployment):
-    """Symptom: a server holds keys that were released.
-    Sequence: its grants get no answer and are carried out behind the release.
-    Cause: the release was taken for the end of the hold."""
+    """Guards against a server that holds keys which were released.
+
+    Its grants get no answer and are executed after the release, which therefore doesn't
+    prove the end of the hold.
+    """
     name = deployment.holder(7)
     server = deployment.servers[name]
     server.lose_grants = 30
@@ -70,13 +79,15 @@
 
 
 def test_no_request_is_sent_to_a_server_that_has_no_grant_for_it(deployment):
-    """Symptom: a server is asked twice for each request, beyond the bound on retries.
-    Sequence: its grants get no answer, and are carried out much later, if at all.
-    Cause: a request was sent once its grant had been, whatever became of that."""
+    """Guards against two attempts for each request, beyond the bound on retries.
+
+    Grants get no answer and are executed much later, if at all. Requests must not be
+    sent before a grant is acknowledged.
+    """
     name = deployment.holder(7)
     servers = deployment.servers.values()
     for server in servers:
-        # Were the others to take grants, the keys would soon be served by one of them.
+        # If the other servers took grants, one of them would soon serve the keys.
         server.lose_grants, server.late_s = 10_000, 60.0
     wait_for(lambda: not deployment.holders(7))
     gevent.sleep(0.1)
@@ -87,9 +98,11 @@
 
 
 def test_all_killed_at_once_are_back_with_the_newest_configuration(deployment):
-    """Symptom: after the loss of all processes nothing is served, or old routes.
-    Sequence: a configuration is acknowledged, and all nodes are killed.
-    Cause: state that only processes knew."""
+    """Guards against outdated routes, or none, after the loss of all processes.
+
+    A configuration is acknowledged and all nodes are killed, so that no state is left
+    that only processes had.
+    """
     deployment.store.forget("comfreywharf")
     deployment.store.put("keyed.op", "config", configuration(version=8))
     for node in deployment.nodes.values():
@@ -102,11 +115,12 @@
 
 
 def test_a_server_that_was_replaced_unnoticed_can_still_leave(deployment):
-    """Symptom: a leaving server gets new work for as long as it lives.
-    Sequence: a server crashes and another instance begins at its address between
-    two heartbeats, so that its port never refuses; later the new one says it drains.
-    Cause: taking the new instance ended the old one by the same call that tells of
-    a loss, and that ended the new one, whose every word was stale from then on."""
+    """Guards against a leaving server that gets new work for as long as it runs.
+
+    A server crashes and another instance starts at its address between two heartbeats,
+    so that its port never refuses; the new one drains later. Replacing the old instance
+    must not report a loss of the new one, whose heartbeats would all count as stale.
+    """
     name = deployment.holder(7)
     server = deployment.servers[name]
     server.begin_anew("i-second")
--- a/comfreywharf/platform/tests/test_orders.py
+++ b/comfreywharf/platform/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to a backend server: each test is a way in which its node harmed it."""
+"""Orders to a backend server: each test guards against a way to harm the server."""
 
 import contextlib
 import struct
@@ -19,7 +19,7 @@
 
 
 class Server:
-    """A server that takes every order, after a while, and counts connections."""
+    """A server that accepts all orders after a delay, and counts connections."""
 
     def __init__(self, delay_s=0.0, headers=()):
         self.delay_s = delay_s
@@ -69,7 +69,7 @@
 
 
 def an_order(steps=None):
-    """Return a grant's order that notes when its hold is asked for."""
+    """Return a grant's order; ``steps`` records when its hold is computed."""
     steps = [] if steps is None else steps
     return SimpleNamespace(
         fence=5, handover="", hold_s_at=lambda now_s: steps.append("asked") or 1.0
@@ -77,9 +77,11 @@
 
 
 def test_a_hold_is_as_long_as_fits_when_its_order_is_sent(serve, monkeypatch):
-    """Symptom: two servers hold a key, one of them 0.29 s beyond its node's lease.
-    Sequence: four orders, one connection, a server that takes 0.15 s for each.
-    Cause: a hold's length was settled before the wait for a connection."""
+    """Guards against two holders of a key, one of them 0.29 s beyond its node's lease.
+
+    This occurs with four orders on one connection of a server that takes 0.15 s for
+    each, if the length of a hold is computed before the wait for the connection.
+    """
     monkeypatch.setattr(backends, "GRANT_CONNECTIONS", 1)
     server = serve(delay_s=0.02)
     orders = make_orders(server.port)
@@ -94,7 +96,7 @@
 
 
 def test_an_order_that_fits_no_more_gives_its_connection_back(serve):
-    """The next one needs it."""
+    """The next order needs the connection."""
     orders = make_orders(serve().port)
     process = orders.reach()
     late = SimpleNamespace(fence=5, handover="", hold_s_at=lambda now_s: 0.0)
@@ -104,9 +106,11 @@
 
 
 def test_a_connection_vouches_before_the_server_closes_it(serve):
-    """Symptom: a leaving server's keys are dark, and its node writes down a lease a
-    second. Sequence: the server closes each connection with its answer.
-    Cause: the connection was forgotten before its answer counted."""
+    """Guards against a lease per second and unavailable keys at a leaving server.
+
+    The server closes each connection with its answer. The answer has to confirm the
+    process before the connection is removed from the pool.
+    """
     server = serve(headers=[("Connection", "close")])
     orders = make_orders(server.port)
     process = orders.reach()
@@ -117,7 +121,7 @@
 
 
 def settle(orders):
-    """Let the orders' connections be opened and vouched for."""
+    """Wait until all connections of the orders are open and confirmed."""
     pool = orders._grants._pool
     for _ in range(200):
         orders.reach()
@@ -127,9 +131,11 @@
 
 
 def test_many_that_reach_for_a_server_at_once_open_few_connections(serve):
-    """Symptom: callers' connections are reset; 47 of the server's are its node's.
-    Sequence: 40 requests come while no process is known.
-    Cause: each opened a first connection of its own."""
+    """Guards against a node that uses 47 of its server's connections.
+
+    Callers' connections are then reset. While no process is known, 40 requests arrive
+    at once, and each could open a first connection of its own.
+    """
     server = serve()
     orders = make_orders(server.port)
     gevent.joinall([gevent.spawn(orders.reach) for _ in range(40)])
@@ -138,9 +144,11 @@
 
 
 def test_orders_that_wait_open_nothing_once_the_server_was_given_up(serve):
-    """Symptom: 2,200 connections in 0.4 s to a server that has just begun.
-    Sequence: orders wait for a connection; the server is given up.
-    Cause: each connection that was closed woke them, and they opened the next."""
+    """Guards against 2,200 connections within 0.4 s to a server that has just started.
+
+    Orders wait for a connection while the server is given up. Each connection that
+    closes wakes them, and they must not open the next one.
+    """
     server = serve(delay_s=0.3)
     orders = make_orders(server.port)
     process = orders.reach()
@@ -154,9 +162,11 @@
 
 
 def test_a_full_server_isnt_stormed():
-    """Symptom: 3,300 connections in 0.4 s to a server that has no room for one.
-    Sequence: it accepts and resets each connection but the first, which is silent.
-    Cause: an end that was noticed led to a new connection at once."""
+    """Guards against 3,300 connections within 0.4 s to a server without room for one.
+
+    It accepts and resets all connections but the first, which stays silent. A
+    connection that closes must not lead to a new one at once.
+    """
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(64)
@@ -184,11 +194,12 @@
 
 
 def test_orders_that_get_no_answer_dont_use_up_the_last_connection():
-    """Symptom: a server's keys are dark while some of its orders get no answer; its
-    node writes down one lease after the other.
-    Sequence: of eight connections each carries orders until one is lost.
-    Cause: the last known one carried orders as well, and with it the process went out
-    of sight."""
+    """Guards against unavailable keys and one lease after the other.
+
+    Some orders get no answer, and each of the eight connections carries orders until
+    one is lost. If the last known connection carried orders as well, the node would
+    lose track of the server's process.
+    """
     silent = []
 
     def answer(environ, start_response):
--- a/comfreywharf/platform/tests/test_outdated_routes.py
+++ b/comfreywharf/platform/tests/test_outdated_routes.py
@@ -1,14 +1,14 @@
-"""What a node says of routes that it doesn't know while its own may be old."""
+"""Answers to unknown routes while the node's routes may be outdated."""
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.platform.tests.builders import wait_for
 
 APPLY_S = 2.0
-"""Within which a change of the routes is in force, as the settings file says."""
+"""How long a change of the routes may take to be in force, see the settings file."""
 
 
 def test_an_unknown_route_is_refused_for_good_only_by_current_routes(deployment):
-    """Guards against a final 404 by routes that are older than a change may take."""
+    """Guards against a final 404 from routes older than a change may take to apply."""
     routes = deployment.nodes["n0"].routes
     assert deployment.ask("n0", "/added/1").status == 404
     deployment.store.fault = "busy"
@@ -21,7 +21,7 @@
 
 
 def test_known_routes_are_served_while_the_store_is_away(deployment):
-    """Guards against an outage of the store that ends service."""
+    """Guards against an outage of the store that interrupts service."""
     routes = deployment.nodes["n0"].routes
     deployment.store.fault = "busy"
     wait_for(lambda: routes.age_s(boottime_s()) > APPLY_S)
--- a/comfreywharf/platform/tests/test_relaying.py
+++ b/comfreywharf/platform/tests/test_relaying.py
@@ -1,4 +1,4 @@
-"""Few nodes of a deployment read the store; the others hear from them."""
+"""One node of a deployment reads the store, and relays what it reads to its peers."""
 
 from unittest import mock
 
@@ -8,15 +8,16 @@
 
 
 def reader(deployment):
-    """Return the one node that reads the store, or ``None`` if there isn't one."""
+    """Return the name of the only node that reads the store, or ``None``."""
     found = [n for n, node in deployment.nodes.items() if not node.follower.relayed]
     return found[0] if len(found) == 1 else None
 
 
 def test_one_node_reads_and_all_know_what_is_written(deployment):
-    """Symptom: the calls to the store grow with nodes times records.
-    Sequence: each record is read by every node.
-    Cause: no node passed on what it had read."""
+    """Guards against calls to the store in proportion to nodes times records.
+
+    Not every node may read each record itself.
+    """
     wait_for(lambda: reader(deployment))
     deployment.store.put("keyed.op", "config", configuration(version=4))
     nodes = deployment.nodes.values()
@@ -25,9 +26,11 @@
 
 
 def test_the_others_go_on_when_the_reader_is_lost(deployment):
-    """Symptom: nodes keep an old configuration after one other node was lost.
-    Sequence: the one that reads the store is killed; a configuration is written.
-    Cause: who heard from it went on waiting for it."""
+    """Guards against an outdated configuration after the loss of another node.
+
+    The node that reads the store is killed, and a configuration is written. Its peers
+    must not go on waiting for it.
+    """
     wait_for(lambda: reader(deployment))
     lost = reader(deployment)
     deployment.nodes.pop(lost).kill()
@@ -37,9 +40,11 @@
 
 
 def test_a_reader_that_the_store_turned_away_is_passed_over(deployment):
-    """Symptom: healthy nodes keep an old configuration during a partial outage.
-    Sequence: the store answers the one reader no more, and all others well.
-    Cause: they went on taking the reader's answers for news."""
+    """Guards against an outdated configuration during a partial outage of the store.
+
+    The store answers all nodes but the one that reads it. The peers must not count that
+    node's answers as current.
+    """
     wait_for(lambda: reader(deployment))
     store = deployment.nodes[reader(deployment)].ports.store
     with mock.patch.object(store, "_call", side_effect=LogError("turned away")):
@@ -49,7 +54,7 @@
 
 
 def test_a_reader_whose_reads_of_the_routes_fail_is_passed_over(deployment):
-    """Guards against old routes of a relay that still reads the log's records."""
+    """Guards against outdated routes from a relay that still reads the record log."""
     wait_for(lambda: reader(deployment))
     blind = deployment.nodes[reader(deployment)]
     others = [node for node in deployment.nodes.values() if node is not blind]
--- a/comfreywharf/platform/tests/test_stopping.py
+++ b/comfreywharf/platform/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""A node that is asked to stop, and what the others pass on to it."""
+"""A node that shuts down, and requests that its peers forward to it."""
 
 import gevent
 
@@ -8,9 +8,10 @@
 
 
 def test_a_node_about_to_end_begins_no_request_of_its_peers(deployment):
-    """Guards against a request that is cut off because its server's node ends.
+    """Guards against a request that the shutdown of its server's node cuts off.
 
-    Its peers don't hear that it stops while the store is away."""
+    While the store is unavailable, its peers don't learn that the node stops.
+    """
     node = deployment.nodes["n3"]
     deployment.store.fault = "busy"
     stopping = gevent.spawn(node.stop_within, GRACE_S, node.ports.caller_server)
--- a/comfreywharf/platform/tests/test_transit.py
+++ b/comfreywharf/platform/tests/test_transit.py
@@ -1,4 +1,4 @@
-"""Requests that are long on their way between two nodes."""
+"""Requests with a long transit time between two nodes."""
 
 from unittest import mock
 
@@ -11,7 +11,7 @@
 
 
 class Way:
-    """A way between nodes that takes ``took_s`` for a request."""
+    """A network path on which a request takes ``took_s`` between nodes."""
 
     def __init__(self):
         self.took_s = 0.0
@@ -25,7 +25,7 @@
 
 
 def test_a_request_that_arrives_after_its_deadline_is_not_run(deployment):
-    """Guards against work for callers who have gone, sent on behind a full link."""
+    """Guards against work for callers that are gone, after a congested link."""
     way = Way()
     with way.patch:
         ingress = deployment.elsewhere(KEY)
--- a/comfreywharf/platform/tests/test_translation.py
+++ b/comfreywharf/platform/tests/test_translation.py
@@ -1,4 +1,4 @@
-"""The platform's messages and settings as typed values, and what is wrong in them."""
+"""The platform's messages and settings as typed values, and errors in them."""
 
 import orjson
 import pytest
@@ -18,7 +18,7 @@
 
 
 def test_settings_are_read_and_unknown_fields_ignored(tmp_path):
-    """New fields may come at any time."""
+    """The platform may add fields at any time."""
     settings = read(tmp_path, boot_text(name="n7", zone="z2")).unwrap()
     assert settings.node.node_id == "n7"
     assert settings.node.failure_domain == "z2"
@@ -28,7 +28,7 @@
 
 
 def test_all_findings_are_reported_together_with_their_places(tmp_path):
-    """An operator mends a file once, not once for each fault."""
+    """An operator can correct all errors of a file at once."""
     text = boot_text().replace("drain=2000ms", "drain=soon")
     text = text.replace("network.listen.ready=127.0.0.1:1003", "network.listen.ready=x")
     found = read(tmp_path, text)
@@ -39,24 +39,24 @@
 
 
 def test_a_file_that_isnt_there_is_a_finding():
-    """The environment names none, or another one."""
+    """The environment may name no file, or one that doesn't exist."""
     assert isinstance(read_boot_file("/nonexistent"), Failure)
 
 
 @pytest.mark.parametrize("text", ["", "5", "1m", "-1s", "1.s", None, 5])
 def test_what_is_no_duration_is_refused(text):
-    """A number without its unit could be a thousand times too long."""
+    """A number without a unit could be wrong by a factor of 1,000."""
     with pytest.raises(ValueError, match="ms or s"):
         duration_s(text)
 
 
 def test_durations_are_rounded_down():
-    """A hold must not be told longer than it is."""
+    """The server must not be given a longer hold than it has."""
     assert duration_text(0.0019) == "1ms"
 
 
 def test_a_configuration_becomes_routes():
-    """Kinds, splits and limits under the product's names."""
+    """Kinds, splits and limits are translated to the product's types."""
     table = route_table(orjson.dumps(configuration(version=4)))
     look = table.find("a.example", "/look/1")
     book = table.find("a.example", "/book/1")
@@ -81,13 +81,13 @@
     ],
 )
 def test_a_broken_configuration_is_one_error(document):
-    """It names where the record lies; nothing else comes out of the reading."""
+    """Any fault raises `ValueError`, and no other error."""
     with pytest.raises(ValueError):
         route_table(document)
 
 
 def test_each_service_has_a_way_of_granting():
-    """Orders where the configuration doesn't say otherwise."""
+    """The default is by orders."""
     document = configuration()
     document["services"]["booking"]["grants"] = "heartbeat"
     table = route_table(orjson.dumps(document))
@@ -97,8 +97,10 @@
 
 
 def test_an_unknown_way_of_granting_is_told_with_its_place():
-    """Symptom: no server of a service ever holds a key, and nothing says why.
-    Events: a configuration names a way that this version doesn't know."""
+    """Guards against a service whose keys are never held, without any error.
+
+    A configuration names a way of granting that this version doesn't know.
+    """
     document = configuration()
     document["services"]["booking"]["grants"] = "post"
     with pytest.raises(ValueError, match=r"services\.booking\.grants: found 'post'"):
@@ -106,9 +108,11 @@
 
 
 def test_a_hold_outlives_a_lost_heartbeat(tmp_path):
-    """Symptom: keys of a living server are dark for a moment each few minutes.
-    Events: one heartbeat or its answer is lost.
-    Cause: a lease that ends before the second next heartbeat."""
+    """Guards against keys that are briefly unavailable every few minutes.
+
+    One heartbeat or its answer is lost. The lease has to last until the heartbeat after
+    the next.
+    """
     text = boot_text(grants="heartbeat").replace("heartbeat=200ms", "heartbeat=870ms")
     settings = read(tmp_path, text).unwrap()
     lease_s = settings.node.lease_ms / 1000
--- a/comfreywharf/platform/tests/test_uploads.py
+++ b/comfreywharf/platform/tests/test_uploads.py
@@ -1,4 +1,4 @@
-"""Bodies of uploads cross the link to their owner's node only once they are wanted."""
+"""Bodies of uploads are sent to their owner's node only once they are wanted."""
 
 from unittest import mock
 
@@ -13,11 +13,11 @@
 UPLOADS = 60
 AHEAD_BYTES = MAX_COLLECTED_BODIES * len(BODY)
 HEAD_BYTES = 2_000
-"""What the messages on one request may take beside its body."""
+"""How many bytes the messages of one request may take in addition to its body."""
 
 
 def sent_between_nodes():
-    """Return a patch that counts the bytes that nodes send to each other."""
+    """Return a patch, and a counter of the bytes that nodes send to each other."""
     write = SocketTransport.write
     counter = mock.Mock(size_bytes=0)
 
@@ -36,7 +36,7 @@
 
 
 def begin_long_uploads(deployment, count):
-    """Begin uploads that end when their callers leave, or when the server goes on."""
+    """Start uploads that end when their callers leave or the server goes on."""
     deployment.servers["n3"].goes_on.clear()
     deployment.allow_long_requests()
     begun = spawn_uploads(deployment, count)
@@ -50,10 +50,10 @@
 
 
 def test_the_body_of_a_refused_upload_is_not_sent_to_its_owners_node(deployment):
-    """Guards against a link full of bodies that admission refuses."""
+    """Guards against a link that is filled with bodies that admission refuses."""
     server = deployment.servers["n3"]
     server.work_s = 0.4
-    # Its node knows from them how long an upload takes.
+    # From these, its node estimates how long an upload takes.
     gevent.joinall([gevent.spawn(upload, deployment, "n0") for _ in range(8)])
     deployment.ledger.clear()
     running = begin_long_uploads(deployment, 8)
@@ -67,7 +67,7 @@
 
 
 def test_an_upload_arrives_whole(deployment):
-    """Guards against a body that is lost or cut where it follows its request."""
+    """Guards against a body that is lost or truncated when sent after its request."""
     body = bytes(range(256)) * 400
     answer = deployment.ask("n0", "/stock/1", key=None, method="POST", body=body)
     assert answer.status == 200
@@ -75,14 +75,14 @@
 
 
 def test_few_bodies_are_sent_for_callers_who_leave_while_they_wait(deployment):
-    """Guards against a link full of bodies of callers who have gone."""
+    """Guards against a link that is filled with bodies of callers that are gone."""
     owner = deployment.nodes["n3"]
     first = begin_long_uploads(deployment, 8)
     patch, counter = sent_between_nodes()
     with patch:
         left = spawn_uploads(deployment, 16)
         wait_for(lambda: owner.load.waiting() == len(left))
-        # One look round then finds all of them gone.
+        # A single check of the callers then finds all of them gone.
         gevent.sleep(2 * WATCH_INTERVAL_S)
         gevent.killall(left)
         wait_for(lambda: not owner.load.waiting())
@@ -91,7 +91,7 @@
 
 
 def test_an_upload_that_waits_for_a_leaving_server_is_not_begun(deployment):
-    """Guards against work that reaches a server after its leaving is in force."""
+    """Guards against work that reaches a server after it has left."""
     server, owner = deployment.servers["n3"], deployment.nodes["n3"]
     running = begin_long_uploads(deployment, 8)
     waiting = spawn_uploads(deployment, 8)
--- a/comfreywharf/platform/tests/test_witness_terms.py
+++ b/comfreywharf/platform/tests/test_witness_terms.py
@@ -1,4 +1,4 @@
-"""The platform's terms of leases under losses as they come there."""
+"""The platform's lease terms under its typical losses of machines."""
 
 import attrs
 
@@ -10,10 +10,11 @@
 
 
 def test_a_third_witness_lost_two_seconds_after_two_leaves_a_majority(monkeypatch):
-    """Symptom: the keys of a healthy node are dark for two seconds or more.
+    """Guards against a healthy node whose keys are unavailable for 2 s or more.
 
-    Sequence: two of its five witnesses go for good, and a third two seconds later.
-    Cause: the two were replaced only 3.5 s after they had gone."""
+    Two of its five witnesses are lost for good, and a third one two seconds later. If
+    the two were replaced only 3.5 s after their loss, the node would lose its majority.
+    """
     terms = attrs.evolve(
         sim_node.TERMS,
         lease_s=1.5,
