--- a/comfreywharf/transport/tests/test_clients.py
+++ b/comfreywharf/transport/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Connections between nodes: no call gets another's answer, none is lost idly."""
+"""Connections between nodes: each call receives its own answer, or none."""
 
 import gevent
 import pytest
@@ -8,7 +8,7 @@
 
 
 class Handler:
-    """Answer each call with its own number, some of them late."""
+    """Answer each call with its own number, after the time that it requests."""
 
     def read_body(self, stream_id, wait_ms):
         gevent.sleep(wait_ms / 1000)
@@ -22,15 +22,15 @@
 
 
 def test_a_late_answer_is_not_the_next_calls():
-    """Symptom: a caller reads a stranger's answer.
+    """Guards against a caller that receives the answer to another call.
 
-    Sequence: a call times out, the next follows, the late answer arrives.
-    Cause: both used one connection.
+    A call times out, the next one follows, and the late answer arrives. Both calls must
+    not use the same connection.
     """
     server, port = start_server()
     client = PeerClient("127.0.0.1", port)
-    # The connection is there by then: where opening it takes all of the time, the
-    # call wasn't sent.
+    # Opens the connection in advance: if the connect used up the timeout, the call
+    # wouldn't be sent.
     client.call("read_body", 0, 0, timeout_s=5)
     with pytest.raises(CallError) as caught:
         client.call("read_body", 1, 100, timeout_s=0.02)
@@ -40,10 +40,10 @@
 
 
 def test_a_restarted_peer_costs_no_call():
-    """Symptom: after a node's restart, requests to it end as unknown.
+    """Guards against requests that end as unknown after the restart of a node.
 
-    Sequence: the peer restarts; the next calls use connections from before.
-    Cause: an idle connection was used without a look whether it was closed.
+    The peer restarts, and the next calls find connections from before in the pool.
+    Whether an idle connection is closed has to be checked before its use.
     """
     server, port = start_server()
     client = PeerClient("127.0.0.1", port)
--- a/comfreywharf/transport/tests/test_message_heads.py
+++ b/comfreywharf/transport/tests/test_message_heads.py
@@ -1,4 +1,4 @@
-"""The head of a message between nodes: read whole, or refused at once."""
+"""The head of a message between nodes is read completely or refused at once."""
 
 import struct
 
@@ -15,7 +15,7 @@
 
 
 class OneFrame:
-    """A socket on which one frame arrives, and nothing after it."""
+    """A socket that receives one frame and nothing more."""
 
     def __init__(self, content):
         self._unread = [struct.pack("!i", len(content)) + content]
@@ -24,7 +24,7 @@
         """Do nothing."""
 
     def recv(self, size):
-        """Return the frame; a second read would wait for ever."""
+        """Return the frame; raises `TimeoutError` for a further read."""
         if not self._unread:
             raise TimeoutError("waits for a further frame")
         return self._unread.pop()
@@ -37,7 +37,7 @@
     seqid=st.integers(-(2**31), 2**31 - 1),
 )
 def test_a_head_is_read_as_the_library_wrote_it(name, kind, seqid):
-    """Whatever the library's own protocol writes is read back."""
+    """Each head written by the library's own protocol is read back the same."""
     written = TMemoryBuffer()
     TBinaryProtocol(written).writeMessageBegin(name, kind, seqid)
     protocol = protocol_over(OneFrame(written.getvalue()))
@@ -47,11 +47,10 @@
 @settings(derandomize=True, deadline=None)
 @given(cut=st.integers(4, 18))
 def test_a_frame_that_ends_in_the_head_is_refused_at_once(cut):
-    """Half a head never waits for another frame.
+    """Guards against a connection that is kept open forever.
 
-    Symptom: a connection that is held for ever. Sequence: a peer sends a frame
-    that ends within the message's head, and nothing more. Cause: the rest of the
-    head was asked from the transport, which waits for the next frame.
+    A peer sends a frame that ends within the message's head, and nothing more. Reading
+    the rest through the transport would wait for the next frame.
     """
     written = TMemoryBuffer()
     TBinaryProtocol(written).writeMessageBegin("forward", 1, 7)
@@ -62,14 +61,14 @@
 
 @pytest.mark.parametrize("start", [0x80020001, 7, 0x47455420])
 def test_another_version_is_refused_at_once(start):
-    """A frame that doesn't begin with the version is an error, not a wait."""
+    """A frame that doesn't begin with the version raises, without waiting."""
     protocol = protocol_over(OneFrame(struct.pack("!I", start)))
     with pytest.raises(TProtocolException, match="version"):
         protocol.readMessageBegin()
 
 
 def test_an_absurd_name_is_refused_at_once():
-    """A length that the frame can't hold allocates nothing and waits for nothing."""
+    """A length beyond the frame allocates no memory and waits for no data."""
     content = struct.pack("!Ii", VERSION_AND_CALL, -1)
     with pytest.raises(TException):
         protocol_over(OneFrame(content)).readMessageBegin()
--- a/comfreywharf/transport/tests/test_stamps.py
+++ b/comfreywharf/transport/tests/test_stamps.py
@@ -1,4 +1,4 @@
-"""Messages between nodes carry event clocks, whatever the callers filled in."""
+"""Messages between nodes carry event clocks, whatever values the callers set."""
 
 from comfreywharf.events import EventClock
 from comfreywharf.transport import PeerClient, PeerServer, Stamps
@@ -22,7 +22,7 @@
 
 
 class Witness:
-    """A handler that fills in no clock, as callers do."""
+    """A handler that sets no event clock, as callers do."""
 
     def renew(self, request):
         return GrantReply(
@@ -51,11 +51,10 @@
 
 
 def test_what_follows_a_call_comes_after_it():
-    """An event after a call is ordered after what the caller did before it.
+    """Guards against a timeline with a grant before the renewal that requested it.
 
-    Symptom: the time line shows a grant before the renewal that asked for it.
-    Sequence: a node calls a witness whose wall clock is four seconds behind.
-    Cause: the events were ordered by wall clocks.
+    A node calls a witness whose wall clock is four seconds behind. Wall clocks would
+    put the witness's events first.
     """
     caller, callee = ClockAt(now_ms=104_000), ClockAt(now_ms=100_000)
     before = caller.stamp()
@@ -69,11 +68,10 @@
 
 
 def test_a_clock_far_ahead_drags_nobody():
-    """A machine with a clock in the future is named and not followed.
+    """Guards against events of all nodes that are dated an hour ahead.
 
-    Symptom: all events of the deployment are dated an hour ahead.
-    Sequence: one machine's clock jumps an hour; its next call carries the time.
-    Cause: a received time was taken whatever it was.
+    One machine's clock jumps an hour, and its next call carries the time. Such a time
+    has to be reported and not merged.
     """
     jumped, sound = ClockAt(now_ms=3_700_000), ClockAt(now_ms=100_000)
     renew_over_tcp(jumped, sound)
--- a/comfreywharf/transport/tests/test_transits.py
+++ b/comfreywharf/transport/tests/test_transits.py
@@ -1,4 +1,4 @@
-"""The time that messages spend on their way, by two clocks that differ."""
+"""The queueing delay of messages, estimated with two clocks that differ."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 def test_what_a_message_took_above_the_fastest_one_is_its_time_in_queues():
-    """Guards against deadlines that don't count the way."""
+    """Guards against deadlines that don't include the transit time."""
     times = TransitTimes()
     for number in range(20):
         arrive(times, number * 0.1, took_s=0.01)
@@ -21,7 +21,7 @@
 
 
 def test_a_slower_way_that_stays_is_no_queue_for_good():
-    """Guards against requests that are refused for ever after a change of the way."""
+    """Guards against requests that are refused for good after a change of the route."""
     times = TransitTimes()
     arrive(times, 0.0, took_s=0.01)
     for number in range(1, 60):
