--- a/comfreywharf/settings/tests/builders.py
+++ b/comfreywharf/settings/tests/builders.py
@@ -1,4 +1,4 @@
-"""Settings files for tests: a right one, and the ways to spoil one line of it."""
+"""A valid settings file for tests, and ways to change a line of it."""
 
 RIGHT = """\
 # A node beside the first backend server of booking.
@@ -38,7 +38,7 @@
     "lease_ms": ["199", "10001", "1 s", ""],
     "drift_per_mille": ["-1", "51", "0.5"],
 }
-"""Values that a key must not have; some are the port of another key."""
+"""Invalid values of each key; some are the port of another key."""
 
 
 def line_of(text, key):
@@ -57,7 +57,7 @@
 
 
 def with_inserted(text, number, line):
-    """Return the text with a line put in before another."""
+    """Return the text with a line inserted before another."""
     lines = text.splitlines()
     lines.insert(number - 1, line)
     return "\n".join(lines) + "\n"
--- a/comfreywharf/settings/tests/test_reader.py
+++ b/comfreywharf/settings/tests/test_reader.py
@@ -1,4 +1,4 @@
-"""A wrong settings file is put right from its findings alone."""
+"""The findings about an invalid settings file are enough to correct it."""
 
 from pathlib import Path
 
@@ -37,7 +37,7 @@
 
 
 def test_right_file(read):
-    """A right file gives typed values, continued lines included."""
+    """A valid file gives typed values, including those with continuation lines."""
     settings = read(RIGHT).unwrap()
     assert settings.node_id == "booking-1"
     assert settings.log == Address("10.20.0.5", 9200)
@@ -54,7 +54,7 @@
 @given(data=st.data())
 @settings(derandomize=True, deadline=None)
 def test_wrong_value_is_found_at_its_line(read, data):
-    """Each wrong value is a finding at its own line, however many there are."""
+    """Each invalid value is a finding at its own line, however many there are."""
     keys = data.draw(st.lists(st.sampled_from(KEYS), min_size=1, unique=True))
     text = RIGHT
     expected = set()
@@ -66,8 +66,8 @@
             text = with_line(text, line + 1, "")
         expected.add((line, key))
     found = read(text)
-    # A port may clash with one that was spoiled as well; then one of the two
-    # findings is the port's own.
+    # A port may be equal to another port that was changed; then one of the two
+    # findings is at the other port.
     ports = {place for place in expected if place[1].endswith("_port")}
     assert expected - ports <= places(found)
     assert bool(ports) == any(key.endswith("_port") for _, key in places(found))
@@ -80,7 +80,7 @@
 )
 @settings(derandomize=True, deadline=None)
 def test_mistyped_key_is_found_with_a_suggestion(read, key, position, letter):
-    """A mistyped key is a finding at its line that names the right one."""
+    """A mistyped key is a finding at its line that suggests the valid key."""
     line = line_of(RIGHT, key)
     position = min(position, len(key))
     mistyped = key[:position] + letter + key[position:]
@@ -113,7 +113,7 @@
     ],
 )
 def test_fault_of_form_is_found_beside_others(read, line, section, key):
-    """A line of no form hides no finding that stands elsewhere."""
+    """A line with a syntax error hides no finding at another line."""
     text = with_line(RIGHT, line_of(RIGHT, "caller_port"), "caller_port = 0")
     number = line_of(text, "stream") + 1
     result = read(with_line(text, number, line))
@@ -125,7 +125,7 @@
 
 @pytest.mark.parametrize("data", [None, b"\xff\xfe", b"x" * (1 << 21), b""])
 def test_unusable_file(tmp_path, data):
-    """A file that is missing, no text, huge or empty is refused, not raised."""
+    """A file that is missing, not text, too large or empty is a `Failure`."""
     path = tmp_path / "node.ini"
     if data is not None:
         path.write_bytes(data)
@@ -133,7 +133,7 @@
 
 
 def test_only_seed_is_the_node_itself(read):
-    """A node that would never meet another is told so."""
+    """A node that could never find a peer is a finding."""
     line = line_of(RIGHT, "seeds")
     text = with_line(RIGHT, line, "seeds = 10.20.1.11:7101")
     assert (line, "seeds") in places(read(with_line(text, line + 1, "")))
@@ -142,7 +142,7 @@
 @given(st.text("ab=[]: \n#\t;\rx", max_size=60))
 @settings(derandomize=True, deadline=None, max_examples=500)
 def test_index_agrees_with_the_parser(text):
-    """Whatever the text, it is read or refused, and each value has its line."""
+    """Any text is parsed or refused, and each value has its line."""
     document = Document(path="any")
     parse_text(document, text)
     lines = text.split("\n")
