--- a/comfreywharf/declarations/tests/builders.py
+++ b/comfreywharf/declarations/tests/builders.py
@@ -1,4 +1,4 @@
-"""Services for tests of declarations."""
+"""Strategies for services, for tests of declarations."""
 
 from hypothesis import strategies as st
 
@@ -12,7 +12,7 @@
 
 @st.composite
 def services(draw, name=names):
-    """Draw a service that is declared rightly."""
+    """Draw a valid service."""
     longest_ms = draw(st.integers(1, 3_600_000))
     return ServiceConfig(
         name=draw(name),
--- a/comfreywharf/declarations/tests/test_declarations.py
+++ b/comfreywharf/declarations/tests/test_declarations.py
@@ -1,4 +1,4 @@
-"""Declarations are checked as a whole, and written in the format they are read in."""
+"""Declarations are checked as a whole, and written in the format that is read."""
 
 from pathlib import Path
 
@@ -36,7 +36,7 @@
 
 
 def test_every_field_can_be_declared():
-    """A field that is added to a service gets a key, or an operator lacks it."""
+    """A field that is added to a service needs a key, so that operators can set it."""
     fields = {field.name for field in attrs.fields(ServiceConfig)} - {"name"}
     assert {key.name for key in SERVICE_KEYS} == fields
 
@@ -44,14 +44,14 @@
 @given(configurations(min_size=1))
 @settings(derandomize=True, deadline=None)
 def test_round_trip(read, configuration):
-    """What is written is read back the same."""
+    """Services that are written are read back the same."""
     assert read(write_declarations(configuration)).unwrap() == configuration
 
 
 @given(services())
 @settings(derandomize=True, deadline=None)
 def test_fields_round_trip(service):
-    """Texts by key, as they go over the network, stand for the same service."""
+    """Texts by key, as sent over the network, give the same service again."""
     texts = service_to_fields(service)
     assert service_from_fields(service.name, texts).unwrap() == service
 
@@ -59,14 +59,14 @@
 @given(services())
 @settings(derandomize=True, deadline=None)
 def test_declared_service_is_one_that_the_fold_takes(service):
-    """What the check of a file lets pass isn't refused by the fold."""
+    """A service that passes the check of a file is accepted by the fold."""
     assert not check_service(service)
 
 
 @given(configurations(), configurations())
 @settings(derandomize=True, deadline=None, max_examples=30)
 def test_patch_makes_one_configuration_the_other(before, after):
-    """Folding the patch over what was in force gives what was declared."""
+    """Folding the patch over the earlier configuration gives the declared one."""
     state = ClusterState()
     for base, (earlier, later) in enumerate([({}, before), (before, after)]):
         patch = make_patch(earlier, later)
@@ -100,7 +100,7 @@
 
 
 def test_all_findings_are_reported_together(read):
-    """Each fault is found, in the order of the lines, with a suggestion."""
+    """Each error is found, in the order of the lines, with a suggestion."""
     findings = read(WRONG).failure()
     assert [finding.line for finding in findings] == [2, 3, 4, 5, 6, 7, 9, 10, 11]
     assert "did you mean 'divided_by_key'" in findings[0].expected
@@ -113,7 +113,7 @@
 )
 @settings(derandomize=True, deadline=None)
 def test_fields_from_outside_never_raise(key, value):
-    """Whatever comes over the network is a service or a list of faults."""
+    """Any input from the network gives a service or a list of errors."""
     result = service_from_fields("booking", {key: value})
     if isinstance(result, Failure):
         assert all("expected" in what or "at most" in what for what in result.failure())
@@ -122,7 +122,7 @@
 
 
 def test_differences_are_shown_by_key():
-    """An added, a removed and a changed service are told apart."""
+    """Added, removed and changed services are distinguished."""
     before = {"a": ServiceConfig(name="a"), "b": ServiceConfig(name="b")}
     after = {"b": ServiceConfig(name="b", slices=8), "c": ServiceConfig(name="c")}
     found = differences(before, after)
