--- a/comfreywharf/platform/tests/test_announcements.py
+++ b/comfreywharf/platform/tests/test_announcements.py
@@ -18,7 +18,7 @@
 from comfreywharf.settings.model import Address
 
 
-def test_a_good_heartbeat_is_read():
+def test_a_valid_heartbeat_is_decoded():
     """All fields that are used are decoded into the product's types."""
     said = read_heartbeat("i-1", report(state="draining"))
     announced = said.announcement
@@ -28,7 +28,7 @@
     assert announced.life == ServerIncarnation("i-1", 1_000)
 
 
-def test_a_server_that_doesnt_say_when_it_began_is_read():
+def test_the_start_time_is_optional():
     """The start time is optional."""
     fields = {name: value for name, value in GOOD.items() if name != "born"}
     said = read_heartbeat("i-1", orjson.dumps(fields))
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(("name", "value"), DAMAGED)
-def test_a_damaged_field_is_told_by_its_name(name, value):
+def test_a_damaged_field_is_reported_by_name(name, value):
     """Guards against use of a server that doesn't exist, or against refused heartbeats.
 
     A report has a field of a wrong type or out of bounds. If the value were stored, it
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("name", [name for name in GOOD if name != "born"])
-def test_a_missing_field_is_told_by_its_name(name):
+def test_a_missing_field_is_reported_by_name(name):
     """A report without one field may lack others as well."""
     fields = {other: value for other, value in GOOD.items() if other != name}
     with pytest.raises(DamagedReport) as caught:
@@ -85,14 +85,14 @@
         report(zone="x" * 20_000)[: 16 * 1024],
     ],
 )
-def test_bytes_that_cant_be_read_name_no_server(body):
+def test_undecodable_bytes_are_refused(body):
     """The bytes are cut, empty, badly encoded, nested too deep, or too long."""
     with pytest.raises(DamagedReport):
         read_heartbeat("i-1", body)
 
 
 @pytest.mark.parametrize("instance", ["", "i 1", "i\r\nX: 1", "i\x00", "ï", "i" * 129])
-def test_an_id_that_no_header_could_carry_is_refused(instance):
+def test_an_id_that_is_invalid_in_a_header_is_refused(instance):
     """The server's id is sent in a header of each request to it."""
     with pytest.raises(DamagedReport):
         read_heartbeat(instance, report())
@@ -105,7 +105,7 @@
 @example(report(address=8080))
 @example(report(address="10.0.0.9:8_0"))
 @example(report(sequence=2**63))
-def test_whatever_is_said_is_read_whole_or_refused(body):
+def test_any_report_is_decoded_within_bounds_or_refused(body):
     """No other error is raised, and all decoded values are within bounds."""
     try:
         said = read_heartbeat("i-1", body)
@@ -148,7 +148,7 @@
     return answers[0]
 
 
-def test_a_damaged_report_changes_nothing_and_is_told():
+def test_a_damaged_report_changes_nothing_and_is_reported():
     """Guards against a live server that is lost, or is silent without any event.
 
     A damaged report arrives between two valid ones. Its error has to be answered and
@@ -163,7 +163,7 @@
     assert events == [("damaged_report", "address"), ("damaged_report", "body")]
 
 
-def test_a_service_that_nobody_named_has_no_servers():
+def test_a_heartbeat_of_an_unknown_service_is_refused():
     """A heartbeat may name the node's own service or a configured one."""
     port, told, events = make_port()
     assert post(port, report(service="stock")) == 200
@@ -172,7 +172,7 @@
     assert events == [("damaged_report", "service")]
 
 
-def test_a_writer_that_ends_in_the_middle_is_no_error_of_the_node():
+def test_a_report_that_its_sender_cuts_off_is_refused():
     """The connection closes before the end of the body."""
     port, told, _ = make_port()
 
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize(("name", "value", "place"), DAMAGED_RANGES)
-def test_a_damaged_range_is_told_by_its_place(name, value, place):
+def test_a_damaged_range_is_reported_by_position(name, value, place):
     """Guards against releases that didn't happen, and grants with an invalid fence.
 
     The lists of a report have rows of another shape, out of bounds, or too many rows.
@@ -214,7 +214,7 @@
     assert len(str(caught.value)) < 300
 
 
-def test_what_a_server_holds_is_read():
+def test_overlapping_held_ranges_are_decoded():
     """Ranges overlap while work under an earlier grant goes on; both count."""
     rows = [[0, 99, 4], [0, 49, 6]]
     said = read_heartbeat("i-1", report(holds=rows, released=[[100, 199, "5c0e"]]))
--- a/comfreywharf/platform/tests/test_backends.py
+++ b/comfreywharf/platform/tests/test_backends.py
@@ -36,7 +36,7 @@
     return response.status_code, body, answers_request, backend
 
 
-def test_an_answer_to_an_earlier_request_is_passed_over():
+def test_an_answer_to_an_earlier_request_is_skipped():
     """Guards against an unknown outcome of a booking that is answered shortly after.
 
     A server answers an earlier request a second time, where the next answer is
@@ -54,7 +54,7 @@
         assert exchange(server)[:3] == (200, b"own", True)
 
 
-def test_only_answers_to_others_are_no_answer():
+def test_a_request_is_lost_if_only_other_answers_arrive():
     """If the own answer never arrives, the request is lost."""
     reply = Reply(whole(b"x", *OTHER), close=True)
     with ScriptedServer(reply) as server, pytest.raises(BackendError) as caught:
@@ -62,7 +62,7 @@
     assert caught.value.reason == Reason.BACKEND_LOST
 
 
-def test_an_answer_that_ends_with_its_connection_is_whole():
+def test_an_answer_without_a_length_ends_with_its_connection():
     """Guards against callers without an answer from a server that sends no length.
 
     The server sends a head and a body, and closes the connection.
@@ -72,7 +72,7 @@
         assert exchange(server)[:3] == (200, b"all of it", True)
 
 
-def test_one_that_is_reset_on_the_way_is_not():
+def test_an_answer_that_a_reset_cuts_off_is_an_error():
     """Guards against a partial answer that is taken for a complete one.
 
     The connection is reset within a body without a length.
@@ -101,7 +101,7 @@
         (200, ("X-Not-Executed: 1",), None),
     ],
 )
-def test_only_what_says_so_has_not_run(status, extra, reason):
+def test_only_explicit_refusals_count_as_not_run(status, extra, reason):
     """Guards against a booking that runs twice.
 
     A server's failure must not be taken for a refusal because of its status alone,
@@ -114,14 +114,14 @@
         assert PlatformDialect().refused(response) is reason
 
 
-def test_a_success_without_its_stamp_isnt_passed_on():
+def test_a_success_without_its_stamp_is_rejected():
     """Without the stamp it isn't a complete answer of the server."""
     data = whole(b"x", "X-Attempt-Id: id")
     with ScriptedServer(Reply(data)) as server:
         assert exchange(server)[2] is False
 
 
-def test_a_header_with_a_line_end_cant_reach_the_server():
+def test_a_header_with_a_line_break_isnt_sent():
     """Guards against callers who inject headers that only the router may set.
 
     A header's value contains a line break.
--- a/comfreywharf/platform/tests/test_faults.py
+++ b/comfreywharf/platform/tests/test_faults.py
@@ -5,7 +5,7 @@
 from comfreywharf.platform.tests.builders import configuration, wait_for
 
 
-def test_an_answer_to_another_request_isnt_passed_on(deployment):
+def test_an_answer_to_another_request_isnt_forwarded(deployment):
     """Guards against a caller who receives the answer to another caller's request.
 
     A server answers with the id of another request. Its position on the connection
@@ -17,7 +17,7 @@
     assert answer.status == 504
 
 
-def test_a_newer_configuration_is_in_force_and_never_an_older_one(deployment):
+def test_a_configuration_is_replaced_by_newer_versions_only(deployment):
     """A removed route is gone at all nodes, and an older version doesn't restore it."""
     newer = configuration(version=5)
     del newer["routes"]["look"]
--- a/comfreywharf/platform/tests/test_hanging.py
+++ b/comfreywharf/platform/tests/test_hanging.py
@@ -19,7 +19,7 @@
     server.work_s = 60.0
 
 
-def test_a_request_that_hangs_ends_at_its_time_and_frees_its_slot(deployment):
+def test_a_request_that_hangs_ends_at_its_deadline_and_releases_its_slot(deployment):
     """Guards against slots that are occupied while the server does nothing.
 
     A server accepts a request and never answers it. The wait has to end at the
@@ -46,7 +46,7 @@
     assert [deployment.ask("n3").status for _ in range(5)] == [200] * 5
 
 
-def test_a_server_that_hangs_on_everything_is_left_alone(deployment):
+def test_a_server_that_never_answers_is_avoided(deployment):
     """Guards against half of a service's requests ending at their deadline for seconds.
 
     One of two servers never answers; the other one has capacity.
--- a/comfreywharf/platform/tests/test_lives.py
+++ b/comfreywharf/platform/tests/test_incarnations.py
@@ -7,7 +7,7 @@
 from comfreywharf_dev.standins.platform_server import post
 
 
-def test_a_new_life_is_never_granted_what_an_earlier_one_had_under_its_fence(
+def test_no_incarnation_is_granted_a_key_under_an_earlier_ones_fence(
     deployment,
 ):
     """Guards against a server that is granted a key under its predecessor's fence.
@@ -28,7 +28,7 @@
     assert repeated_fences(server.taken) == []
 
 
-def test_a_server_that_began_again_under_its_id_can_still_leave(deployment):
+def test_a_server_that_restarted_under_its_id_can_leave(deployment):
     """Guards against a leaving server that gets new work until it is gone.
 
     A server restarts under its id, with heartbeat numbers from the start, and later
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("born", ["1", True, 1.0, 1.5, -1, [], {}])
-def test_a_heartbeat_with_a_damaged_start_names_no_server(deployment, born):
+def test_a_heartbeat_with_a_damaged_start_time_is_refused(deployment, born):
     """Guards against a server whose heartbeats are refused for good.
 
     A heartbeat has a start time of another type, which must not be stored and compared
@@ -60,7 +60,7 @@
     assert deployment.nodes[name].backend.announcement.life == server.life
 
 
-def test_a_late_deregistration_of_an_earlier_life_changes_nothing(deployment):
+def test_a_late_deregistration_of_an_earlier_incarnation_changes_nothing(deployment):
     """Guards against a restarted server that gets no work.
 
     The deregistration of the earlier incarnation is delayed, and must not apply to any
@@ -77,7 +77,7 @@
     wait_for(lambda: deployment.nodes[name].closed_to_new_work)
 
 
-def test_the_keys_of_a_dead_server_are_served_before_its_heartbeats_are_missed(
+def test_the_keys_of_a_crashed_server_are_served_before_its_heartbeats_are_missed(
     deployment,
 ):
     """Guards against keys that are unavailable for two seconds after a crash.
@@ -113,7 +113,7 @@
     assert server.refused_grants == 0
 
 
-def test_keys_whose_lease_cant_begin_anew_are_served_by_a_standby(deployment):
+def test_keys_whose_lease_cant_be_reacquired_are_served_by_a_standby(deployment):
     """Guards against keys that are unavailable during an outage of the store.
 
     A server's connections are all reset, so that its node may grant nothing under the
@@ -129,7 +129,7 @@
     wait_for(lambda: deployment.ask(deployment.elsewhere(7)).status == 200)
 
 
-def test_a_lease_that_cant_begin_anew_is_taken_over_only_behind_its_last_grant(
+def test_a_lease_that_cant_be_reacquired_is_taken_over_after_its_last_grant(
     deployment,
 ):
     """Guards against keys that a standby's server holds for 1 s beside the owner's.
@@ -152,7 +152,7 @@
     wait_for(taken_over)
 
 
-def test_a_server_that_leaves_while_its_lease_begins_anew_gets_it_no_more(deployment):
+def test_a_lease_isnt_reacquired_for_a_server_that_leaves_meanwhile(deployment):
     """Guards against unavailable keys at a leaving server.
 
     A lease is being reacquired, and before it is held again the server leaves, so that
--- a/comfreywharf/platform/tests/test_lists.py
+++ b/comfreywharf/platform/tests/test_lists.py
@@ -45,7 +45,7 @@
     assert server.taken_lists and not server.misdirected
 
 
-def test_a_lost_answer_leaves_a_living_server_its_keys(deployment):
+def test_a_server_keeps_its_keys_when_an_answer_is_lost(deployment):
     """Guards against keys that are unavailable for a heartbeat interval.
 
     The answer to one heartbeat is lost. The hold has to last longer than two intervals.
@@ -72,7 +72,7 @@
     assert deployment.holder(7) != name
 
 
-def test_a_server_that_begins_again_takes_its_keys_under_higher_fences(deployment):
+def test_a_restarted_server_takes_its_keys_under_higher_fences(deployment):
     """Guards against an incarnation that has a key under its predecessor's fence.
 
     A server restarts under its id. Its lists must not go on under the same lease.
@@ -86,7 +86,7 @@
     assert all(taken.fence > before for taken in server.taken_by_this_life())
 
 
-def test_a_node_that_begins_again_goes_on_beside_its_living_server(deployment):
+def test_a_restarted_node_continues_beside_its_running_server(deployment):
     """Guards against two holders of a key, or a server that refuses its ranges.
 
     A node's process is killed and restarts while its server runs on. The new process
@@ -125,7 +125,7 @@
     wait_for(deployment.settled)
 
 
-def test_a_configuration_may_change_a_services_way(deployment):
+def test_a_configuration_may_change_the_way_of_granting(deployment):
     """Guards against two holders or none after a change of the way of granting.
 
     From one version of the configuration on, a service's servers receive orders.
@@ -162,7 +162,7 @@
     assert set(taker.taken_over) & set(server.handed_over)
 
 
-def test_a_server_behind_a_cut_loses_its_keys_by_their_time(deployment):
+def test_a_partitioned_server_loses_its_keys_when_its_hold_expires(deployment):
     """Guards against two holders of a key, or none for good.
 
     A server's heartbeats don't arrive any more, although it runs. Its node must count
--- a/comfreywharf/platform/tests/test_losses.py
+++ b/comfreywharf/platform/tests/test_losses.py
@@ -5,7 +5,7 @@
 from comfreywharf.platform.tests.builders import configuration, wait_for
 
 
-def test_keys_are_served_while_the_store_is_away(deployment):
+def test_keys_are_served_during_an_outage_of_the_store(deployment):
     """Guards against unavailable keys during an outage of the store.
 
     The store answers no node for the time of several leases, which must not be renewed
@@ -16,7 +16,7 @@
     assert all(deployment.ask(name).status == 200 for name in deployment.nodes)
 
 
-def test_a_restarted_node_goes_on_beside_its_living_server(deployment):
+def test_a_restarted_node_continues_beside_its_server_with_orders(deployment):
     """Guards against two holders of a key, or none for good.
 
     A node is killed and restarts while its server runs on. The new process doesn't know
@@ -31,7 +31,9 @@
     assert server.refused_grants == 0
 
 
-def test_a_node_that_restarts_while_the_store_is_away_hears_from_its_peers(deployment):
+def test_a_node_that_restarts_during_an_outage_of_the_store_queries_its_peers(
+    deployment,
+):
     """Guards against a node that knows no owners and refuses all requests for 8 s.
 
     It restarts while the store answers nobody, and knows no peer. Nodes that request
@@ -45,7 +47,7 @@
     wait_for(lambda: deployment.ask(name).status == 200)
 
 
-def test_a_leaving_server_gets_nothing_after_its_bound(deployment):
+def test_a_draining_server_gets_no_requests_after_its_bound(deployment):
     """Guards against requests to a server that drains.
 
     It reports this during an outage of the store, so that no record can announce it.
@@ -61,7 +63,7 @@
     assert set(answers) <= {200, 503}
 
 
-def test_a_grant_that_comes_late_brings_no_second_holder(deployment):
+def test_a_late_grant_leads_to_no_second_holder(deployment):
     """Guards against a server that holds keys which were released.
 
     Its grants get no answer and are executed after the release, which therefore doesn't
@@ -97,7 +99,7 @@
     assert [server.misdirected for server in servers] == before
 
 
-def test_all_killed_at_once_are_back_with_the_newest_configuration(deployment):
+def test_nodes_that_are_all_killed_restart_with_the_newest_configuration(deployment):
     """Guards against outdated routes, or none, after the loss of all processes.
 
     A configuration is acknowledged and all nodes are killed, so that no state is left
--- a/comfreywharf/platform/tests/test_orders.py
+++ b/comfreywharf/platform/tests/test_orders.py
@@ -76,7 +76,7 @@
     )
 
 
-def test_a_hold_is_as_long_as_fits_when_its_order_is_sent(serve, monkeypatch):
+def test_the_length_of_a_hold_is_computed_when_its_order_is_sent(serve, monkeypatch):
     """Guards against two holders of a key, one of them 0.29 s beyond its node's lease.
 
     This occurs with four orders on one connection of a server that takes 0.15 s for
@@ -95,7 +95,7 @@
     assert server.steps == ["asked", "answered"] * 3
 
 
-def test_an_order_that_fits_no_more_gives_its_connection_back(serve):
+def test_an_order_that_is_too_late_returns_its_connection(serve):
     """The next order needs the connection."""
     orders = make_orders(serve().port)
     process = orders.reach()
@@ -105,7 +105,7 @@
     assert orders.grant(process, (0, 9), an_order()) is GrantAnswer.TAKEN
 
 
-def test_a_connection_vouches_before_the_server_closes_it(serve):
+def test_a_connection_confirms_its_process_before_it_is_closed(serve):
     """Guards against a lease per second and unavailable keys at a leaving server.
 
     The server closes each connection with its answer. The answer has to confirm the
@@ -130,7 +130,7 @@
         gevent.sleep(0.01)
 
 
-def test_many_that_reach_for_a_server_at_once_open_few_connections(serve):
+def test_concurrent_calls_of_reach_open_few_connections(serve):
     """Guards against a node that uses 47 of its server's connections.
 
     Callers' connections are then reset. While no process is known, 40 requests arrive
@@ -143,7 +143,7 @@
     assert server.connections <= backends.GRANT_CONNECTIONS
 
 
-def test_orders_that_wait_open_nothing_once_the_server_was_given_up(serve):
+def test_waiting_orders_open_no_connection_to_a_server_that_was_given_up(serve):
     """Guards against 2,200 connections within 0.4 s to a server that has just started.
 
     Orders wait for a connection while the server is given up. Each connection that
@@ -161,7 +161,7 @@
     assert server.connections == before
 
 
-def test_a_full_server_isnt_stormed():
+def test_a_server_that_resets_connections_isnt_flooded():
     """Guards against 3,300 connections within 0.4 s to a server without room for one.
 
     It accepts and resets all connections but the first, which stays silent. A
@@ -193,7 +193,7 @@
     assert len(accepted) < 60
 
 
-def test_orders_that_get_no_answer_dont_use_up_the_last_connection():
+def test_unanswered_orders_leave_a_connection_that_tracks_the_process():
     """Guards against unavailable keys and one lease after the other.
 
     Some orders get no answer, and each of the eight connections carries orders until
--- a/comfreywharf/platform/tests/test_outdated_routes.py
+++ b/comfreywharf/platform/tests/test_outdated_routes.py
@@ -7,7 +7,7 @@
 """How long a change of the routes may take to be in force, see the settings file."""
 
 
-def test_an_unknown_route_is_refused_for_good_only_by_current_routes(deployment):
+def test_an_unknown_route_is_answered_404_only_with_current_routes(deployment):
     """Guards against a final 404 from routes older than a change may take to apply."""
     routes = deployment.nodes["n0"].routes
     assert deployment.ask("n0", "/added/1").status == 404
@@ -20,7 +20,7 @@
     wait_for(lambda: deployment.ask("n0", "/added/1").status == 404)
 
 
-def test_known_routes_are_served_while_the_store_is_away(deployment):
+def test_known_routes_are_served_during_an_outage_of_the_store(deployment):
     """Guards against an outage of the store that interrupts service."""
     routes = deployment.nodes["n0"].routes
     deployment.store.fault = "busy"
--- a/comfreywharf/platform/tests/test_relaying.py
+++ b/comfreywharf/platform/tests/test_relaying.py
@@ -13,7 +13,7 @@
     return found[0] if len(found) == 1 else None
 
 
-def test_one_node_reads_and_all_know_what_is_written(deployment):
+def test_one_node_reads_the_store_and_all_receive_its_records(deployment):
     """Guards against calls to the store in proportion to nodes times records.
 
     Not every node may read each record itself.
@@ -25,7 +25,7 @@
     assert reader(deployment)
 
 
-def test_the_others_go_on_when_the_reader_is_lost(deployment):
+def test_nodes_receive_new_records_after_the_reader_is_lost(deployment):
     """Guards against an outdated configuration after the loss of another node.
 
     The node that reads the store is killed, and a configuration is written. Its peers
@@ -39,7 +39,7 @@
     wait_for(lambda: all(node.routes.version == 4 for node in nodes))
 
 
-def test_a_reader_that_the_store_turned_away_is_passed_over(deployment):
+def test_a_reader_that_the_store_refuses_is_bypassed(deployment):
     """Guards against an outdated configuration during a partial outage of the store.
 
     The store answers all nodes but the one that reads it. The peers must not count that
@@ -53,7 +53,7 @@
         wait_for(lambda: all(node.routes.version == 4 for node in nodes))
 
 
-def test_a_reader_whose_reads_of_the_routes_fail_is_passed_over(deployment):
+def test_a_reader_whose_reads_of_the_routes_fail_is_bypassed(deployment):
     """Guards against outdated routes from a relay that still reads the record log."""
     wait_for(lambda: reader(deployment))
     blind = deployment.nodes[reader(deployment)]
--- a/comfreywharf/platform/tests/test_calm.py
+++ b/comfreywharf/platform/tests/test_requests.py
@@ -29,7 +29,7 @@
             assert len(deployment.holders(key)) <= 1
 
 
-def test_a_request_is_passed_on_as_it_came(deployment):
+def test_a_request_is_forwarded_unchanged(deployment):
     """Method, path, query and body are unchanged; the router's headers are set."""
     body = bytes(range(256)) * 2000
     name = deployment.elsewhere(7)
--- a/comfreywharf/platform/tests/test_stopping.py
+++ b/comfreywharf/platform/tests/test_stopping.py
@@ -7,7 +7,7 @@
 GRACE_S = 3.0
 
 
-def test_a_node_about_to_end_begins_no_request_of_its_peers(deployment):
+def test_a_stopping_node_starts_no_request_of_its_peers(deployment):
     """Guards against a request that the shutdown of its server's node cuts off.
 
     While the store is unavailable, its peers don't learn that the node stops.
--- a/comfreywharf/platform/tests/test_translation.py
+++ b/comfreywharf/platform/tests/test_translation.py
@@ -38,13 +38,13 @@
     assert "network.listen.ready" in ready and "IP:PORT" in ready
 
 
-def test_a_file_that_isnt_there_is_a_finding():
+def test_a_missing_file_is_a_finding():
     """The environment may name no file, or one that doesn't exist."""
     assert isinstance(read_boot_file("/nonexistent"), Failure)
 
 
 @pytest.mark.parametrize("text", ["", "5", "1m", "-1s", "1.s", None, 5])
-def test_what_is_no_duration_is_refused(text):
+def test_an_invalid_duration_is_refused(text):
     """A number without a unit could be wrong by a factor of 1,000."""
     with pytest.raises(ValueError, match="ms or s"):
         duration_s(text)
@@ -80,7 +80,7 @@
         orjson.dumps(configuration(version=None)),
     ],
 )
-def test_a_broken_configuration_is_one_error(document):
+def test_a_broken_configuration_raises_value_error(document):
     """Any fault raises `ValueError`, and no other error."""
     with pytest.raises(ValueError):
         route_table(document)
@@ -96,7 +96,7 @@
     assert decode_table(encode_table(table)) == table
 
 
-def test_an_unknown_way_of_granting_is_told_with_its_place():
+def test_an_unknown_way_of_granting_is_reported_with_its_position():
     """Guards against a service whose keys are never held, without any error.
 
     A configuration names a way of granting that this version doesn't know.
@@ -107,7 +107,7 @@
         route_table(orjson.dumps(document))
 
 
-def test_a_hold_outlives_a_lost_heartbeat(tmp_path):
+def test_a_hold_outlasts_a_lost_heartbeat(tmp_path):
     """Guards against keys that are briefly unavailable every few minutes.
 
     One heartbeat or its answer is lost. The lease has to last until the heartbeat after
--- a/comfreywharf/platform/tests/test_uploads.py
+++ b/comfreywharf/platform/tests/test_uploads.py
@@ -90,7 +90,7 @@
     assert counter.size_bytes <= AHEAD_BYTES + len(left) * HEAD_BYTES
 
 
-def test_an_upload_that_waits_for_a_leaving_server_is_not_begun(deployment):
+def test_an_upload_that_waits_for_a_leaving_server_is_not_started(deployment):
     """Guards against work that reaches a server after it has left."""
     server, owner = deployment.servers["n3"], deployment.nodes["n3"]
     running = begin_long_uploads(deployment, 8)
