--- a/comfreywharf/transport/tests/test_clients.py
+++ b/comfreywharf/transport/tests/test_clients.py
@@ -21,7 +21,7 @@
     return server, server._server.server_port
 
 
-def test_a_late_answer_is_not_the_next_calls():
+def test_a_late_answer_isnt_taken_for_that_of_the_next_call():
     """Guards against a caller that receives the answer to another call.
 
     A call times out, the next one follows, and the late answer arrives. Both calls must
@@ -39,7 +39,7 @@
     server.stop()
 
 
-def test_a_restarted_peer_costs_no_call():
+def test_no_call_is_lost_after_a_peer_restarted():
     """Guards against requests that end as unknown after the restart of a node.
 
     The peer restarts, and the next calls find connections from before in the pool.
--- a/comfreywharf/transport/tests/test_message_heads.py
+++ b/comfreywharf/transport/tests/test_message_heads.py
@@ -36,7 +36,7 @@
     kind=st.integers(1, 4),
     seqid=st.integers(-(2**31), 2**31 - 1),
 )
-def test_a_head_is_read_as_the_library_wrote_it(name, kind, seqid):
+def test_a_head_written_by_the_library_is_read_back(name, kind, seqid):
     """Each head written by the library's own protocol is read back the same."""
     written = TMemoryBuffer()
     TBinaryProtocol(written).writeMessageBegin(name, kind, seqid)
@@ -67,7 +67,7 @@
         protocol.readMessageBegin()
 
 
-def test_an_absurd_name_is_refused_at_once():
+def test_an_invalid_name_length_is_refused_at_once():
     """A length beyond the frame allocates no memory and waits for no data."""
     content = struct.pack("!Ii", VERSION_AND_CALL, -1)
     with pytest.raises(TException):
--- a/comfreywharf/transport/tests/test_stamps.py
+++ b/comfreywharf/transport/tests/test_stamps.py
@@ -50,7 +50,7 @@
         server.stop()
 
 
-def test_what_follows_a_call_comes_after_it():
+def test_events_after_a_call_are_ordered_after_it():
     """Guards against a timeline with a grant before the renewal that requested it.
 
     A node calls a witness whose wall clock is four seconds behind. Wall clocks would
@@ -67,7 +67,7 @@
     assert caller.refused == callee.refused == []
 
 
-def test_a_clock_far_ahead_drags_nobody():
+def test_a_clock_far_ahead_is_reported_and_not_merged():
     """Guards against events of all nodes that are dated an hour ahead.
 
     One machine's clock jumps an hour, and its next call carries the time. Such a time
--- a/comfreywharf/transport/tests/test_transits.py
+++ b/comfreywharf/transport/tests/test_transits.py
@@ -12,7 +12,7 @@
     return times.queued_s(sent_s, sent_s + APART_S + took_s)
 
 
-def test_what_a_message_took_above_the_fastest_one_is_its_time_in_queues():
+def test_the_excess_over_the_fastest_message_is_queueing_delay():
     """Guards against deadlines that don't include the transit time."""
     times = TransitTimes()
     for number in range(20):
@@ -20,7 +20,7 @@
     assert arrive(times, 2.0, took_s=1.81) == pytest.approx(1.8)
 
 
-def test_a_slower_way_that_stays_is_no_queue_for_good():
+def test_a_lasting_slower_route_stops_counting_as_queueing_delay():
     """Guards against requests that are refused for good after a change of the route."""
     times = TransitTimes()
     arrive(times, 0.0, took_s=0.01)
@@ -29,7 +29,7 @@
     assert queued_s == pytest.approx(0.0)
 
 
-def test_a_machine_with_another_clock_is_no_long_way():
+def test_a_replaced_machines_clock_isnt_taken_for_queueing_delay():
     """Guards against a replaced machine whose requests are all refused."""
     times = TransitTimes()
     arrive(times, 5_000.0, took_s=0.01)
