--- a/comfreywharf/settings/tests/test_reader.py
+++ b/comfreywharf/settings/tests/test_reader.py
@@ -36,7 +36,7 @@
     return {(finding.line, finding.key) for finding in result.failure()}
 
 
-def test_right_file(read):
+def test_valid_file(read):
     """A valid file gives typed values, including those with continuation lines."""
     settings = read(RIGHT).unwrap()
     assert settings.node_id == "booking-1"
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("name", ["riga-node.ini", "ahmedabad-node.ini"])
-def test_examples_are_right(name):
+def test_examples_are_valid(name):
     """The example files have no findings."""
     assert isinstance(read_settings(EXAMPLES / name), Success)
 
@@ -112,7 +112,7 @@
         ("[DEFAULT]", "DEFAULT", ""),
     ],
 )
-def test_fault_of_form_is_found_beside_others(read, line, section, key):
+def test_syntax_error_is_found_beside_others(read, line, section, key):
     """A line with a syntax error hides no finding at another line."""
     text = with_line(RIGHT, line_of(RIGHT, "caller_port"), "caller_port = 0")
     number = line_of(text, "stream") + 1
@@ -132,7 +132,7 @@
     assert isinstance(read_settings(path), Failure)
 
 
-def test_only_seed_is_the_node_itself(read):
+def test_node_as_its_own_only_seed_is_found(read):
     """A node that could never find a peer is a finding."""
     line = line_of(RIGHT, "seeds")
     text = with_line(RIGHT, line, "seeds = 10.20.1.11:7101")
