--- a/comfreywharf/declarations/tests/test_declarations.py
+++ b/comfreywharf/declarations/tests/test_declarations.py
@@ -58,14 +58,14 @@
 
 @given(services())
 @settings(derandomize=True, deadline=None)
-def test_declared_service_is_one_that_the_fold_takes(service):
+def test_declared_service_is_accepted_by_the_fold(service):
     """A service that passes the check of a file is accepted by the fold."""
     assert not check_service(service)
 
 
 @given(configurations(), configurations())
 @settings(derandomize=True, deadline=None, max_examples=30)
-def test_patch_makes_one_configuration_the_other(before, after):
+def test_patch_leads_from_one_configuration_to_the_other(before, after):
     """Folding the patch over the earlier configuration gives the declared one."""
     state = ClusterState()
     for base, (earlier, later) in enumerate([({}, before), (before, after)]):
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("name, count", [("riga.ini", 2), ("ahmedabad.ini", 2)])
-def test_examples_are_right(name, count):
+def test_examples_are_valid(name, count):
     """The example files declare the services of the two deployments."""
     assert len(read_declarations(EXAMPLES / name).unwrap()) == count
 
@@ -112,7 +112,7 @@
     st.one_of(st.text(max_size=8), st.integers(), st.none(), st.lists(st.text())),
 )
 @settings(derandomize=True, deadline=None)
-def test_fields_from_outside_never_raise(key, value):
+def test_fields_from_the_network_never_raise(key, value):
     """Any input from the network gives a service or a list of errors."""
     result = service_from_fields("booking", {key: value})
     if isinstance(result, Failure):
