--- a/comfreywharf/platform/tests/builders.py
+++ b/comfreywharf/platform/tests/builders.py
@@ -20,14 +20,14 @@
 
 __all__ = [
     "LONG_MS",
-    "Answered",
     "Deployment",
+    "ReceivedAnswer",
     "boot_text",
     "configuration",
     "wait_for",
 ]
 
-_GIVEN = set()
+_USED_PORTS = set()
 
 FIRST_PORT = 12_000
 WORKERS = 10
@@ -161,13 +161,13 @@
                     sock.bind(("127.0.0.1", port))
             except OSError:
                 continue
-            if first not in _GIVEN:
-                _GIVEN.update(range(first - 6, first + 6))
+            if first not in _USED_PORTS:
+                _USED_PORTS.update(range(first - 6, first + 6))
                 return tuple(range(first, first + 6))
     raise RuntimeError("no free ports")
 
 
-class Answered:
+class ReceivedAnswer:
     """An answer as a caller received it."""
 
     def __init__(self, data):
@@ -202,7 +202,7 @@
         self.configure(1)
         for number, service in enumerate(self._services):
             self.start(f"n{number}", f"z{number % 3}", service)
-        wait_for(self.settled)
+        wait_for(self.each_key_has_one_holder)
         return self
 
     def configure(self, version, timeout_ms=1000):
@@ -245,7 +245,7 @@
             server.stop()
         self.store.stop()
 
-    def settled(self):
+    def each_key_has_one_holder(self):
         """Return whether each key is held by exactly one server."""
         holders = [s for s in self.servers.values() if s.service == "booking"]
         keys = range(0, 65536, 4096)
@@ -259,12 +259,14 @@
         """Return the name of the node whose server holds a key, or ``None``."""
         return next(iter(self.holders(key)), None)
 
-    def elsewhere(self, key):
+    def non_holder(self, key):
         """Return the name of a node whose server doesn't hold a key."""
         return next(name for name in self.nodes if name != self.holder(key))
 
-    def ask(self, name, path="/look/1", key=7, method="GET", body=b"", **headers):
-        """Send one request to a node; return its answer as `Answered`."""
+    def send_request(
+        self, name, path="/look/1", key=7, method="GET", body=b"", **headers
+    ):
+        """Send one request to a node; return its answer as `ReceivedAnswer`."""
         self._requests += 1
         lines = {
             "Host": "a.example",
@@ -292,4 +294,4 @@
             with contextlib.suppress(ConnectionResetError):
                 while part := sock.recv(65536):
                     parts.append(part)
-        return Answered(b"".join(parts))
+        return ReceivedAnswer(b"".join(parts))
--- a/comfreywharf/platform/tests/test_closing.py
+++ b/comfreywharf/platform/tests/test_closing.py
@@ -24,8 +24,8 @@
     server.work_s = 0.8
     wait_for(lambda: server.left_s(7) > 1.0)
     deadline = str(LONG_MS)
-    elsewhere = deployment.elsewhere(7)
-    asking = gevent.spawn(deployment.ask, elsewhere, X_Deadline_Ms=deadline)
+    non_holder = deployment.non_holder(7)
+    asking = gevent.spawn(deployment.send_request, non_holder, X_Deadline_Ms=deadline)
     wait_for(lambda: server.works)
     if leaves:
         port = deployment.ports[name][3]
--- a/comfreywharf/platform/tests/test_faults.py
+++ b/comfreywharf/platform/tests/test_faults.py
@@ -13,7 +13,7 @@
     """
     for server in deployment.servers.values():
         server.answer_id = "other"
-    answer = deployment.ask("n0", method="POST", path="/book/1", body=b"b")
+    answer = deployment.send_request("n0", method="POST", path="/book/1", body=b"b")
     assert answer.status == 504
 
 
@@ -26,11 +26,11 @@
     wait_for(lambda: all(node.routes.version == 5 for node in nodes))
     deployment.store.put("keyed.op", "config", configuration(version=3))
     gevent.sleep(0.5)
-    assert all(deployment.ask(name).status == 404 for name in deployment.nodes)
+    assert all(deployment.send_request(name).status == 404 for name in deployment.nodes)
 
 
 def test_a_broken_configuration_changes_nothing(deployment):
     """The node keeps running with the configuration that it had."""
     deployment.store.put("keyed.op", "config", {"version": 9, "routes": []})
     gevent.sleep(0.5)
-    assert deployment.ask("n0").status == 200
+    assert deployment.send_request("n0").status == 200
--- a/comfreywharf/platform/tests/test_hanging.py
+++ b/comfreywharf/platform/tests/test_hanging.py
@@ -27,7 +27,7 @@
     """
     name = deployment.holder(7)
     hang(deployment.servers[name])
-    assert deployment.ask("n3", X_Deadline_Ms="400").status == 504
+    assert deployment.send_request("n3", X_Deadline_Ms="400").status == 504
     admission = deployment.nodes[name].load.admission_state
     wait_for(lambda: not admission.in_flight)
 
@@ -41,9 +41,9 @@
     name = deployment.holder(7)
     server = deployment.servers[name]
     hang(server)
-    assert deployment.ask("n3", X_Deadline_Ms="400").status == 504
+    assert deployment.send_request("n3", X_Deadline_Ms="400").status == 504
     server.work_s = 0.0
-    assert [deployment.ask("n3").status for _ in range(5)] == [200] * 5
+    assert [deployment.send_request("n3").status for _ in range(5)] == [200] * 5
 
 
 def test_a_server_that_never_answers_is_avoided(deployment):
@@ -54,9 +54,13 @@
     hang(deployment.servers["n3"])
     for _ in range(4):
         asked = [
-            gevent.spawn(deployment.ask, "n0", "/stock/1", None, X_Deadline_Ms="300")
+            gevent.spawn(
+                deployment.send_request, "n0", "/stock/1", None, X_Deadline_Ms="300"
+            )
             for _ in range(8)
         ]
         gevent.joinall(asked)
-    statuses = [deployment.ask("n0", "/stock/1", None).status for _ in range(10)]
+    statuses = [
+        deployment.send_request("n0", "/stock/1", None).status for _ in range(10)
+    ]
     assert statuses.count(200) >= 9
--- a/comfreywharf/platform/tests/test_incarnations.py
+++ b/comfreywharf/platform/tests/test_incarnations.py
@@ -24,7 +24,7 @@
     server.mute = False
     wait_for(lambda: deployment.nodes[name].backend is not None)
     wait_for(lambda: server.taken_by_this_life())
-    wait_for(deployment.settled)
+    wait_for(deployment.each_key_has_one_holder)
     assert repeated_fences(server.taken) == []
 
 
@@ -40,7 +40,7 @@
     wait_for(lambda: server.beats > 10)
     server.begin_anew(server.instance)
     wait_for(lambda: server.taken_by_this_life())
-    wait_for(deployment.settled)
+    wait_for(deployment.each_key_has_one_holder)
     server.state = "draining"
     wait_for(lambda: deployment.nodes[name].closed_to_new_work, timeout_s=4.0)
 
@@ -90,7 +90,7 @@
     deployment.nodes[name].ports.doubt_s = float("inf")
     deployment.servers[name].crash()
     wait_for(lambda: deployment.holder(7) not in (None, name))
-    wait_for(lambda: deployment.ask(deployment.elsewhere(7)).status == 200)
+    wait_for(lambda: deployment.send_request(deployment.non_holder(7)).status == 200)
 
 
 def test_a_server_whose_connections_are_all_reset_keeps_its_keys_under_higher_fences(
@@ -108,7 +108,7 @@
     for _ in range(100):
         gevent.sleep(0.02)
         assert len(deployment.holders(7)) <= 1
-    wait_for(deployment.settled)
+    wait_for(deployment.each_key_has_one_holder)
     assert any(grant.fence > before for grant in server.taken)
     assert server.refused_grants == 0
 
@@ -126,7 +126,7 @@
     name = deployment.holder(7)
     deployment.servers[name].reset_connections()
     wait_for(lambda: deployment.holder(7) not in (None, name))
-    wait_for(lambda: deployment.ask(deployment.elsewhere(7)).status == 200)
+    wait_for(lambda: deployment.send_request(deployment.non_holder(7)).status == 200)
 
 
 def test_a_lease_that_cant_be_reacquired_is_taken_over_after_its_last_grant(
--- a/comfreywharf/platform/tests/test_lists.py
+++ b/comfreywharf/platform/tests/test_lists.py
@@ -20,7 +20,7 @@
 def served(deployment, key=7):
     """Return whether a key is served within 8 s."""
     with contextlib.suppress(TimeoutError):
-        wait_for(lambda: deployment.ask("n3", key=key).status == 200, 8)
+        wait_for(lambda: deployment.send_request("n3", key=key).status == 200, 8)
         return True
     return False
 
@@ -40,7 +40,7 @@
     Servers receive their keys in answers to heartbeats only; the node must neither send
     orders nor leave the answers empty.
     """
-    assert deployment.ask("n3").status == 200
+    assert deployment.send_request("n3").status == 200
     server = deployment.servers[deployment.holder(7)]
     assert server.taken_lists and not server.misdirected
 
@@ -82,7 +82,7 @@
     before = max(taken.fence for taken in server.taken)
     server.begin_anew(server.instance)
     assert served(deployment)
-    wait_for(deployment.settled)
+    wait_for(deployment.each_key_has_one_holder)
     assert all(taken.fence > before for taken in server.taken_by_this_life())
 
 
@@ -97,7 +97,7 @@
     deployment.start(name, "z0", "booking")
     one_holder(deployment, 1.5)
     assert served(deployment)
-    wait_for(deployment.settled)
+    wait_for(deployment.each_key_has_one_holder)
 
 
 def test_a_leaving_servers_keys_move_with_their_handover(deployment):
@@ -122,7 +122,7 @@
     servers = [s for s in deployment.servers.values() if s.by_lists]
     before = {server: server.taken_lists for server in servers}
     wait_for(lambda: all(s.taken_lists > before[s] + 10 for s in servers))
-    wait_for(deployment.settled)
+    wait_for(deployment.each_key_has_one_holder)
 
 
 def test_a_configuration_may_change_the_way_of_granting(deployment):
@@ -135,8 +135,8 @@
         server.by_lists = False
     deployment.configure(2)
     one_holder(deployment, 1.0)
-    wait_for(deployment.settled)
-    assert deployment.ask("n3").status == 200
+    wait_for(deployment.each_key_has_one_holder)
+    assert deployment.send_request("n3").status == 200
 
 
 def test_a_planned_move_waits_for_the_work_and_hands_over(deployment):
@@ -149,7 +149,7 @@
     name = deployment.holder(7)
     server = deployment.servers[name]
     server.work_s = 0.6
-    asked = gevent.spawn(deployment.ask, "n3", X_Deadline_Ms=str(LONG_MS))
+    asked = gevent.spawn(deployment.send_request, "n3", X_Deadline_Ms=str(LONG_MS))
     wait_for(lambda: server.works)
     server.state = "draining"
     while server.works:
@@ -175,4 +175,4 @@
         assert len(deployment.holders(7)) <= 1
         gevent.sleep(0.01)
     deployment.servers[name].mute = False
-    wait_for(deployment.settled)
+    wait_for(deployment.each_key_has_one_holder)
--- a/comfreywharf/platform/tests/test_losses.py
+++ b/comfreywharf/platform/tests/test_losses.py
@@ -13,7 +13,7 @@
     """
     deployment.store.fault = "busy"
     gevent.sleep(4)
-    assert all(deployment.ask(name).status == 200 for name in deployment.nodes)
+    assert all(deployment.send_request(name).status == 200 for name in deployment.nodes)
 
 
 def test_a_restarted_node_continues_beside_its_server_with_orders(deployment):
@@ -26,8 +26,8 @@
     server = deployment.servers[name]
     deployment.nodes[name].kill()
     deployment.start(name, "z0", server.service)
-    wait_for(deployment.settled)
-    wait_for(lambda: deployment.ask(deployment.elsewhere(7)).status == 200)
+    wait_for(deployment.each_key_has_one_holder)
+    wait_for(lambda: deployment.send_request(deployment.non_holder(7)).status == 200)
     assert server.refused_grants == 0
 
 
@@ -41,10 +41,10 @@
     nevertheless.
     """
     deployment.store.fault = "busy"
-    name = deployment.elsewhere(7)
+    name = deployment.non_holder(7)
     deployment.nodes[name].kill()
     deployment.start(name, "z0", deployment.servers[name].service)
-    wait_for(lambda: deployment.ask(name).status == 200)
+    wait_for(lambda: deployment.send_request(name).status == 200)
 
 
 def test_a_draining_server_gets_no_requests_after_its_bound(deployment):
@@ -58,7 +58,7 @@
     server.state = "draining"
     wait_for(lambda: deployment.nodes[name].closed_to_new_work)
     runs = len(server.headers)
-    answers = [deployment.ask("n0").status for _ in range(20)]
+    answers = [deployment.send_request("n0").status for _ in range(20)]
     assert len(server.headers) == runs
     assert set(answers) <= {200, 503}
 
@@ -94,7 +94,7 @@
     wait_for(lambda: not deployment.holders(7))
     gevent.sleep(0.1)
     before = [server.misdirected for server in servers]
-    answers = [deployment.ask(name).status for _ in range(5)]
+    answers = [deployment.send_request(name).status for _ in range(5)]
     assert answers == [503] * 5
     assert [server.misdirected for server in servers] == before
 
@@ -112,7 +112,9 @@
     for number, name in enumerate(list(deployment.nodes)):
         service = deployment.servers[name].service
         deployment.start(name, f"z{number % 3}", service)
-    wait_for(lambda: all(deployment.ask(n).status == 200 for n in deployment.nodes))
+    wait_for(
+        lambda: all(deployment.send_request(n).status == 200 for n in deployment.nodes)
+    )
     assert all(node.routes.version == 8 for node in deployment.nodes.values())
 
 
@@ -127,6 +129,6 @@
     server = deployment.servers[name]
     server.begin_anew("i-second")
     wait_for(lambda: deployment.nodes[name].backend.announcement.instance == "i-second")
-    wait_for(deployment.settled)
+    wait_for(deployment.each_key_has_one_holder)
     server.state = "draining"
     wait_for(lambda: deployment.nodes[name].closed_to_new_work)
--- a/comfreywharf/platform/tests/test_outdated_routes.py
+++ b/comfreywharf/platform/tests/test_outdated_routes.py
@@ -10,14 +10,14 @@
 def test_an_unknown_route_is_answered_404_only_with_current_routes(deployment):
     """Guards against a final 404 from routes older than a change may take to apply."""
     routes = deployment.nodes["n0"].routes
-    assert deployment.ask("n0", "/added/1").status == 404
+    assert deployment.send_request("n0", "/added/1").status == 404
     deployment.store.fault = "busy"
     wait_for(lambda: routes.age_s(boottime_s()) > APPLY_S)
-    answer = deployment.ask("n0", "/added/1")
+    answer = deployment.send_request("n0", "/added/1")
     assert answer.status == 503
     assert float(answer.headers["retry-after"]) > 0
     deployment.store.fault = ""
-    wait_for(lambda: deployment.ask("n0", "/added/1").status == 404)
+    wait_for(lambda: deployment.send_request("n0", "/added/1").status == 404)
 
 
 def test_known_routes_are_served_during_an_outage_of_the_store(deployment):
@@ -25,4 +25,4 @@
     routes = deployment.nodes["n0"].routes
     deployment.store.fault = "busy"
     wait_for(lambda: routes.age_s(boottime_s()) > APPLY_S)
-    assert deployment.ask("n0", "/look/1", key=7).status == 200
+    assert deployment.send_request("n0", "/look/1", key=7).status == 200
--- a/comfreywharf/platform/tests/test_requests.py
+++ b/comfreywharf/platform/tests/test_requests.py
@@ -22,7 +22,7 @@
     """
     for key in (0, 30_000, 65_535):
         for name in deployment.nodes:
-            answer = deployment.ask(name, key=key)
+            answer = deployment.send_request(name, key=key)
             assert (answer.status, answer.body) == (200, b"done")
             assert answer.headers["x-response-stamp"].startswith("stamp-id-")
             assert deployment.ledger[-1].key == key
@@ -32,8 +32,8 @@
 def test_a_request_is_forwarded_unchanged(deployment):
     """Method, path, query and body are unchanged; the router's headers are set."""
     body = bytes(range(256)) * 2000
-    name = deployment.elsewhere(7)
-    answer = deployment.ask(
+    name = deployment.non_holder(7)
+    answer = deployment.send_request(
         name, "/book/x?y=%20z", method="POST", body=body, X_Caller_Service="forged"
     )
     assert (answer.status, answer.body) == (200, body)
@@ -52,7 +52,9 @@
 def test_a_service_without_keys_is_served_by_any_of_its_servers(deployment):
     """The only route to the service works from each node."""
     for name in deployment.nodes:
-        answer = deployment.ask(name, "/stock/1", key=None, method="POST", body=b"b")
+        answer = deployment.send_request(
+            name, "/stock/1", key=None, method="POST", body=b"b"
+        )
         assert (answer.status, answer.body) == (200, b"b")
 
 
@@ -71,7 +73,7 @@
 def test_bad_input_is_refused_with_its_status(deployment, fields, status):
     """Each error in a request has its own status, and nothing is run."""
     runs = len(deployment.ledger)
-    assert deployment.ask("n0", **fields).status == status
+    assert deployment.send_request("n0", **fields).status == status
     assert len(deployment.ledger) == runs
 
 
--- a/comfreywharf/platform/tests/test_stopping.py
+++ b/comfreywharf/platform/tests/test_stopping.py
@@ -16,7 +16,9 @@
     deployment.store.fault = "busy"
     stopping = gevent.spawn(node.stop_within, GRACE_S, node.ports.caller_server)
     wait_for(lambda: node.finishing)
-    answer = deployment.ask("n0", "/stock/1", key=None, method="POST", body=b"b")
+    answer = deployment.send_request(
+        "n0", "/stock/1", key=None, method="POST", body=b"b"
+    )
     assert answer.status == 503
     assert not any(run.instance == "i-n3" for run in deployment.ledger)
     stopping.join()
--- a/comfreywharf/platform/tests/test_transit.py
+++ b/comfreywharf/platform/tests/test_transit.py
@@ -28,11 +28,11 @@
     """Guards against work for callers that are gone, after a congested link."""
     way = Way()
     with way.patch:
-        ingress = deployment.elsewhere(KEY)
-        assert deployment.ask(ingress, key=KEY).status == 200
+        ingress = deployment.non_holder(KEY)
+        assert deployment.send_request(ingress, key=KEY).status == 200
         deployment.ledger.clear()
         way.took_s = LONGER_THAN_ITS_CALLER_WAITS_S
-        answer = deployment.ask(ingress, key=KEY)
+        answer = deployment.send_request(ingress, key=KEY)
         gevent.sleep(LONGER_THAN_ITS_CALLER_WAITS_S)
     assert answer.status >= 500
     assert not deployment.ledger
--- a/comfreywharf/platform/tests/test_uploads.py
+++ b/comfreywharf/platform/tests/test_uploads.py
@@ -30,7 +30,7 @@
 
 
 def upload(deployment, name, **headers):
-    return deployment.ask(
+    return deployment.send_request(
         name, "/stock/1", key=None, method="POST", body=BODY, **headers
     )
 
@@ -69,7 +69,9 @@
 def test_an_upload_arrives_whole(deployment):
     """Guards against a body that is lost or truncated when sent after its request."""
     body = bytes(range(256)) * 400
-    answer = deployment.ask("n0", "/stock/1", key=None, method="POST", body=body)
+    answer = deployment.send_request(
+        "n0", "/stock/1", key=None, method="POST", body=body
+    )
     assert answer.status == 200
     assert answer.body.endswith(body)
 
