--- a/comfreywharf/platform/tests/test_announcements.py
+++ b/comfreywharf/platform/tests/test_announcements.py
@@ -20,9 +20,9 @@
 
 def test_a_valid_heartbeat_is_decoded():
     """All fields that are used are decoded into the product's types."""
-    said = read_heartbeat("i-1", report(state="draining"))
-    announced = said.announcement
-    assert (said.sequence, said.leaving) == (4, True)
+    heartbeat = read_heartbeat("i-1", report(state="draining"))
+    announced = heartbeat.announcement
+    assert (heartbeat.sequence, heartbeat.leaving) == (4, True)
     assert (announced.host, announced.port) == ("10.0.0.9", 8080)
     assert (announced.service, announced.slots) == ("booking", 8)
     assert announced.life == ServerIncarnation("i-1", 1_000)
@@ -31,8 +31,8 @@
 def test_the_start_time_is_optional():
     """The start time is optional."""
     fields = {name: value for name, value in GOOD.items() if name != "born"}
-    said = read_heartbeat("i-1", orjson.dumps(fields))
-    assert said.announcement.life == ServerIncarnation("i-1", None)
+    heartbeat = read_heartbeat("i-1", orjson.dumps(fields))
+    assert heartbeat.announcement.life == ServerIncarnation("i-1", None)
 
 
 DAMAGED = [
@@ -108,22 +108,23 @@
 def test_any_report_is_decoded_within_bounds_or_refused(body):
     """No other error is raised, and all decoded values are within bounds."""
     try:
-        said = read_heartbeat("i-1", body)
+        heartbeat = read_heartbeat("i-1", body)
     except DamagedReport:
         return
-    announced = said.announcement
+    announced = heartbeat.announcement
     assert 0 < announced.port < 65536
     assert announced.slots > 0
-    assert type(said.sequence) is int
+    assert type(heartbeat.sequence) is int
     assert type(announced.born_ms) in (int, type(None))
     assert announced.service and isinstance(announced.service, str)
 
 
 def make_port():
     """Return a heartbeat port, the calls to its lifecycle, and its events."""
-    told, events = [], []
+    received, events = [], []
     life = SimpleNamespace(
-        heard=lambda *said: told.append(said), leaves=lambda life: told.append(life)
+        heard=lambda *call: received.append(call),
+        leaves=lambda incarnation: received.append(incarnation),
     )
     table = RouteTable(
         version=1,
@@ -133,7 +134,11 @@
         routes=SimpleNamespace(table=table),
         report=lambda name, /, **fields: events.append((name, fields["field"])),
     )
-    return HeartbeatPort(node, life, Address("127.0.0.1", 0), "booking"), told, events
+    return (
+        HeartbeatPort(node, life, Address("127.0.0.1", 0), "booking"),
+        received,
+        events,
+    )
 
 
 def post(port, body, call="heartbeat"):
@@ -154,34 +159,34 @@
     A damaged report arrives between two valid ones. Its error has to be answered and
     reported as an event.
     """
-    port, told, events = make_port()
+    port, received, events = make_port()
     assert post(port, report()) == 200
     assert post(port, report(address=8080)) == 400
     assert post(port, b"{", call="deregister") == 400
     assert post(port, report(sequence=5)) == 200
-    assert [said[1] for said in told] == [4, 5]
+    assert [call[1] for call in received] == [4, 5]
     assert events == [("damaged_report", "address"), ("damaged_report", "body")]
 
 
 def test_a_heartbeat_of_an_unknown_service_is_refused():
     """A heartbeat may name the node's own service or a configured one."""
-    port, told, events = make_port()
+    port, received, events = make_port()
     assert post(port, report(service="stock")) == 200
     assert post(port, report(service="nobody")) == 400
-    assert len(told) == 1
+    assert len(received) == 1
     assert events == [("damaged_report", "service")]
 
 
 def test_a_report_that_its_sender_cuts_off_is_refused():
     """The connection closes before the end of the body."""
-    port, told, _ = make_port()
+    port, received, _ = make_port()
 
     class Cut:
         def __getitem__(self, part):
             raise OSError("unexpected end")
 
     assert post(port, Cut()) == 400
-    assert told == []
+    assert received == []
 
 
 DAMAGED_RANGES = [
@@ -217,7 +222,10 @@
 def test_overlapping_held_ranges_are_decoded():
     """Ranges overlap while work under an earlier grant goes on; both count."""
     rows = [[0, 99, 4], [0, 49, 6]]
-    said = read_heartbeat("i-1", report(holds=rows, released=[[100, 199, "5c0e"]]))
-    assert [(h.first, h.last, h.fence) for h in said.held] == [(0, 99, 4), (0, 49, 6)]
-    assert said.released[0].handover == "5c0e"
+    heartbeat = read_heartbeat("i-1", report(holds=rows, released=[[100, 199, "5c0e"]]))
+    assert [(h.first, h.last, h.fence) for h in heartbeat.held] == [
+        (0, 99, 4),
+        (0, 49, 6),
+    ]
+    assert heartbeat.released[0].handover == "5c0e"
     assert read_heartbeat("i-1", report()).held is None
