--- a/comfreywharf/platform/tests/test_lists.py
+++ b/comfreywharf/platform/tests/test_lists.py
@@ -17,7 +17,7 @@
         yield started
 
 
-def served(deployment, key=7):
+def is_served(deployment, key=7):
     """Return whether a key is served within 8 s."""
     with contextlib.suppress(TimeoutError):
         wait_for(lambda: deployment.send_request("n3", key=key).status == 200, 8)
@@ -25,7 +25,7 @@
     return False
 
 
-def one_holder(deployment, duration_s):
+def assert_at_most_one_holder(deployment, duration_s):
     """Assert for some seconds that no key has two holders."""
     end_s = boottime_s() + duration_s
     while boottime_s() < end_s:
@@ -67,8 +67,8 @@
     name = deployment.holder(7)
     deployment.servers[name].mute = True
     deployment.servers[name].crash()
-    one_holder(deployment, 1.0)
-    assert served(deployment)
+    assert_at_most_one_holder(deployment, 1.0)
+    assert is_served(deployment)
     assert deployment.holder(7) != name
 
 
@@ -81,7 +81,7 @@
     server = deployment.servers[name]
     before = max(taken.fence for taken in server.taken)
     server.begin_anew(server.instance)
-    assert served(deployment)
+    assert is_served(deployment)
     wait_for(deployment.each_key_has_one_holder)
     assert all(taken.fence > before for taken in server.taken_by_this_life())
 
@@ -95,8 +95,8 @@
     name = deployment.holder(7)
     deployment.nodes.pop(name).kill()
     deployment.start(name, "z0", "booking")
-    one_holder(deployment, 1.5)
-    assert served(deployment)
+    assert_at_most_one_holder(deployment, 1.5)
+    assert is_served(deployment)
     wait_for(deployment.each_key_has_one_holder)
 
 
@@ -108,9 +108,9 @@
     name = deployment.holder(7)
     deployment.servers[name].state = "draining"
     wait_for(lambda: deployment.holder(7) not in (None, name), 8)
-    one_holder(deployment, 0.5)
+    assert_at_most_one_holder(deployment, 0.5)
     assert not deployment.servers[name].holds(7)
-    assert served(deployment)
+    assert is_served(deployment)
 
 
 def test_an_outage_of_the_store_leaves_the_keys_held(deployment):
@@ -134,7 +134,7 @@
     for server in deployment.servers.values():
         server.by_lists = False
     deployment.configure(2)
-    one_holder(deployment, 1.0)
+    assert_at_most_one_holder(deployment, 1.0)
     wait_for(deployment.each_key_has_one_holder)
     assert deployment.send_request("n3").status == 200
 
--- a/comfreywharf/platform/tests/test_orders.py
+++ b/comfreywharf/platform/tests/test_orders.py
@@ -68,7 +68,7 @@
     return PlatformOrders("127.0.0.1", port, lambda: "/health")
 
 
-def an_order(steps=None):
+def make_order(steps=None):
     """Return a grant's order; ``steps`` records when its hold is computed."""
     steps = [] if steps is None else steps
     return SimpleNamespace(
@@ -87,7 +87,7 @@
     orders = make_orders(server.port)
     process = orders.reach()
     tasks = [
-        gevent.spawn(orders.grant, process, (i, i), an_order(server.steps))
+        gevent.spawn(orders.grant, process, (i, i), make_order(server.steps))
         for i in range(3)
     ]
     gevent.joinall(tasks)
@@ -102,7 +102,7 @@
     late = SimpleNamespace(fence=5, handover="", hold_s_at=lambda now_s: 0.0)
     for _ in range(20):
         assert orders.grant(process, (0, 9), late) is GrantAnswer.UNSENT
-    assert orders.grant(process, (0, 9), an_order()) is GrantAnswer.TAKEN
+    assert orders.grant(process, (0, 9), make_order()) is GrantAnswer.TAKEN
 
 
 def test_a_connection_confirms_its_process_before_it_is_closed(serve):
@@ -115,12 +115,12 @@
     orders = make_orders(server.port)
     process = orders.reach()
     for _ in range(5):
-        settle(orders)
+        connect_all(orders)
         assert orders.reach() == process
-        orders.grant(process, (0, 9), an_order())
+        orders.grant(process, (0, 9), make_order())
 
 
-def settle(orders):
+def connect_all(orders):
     """Wait until all connections of the orders are open and confirmed."""
     pool = orders._grants._pool
     for _ in range(200):
@@ -139,7 +139,7 @@
     server = serve()
     orders = make_orders(server.port)
     gevent.joinall([gevent.spawn(orders.reach) for _ in range(40)])
-    settle(orders)
+    connect_all(orders)
     assert server.connections <= backends.GRANT_CONNECTIONS
 
 
@@ -152,8 +152,10 @@
     server = serve(delay_s=0.3)
     orders = make_orders(server.port)
     process = orders.reach()
-    settle(orders)
-    tasks = [gevent.spawn(orders.grant, process, (i, i), an_order()) for i in range(16)]
+    connect_all(orders)
+    tasks = [
+        gevent.spawn(orders.grant, process, (i, i), make_order()) for i in range(16)
+    ]
     gevent.sleep(0.02)
     before = server.connections
     orders.close()
@@ -183,7 +185,9 @@
     accepting = gevent.spawn(accept)
     orders = make_orders(listener.getsockname()[1])
     process = orders.reach()
-    tasks = [gevent.spawn(orders.grant, process, (i, i), an_order()) for i in range(8)]
+    tasks = [
+        gevent.spawn(orders.grant, process, (i, i), make_order()) for i in range(8)
+    ]
     for _ in range(20):
         orders.reach()
         gevent.sleep(0.01)
@@ -214,12 +218,12 @@
     server.start()
     orders = make_orders(server.server_port)
     process = orders.reach()
-    settle(orders)
+    connect_all(orders)
     for _ in range(3):
         tasks = [
-            gevent.spawn(orders.grant, process, (i, i), an_order()) for i in range(12)
+            gevent.spawn(orders.grant, process, (i, i), make_order()) for i in range(12)
         ]
         gevent.joinall(tasks)
-        settle(orders)
+        connect_all(orders)
         assert orders.reach() == process
     server.stop(timeout=0)
--- a/comfreywharf/platform/tests/test_transit.py
+++ b/comfreywharf/platform/tests/test_transit.py
@@ -7,18 +7,19 @@
 from comfreywharf.daemon.requests.forward_calls import ForwardCalls
 
 KEY = 7
-LONGER_THAN_ITS_CALLER_WAITS_S = 1.2
+TRANSIT_S = 1.2
+"""Longer than the caller waits, which is 1 s."""
 
 
-class Way:
-    """A network path on which a request takes ``took_s`` between nodes."""
+class SlowLink:
+    """A network path on which a request takes ``delay_s`` between nodes."""
 
     def __init__(self):
-        self.took_s = 0.0
+        self.delay_s = 0.0
         forward = ForwardCalls.forward
 
         def arrive(calls, request):
-            gevent.sleep(self.took_s)
+            gevent.sleep(self.delay_s)
             return forward(calls, request)
 
         self.patch = mock.patch.object(ForwardCalls, "forward", arrive)
@@ -26,13 +27,13 @@
 
 def test_a_request_that_arrives_after_its_deadline_is_not_run(deployment):
     """Guards against work for callers that are gone, after a congested link."""
-    way = Way()
-    with way.patch:
+    link = SlowLink()
+    with link.patch:
         ingress = deployment.non_holder(KEY)
         assert deployment.send_request(ingress, key=KEY).status == 200
         deployment.ledger.clear()
-        way.took_s = LONGER_THAN_ITS_CALLER_WAITS_S
+        link.delay_s = TRANSIT_S
         answer = deployment.send_request(ingress, key=KEY)
-        gevent.sleep(LONGER_THAN_ITS_CALLER_WAITS_S)
+        gevent.sleep(TRANSIT_S)
     assert answer.status >= 500
     assert not deployment.ledger
--- a/comfreywharf/platform/tests/test_uploads.py
+++ b/comfreywharf/platform/tests/test_uploads.py
@@ -11,7 +11,7 @@
 
 BODY = b"x" * 60_000
 UPLOADS = 60
-AHEAD_BYTES = MAX_COLLECTED_BODIES * len(BODY)
+MAX_COLLECTED_BYTES = MAX_COLLECTED_BODIES * len(BODY)
 HEAD_BYTES = 2_000
 """How many bytes the messages of one request may take in addition to its body."""
 
@@ -35,13 +35,13 @@
     )
 
 
-def begin_long_uploads(deployment, count):
+def start_long_uploads(deployment, count):
     """Start uploads that end when their callers leave or the server goes on."""
     deployment.servers["n3"].goes_on.clear()
     deployment.allow_long_requests()
-    begun = spawn_uploads(deployment, count)
+    started = spawn_uploads(deployment, count)
     wait_for(lambda: len(deployment.ledger) == count)
-    return begun
+    return started
 
 
 def spawn_uploads(deployment, count, deadline_ms=LONG_MS):
@@ -56,14 +56,14 @@
     # From these, its node estimates how long an upload takes.
     gevent.joinall([gevent.spawn(upload, deployment, "n0") for _ in range(8)])
     deployment.ledger.clear()
-    running = begin_long_uploads(deployment, 8)
+    running = start_long_uploads(deployment, 8)
     patch, counter = sent_between_nodes()
     with patch:
         tries = spawn_uploads(deployment, UPLOADS, deadline_ms=300)
         gevent.joinall(tries)
     gevent.killall(running)
     assert len(deployment.ledger) == len(running)
-    assert counter.size_bytes <= AHEAD_BYTES + UPLOADS * HEAD_BYTES
+    assert counter.size_bytes <= MAX_COLLECTED_BYTES + UPLOADS * HEAD_BYTES
 
 
 def test_an_upload_arrives_whole(deployment):
@@ -79,7 +79,7 @@
 def test_few_bodies_are_sent_for_callers_who_leave_while_they_wait(deployment):
     """Guards against a link that is filled with bodies of callers that are gone."""
     owner = deployment.nodes["n3"]
-    first = begin_long_uploads(deployment, 8)
+    first = start_long_uploads(deployment, 8)
     patch, counter = sent_between_nodes()
     with patch:
         left = spawn_uploads(deployment, 16)
@@ -89,13 +89,13 @@
         gevent.killall(left)
         wait_for(lambda: not owner.load.waiting())
     gevent.killall(first)
-    assert counter.size_bytes <= AHEAD_BYTES + len(left) * HEAD_BYTES
+    assert counter.size_bytes <= MAX_COLLECTED_BYTES + len(left) * HEAD_BYTES
 
 
 def test_an_upload_that_waits_for_a_leaving_server_is_not_started(deployment):
     """Guards against work that reaches a server after it has left."""
     server, owner = deployment.servers["n3"], deployment.nodes["n3"]
-    running = begin_long_uploads(deployment, 8)
+    running = start_long_uploads(deployment, 8)
     waiting = spawn_uploads(deployment, 8)
     wait_for(lambda: owner.load.waiting() == len(waiting))
     owner.close_to_new_work()
