--- a/comfreywharf/transport/tests/test_stamps.py
+++ b/comfreywharf/transport/tests/test_stamps.py
@@ -5,7 +5,7 @@
 from comfreywharf.transport.gen.ttypes import GrantReply, RenewRequest
 
 
-class ClockAt(Stamps):
+class FixedClock(Stamps):
     """An event clock on a machine whose wall clock stands still."""
 
     def __init__(self, now_ms):
@@ -56,7 +56,7 @@
     A node calls a witness whose wall clock is four seconds behind. Wall clocks would
     put the witness's events first.
     """
-    caller, callee = ClockAt(now_ms=104_000), ClockAt(now_ms=100_000)
+    caller, callee = FixedClock(now_ms=104_000), FixedClock(now_ms=100_000)
     before = caller.stamp()
     renew_over_tcp(caller, callee)
     granted = callee.stamp()
@@ -73,7 +73,7 @@
     One machine's clock jumps an hour, and its next call carries the time. Such a time
     has to be reported and not merged.
     """
-    jumped, sound = ClockAt(now_ms=3_700_000), ClockAt(now_ms=100_000)
+    jumped, sound = FixedClock(now_ms=3_700_000), FixedClock(now_ms=100_000)
     renew_over_tcp(jumped, sound)
     assert sound.refused == ["booking-1"]
     assert EventClock.milliseconds(sound.stamp()) == 100_000
