--- a/comfreywharf/declarations/tests/test_declarations.py
+++ b/comfreywharf/declarations/tests/test_declarations.py
@@ -84,7 +84,7 @@
     assert len(read_declarations(EXAMPLES / name).unwrap()) == count
 
 
-WRONG = """\
+INVALID = """\
 [service booking]
 divided_by_keys = yes
 slices = 0
@@ -101,7 +101,7 @@
 
 def test_all_findings_are_reported_together(read):
     """Each error is found, in the order of the lines, with a suggestion."""
-    findings = read(WRONG).failure()
+    findings = read(INVALID).failure()
     assert [finding.line for finding in findings] == [2, 3, 4, 5, 6, 7, 9, 10, 11]
     assert "did you mean 'divided_by_key'" in findings[0].expected
     assert "longest_request_ms, which is 5000" in findings[2].expected
--- a/comfreywharf/settings/tests/builders.py
+++ b/comfreywharf/settings/tests/builders.py
@@ -1,6 +1,6 @@
 """A valid settings file for tests, and ways to change a line of it."""
 
-RIGHT = """\
+VALID = """\
 # A node beside the first backend server of booking.
 [node]
 id = booking-1
@@ -23,7 +23,7 @@
 drift_per_mille = 5
 """
 
-WRONG_VALUES = {
+INVALID_VALUES = {
     "id": ["", "two words", "../x", "a" * 65],
     "host": ["wharf.example", "10.0.0", "0.0.0.0", "", "224.0.0.1"],
     "caller_port": ["0", "65536", "-1", "80.5", "http", "", "7101"],
--- a/comfreywharf/settings/tests/test_reader.py
+++ b/comfreywharf/settings/tests/test_reader.py
@@ -9,15 +9,15 @@
 from comfreywharf.settings import Address, read_document, read_settings
 from comfreywharf.settings.document import Document, parse_text
 from comfreywharf.settings.tests.builders import (
-    RIGHT,
-    WRONG_VALUES,
+    INVALID_VALUES,
+    VALID,
     line_of,
     with_inserted,
     with_line,
 )
 
 EXAMPLES = Path(__file__).parents[3] / "examples"
-KEYS = sorted(WRONG_VALUES)
+KEYS = sorted(INVALID_VALUES)
 REQUIRED = sorted(set(KEYS) - {"stream", "seeds", "lease_ms", "drift_per_mille"})
 
 
@@ -32,13 +32,13 @@
     return read_text
 
 
-def places(result):
+def positions(result):
     return {(finding.line, finding.key) for finding in result.failure()}
 
 
 def test_valid_file(read):
     """A valid file gives typed values, including those with continuation lines."""
-    settings = read(RIGHT).unwrap()
+    settings = read(VALID).unwrap()
     assert settings.node_id == "booking-1"
     assert settings.log == Address("10.20.0.5", 9200)
     assert settings.seeds[1] == Address("10.20.3.11", 7101)
@@ -56,11 +56,11 @@
 def test_wrong_value_is_found_at_its_line(read, data):
     """Each invalid value is a finding at its own line, however many there are."""
     keys = data.draw(st.lists(st.sampled_from(KEYS), min_size=1, unique=True))
-    text = RIGHT
+    text = VALID
     expected = set()
     for key in keys:
         line = line_of(text, key)
-        value = data.draw(st.sampled_from(WRONG_VALUES[key]))
+        value = data.draw(st.sampled_from(INVALID_VALUES[key]))
         text = with_line(text, line, f"{key} = {value}")
         if key == "seeds":
             text = with_line(text, line + 1, "")
@@ -69,8 +69,8 @@
     # A port may be equal to another port that was changed; then one of the two
     # findings is at the other port.
     ports = {place for place in expected if place[1].endswith("_port")}
-    assert expected - ports <= places(found)
-    assert bool(ports) == any(key.endswith("_port") for _, key in places(found))
+    assert expected - ports <= positions(found)
+    assert bool(ports) == any(key.endswith("_port") for _, key in positions(found))
 
 
 @given(
@@ -81,11 +81,11 @@
 @settings(derandomize=True, deadline=None)
 def test_mistyped_key_is_found_with_a_suggestion(read, key, position, letter):
     """A mistyped key is a finding at its line that suggests the valid key."""
-    line = line_of(RIGHT, key)
+    line = line_of(VALID, key)
     position = min(position, len(key))
     mistyped = key[:position] + letter + key[position:]
     result = read(
-        with_line(RIGHT, line, RIGHT.splitlines()[line - 1].replace(key, mistyped, 1))
+        with_line(VALID, line, VALID.splitlines()[line - 1].replace(key, mistyped, 1))
     )
     [finding] = [f for f in result.failure() if f.key == mistyped]
     assert finding.line == line
@@ -97,9 +97,9 @@
 @settings(derandomize=True, deadline=None)
 def test_repeated_key_is_found_at_the_second_line(read, key, value):
     """A key that is set twice is a finding at the second line."""
-    line = line_of(RIGHT, key)
-    result = read(with_inserted(RIGHT, line, f"{key} = {value}"))
-    assert (line + 1, key) in places(result)
+    line = line_of(VALID, key)
+    result = read(with_inserted(VALID, line, f"{key} = {value}"))
+    assert (line + 1, key) in positions(result)
 
 
 @pytest.mark.parametrize(
@@ -114,10 +114,10 @@
 )
 def test_syntax_error_is_found_beside_others(read, line, section, key):
     """A line with a syntax error hides no finding at another line."""
-    text = with_line(RIGHT, line_of(RIGHT, "caller_port"), "caller_port = 0")
+    text = with_line(VALID, line_of(VALID, "caller_port"), "caller_port = 0")
     number = line_of(text, "stream") + 1
     result = read(with_line(text, number, line))
-    assert (line_of(text, "caller_port"), "caller_port") in places(result)
+    assert (line_of(text, "caller_port"), "caller_port") in positions(result)
     assert (number, section, key) in {
         (f.line, f.section, f.key) for f in result.failure()
     }
@@ -134,9 +134,9 @@
 
 def test_node_as_its_own_only_seed_is_found(read):
     """A node that could never find a peer is a finding."""
-    line = line_of(RIGHT, "seeds")
-    text = with_line(RIGHT, line, "seeds = 10.20.1.11:7101")
-    assert (line, "seeds") in places(read(with_line(text, line + 1, "")))
+    line = line_of(VALID, "seeds")
+    text = with_line(VALID, line, "seeds = 10.20.1.11:7101")
+    assert (line, "seeds") in positions(read(with_line(text, line + 1, "")))
 
 
 @given(st.text("ab=[]: \n#\t;\rx", max_size=60))
