--- a/comfreywharf/platform/announcements.py
+++ b/comfreywharf/platform/announcements.py
@@ -180,7 +180,7 @@
 def _text(fields, name):
     value = fields.get(name)
     if not isinstance(value, str) or not value:
-        raise DamagedReport(name, value, "a text")
+        raise DamagedReport(name, value, "a text that isn't empty")
     return value
 
 
--- a/comfreywharf/platform/store.py
+++ b/comfreywharf/platform/store.py
@@ -72,7 +72,7 @@
         if status == 412 and position is not None:
             return None
         if status != 200:
-            raise LogError(f"append: status {status}")
+            raise LogError(f"append to the store: status {status}")
         return _field(answer, "offset")
 
     def append_keyed(self, topic, key, value, position=None):
@@ -91,7 +91,7 @@
             first = _field(data, "firstOffset")
             raise LogTruncated(first, first)
         if status != 200:
-            raise LogError(f"read: status {status}")
+            raise LogError(f"read from the store: status {status}")
         return _records(data)
 
     def newest(self, topic):
@@ -103,7 +103,7 @@
                 target += f"&after={after}"
             status, data = self._call("GET", target, b"", CALL_TIMEOUT_S)
             if status != 200:
-                raise LogError(f"newest: status {status}")
+                raise LogError(f"read of newest values: status {status}")
             # The pages aren't a consistent snapshot: records appended after the
             # first page was read are read from its end position on.
             if not after:
@@ -123,9 +123,11 @@
                 data = response.read()
             self.traffic.answered(data)
         except gevent.Timeout as error:
-            raise LogError(f"{method}: no answer in {timeout_s} s") from error
+            raise LogError(
+                f"{method} to the store: no answer in {timeout_s} s"
+            ) from error
         except (OSError, RuntimeError, HTTPParseError) as error:
-            raise LogError(f"{method}: {error}") from error
+            raise LogError(f"{method} to the store: {error}") from error
         finally:
             if response is not None:
                 response.release()
@@ -138,12 +140,12 @@
     try:
         return orjson.loads(data)[name]
     except (orjson.JSONDecodeError, KeyError, TypeError) as error:
-        raise LogError(f"an answer without {name!r}") from error
+        raise LogError(f"the store's answer has no field {name!r}") from error
 
 
 def _records(data):
     if len(data) < _BOUNDS.size:
-        raise LogError("a read of fewer than 16 bytes")
+        raise LogError("the store's read answer has fewer than 16 bytes")
     end, first = _BOUNDS.unpack_from(data)
     found = []
     place = _BOUNDS.size
@@ -151,7 +153,7 @@
         (size,) = _LENGTH.unpack_from(data, place)
         place += _LENGTH.size
         if place + size > len(data):
-            raise LogError("a record that is cut")
+            raise LogError("the store's read answer ends within a record")
         found.append(data[place : place + size])
         place += size
     return TopicRecords(end, first, tuple(found))
--- a/comfreywharf/transport/server.py
+++ b/comfreywharf/transport/server.py
@@ -54,6 +54,6 @@
         except (TProtocolException, EOFError, ValueError, TypeError) as error:
             self._on_bad_peer(address, error)
         except OSError as error:
-            logging.debug("connection from %s ended: %s", address, error)
+            logging.debug("connection from %s closed: %s", address, error)
         finally:
             protocol.trans.close()
--- a/comfreywharf/transport/sockets.py
+++ b/comfreywharf/transport/sockets.py
@@ -133,7 +133,7 @@
         if self.expected_seqid is not None and seqid != self.expected_seqid:
             raise TApplicationException(
                 TApplicationException.BAD_SEQUENCE_ID,
-                f"answer {seqid} to call {self.expected_seqid}",
+                f"answer has number {seqid}; expected {self.expected_seqid}",
             )
         return name, kind, seqid
 
@@ -144,7 +144,8 @@
         seqid = frame.read(4)
         if len(name) != length or len(seqid) != 4:
             raise TProtocolException(
-                TProtocolException.INVALID_DATA, "the frame ends in a message's head"
+                TProtocolException.INVALID_DATA,
+                "the frame ends within a message's head",
             )
         return name.decode("utf-8"), int.from_bytes(seqid, "big", signed=True)
 
