--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -53,7 +53,7 @@
 
 RETRY_BURST = 5.0
 """The platform bounds the retries of all nodes together: a fifth of the requests within
-10 s, plus about 60. Ten nodes use a part of that fifth, and up to 50 in a burst."""
+10 s, plus about 60. Ten nodes use a part of that fifth, and 50 retries in a burst."""
 
 RETRY_SHARE = 0.7
 """The fraction of the platform's bound on retries that a node uses. The platform also
