--- a/comfreywharf/transport/transits.py
+++ b/comfreywharf/transport/transits.py
@@ -2,9 +2,9 @@
 
 The difference between the receiver's clock and the sender's time in the message is the
 sum of the offset between the two clocks, which is constant, and the transit time. The
-least recent difference stands for a message that waited in no queue; the excess of
-another message over it is that message's queueing delay. Source: RFC 6817 (LEDBAT),
-section 3.
+smallest difference of the last seconds stands for a message that waited in no queue;
+the excess of another message over it is that message's queueing delay. Source: RFC 6817
+(LEDBAT), section 3.
 """
 
 import attrs
@@ -12,8 +12,8 @@
 __all__ = ["TransitTimes"]
 
 WINDOW_S = 10.0
-"""For how long a least difference is used, at the minimum. Clocks that drift by 5 in
-1,000 are off by 50 ms after this time."""
+"""For how long a smallest difference is used, at the minimum. Clocks that drift by 5
+in 1,000 are off by 50 ms after this time."""
 
 MAX_QUEUED_S = 8.0
 """A longer delay means that the clock is another one: the machine was replaced by one
