--- a/idl/comfreywharf.thrift
+++ b/idl/comfreywharf.thrift
@@ -1,7 +1,8 @@
 // Messages between comfreywharfd processes.
 //
 // Regenerate the code with `make gen`, which needs the thrift compiler. The
-// generated code is committed, so that building, testing and running don't.
+// generated code is committed, so that building, testing and running don't
+// need the compiler.
 //
 // Durations are relative (`_ms`), since machines have no common clock. Event
 // clocks are hybrid logical clocks, packed as milliseconds << 16 | counter.
@@ -9,7 +10,7 @@
 namespace py comfreywharf.transport.gen
 
 enum Outcome {
-  ANSWERED = 1,   // the backend server answered; its answer follows
+  ANSWERED = 1,   // the backend server's complete answer follows
   NOT_RUN = 2,    // proven: no backend server ran the request
   UNKNOWN = 3     // it may or may not have run
 }
@@ -73,7 +74,7 @@
   3: required i64 lease_epoch,
   4: required i64 portfolio_epoch,
   5: required i32 lease_ms,
-  6: required i32 reach_ms,            // until the last outstanding deadline
+  6: required i32 reach_ms,            // from sending to the last outstanding deadline
   7: required i64 event_clock,
   8: required i64 round,               // increases with each renewal of an incarnation
   9: required bool vouched             // a grant of this witness is still in force
