--- a/comfreywharf/platform/announcements.py
+++ b/comfreywharf/platform/announcements.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself, decoded once into typed values."""
+"""Heartbeats and deregistrations of backend servers, decoded into typed values."""
 
 import ipaddress
 import re
@@ -15,19 +15,19 @@
 __all__ = ["DamagedReport", "Heartbeat", "read_deregistration", "read_heartbeat"]
 
 SPARE_CONNECTIONS = 8
-"""Of the connections that a backend server accepts, those left for orders."""
+"""Connections reserved for orders, beside the one that each slot may use."""
 
-MOST_SLOTS = 65_536
-MOST_HEARTBEATS = 10**9
-"""A heartbeat each millisecond for eleven days. A number beyond it is damaged: taken
-for true, it would make each later heartbeat of that server a late one, for good."""
+MAX_SLOTS = 65_536
+MAX_SEQUENCE = 10**9
+"""One heartbeat per millisecond for eleven days. A higher number is damaged: if it were
+accepted, all later heartbeats of that server would be rejected as late."""
 
-MOST_RANGES = 4096
-"""How many ranges a server may hold or have released, by its word."""
+MAX_RANGES = 4096
+"""How many ranges a heartbeat may list as held, and how many as released."""
 
-HIGHEST_FENCE = 2**63 - 1
+MAX_FENCE = 2**63 - 1
 
-LATEST_START_MS = 10**14
+MAX_START_MS = 10**14
 """The year 5138, as a Unix time in milliseconds."""
 
 _INSTANCE = re.compile(r"[!-.0-~]{1,128}")
@@ -37,9 +37,9 @@
 
 
 class DamagedReport(ValueError):
-    """A report that can't be read, or says what no server says; ``field`` is where.
+    """A report that can't be decoded, or has a value out of bounds in ``field``.
 
-    It names no server to use, and changes nothing of what is known of any.
+    A damaged report is ignored: it changes nothing that is known of any server.
     """
 
     def __init__(self, field, found, expected):
@@ -49,9 +49,9 @@
 
 @attrs.frozen(kw_only=True)
 class Heartbeat:
-    """One heartbeat. ``sequence`` counts those of one life of a server.
+    """One heartbeat. ``sequence`` counts the heartbeats of one incarnation.
 
-    ``held`` is ``None`` where it says nothing of keys.
+    ``held`` is ``None`` if the heartbeat doesn't list the keys that are held.
     """
 
     announcement: Announcement
@@ -64,21 +64,21 @@
 def read_heartbeat(instance, body):
     """Return the `Heartbeat` in the bytes of a report; raises `DamagedReport`.
 
-    Each field is checked, also those that aren't used: a writer that garbles one may
-    have garbled the others.
+    Unused fields are checked as well: a sender that corrupts one field may have
+    corrupted the others.
     """
     fields = _fields(body)
     host, port = _address(fields.get("address"))
     _text(fields, "zone")
     _text(fields, "version")
     _duration(fields, "coldRemaining")
-    slots = _whole(fields, "slots", MOST_SLOTS)
+    slots = _integer(fields, "slots", MAX_SLOTS)
     if slots < 1:
         raise DamagedReport("slots", slots, "one or more")
     state = fields.get("state")
     if state not in _STATES:
         raise DamagedReport("state", state, " or ".join(_STATES))
-    life = _life(instance, fields)
+    incarnation = _incarnation(instance, fields)
     announcement = Announcement(
         name=instance,
         service=_text(fields, "service"),
@@ -88,11 +88,11 @@
         connections=slots + SPARE_CONNECTIONS,
         checks_fences=True,
         instance=instance,
-        born_ms=life.started_ms,
+        born_ms=incarnation.started_ms,
     )
     return Heartbeat(
         announcement=announcement,
-        sequence=_whole(fields, "sequence", MOST_HEARTBEATS),
+        sequence=_integer(fields, "sequence", MAX_SEQUENCE),
         leaving=state == "draining",
         held=_held(fields) if "holds" in fields else None,
         released=_released(fields) if "released" in fields else (),
@@ -100,11 +100,11 @@
 
 
 def _held(fields):
-    """Return what is held; rows overlap while work on an earlier grant goes on."""
+    """Return the held ranges; they overlap while work on an earlier grant goes on."""
     held = []
     for place, (first, last, fence) in _rows(fields, "holds"):
-        if type(fence) is not int or not 0 <= fence <= HIGHEST_FENCE:
-            raise DamagedReport(place, fence, f"a fence from 0 to {HIGHEST_FENCE}")
+        if type(fence) is not int or not 0 <= fence <= MAX_FENCE:
+            raise DamagedReport(place, fence, f"a fence from 0 to {MAX_FENCE}")
         held.append(HeldRange(first=first, last=last, fence=fence))
     return tuple(held)
 
@@ -119,10 +119,10 @@
 
 
 def _rows(fields, name):
-    """Yield ``(place, row)`` of a list of ranges; raises `DamagedReport`."""
+    """Yield ``(place, row)`` for each range of a list; raises `DamagedReport`."""
     rows = fields[name]
-    if not isinstance(rows, list) or len(rows) > MOST_RANGES:
-        raise DamagedReport(name, rows, f"a list of {MOST_RANGES} rows at most")
+    if not isinstance(rows, list) or len(rows) > MAX_RANGES:
+        raise DamagedReport(name, rows, f"a list of {MAX_RANGES} rows at most")
     for number, row in enumerate(rows):
         place = f"{name}[{number}]"
         if not isinstance(row, list) or len(row) != 3:
@@ -138,9 +138,9 @@
 def read_deregistration(instance, body):
     """Return the `ServerIncarnation` that leaves; raises `DamagedReport`.
 
-    It may have no body.
+    The body may be empty.
     """
-    return _life(instance, _fields(body) if body else {})
+    return _incarnation(instance, _fields(body) if body else {})
 
 
 def _fields(body):
@@ -153,12 +153,12 @@
     return fields
 
 
-def _life(instance, fields):
+def _incarnation(instance, fields):
     if not _INSTANCE.fullmatch(instance):
         raise DamagedReport("id", instance, "visible characters")
     born_ms = fields.get("born")
     if born_ms is not None:
-        born_ms = _whole(fields, "born", LATEST_START_MS)
+        born_ms = _integer(fields, "born", MAX_START_MS)
     return ServerIncarnation(instance, born_ms)
 
 
@@ -180,7 +180,7 @@
 def _text(fields, name):
     value = fields.get(name)
     if not isinstance(value, str) or not value:
-        raise DamagedReport(name, value, "a text")
+        raise DamagedReport(name, value, "a text that isn't empty")
     return value
 
 
@@ -192,14 +192,14 @@
         raise DamagedReport(name, fields.get(name), expected) from error
 
 
-def _whole(fields, name, most):
-    """Return a whole number from 0 to ``most``.
+def _integer(fields, name, maximum):
+    """Return a whole number from 0 to ``maximum``; raises `DamagedReport`.
 
-    A truth is a number to Python, and one with a fraction compares like one. A start or
-    a sequence of another type would raise with each later heartbeat, and the server be
-    silent for its node.
+    Booleans and floats are rejected, although Python accepts them as numbers. If a
+    start time or sequence number of another type were stored, comparing it with that of
+    each later heartbeat could raise, and the node would lose track of the server.
     """
     value = fields.get(name)
-    if type(value) is not int or not 0 <= value <= most:
-        raise DamagedReport(name, value, f"a whole number from 0 to {most}")
+    if type(value) is not int or not 0 <= value <= maximum:
+        raise DamagedReport(name, value, f"a whole number from 0 to {maximum}")
     return value
--- a/comfreywharf/platform/configuration.py
+++ b/comfreywharf/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: read from the store, put into the product's words."""
+"""The operator's configuration: read from the store, and made a `RouteTable`."""
 
 import gevent
 import orjson
@@ -24,22 +24,22 @@
 
 TOPIC = "keyed.op"
 KEY = "config"
-WAIT_S = 0.4
-"""How long a read waits for news. The routes' age is known by its end only, and one
-that the store never answers ends a second later."""
+READ_WAIT_S = 0.4
+"""How long a read waits for new records. The routes' age is only confirmed when the
+read ends; a read that the store never answers times out one second later."""
 
 GRANT_WAYS = {"direct": GrantWay.ORDERS, "heartbeat": GrantWay.HEARTBEATS}
 
-PAUSE_S = 0.3
-RELAYED_PAUSE_S = 0.1
-"""How often a node that hears from another one looks whether it still does."""
+ERROR_PAUSE_S = 0.3
+RELAY_CHECK_INTERVAL_S = 0.1
+"""How often a node that receives the configuration from a peer checks that it does."""
 
 
 def route_table(document):
     """Return the `RouteTable` of a configuration; raises `ValueError`.
 
     ``pathPrefix`` begins and ends with a slash. A route without ``trafficSplit``
-    has its one service under ``service``.
+    names its only service in ``service``.
     """
     try:
         fields = orjson.loads(document)
@@ -88,19 +88,20 @@
     )
 
 
-def _grant_way(service, word):
+def _grant_way(service, text):
     try:
-        return GRANT_WAYS[word]
+        return GRANT_WAYS[text]
     except KeyError as error:
         expected = " or ".join(GRANT_WAYS)
         place = f"{TOPIC}/{KEY}: services.{service}.grants"
-        raise ValueError(f"{place}: found {word!r}; expected {expected}") from error
+        raise ValueError(f"{place}: found {text!r}; expected {expected}") from error
 
 
 class ConfigurationReader:
-    """Follow the operator's record in the store; see `Routes`.
+    """Read the configuration from the store and apply it to `Routes`.
 
-    While ``relayed()`` is true another node's answers bring the configuration.
+    While ``relayed()`` is true, the node receives the configuration from a peer and
+    doesn't read the store.
     """
 
     def __init__(self, store, routes, report, relayed=lambda: False):
@@ -111,47 +112,47 @@
         self._next = None
 
     def run(self):
-        """Follow until the greenlet is killed."""
+        """Read new configurations until the greenlet is killed."""
         while True:
             if self._relayed():
-                gevent.sleep(RELAYED_PAUSE_S)
+                gevent.sleep(RELAY_CHECK_INTERVAL_S)
                 continue
             try:
                 if self._next is None:
                     self._read_newest()
                 else:
-                    self._read_on()
+                    self._read_next()
             except LogTruncated:
                 self._next = None
             except LogError as error:
                 logging.info("configuration: %s", error)
-                gevent.sleep(PAUSE_S)
+                gevent.sleep(ERROR_PAUSE_S)
 
     def _read_newest(self):
         sent_s = boottime_s()
         newest = self._store.newest(TOPIC)
         document = newest.values.get(KEY)
         if document:
-            self._use(document)
+            self._apply(document)
         self._next = newest.end
         self._routes.confirm(sent_s)
 
-    def _read_on(self):
+    def _read_next(self):
         sent_s = boottime_s()
-        found = self._store.read(TOPIC, self._next, WAIT_S)
+        found = self._store.read(TOPIC, self._next, READ_WAIT_S)
         for record in found.data:
             size = record[0] if record else 0
             if record[1 : 1 + size] == KEY.encode():
-                self._use(record[1 + size :])
+                self._apply(record[1 + size :])
         self._next += len(found.data)
         if self._next >= found.end:
-            self._routes.confirm(complete_at_s(sent_s, WAIT_S, bool(found.data)))
+            self._routes.confirm(complete_at_s(sent_s, READ_WAIT_S, bool(found.data)))
 
-    def _use(self, document):
+    def _apply(self, document):
         try:
             table = route_table(document)
         except ValueError as error:
-            # A broken record must not take the node down, nor its routes away.
+            # A broken record must neither stop the node nor remove its routes.
             self._report("bad_routes", error=str(error))
             return
         if self._routes.apply(table):
--- a/comfreywharf/platform/store.py
+++ b/comfreywharf/platform/store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, and the log of records kept in it."""
+"""The client of the platform's store, and the record log in the store."""
 
 import base64
 import struct
@@ -17,11 +17,11 @@
     LogTruncated,
 )
 
-__all__ = ["Newest", "Records", "Store", "StoreLog"]
+__all__ = ["NewestValues", "Store", "StoreLog", "TopicRecords"]
 
 CALL_TIMEOUT_S = 1.0
-"""An answer takes about 4 ms. A connection may fall silent for good, and this is
-what notices it; the next call opens another."""
+"""An answer takes about 4 ms. This timeout detects a connection that has gone silent;
+the next call opens another one."""
 
 CONNECT_TIMEOUT_S = 0.5
 CONCURRENCY = 8
@@ -33,8 +33,8 @@
 
 
 @attrs.frozen
-class Records:
-    """Records read from a topic: the end's offset, the first kept one, the data."""
+class TopicRecords:
+    """Records read from a topic, with its end offset and that of its first record."""
 
     end: int
     first: int
@@ -42,15 +42,15 @@
 
 
 @attrs.frozen
-class Newest:
-    """The newest value of each key of a topic, and the offset behind them."""
+class NewestValues:
+    """The newest value of each key of a topic, and the topic's end offset."""
 
     values: dict
     end: int
 
 
 class Store:
-    """Calls to the store; each raises `LogError` where it has no usable answer."""
+    """Calls to the store; each raises `LogError` if there is no usable answer."""
 
     def __init__(self, address):
         self.traffic = LogTraffic()
@@ -61,8 +61,8 @@
     def append(self, topic, records, position=None):
         """Append records to a topic, all or none; return the first one's offset.
 
-        With a ``position`` they are appended only if the topic ends there;
-        ``None`` is returned where it doesn't.
+        With a ``position``, they are appended only if the topic ends at this offset;
+        otherwise ``None`` is returned.
         """
         body = b"".join(_LENGTH.pack(len(data)) + data for data in records)
         target = f"/-/log-append?topic={topic}&part=0"
@@ -72,16 +72,16 @@
         if status == 412 and position is not None:
             return None
         if status != 200:
-            raise LogError(f"append: status {status}")
+            raise LogError(f"append to the store: status {status}")
         return _field(answer, "offset")
 
     def append_keyed(self, topic, key, value, position=None):
-        """Make a value the newest of a key; see `append`."""
+        """Append a value that becomes the newest of its key; see `append`."""
         name = key.encode("ascii")
         return self.append(topic, [bytes([len(name)]) + name + value], position)
 
     def read(self, topic, start, wait_s, max_kb=1024):
-        """Return `Records` from an offset on, waiting for the first one."""
+        """Return `TopicRecords` from an offset on, waiting up to ``wait_s`` for one."""
         target = (
             f"/-/log-read?topic={topic}&part=0&from={start}"
             f"&waitMs={int(wait_s * 1000)}&maxKb={max_kb}"
@@ -91,11 +91,11 @@
             first = _field(data, "firstOffset")
             raise LogTruncated(first, first)
         if status != 200:
-            raise LogError(f"read: status {status}")
+            raise LogError(f"read from the store: status {status}")
         return _records(data)
 
     def newest(self, topic):
-        """Return the `Newest` values of a topic whose name begins with ``keyed.``."""
+        """Return the `NewestValues` of a topic; its name begins with ``keyed.``."""
         values, after, end = {}, "", 0
         while True:
             target = f"/-/log-newest?topic={topic}&part=0"
@@ -103,16 +103,16 @@
                 target += f"&after={after}"
             status, data = self._call("GET", target, b"", CALL_TIMEOUT_S)
             if status != 200:
-                raise LogError(f"newest: status {status}")
-            # Pages aren't a snapshot: what came after the first page is read as
-            # records from its end on.
+                raise LogError(f"read of newest values: status {status}")
+            # The pages aren't a consistent snapshot: records appended after the
+            # first page was read are read from its end position on.
             if not after:
                 end = _field(data, "endPosition")
             for item in _field(data, "items"):
                 values[item["key"]] = base64.b64decode(item["value"])
                 after = item["key"]
             if not _field(data, "hasMore"):
-                return Newest(values, end)
+                return NewestValues(values, end)
 
     def _call(self, method, target, body, timeout_s):
         response = None
@@ -123,9 +123,11 @@
                 data = response.read()
             self.traffic.answered(data)
         except gevent.Timeout as error:
-            raise LogError(f"{method}: no answer in {timeout_s} s") from error
+            raise LogError(
+                f"{method} to the store: no answer in {timeout_s} s"
+            ) from error
         except (OSError, RuntimeError, HTTPParseError) as error:
-            raise LogError(f"{method}: {error}") from error
+            raise LogError(f"{method} to the store: {error}") from error
         finally:
             if response is not None:
                 response.release()
@@ -138,12 +140,12 @@
     try:
         return orjson.loads(data)[name]
     except (orjson.JSONDecodeError, KeyError, TypeError) as error:
-        raise LogError(f"an answer without {name!r}") from error
+        raise LogError(f"the store's answer has no field {name!r}") from error
 
 
 def _records(data):
     if len(data) < _BOUNDS.size:
-        raise LogError("a read of fewer than 16 bytes")
+        raise LogError("the store's read answer has fewer than 16 bytes")
     end, first = _BOUNDS.unpack_from(data)
     found = []
     place = _BOUNDS.size
@@ -151,17 +153,17 @@
         (size,) = _LENGTH.unpack_from(data, place)
         place += _LENGTH.size
         if place + size > len(data):
-            raise LogError("a record that is cut")
+            raise LogError("the store's read answer ends within a record")
         found.append(data[place : place + size])
         place += size
-    return Records(end, first, tuple(found))
+    return TopicRecords(end, first, tuple(found))
 
 
 class StoreLog:
-    """The log of records as the product's `LogClient`, kept in the store.
+    """A `LogClient` that keeps the record log in the store.
 
-    Records lie in one partition of a topic, so that all nodes fold them in one
-    order. Snapshots are values of a topic that keeps the newest of each key.
+    Records are in a single partition of a topic, so that all nodes fold them in the
+    same order. Snapshots are in a topic that keeps the newest value of each key.
     """
 
     keeps_newest = True
@@ -172,21 +174,21 @@
 
     @property
     def traffic(self):
-        """Return the `LogTraffic` with the store, of whatever part of the node."""
+        """Return the `LogTraffic` with the store, of all parts of the node."""
         return self._store.traffic
 
     def append(self, stream, data):
-        """Append a record, or a part of a snapshot; return its offset."""
+        """Append a record or a part of a snapshot, and return its offset."""
         if stream.endswith(SNAPSHOT_SUFFIX):
             return self._store.append_keyed(_topic(stream), "newest", data)
         return self.append_all(stream, [data])
 
     def append_all(self, stream, records):
-        """Append several records at once; return the first one's offset."""
+        """Append several records at once and return the offset of the first."""
         return self._store.append(stream, records)
 
     def read(self, stream, start, limit=200, wait_ms=0):
-        """Return a `Batch` from an offset on, waiting for the first record."""
+        """Return a `Batch` from an offset on; wait up to ``wait_ms`` for a record."""
         found = self._store.read(stream, start, wait_ms / 1000)
         return Batch(first=found.first, next=found.end, records=found.data)
 
@@ -196,7 +198,7 @@
         return newest.values.values(), newest.end
 
     def replace_newest(self, stream, data, position):
-        """Write a snapshot unless another was written since; return whether."""
+        """Write a snapshot if none was written since; return whether it was written."""
         topic = _topic(stream)
         return self._store.append_keyed(topic, "newest", data, position) is not None
 
--- a/comfreywharf/platform/tests/test_announcements.py
+++ b/comfreywharf/platform/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""Reports that another writer damaged: none of them names a server to use."""
+"""Damaged reports of backend servers are refused and change nothing."""
 
 from types import SimpleNamespace
 
@@ -18,21 +18,21 @@
 from comfreywharf.settings.model import Address
 
 
-def test_a_good_heartbeat_is_read():
-    """All that is used of it, under the product's words."""
-    said = read_heartbeat("i-1", report(state="draining"))
-    announced = said.announcement
-    assert (said.sequence, said.leaving) == (4, True)
+def test_a_valid_heartbeat_is_decoded():
+    """All fields that are used are decoded into the product's types."""
+    heartbeat = read_heartbeat("i-1", report(state="draining"))
+    announced = heartbeat.announcement
+    assert (heartbeat.sequence, heartbeat.leaving) == (4, True)
     assert (announced.host, announced.port) == ("10.0.0.9", 8080)
     assert (announced.service, announced.slots) == ("booking", 8)
     assert announced.life == ServerIncarnation("i-1", 1_000)
 
 
-def test_a_server_that_doesnt_say_when_it_began_is_read():
-    """Not each server says it."""
+def test_the_start_time_is_optional():
+    """The start time is optional."""
     fields = {name: value for name, value in GOOD.items() if name != "born"}
-    said = read_heartbeat("i-1", orjson.dumps(fields))
-    assert said.announcement.life == ServerIncarnation("i-1", None)
+    heartbeat = read_heartbeat("i-1", orjson.dumps(fields))
+    assert heartbeat.announcement.life == ServerIncarnation("i-1", None)
 
 
 DAMAGED = [
@@ -52,19 +52,20 @@
 
 
 @pytest.mark.parametrize(("name", "value"), DAMAGED)
-def test_a_damaged_field_is_told_by_its_name(name, value):
-    """Symptom: a server that doesn't exist is used, or a good one's heartbeats are
-    refused from then on.
-    Sequence: another writer's report has a field of another type, or out of bounds.
-    Cause: it was taken as it came, and compared with the next one's."""
+def test_a_damaged_field_is_reported_by_name(name, value):
+    """Guards against use of a server that doesn't exist, or against refused heartbeats.
+
+    A report has a field of a wrong type or out of bounds. If the value were stored, it
+    would be compared with that of the next heartbeat.
+    """
     with pytest.raises(DamagedReport) as caught:
         read_heartbeat("i-1", report(**{name: value}))
     assert caught.value.field == name
 
 
 @pytest.mark.parametrize("name", [name for name in GOOD if name != "born"])
-def test_a_missing_field_is_told_by_its_name(name):
-    """A report without it may lack more than that."""
+def test_a_missing_field_is_reported_by_name(name):
+    """A report without one field may lack others as well."""
     fields = {other: value for other, value in GOOD.items() if other != name}
     with pytest.raises(DamagedReport) as caught:
         read_heartbeat("i-1", orjson.dumps(fields))
@@ -84,15 +85,15 @@
         report(zone="x" * 20_000)[: 16 * 1024],
     ],
 )
-def test_bytes_that_cant_be_read_name_no_server(body):
-    """Cut, empty, in another encoding, nested too deep, or too long."""
+def test_undecodable_bytes_are_refused(body):
+    """The bytes are cut, empty, badly encoded, nested too deep, or too long."""
     with pytest.raises(DamagedReport):
         read_heartbeat("i-1", body)
 
 
 @pytest.mark.parametrize("instance", ["", "i 1", "i\r\nX: 1", "i\x00", "ï", "i" * 129])
-def test_an_id_that_no_header_could_carry_is_refused(instance):
-    """A server's id goes into a header of each request to it."""
+def test_an_id_that_is_invalid_in_a_header_is_refused(instance):
+    """The server's id is sent in a header of each request to it."""
     with pytest.raises(DamagedReport):
         read_heartbeat(instance, report())
     with pytest.raises(DamagedReport):
@@ -104,25 +105,26 @@
 @example(report(address=8080))
 @example(report(address="10.0.0.9:8_0"))
 @example(report(sequence=2**63))
-def test_whatever_is_said_is_read_whole_or_refused(body):
-    """No other error, and nothing of it that isn't in bounds."""
+def test_any_report_is_decoded_within_bounds_or_refused(body):
+    """No other error is raised, and all decoded values are within bounds."""
     try:
-        said = read_heartbeat("i-1", body)
+        heartbeat = read_heartbeat("i-1", body)
     except DamagedReport:
         return
-    announced = said.announcement
+    announced = heartbeat.announcement
     assert 0 < announced.port < 65536
     assert announced.slots > 0
-    assert type(said.sequence) is int
+    assert type(heartbeat.sequence) is int
     assert type(announced.born_ms) in (int, type(None))
     assert announced.service and isinstance(announced.service, str)
 
 
 def make_port():
-    """Return a port for heartbeats, what it told of life, and its events."""
-    told, events = [], []
+    """Return a heartbeat port, the calls to its lifecycle, and its events."""
+    received, events = [], []
     life = SimpleNamespace(
-        heard=lambda *said: told.append(said), leaves=lambda life: told.append(life)
+        heard=lambda *call: received.append(call),
+        leaves=lambda incarnation: received.append(incarnation),
     )
     table = RouteTable(
         version=1,
@@ -132,7 +134,11 @@
         routes=SimpleNamespace(table=table),
         report=lambda name, /, **fields: events.append((name, fields["field"])),
     )
-    return HeartbeatPort(node, life, Address("127.0.0.1", 0), "booking"), told, events
+    return (
+        HeartbeatPort(node, life, Address("127.0.0.1", 0), "booking"),
+        received,
+        events,
+    )
 
 
 def post(port, body, call="heartbeat"):
@@ -147,38 +153,40 @@
     return answers[0]
 
 
-def test_a_damaged_report_changes_nothing_and_is_told():
-    """Symptom: a living server is lost, or nobody knows why it is silent.
-    Sequence: a damaged report comes between two good ones.
-    Cause: its error ended the answer without a word."""
-    port, told, events = make_port()
+def test_a_damaged_report_changes_nothing_and_is_reported():
+    """Guards against a live server that is lost, or is silent without any event.
+
+    A damaged report arrives between two valid ones. Its error has to be answered and
+    reported as an event.
+    """
+    port, received, events = make_port()
     assert post(port, report()) == 200
     assert post(port, report(address=8080)) == 400
     assert post(port, b"{", call="deregister") == 400
     assert post(port, report(sequence=5)) == 200
-    assert [said[1] for said in told] == [4, 5]
+    assert [call[1] for call in received] == [4, 5]
     assert events == [("damaged_report", "address"), ("damaged_report", "body")]
 
 
-def test_a_service_that_nobody_named_has_no_servers():
-    """Its own service and those of the configuration are known; no other is."""
-    port, told, events = make_port()
+def test_a_heartbeat_of_an_unknown_service_is_refused():
+    """A heartbeat may name the node's own service or a configured one."""
+    port, received, events = make_port()
     assert post(port, report(service="stock")) == 200
     assert post(port, report(service="nobody")) == 400
-    assert len(told) == 1
+    assert len(received) == 1
     assert events == [("damaged_report", "service")]
 
 
-def test_a_writer_that_ends_in_the_middle_is_no_error_of_the_node():
-    """Its connection ends before the body does."""
-    port, told, _ = make_port()
+def test_a_report_that_its_sender_cuts_off_is_refused():
+    """The connection closes before the end of the body."""
+    port, received, _ = make_port()
 
     class Cut:
         def __getitem__(self, part):
             raise OSError("unexpected end")
 
     assert post(port, Cut()) == 400
-    assert told == []
+    assert received == []
 
 
 DAMAGED_RANGES = [
@@ -200,20 +208,24 @@
 
 
 @pytest.mark.parametrize(("name", "value", "place"), DAMAGED_RANGES)
-def test_a_damaged_range_is_told_by_its_place(name, value, place):
-    """Symptom: a node releases keys that nobody released, or grants under a fence that
-    no server may have.
-    Events: a report's lists have rows of another shape, out of range or without end."""
+def test_a_damaged_range_is_reported_by_position(name, value, place):
+    """Guards against releases that didn't happen, and grants with an invalid fence.
+
+    The lists of a report have rows of another shape, out of bounds, or too many rows.
+    """
     with pytest.raises(DamagedReport) as caught:
         read_heartbeat("i-1", report(**{name: value}))
     assert caught.value.field == place
     assert len(str(caught.value)) < 300
 
 
-def test_what_a_server_holds_is_read():
-    """Rows overlap while it works on under an earlier grant; both count."""
+def test_overlapping_held_ranges_are_decoded():
+    """Ranges overlap while work under an earlier grant goes on; both count."""
     rows = [[0, 99, 4], [0, 49, 6]]
-    said = read_heartbeat("i-1", report(holds=rows, released=[[100, 199, "5c0e"]]))
-    assert [(h.first, h.last, h.fence) for h in said.held] == [(0, 99, 4), (0, 49, 6)]
-    assert said.released[0].handover == "5c0e"
+    heartbeat = read_heartbeat("i-1", report(holds=rows, released=[[100, 199, "5c0e"]]))
+    assert [(h.first, h.last, h.fence) for h in heartbeat.held] == [
+        (0, 99, 4),
+        (0, 49, 6),
+    ]
+    assert heartbeat.released[0].handover == "5c0e"
     assert read_heartbeat("i-1", report()).held is None
--- a/comfreywharf/platform/tests/test_uploads.py
+++ b/comfreywharf/platform/tests/test_uploads.py
@@ -1,4 +1,4 @@
-"""Bodies of uploads cross the link to their owner's node only once they are wanted."""
+"""Bodies of uploads are sent to their owner's node only once they are wanted."""
 
 from unittest import mock
 
@@ -11,13 +11,13 @@
 
 BODY = b"x" * 60_000
 UPLOADS = 60
-AHEAD_BYTES = MAX_COLLECTED_BODIES * len(BODY)
+MAX_COLLECTED_BYTES = MAX_COLLECTED_BODIES * len(BODY)
 HEAD_BYTES = 2_000
-"""What the messages on one request may take beside its body."""
+"""How many bytes the messages of one request may take in addition to its body."""
 
 
 def sent_between_nodes():
-    """Return a patch that counts the bytes that nodes send to each other."""
+    """Return a patch, and a counter of the bytes that nodes send to each other."""
     write = SocketTransport.write
     counter = mock.Mock(size_bytes=0)
 
@@ -30,18 +30,18 @@
 
 
 def upload(deployment, name, **headers):
-    return deployment.ask(
+    return deployment.send_request(
         name, "/stock/1", key=None, method="POST", body=BODY, **headers
     )
 
 
-def begin_long_uploads(deployment, count):
-    """Begin uploads that end when their callers leave, or when the server goes on."""
+def start_long_uploads(deployment, count):
+    """Start uploads that end when their callers leave or the server goes on."""
     deployment.servers["n3"].goes_on.clear()
     deployment.allow_long_requests()
-    begun = spawn_uploads(deployment, count)
+    started = spawn_uploads(deployment, count)
     wait_for(lambda: len(deployment.ledger) == count)
-    return begun
+    return started
 
 
 def spawn_uploads(deployment, count, deadline_ms=LONG_MS):
@@ -50,50 +50,52 @@
 
 
 def test_the_body_of_a_refused_upload_is_not_sent_to_its_owners_node(deployment):
-    """Guards against a link full of bodies that admission refuses."""
+    """Guards against a link that is filled with bodies that admission refuses."""
     server = deployment.servers["n3"]
     server.work_s = 0.4
-    # Its node knows from them how long an upload takes.
+    # From these, its node estimates how long an upload takes.
     gevent.joinall([gevent.spawn(upload, deployment, "n0") for _ in range(8)])
     deployment.ledger.clear()
-    running = begin_long_uploads(deployment, 8)
+    running = start_long_uploads(deployment, 8)
     patch, counter = sent_between_nodes()
     with patch:
         tries = spawn_uploads(deployment, UPLOADS, deadline_ms=300)
         gevent.joinall(tries)
     gevent.killall(running)
     assert len(deployment.ledger) == len(running)
-    assert counter.size_bytes <= AHEAD_BYTES + UPLOADS * HEAD_BYTES
+    assert counter.size_bytes <= MAX_COLLECTED_BYTES + UPLOADS * HEAD_BYTES
 
 
 def test_an_upload_arrives_whole(deployment):
-    """Guards against a body that is lost or cut where it follows its request."""
+    """Guards against a body that is lost or truncated when sent after its request."""
     body = bytes(range(256)) * 400
-    answer = deployment.ask("n0", "/stock/1", key=None, method="POST", body=body)
+    answer = deployment.send_request(
+        "n0", "/stock/1", key=None, method="POST", body=body
+    )
     assert answer.status == 200
     assert answer.body.endswith(body)
 
 
 def test_few_bodies_are_sent_for_callers_who_leave_while_they_wait(deployment):
-    """Guards against a link full of bodies of callers who have gone."""
+    """Guards against a link that is filled with bodies of callers that are gone."""
     owner = deployment.nodes["n3"]
-    first = begin_long_uploads(deployment, 8)
+    first = start_long_uploads(deployment, 8)
     patch, counter = sent_between_nodes()
     with patch:
         left = spawn_uploads(deployment, 16)
         wait_for(lambda: owner.load.waiting() == len(left))
-        # One look round then finds all of them gone.
+        # A single check of the callers then finds all of them gone.
         gevent.sleep(2 * WATCH_INTERVAL_S)
         gevent.killall(left)
         wait_for(lambda: not owner.load.waiting())
     gevent.killall(first)
-    assert counter.size_bytes <= AHEAD_BYTES + len(left) * HEAD_BYTES
+    assert counter.size_bytes <= MAX_COLLECTED_BYTES + len(left) * HEAD_BYTES
 
 
-def test_an_upload_that_waits_for_a_leaving_server_is_not_begun(deployment):
-    """Guards against work that reaches a server after its leaving is in force."""
+def test_an_upload_that_waits_for_a_leaving_server_is_not_started(deployment):
+    """Guards against work that reaches a server after it has left."""
     server, owner = deployment.servers["n3"], deployment.nodes["n3"]
-    running = begin_long_uploads(deployment, 8)
+    running = start_long_uploads(deployment, 8)
     waiting = spawn_uploads(deployment, 8)
     wait_for(lambda: owner.load.waiting() == len(waiting))
     owner.close_to_new_work()
--- a/comfreywharf/settings/reader.py
+++ b/comfreywharf/settings/reader.py
@@ -9,8 +9,8 @@
     AddressKind,
     HostKind,
     IntegerKind,
+    NameKind,
     PortKind,
-    WordKind,
 )
 from comfreywharf.settings.model import Address, NodeSettings
 from comfreywharf.settings.schema import Key, check_names, read_keys
@@ -23,19 +23,19 @@
 
 SECTIONS = {
     "node": (
-        Key("id", WordKind(), required=True),
+        Key("id", NameKind(), required=True),
         Key("host", HostKind(), required=True),
         Key("caller_port", PortKind(), required=True),
         Key("peer_port", PortKind(), required=True),
         Key("operator_port", PortKind(), required=True),
         Key("backend_port", PortKind(), required=True),
-        Key("failure_domain", WordKind(), required=True),
-        Key("region", WordKind(), required=True),
+        Key("failure_domain", NameKind(), required=True),
+        Key("region", NameKind(), required=True),
         Key("advertised_peer_port", PortKind()),
     ),
     "log": (
         Key("address", AddressKind(), required=True),
-        Key("stream", WordKind()),
+        Key("stream", NameKind()),
     ),
     "cluster": (
         Key("seeds", AddressesKind()),
@@ -51,9 +51,9 @@
 def read_settings(path) -> Result[NodeSettings, list[Finding]]:
     """Return ``Success(NodeSettings)`` or ``Failure`` with every finding.
 
-    The findings are ordered by line. A file that has any isn't used in part: a
-    node that started with a default in place of a mistyped key would run, with
-    a lease or a port that nobody meant.
+    The findings are ordered by line. A file with findings isn't used in part: a
+    node that used a default in place of a mistyped key would run with a lease or
+    a port that its operator didn't intend.
     """
     document = read_document(path)
     if document.sections or not document.findings:
@@ -75,22 +75,24 @@
 
 
 def _check_ports(document, values):
-    """Find ports used twice, which otherwise fail one by one at the start."""
+    """Add findings for ports used twice, which would fail one by one at the start."""
     used = {}
     for name in _PORTS:
         port = values.get(name)
         if port is None:
             continue
         if port in used:
-            document.find(f"a port that {used[port]} has not", str(port), "node", name)
+            document.add_finding(
+                f"a port that {used[port]} has not", str(port), "node", name
+            )
         used.setdefault(port, name)
 
 
 def _check_seeds(document, values):
-    """Find a node that names only itself: it would never meet another one."""
+    """Add a finding if the only seed is the node itself: it would find no peers."""
     own = Address(values.get("host"), values.get("peer_port"))
     if values.get("seeds") == (own,):
-        document.find(
+        document.add_finding(
             "peer addresses of other nodes",
             AddressKind().write(own),
             "cluster",
--- a/comfreywharf/settings/schema.py
+++ b/comfreywharf/settings/schema.py
@@ -1,4 +1,4 @@
-"""What a section may hold, and the check of a document against it."""
+"""The keys that a section may have, and the check of a document against them."""
 
 import attrs
 
@@ -18,17 +18,17 @@
 
 
 def check_names(document, known):
-    """Add a finding for each section whose name isn't known."""
+    """Add a finding for each section with an unknown name."""
     for name in document.sections:
         if name not in known:
             listed = ", ".join(f"[{other}]" for other in known)
-            document.find(
+            document.add_finding(
                 f"one of {listed}{suggest(name, known)}", f"[{name}]", section=name
             )
 
 
 def read_keys(document, section, keys):
-    """Return the right values of a section by key; the rest becomes findings."""
+    """Return the valid values of a section by key; the others add findings."""
     entries = {}
     if section in document.sections:
         entries = document.sections[section].entries
@@ -36,16 +36,16 @@
     for name in entries:
         if name not in names:
             expected = f"one of {', '.join(names)}{suggest(name, names)}"
-            document.find(expected, name, section, name)
+            document.add_finding(expected, name, section, name)
     values = {}
     for key in keys:
         entry = entries.get(key.name)
         if entry is None:
             if key.required:
-                document.find(key.kind.expected, None, section, key.name)
+                document.add_finding(key.kind.expected, None, section, key.name)
             continue
         try:
             values[key.name] = key.kind.read(entry.value)
         except ValueError:
-            document.find(key.kind.expected, entry.value, section, key.name)
+            document.add_finding(key.kind.expected, entry.value, section, key.name)
     return values
--- a/comfreywharf/transport/clients.py
+++ b/comfreywharf/transport/clients.py
@@ -1,11 +1,11 @@
-"""Calls to other nodes, each over a connection that it has to itself."""
+"""Calls to other nodes, each with exclusive use of a connection."""
 
 import gevent
 from gevent import socket
 from thrift.Thrift import TException
 
 from comfreywharf.transport.gen import Node
-from comfreywharf.transport.sockets import is_quiet, protocol_over
+from comfreywharf.transport.sockets import is_open_and_idle, protocol_over
 from comfreywharf.transport.stamps import NoStamps
 
 __all__ = ["CallError", "PeerClient"]
@@ -15,14 +15,14 @@
 
 
 class CallError(Exception):
-    """A call that has no answer.
+    """A call without an answer.
 
-    ``sent`` is false only where no byte of the call can have left: the callee
-    then can't have run it.
+    ``sent`` is false only if no byte of the call can have been sent, so that the
+    callee can't have run it.
     """
 
-    def __init__(self, what, sent):
-        super().__init__(what)
+    def __init__(self, message, sent):
+        super().__init__(message)
         self.sent = sent
 
 
@@ -41,8 +41,8 @@
         self._protocol.expected_seqid = self._seqid
         return getattr(self._client, method)(*arguments)
 
-    def is_quiet(self):
-        return is_quiet(self._sock)
+    def is_open_and_idle(self):
+        return is_open_and_idle(self._sock)
 
     def close(self):
         self._protocol.trans.close()
@@ -51,8 +51,8 @@
 class PeerClient:
     """A pool of connections to one node.
 
-    ``call`` either returns the answer or raises `CallError`. It never sends
-    twice: whether a request may be tried again is decided by `routing`.
+    ``call`` either returns the answer or raises `CallError`. It never sends a
+    call twice: `comfreywharf.routing` decides whether a request may be retried.
     """
 
     def __init__(self, host, port, stamps=None):
@@ -69,17 +69,17 @@
         connection = None
         try:
             with gevent.Timeout(timeout_s):
-                connection = self._take()
+                connection = self._borrow()
                 sent = True
                 answer = connection.call(method, arguments)
         except (OSError, TException, EOFError, gevent.Timeout) as error:
-            # The answer may still come. The next call on this connection would
-            # read it as its own; closing it is what makes that impossible.
-            self._retire(connection)
-            what = f"{method} to {self.host}:{self.port}: {error or 'timeout'}"
-            raise CallError(what, sent) from error
+            # The answer may still arrive, and the next call on this connection
+            # would read it as its own. Closing the connection prevents that.
+            self._discard(connection)
+            message = f"{method} to {self.host}:{self.port}: {error or 'timeout'}"
+            raise CallError(message, sent) from error
         except BaseException:
-            self._retire(connection)
+            self._discard(connection)
             raise
         self._give_back(connection)
         self._stamps.read_from(answer, f"{self.host}:{self.port}")
@@ -90,12 +90,12 @@
         while self._idle:
             self._idle.pop().close()
 
-    def _take(self):
-        # A node that restarted has closed all of them. A call on one is lost
-        # without an answer, and its caller is told that it may have run.
+    def _borrow(self):
+        # A node that restarted has closed all connections. A call on one of them
+        # would end without an answer, as one that may have been run.
         while self._idle:
             connection = self._idle.pop()
-            if connection.is_quiet():
+            if connection.is_open_and_idle():
                 return connection
             connection.close()
         return self._connect()
@@ -107,7 +107,7 @@
         sock.settimeout(None)
         return _Connection(sock)
 
-    def _retire(self, connection):
+    def _discard(self, connection):
         if connection is not None:
             connection.close()
 
--- a/comfreywharf/transport/tests/test_stamps.py
+++ b/comfreywharf/transport/tests/test_stamps.py
@@ -1,11 +1,11 @@
-"""Messages between nodes carry event clocks, whatever the callers filled in."""
+"""Messages between nodes carry event clocks, whatever values the callers set."""
 
 from comfreywharf.events import EventClock
 from comfreywharf.transport import PeerClient, PeerServer, Stamps
 from comfreywharf.transport.gen.ttypes import GrantReply, RenewRequest
 
 
-class ClockAt(Stamps):
+class FixedClock(Stamps):
     """An event clock on a machine whose wall clock stands still."""
 
     def __init__(self, now_ms):
@@ -22,7 +22,7 @@
 
 
 class Witness:
-    """A handler that fills in no clock, as callers do."""
+    """A handler that sets no event clock, as callers do."""
 
     def renew(self, request):
         return GrantReply(
@@ -50,14 +50,13 @@
         server.stop()
 
 
-def test_what_follows_a_call_comes_after_it():
-    """An event after a call is ordered after what the caller did before it.
+def test_events_after_a_call_are_ordered_after_it():
+    """Guards against a timeline with a grant before the renewal that requested it.
 
-    Symptom: the time line shows a grant before the renewal that asked for it.
-    Sequence: a node calls a witness whose wall clock is four seconds behind.
-    Cause: the events were ordered by wall clocks.
+    A node calls a witness whose wall clock is four seconds behind. Wall clocks would
+    put the witness's events first.
     """
-    caller, callee = ClockAt(now_ms=104_000), ClockAt(now_ms=100_000)
+    caller, callee = FixedClock(now_ms=104_000), FixedClock(now_ms=100_000)
     before = caller.stamp()
     renew_over_tcp(caller, callee)
     granted = callee.stamp()
@@ -68,14 +67,13 @@
     assert caller.refused == callee.refused == []
 
 
-def test_a_clock_far_ahead_drags_nobody():
-    """A machine with a clock in the future is named and not followed.
+def test_a_clock_far_ahead_is_reported_and_not_merged():
+    """Guards against events of all nodes that are dated an hour ahead.
 
-    Symptom: all events of the deployment are dated an hour ahead.
-    Sequence: one machine's clock jumps an hour; its next call carries the time.
-    Cause: a received time was taken whatever it was.
+    One machine's clock jumps an hour, and its next call carries the time. Such a time
+    has to be reported and not merged.
     """
-    jumped, sound = ClockAt(now_ms=3_700_000), ClockAt(now_ms=100_000)
+    jumped, sound = FixedClock(now_ms=3_700_000), FixedClock(now_ms=100_000)
     renew_over_tcp(jumped, sound)
     assert sound.refused == ["booking-1"]
     assert EventClock.milliseconds(sound.stamp()) == 100_000
--- a/comfreywharf/transport/transits.py
+++ b/comfreywharf/transport/transits.py
@@ -1,9 +1,10 @@
-"""How long a message of a peer was on its way, though two machines share no clock.
+"""Estimate the queueing delay of a peer's messages without synchronised clocks.
 
-The difference between the receiver's clock and the time that the sender put into the
-message has two parts: how far the clocks are apart, which stays, and how long the way
-was. The least difference seen lately stands for a way without a queue; what a message
-has above it, it spent in queues. Source: RFC 6817 (LEDBAT), section 3.
+The difference between the receiver's clock and the sender's time in the message is the
+sum of the offset between the two clocks, which is constant, and the transit time. The
+smallest difference of the last seconds stands for a message that waited in no queue;
+the excess of another message over it is that message's queueing delay. Source: RFC 6817
+(LEDBAT), section 3.
 """
 
 import attrs
@@ -11,16 +12,17 @@
 __all__ = ["TransitTimes"]
 
 WINDOW_S = 10.0
-"""How long a least difference counts at least. Clocks that drift apart by 5 in 1,000
-are 50 ms off by then."""
+"""For how long a smallest difference is used, at the minimum. Clocks that drift by 5
+in 1,000 are off by 50 ms after this time."""
 
-LONGEST_S = 8.0
-"""A longer way means another clock: a machine that was replaced under its name."""
+MAX_QUEUED_S = 8.0
+"""A longer delay means that the clock is another one: the machine was replaced by one
+of the same name."""
 
 
 @attrs.define
 class TransitTimes:
-    """The ways of one peer's messages.
+    """The transit times of one peer's messages.
 
     >>> times = TransitTimes()
     >>> times.queued_s(sent_s=100.0, now_s=5.0)
@@ -29,24 +31,26 @@
     1.5
     """
 
-    _least_s: float = float("inf")
-    _least_before_s: float = float("inf")
-    _began_s: float = float("-inf")
+    _min_difference_s: float = float("inf")
+    _previous_min_difference_s: float = float("inf")
+    _window_start_s: float = float("-inf")
 
     def queued_s(self, sent_s, now_s):
-        """Return how much longer a message took than the fastest one lately."""
+        """Return how much longer a message took than the fastest recent one."""
         difference_s = now_s - sent_s
-        if now_s - self._began_s > WINDOW_S:
-            self._begin(now_s, self._least_s)
-        self._least_s = min(self._least_s, difference_s)
-        queued_s = difference_s - min(self._least_s, self._least_before_s)
-        if queued_s > LONGEST_S:
-            self._begin(now_s, float("inf"))
-            self._least_s = difference_s
+        if now_s - self._window_start_s > WINDOW_S:
+            self._start_window(now_s, self._min_difference_s)
+        self._min_difference_s = min(self._min_difference_s, difference_s)
+        queued_s = difference_s - min(
+            self._min_difference_s, self._previous_min_difference_s
+        )
+        if queued_s > MAX_QUEUED_S:
+            self._start_window(now_s, float("inf"))
+            self._min_difference_s = difference_s
             return 0.0
         return queued_s
 
-    def _begin(self, now_s, least_before_s):
-        self._began_s = now_s
-        self._least_before_s = least_before_s
-        self._least_s = float("inf")
+    def _start_window(self, now_s, previous_min_difference_s):
+        self._window_start_s = now_s
+        self._previous_min_difference_s = previous_min_difference_s
+        self._min_difference_s = float("inf")
