--- a/comfreywharf/daemon/servers/__init__.py
+++ b/comfreywharf/daemon/servers/__init__.py
@@ -1,5 +1,5 @@
-"""The backend server beside the node: its announcement, its life, its leaving.
+"""The backend server beside the node: announcement, connections, lifecycle, drain.
 
-The others use `Backend`, `Announcement` and `BackendLife`, and `tell_draining`, which
-has the log say that a server leaves.
+Other packages use `Backend`, `Announcement` and `BackendLife`, and `tell_draining`,
+which records in the log that the backend server leaves or takes work again.
 """
--- a/comfreywharf/daemon/servers/backend.py
+++ b/comfreywharf/daemon/servers/backend.py
@@ -1,4 +1,4 @@
-"""The backend server beside this node: its announcement and its connections."""
+"""HTTP client of the backend server beside this node, and its announcement."""
 
 from functools import partial
 
@@ -23,7 +23,12 @@
 
 @attrs.frozen(kw_only=True)
 class Announcement:
-    """What a backend server says of itself."""
+    """What a backend server reports about itself.
+
+    ``slots`` is how many requests it runs at once, ``connections`` how many
+    connections it accepts. ``instance`` is the id of the running instance and
+    ``born_ms`` its start time in milliseconds since the epoch, if it reports one.
+    """
 
     name: str
     service: str
@@ -37,16 +42,16 @@
 
     @property
     def life(self):
-        """Return the life of the server that says it."""
+        """Return the incarnation of the server that sent the announcement."""
         return ServerIncarnation(self.instance, self.born_ms)
 
 
 @attrs.frozen(kw_only=True)
 class CancelReply:
-    """What a backend server says to a cancellation.
+    """A backend server's reply to a cancellation.
 
-    ``confirmed``: the request takes no effect from now on. ``not_run``: it took
-    none before either.
+    ``confirmed``: the request has no effect from now on. ``not_run``: it had no
+    effect before the cancellation either.
     """
 
     confirmed: bool = False
@@ -58,7 +63,7 @@
 
 
 class BackendError(Exception):
-    """A request without a whole answer; ``reason`` says what is known of it."""
+    """A request that got no complete answer; ``reason`` is the `Reason` for it."""
 
     def __init__(self, reason, what):
         super().__init__(what)
@@ -66,13 +71,13 @@
 
 
 class Backend:
-    """HTTP to the backend server, within its limit of connections."""
+    """An HTTP client of the backend server that keeps to its connection limit."""
 
     def __init__(self, announcement):
         self.announcement = announcement
         self._client = self._make_client(announcement.connections)
-        # Cancellations have connections of their own: when all others wait for
-        # a frozen server, a cancellation mustn't stand in line behind them.
+        # Cancellations use a separate pool: when all connections wait for a frozen
+        # server, a cancellation must not queue behind them.
         self._cancel_client = self._make_client(CANCEL_CONNECTIONS)
 
     def _make_client(self, connections):
@@ -84,10 +89,10 @@
         )
 
     def exchange(self, request, header_lines, body, running):
-        """Return the response, its headers read, or raise `BackendError`.
+        """Send a request and return the response, with its headers already read.
 
-        The reason of the error tells whether the server may have run the
-        request: nothing was sent while no connection was had.
+        Raises `BackendError`. Its reason tells whether the server may have run the
+        request: without a connection, nothing was sent.
         """
         timeout = gevent.Timeout.start_new(running.deadline_s - boottime_s())
         try:
@@ -132,12 +137,18 @@
             raise
 
     def _read_answer(self, response, request):
-        """Return the response with its head read; see the platform's backend."""
+        """Read the response's head and return the response.
+
+        The platform's backend overrides this.
+        """
         response.read_head()
         return response
 
     def cancel(self, attempt_id, request_id):
-        """Ask the server to drop a request; return a `CancelReply`."""
+        """Ask the server to cancel a request; return a `CancelReply`.
+
+        A failed cancellation is returned as unconfirmed; no error is raised.
+        """
         message = orjson.dumps({"request_id": request_id, "attempt": attempt_id})
         response = None
         try:
@@ -148,9 +159,9 @@
                 )
                 response.read_head()
                 document = orjson.loads(response.read(CANCEL_REPLY_BYTES))
-            # A server that was restarted at the same port knows nothing of what
-            # the process before it ran. Its "not run" would have the request run
-            # again, and one would see a booking twice under one request id.
+            # A server that was restarted at the same port doesn't know what the
+            # previous process ran. If its "not run" were trusted, the request would
+            # be run again, and a booking could be made twice under one request id.
             if not self.announcement.life.has_id(document.get("instance")):
                 return CancelReply()
             return CancelReply(
@@ -171,7 +182,7 @@
             _release(response)
 
     def grant(self, message):
-        """Send the fenced grants; return whether the server took them."""
+        """Send the fenced grants; return whether the server accepted them."""
         response = None
         try:
             with gevent.Timeout(GRANT_TIMEOUT_S):
@@ -190,11 +201,14 @@
 
     @property
     def awaits_answer(self):
-        """Return whether an answer of the server is awaited on an open connection."""
+        """Return whether an answer is pending on a connection that is still open."""
         return self._client.awaits_answer or self._cancel_client.awaits_answer
 
     def refuses(self):
-        """Return whether nothing listens at the backend server's port."""
+        """Return whether the backend server's port refuses connections.
+
+        A timeout or another error doesn't count as a refusal.
+        """
         address = (self.announcement.host, self.announcement.port)
         try:
             socket.create_connection(address, timeout=CONNECT_TIMEOUT_S).close()
--- a/comfreywharf/daemon/servers/backend_life.py
+++ b/comfreywharf/daemon/servers/backend_life.py
@@ -1,4 +1,4 @@
-"""The backend server's life as its heartbeats tell it: begins, lives, leaves."""
+"""Track the backend server's lifecycle from its heartbeats: start, leave, loss."""
 
 import gevent
 
@@ -9,16 +9,17 @@
 __all__ = ["BackendLife"]
 
 DRAIN_MARGIN_S = 0.6
-"""How long before the bound new work ends: what was admitted in the last moment
-still has to reach the server."""
+"""How long before the end of ``drain_s`` the server gets its last new request. A
+request that was admitted just before still has to reach the server."""
 
 RETRY_S = 0.2
 
 
 class BackendLife:
-    """Give the node what heartbeats say, in order and of the living instance.
+    """Pass reports of the current incarnation to the node, in order.
 
-    ``drain_s`` is how long after its word a leaving server may get new work.
+    ``drain_s`` is how long after its report that it leaves a server may get new
+    requests.
     """
 
     def __init__(self, node, drain_s):
@@ -29,10 +30,11 @@
         self._verifying = set()
 
     def heard(self, announcement, sequence, leaving):
-        """Take a heartbeat; return whether the living life in use sent it.
+        """Process a heartbeat; return whether it is current and its sender is in use.
 
-        A report of a former life, or one that was overtaken, says nothing of what the
-        living one holds, and its answer mustn't grant anything.
+        A report of an earlier incarnation, or one that a newer report has overtaken,
+        doesn't tell what the current incarnation holds. Its answer must not grant
+        anything.
         """
         life = announcement.life
         word = self._instances.receive_heartbeat(life, sequence, leaving, boottime_s())
@@ -44,7 +46,8 @@
         elif word is HeartbeatKind.RIVAL and self._instances.current.started_before(
             life
         ):
-            # Nobody need be asked: it began after the living one, under its id.
+            # No verification is needed: it started after the current incarnation,
+            # under the same id.
             self._instances.set_current(life, sequence, boottime_s())
             self._begin(announcement)
             if leaving:
@@ -62,12 +65,12 @@
         return speaks and self._node.backend is not None
 
     def leaves(self, life):
-        """Take the word of a server that it leaves, or has left."""
+        """Process a deregistration: the server leaves, or has left."""
         if self._instances.leave(life) is HeartbeatKind.LEAVES:
             self._leave()
 
     def lost(self):
-        """Take note that nothing answers at the server's address any more."""
+        """Record that the current incarnation has ended."""
         self._instances.end()
 
     def _begin(self, announcement):
@@ -76,10 +79,10 @@
         gevent.spawn(self._return)
 
     def _verify(self, announcement, sequence):
-        """Ask who is there before a life takes another one's place.
+        """Query the instance id at the server's address before replacing another one.
 
-        A life that shares its id with the living one answers like that one; its later
-        start is what tells them apart.
+        Incarnations with the same id give the same answer; only the start time
+        distinguishes them.
         """
         life = announcement.life
         if life in self._verifying:
@@ -94,7 +97,7 @@
                 self._instances.set_current(life, sequence, boottime_s())
                 self._begin(announcement)
             elif self._node.backend is None and not self._instances.leaving:
-                # It was given up since its port refused, and it is there after all.
+                # It was given up because its port refused, but it is still running.
                 self._node.backend_announced(self._announced)
         elif found and self._instances.current == life:
             self._node.backend_lost("another instance answers")
@@ -104,10 +107,10 @@
         gevent.spawn(self._drain, self._instances.current)
 
     def _drain(self, life):
-        """Have the log say that the server leaves; end its work in time anyway.
+        """Record in the log that the server leaves, and stop new work in time.
 
-        Whether the log can be reached or not, the promise to the server holds:
-        after the bound this node gives it nothing more.
+        The bound for the server holds whether or not the log is reachable: this node
+        sends it no new request after ``drain_s``.
         """
         gevent.spawn(self._tell_leaving, life)
         gevent.sleep(self._drain_s - DRAIN_MARGIN_S)
@@ -121,7 +124,7 @@
             gevent.sleep(RETRY_S)
 
     def _return(self):
-        """Have the log say that a new server takes work where one had left."""
+        """Record in the log that a new server takes work after one that left."""
         me = self._node.settings.node_id
         while self._instances.current and not self._instances.leaving:
             member = self._node.follower.state.members.get(me)
--- a/comfreywharf/daemon/servers/draining.py
+++ b/comfreywharf/daemon/servers/draining.py
@@ -1,4 +1,4 @@
-"""Have the log say that this node's backend server leaves, or takes work again."""
+"""Record in the log that this node drains, or that its drain ends."""
 
 from absl import logging
 
@@ -11,7 +11,10 @@
 
 
 def tell_draining(node, draining):
-    """Append the record; return whether the log accepted it within a second."""
+    """Append a `DrainChanged` record; return whether the log accepted it.
+
+    The append times out after `APPEND_TIMEOUT_S`.
+    """
     node_id = node.settings.node_id
     record = DrainChanged(
         record_id=new_record_id(), node_id=node_id, draining=draining, author=node_id
