--- a/comfreywharf/daemon/operating/__init__.py
+++ b/comfreywharf/daemon/operating/__init__.py
@@ -1,5 +1,5 @@
-"""What operators and on-call engineers see: pages, events, lines and metrics.
+"""The interfaces for operators: HTTP pages, events, request log lines and metrics.
 
-The others use `OperatorPort`, `Reporter`, `Decisions` and `Meter`; `JsonPort` is what
-pages for programs are served by.
+Other packages use `OperatorPort`, `Reporter`, `Decisions` and `Meter`; `JsonPort`
+serves any HTTP interface with JSON documents.
 """
--- a/comfreywharf/daemon/operating/assignments.py
+++ b/comfreywharf/daemon/operating/assignments.py
@@ -1,4 +1,4 @@
-"""Why each slice is where it is: the last record that put it there."""
+"""The reason for each slice's owner: the last record that assigned it."""
 
 import attrs
 
@@ -20,17 +20,17 @@
 
 
 class AssignmentReasons:
-    """Remember, for each slice, the record that gave it its owner.
+    """Remember, for each slice, the record that assigned it to its owner.
 
-    It listens to the fold. A slice that was last changed before this node
-    began to read has no reason here, and that is what is said.
+    Each folded record is passed to this object. For a slice that was last changed
+    before this node began to read the log, no reason is known, and the text says so.
     """
 
     def __init__(self):
         self._reasons = {}
 
     def note(self, record, result, offset):
-        """Take a folded record into account."""
+        """Record a folded record as the reason for the slices that it changed."""
         if not result.accepted or isinstance(record, MoveCompleted):
             return
         text = _describe(record)
--- a/comfreywharf/daemon/operating/decisions.py
+++ b/comfreywharf/daemon/operating/decisions.py
@@ -1,4 +1,4 @@
-"""What the request path tells the `DecisionLog`, with the node's beliefs."""
+"""Log decisions on single requests, each with the state that it was based on."""
 
 import os
 
@@ -10,23 +10,23 @@
 __all__ = ["NEVER_AGE_S", "Decisions", "StdoutLines", "no_lines"]
 
 NEVER_AGE_S = 3600.0
-"""What is told as an age where nothing was ever confirmed."""
+"""The age that is reported if nothing was ever confirmed, and the highest one."""
 
 MAX_LINE_BYTES = 4096
-"""Up to this length a write to a pipe is whole or not at all (pipe(7))."""
+"""Maximum length of a line. Up to this length a write to a pipe is atomic (pipe(7))."""
 
 
 def no_lines(line):
-    """Write nothing: where nobody asked for lines on single requests."""
+    """Write nothing, and return true; for nodes without lines on single requests."""
     return True
 
 
 class StdoutLines:
-    """Lines on standard output that never block.
+    """Write lines to standard output without blocking.
 
-    A process whose output nobody reads would stand still with the first full
-    pipe, and with it every caller. A line that finds no room is dropped and
-    counted.
+    If nobody reads the output, a blocking write to the full pipe would stop the
+    process and all of its requests. A line that doesn't fit into the pipe is dropped
+    instead; the caller counts it.
     """
 
     def __init__(self, descriptor=1):
@@ -34,7 +34,7 @@
         os.set_blocking(descriptor, False)
 
     def __call__(self, line):
-        """Write a line; return whether it was taken."""
+        """Write a line; return whether it was written."""
         if len(line) > MAX_LINE_BYTES:
             return False
         try:
@@ -44,7 +44,7 @@
 
 
 class Decisions:
-    """Tell of decisions on requests, each with what this node believed."""
+    """Log decisions on requests, with this node's view of routes and log."""
 
     def __init__(self, node, write):
         self._node = node
@@ -52,7 +52,7 @@
         self._log = DecisionLog(node.settings.node_id, write, node.reporter.stamp)
 
     def ended(self, call, reply, now_s):
-        """Tell how a caller's request ended."""
+        """Log how a caller's request ended; only a sample of those without a reason."""
         if not self.enabled:
             return
         request = call.request
@@ -73,7 +73,7 @@
         self._log.tell(now_s, request.request_id, kind, **facts, **self._belief(now_s))
 
     def turned_away(self, request_id, reply, now_s):
-        """Tell of a request that was refused for what it says."""
+        """Log that a request was refused because of its content."""
         if not self.enabled:
             return
         facts = {"status": reply.status, "reason": reply.reason}
@@ -81,7 +81,7 @@
         self._log.tell(now_s, request_id, "turned_away", **facts)
 
     def step(self, call, decision, reply, target, ownership):
-        """Tell where a request goes after a refusal."""
+        """Log the next step of a request after a refusal: its target, or none."""
         if not self.enabled:
             return
         now_s = boottime_s()
@@ -94,7 +94,7 @@
         self._log.tell(now_s, call.request.request_id, decision, **facts)
 
     def no_right(self, request, right, now_s):
-        """Tell that this node may not serve a request's key."""
+        """Log that this node may not serve a request's key."""
         if not self.enabled:
             return
         holder = self._node.leases.holder
@@ -109,7 +109,10 @@
         )
 
     def not_admitted(self, request, reply, state, now_s):
-        """Tell that admission refused a request; ``state`` is what it went by."""
+        """Log that admission refused a request.
+
+        ``state`` is the admission state that the refusal was based on, or ``None``.
+        """
         if not self.enabled:
             return
         facts = {"reason": reply.reason, "retry_after_ms": reply.retry_after_ms}
@@ -123,7 +126,7 @@
         self._log.tell(now_s, request.request_id, "not_admitted", **facts)
 
     def backend_failed(self, request, running, instance, reason, detail):
-        """Tell that the backend server didn't answer a request, or refused it."""
+        """Log that the backend server didn't answer a request, or refused it."""
         if not self.enabled:
             return
         now_s = boottime_s()
--- a/comfreywharf/daemon/operating/diagnosis.py
+++ b/comfreywharf/daemon/operating/diagnosis.py
@@ -1,4 +1,4 @@
-"""What a node finds when it looks at its surroundings: checks, each with advice."""
+"""Checks of a node and of what it depends on, each with advice."""
 
 import gevent
 from gevent import socket
@@ -19,7 +19,10 @@
 
 
 def diagnose(node):
-    """Return the `DoctorDocument` of a node; it takes a few seconds at most."""
+    """Run all checks of a node and return its `DoctorDocument`.
+
+    This takes a few seconds at most.
+    """
     checks = [
         _check_log(node),
         _check_configuration(node),
--- a/comfreywharf/daemon/operating/documents.py
+++ b/comfreywharf/daemon/operating/documents.py
@@ -1,7 +1,7 @@
-"""The documents of the operators' port, as typed messages.
+"""The JSON documents of the operators' port, as typed messages.
 
 The node and the operators' tool share them. Fields are only ever added: a tool
-of another version ignores what it doesn't know.
+of another version ignores the fields that it doesn't know.
 """
 
 from enum import Enum
@@ -30,11 +30,11 @@
 ]
 
 NOT_SENT = "not-sent"
-"""The reason of a refusal where the record never left the node."""
+"""The reason of a refusal if the record was never sent to the log."""
 
 
 class Verdict(Enum):
-    """What became of a record; unknown while it wasn't read back."""
+    """The outcome of a record; unknown until the record is read back from the log."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -43,7 +43,7 @@
 
 @attrs.frozen(kw_only=True)
 class ErrorDocument:
-    """Why a question wasn't answered: what was wrong, each with its place."""
+    """Why a request failed: ``wrong`` lists each fault with its place."""
 
     error: str
     wrong: tuple[str, ...] = ()
@@ -51,12 +51,12 @@
 
 @attrs.frozen(kw_only=True)
 class StatusDocument:
-    """What one node knows of itself.
+    """The status of one node.
 
-    ``state`` is that of the node's life cycle. ``log_read`` is false while it
+    ``state`` is the node's lifecycle state. ``log_read`` is false while the node
     hasn't read the log to its end, or misses records. ``lease`` is the phase of
-    its lease, ``serving`` counts the slices of each service that it may serve
-    now. ``wall_clock_ms`` is since the epoch.
+    its lease. ``serving`` maps each service to the number of its slices that the node
+    may serve now. ``wall_clock_ms`` is in milliseconds since the epoch.
     """
 
     node_id: str
@@ -83,7 +83,7 @@
 
 @attrs.frozen(kw_only=True)
 class NodeDocument:
-    """One node, as the log knows it."""
+    """One node, as recorded in the log."""
 
     node_id: str
     host: str
@@ -104,7 +104,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceDocument:
-    """One service: its slices by what is happening to them."""
+    """One service: numbers of its nodes, and of its slices by their state."""
 
     name: str
     divided_by_key: bool
@@ -118,11 +118,11 @@
 
 @attrs.frozen(kw_only=True)
 class OwnerDocument:
-    """Who owns a key: the slice that holds its hash, and why it is there.
+    """The owner of a key: the slice that contains its hash, and the owner's reason.
 
     ``since_offset`` is the offset of the record that last changed the slice, and
     ``config_version`` the version that was in force there. ``previous`` is an
-    earlier owner whose release is still awaited.
+    earlier owner that still has to release the slice.
     """
 
     service: str
@@ -142,7 +142,7 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigDocument:
-    """A configuration: each service's values as texts by key."""
+    """A configuration: for each service, its values as texts by key."""
 
     version: int
     offset: int
@@ -153,7 +153,10 @@
 
 @attrs.frozen(kw_only=True)
 class VersionDocument:
-    """One entry of the history; ``changes`` are lines, against the one before."""
+    """One version in the history.
+
+    ``changes`` are the lines of the differences from the previous version.
+    """
 
     version: int
     offset: int
@@ -164,7 +167,7 @@
 
 @attrs.frozen(kw_only=True)
 class PatchOrder:
-    """A patch against a version: texts by key, or ``None`` to remove a service."""
+    """A patch of a version: a service's texts by key, or ``None`` to remove it."""
 
     record_id: str
     base_version: int
@@ -175,11 +178,11 @@
 
 @attrs.frozen(kw_only=True)
 class SubmissionDocument:
-    """What became of a record that an operator had appended.
+    """The outcome of a record that an operator submitted.
 
-    ``version`` is in force at the answering node; ``next_offset`` is how
-    far it has read. ``changed_since`` says, in lines, what changed since the
-    base version of a refused patch.
+    ``version`` is in force at the answering node, and ``next_offset`` is the offset
+    of the next record that it reads. ``changed_since`` lists, in lines, what changed
+    since the base version of a refused patch.
     """
 
     record_id: str
@@ -193,7 +196,7 @@
 
 @attrs.frozen(kw_only=True)
 class DrainOrder:
-    """Ask for, or end, the drain of a node."""
+    """An order to drain a node, or to end its drain."""
 
     node_id: str
     author: str
@@ -202,7 +205,7 @@
 
 @attrs.frozen(kw_only=True)
 class DrainDocument:
-    """What became of a drain, and how many slices still have to move."""
+    """The outcome of a drain order, and how many slices still have to move."""
 
     submission: SubmissionDocument
     node_id: str
@@ -212,7 +215,7 @@
 
 @attrs.frozen(kw_only=True)
 class QuarantineDocument:
-    """A request that crashed backend servers: suspected, or no longer run."""
+    """A request that crashed backend servers, and is suspected or no longer run."""
 
     fingerprint: str
     service: str
@@ -223,7 +226,7 @@
 
 @attrs.frozen(kw_only=True)
 class LiftOrder:
-    """Let a quarantined request run again."""
+    """An order to let a quarantined request run again."""
 
     fingerprint: str
     author: str
@@ -231,7 +234,7 @@
 
 @attrs.frozen(kw_only=True)
 class CheckDocument:
-    """One thing that the node looked at."""
+    """One check of the node: whether it passed, what was found, and advice."""
 
     name: str
     well: bool
--- a/comfreywharf/daemon/operating/jsonport.py
+++ b/comfreywharf/daemon/operating/jsonport.py
@@ -1,4 +1,4 @@
-"""A port that answers HTTP with JSON: routes, bounded bodies, clear errors."""
+"""An HTTP server for JSON documents: routes, bounded bodies, errors with places."""
 
 from collections import defaultdict
 from urllib.parse import parse_qsl
@@ -29,7 +29,7 @@
 
 
 class _WrongType(ValueError):
-    """A value of another type; its text says what was expected."""
+    """A value has the wrong type; the message says which type was expected."""
 
 
 def _describe(error, cls):
@@ -38,7 +38,7 @@
 
 def _exactly(kind):
     def read(value, _):
-        # The library would take the text "no" for true, and 7.9 for 7.
+        # By default, cattrs converts the text "no" to true, and 7.9 to 7.
         if type(value) is not kind:
             raise _WrongType(f"found {value!r:.80}; expected {_TYPE_NAMES[kind]}")
         return value
@@ -52,7 +52,10 @@
 
 
 class BadInput(Exception):
-    """A question that can't be answered as it is asked."""
+    """A request that is invalid, or can't be answered now.
+
+    ``status`` is the HTTP status and ``document`` the `ErrorDocument` of the answer.
+    """
 
     def __init__(self, status, error, wrong=()):
         super().__init__(error)
@@ -62,7 +65,7 @@
 
 @attrs.frozen
 class Reply:
-    """A status and a document."""
+    """An answer: an HTTP status and a document that is sent as JSON."""
 
     status: int
     document: object
@@ -70,7 +73,7 @@
 
 @attrs.frozen
 class TextReply:
-    """A status and a text that isn't JSON."""
+    """An answer that isn't JSON: an HTTP status and a text."""
 
     status: int
     text: bytes
@@ -78,7 +81,7 @@
 
 
 class Question:
-    """One request to the port."""
+    """One HTTP request to a `JsonPort`."""
 
     def __init__(self, environ):
         self._environ = environ
@@ -87,13 +90,17 @@
         self._query = dict(parse_qsl(environ.get("QUERY_STRING", "")))
 
     def text(self, name):
-        """Return a value of the query; without one the input is bad."""
+        """Return a value of the query; raise `BadInput` if it is missing."""
         if name not in self._query:
             raise BadInput(400, f"query: found no {name}; expected {name}=...")
         return self._query[name]
 
     def integer(self, name, default=None):
-        """Return a whole number of the query."""
+        """Return a whole number of the query, or ``default`` if it is missing.
+
+        Raises `BadInput` if the value isn't a whole number, or if it is missing and
+        there is no default.
+        """
         if default is not None and name not in self._query:
             return default
         text = self.text(name)
@@ -104,11 +111,11 @@
         return int(text)
 
     def document(self, cls, lenient=False):
-        """Return the body as a message of a class.
+        """Return the body as a message of a class; raise `BadInput` if it is invalid.
 
-        An operator's browser could be made to post here by any page it shows. A
-        page can't set this content type without asking first, and nobody
-        answers that question here.
+        Any page in an operator's browser could post a form to this port. A page can
+        set the content type ``application/json`` only after a CORS preflight request,
+        which this port doesn't answer.
         """
         if not lenient and self._environ.get("CONTENT_TYPE") != "application/json":
             raise BadInput(415, "Content-Type: expected application/json")
@@ -132,7 +139,7 @@
 
 
 def structure(fields, cls, lenient=False):
-    """Return parsed JSON as a message; all that is wrong makes one `BadInput`."""
+    """Return parsed JSON as a message; raise one `BadInput` that lists all faults."""
     try:
         return (_lenient if lenient else _strict).structure(fields, cls)
     except Exception as error:
@@ -143,8 +150,8 @@
 class JsonPort:
     """A WSGI application that calls a function for each method and path.
 
-    A function takes a `Question` and returns a `Reply` or a `TextReply`. What it
-    raises by mistake is logged and answered 500; the process lives.
+    A function takes a `Question` and returns a `Reply` or a `TextReply`. An unexpected
+    exception is logged and answered with status 500; the process continues.
     """
 
     def __init__(self, routes):
@@ -177,7 +184,7 @@
         return [body]
 
     def answer(self, question):
-        """Return the reply to a question, whatever it is."""
+        """Return the reply to a request; all exceptions become error replies."""
         try:
             return self._find(question)(question)
         except BadInput as error:
--- a/comfreywharf/daemon/operating/metering.py
+++ b/comfreywharf/daemon/operating/metering.py
@@ -1,4 +1,4 @@
-"""The node's measurements: what requests and the parts of a node give to metrics."""
+"""Measurements of requests and of the node's components for its metrics."""
 
 import gevent
 
@@ -24,20 +24,21 @@
         Reason.LEASE_LAPSED,
     )
 )
-"""Reasons that say that a key had nobody to serve it, not that it had too much."""
+"""Reasons that mean that no server was available for a key, rather than overload."""
 
 
 class Meter:
-    """Count requests as they end, sample ownership, answer scrapes."""
+    """Count completed requests, sample ownership, and answer scrapes."""
 
     def __init__(self, node):
         self._node = node
         self._metrics = node.metrics
 
     def refused_at_once(self, reply, began_s):
-        """Count a request whose service can't be told or isn't declared.
+        """Count a request whose service is unknown or not declared.
 
-        It has no service label: a caller could otherwise make up any number.
+        It gets an empty service label: otherwise a caller could create any number of
+        labels.
         """
         self._count("", reply, boottime_s() - began_s)
 
@@ -63,7 +64,10 @@
         self._metrics.request_ended(service, outcome, reply.reason, duration_s)
 
     def run(self):
-        """Add up the time without a lease and watch the event loop, until killed."""
+        """Add up the time without a lease, and measure the event loop's delay.
+
+        Runs until killed.
+        """
         sampled_s = boottime_s()
         while True:
             gevent.sleep(SAMPLE_S)
--- a/comfreywharf/daemon/operating/operators.py
+++ b/comfreywharf/daemon/operating/operators.py
@@ -49,7 +49,7 @@
 
 
 class BackendPort(JsonPort):
-    """Where the backend server beside the node announces itself."""
+    """The HTTP port at which the backend server beside the node announces itself."""
 
     def __init__(self, node):
         super().__init__({("POST", "/announce"): self._announce})
@@ -77,7 +77,7 @@
 
 
 class OperatorPort(JsonPort):
-    """What operators and their tool ask of a node."""
+    """The HTTP port for operators and their tool."""
 
     def __init__(self, node):
         super().__init__(
@@ -120,11 +120,11 @@
         self._reasons.note(record, result, self._state.next_offset - 1)
 
     def _read_state(self):
-        """Return the state, of a node that has read the log to its end.
+        """Return the folded state; raise `BadInput` unless the log was read to its end.
 
-        A node that starts, or that missed records, has an older state or none.
-        An operator who asked it would take version 0 for the configuration, and
-        might build the next patch on nothing.
+        A node that starts, or that missed records, has an older state or none. An
+        operator would see version 0 as the configuration in force, and might base
+        the next patch on an empty configuration.
         """
         if not self._node.follower.usable:
             raise BadInput(
--- a/comfreywharf/daemon/operating/reporter.py
+++ b/comfreywharf/daemon/operating/reporter.py
@@ -1,4 +1,7 @@
-"""Events of this node: stamped, kept in the ring, written to the log."""
+"""Report events of this node: stamp them, keep them in a ring, write them to the log.
+
+The log here is the process's own log, not the log service.
+"""
 
 import time
 
@@ -33,7 +36,7 @@
 
 
 class Reporter(Stamps):
-    """Report events; each kind of event is bounded in the log and in the ring."""
+    """Report events; the rate of each kind of event is limited in log and ring."""
 
     def __init__(self, node_id, incarnation, metrics=None):
         self._metrics = metrics or Metrics()
@@ -63,7 +66,10 @@
             logging.log(_LEVELS[severity], format_line(event, repeats))
 
     def run(self):
-        """Tell of held back events once they have ended, until killed."""
+        """Report numbers of withheld events once none followed for `QUIET_S`.
+
+        Runs until killed.
+        """
         while True:
             gevent.sleep(QUIET_S)
             now_s = boottime_s()
@@ -73,11 +79,11 @@
                 self.report("events_withheld", event=name, place="ring", count=count)
 
     def stamp(self):
-        """Return the time for a message that is sent now."""
+        """Return the event clock's time for a message that is sent now."""
         return self.clock.tick(_now_ms())
 
     def receive(self, peer, received):
-        """Take a peer's time into account."""
+        """Merge the event clock's time from a peer's message into this node's clock."""
         ahead_ms = self.clock.merge(received, _now_ms())
         if ahead_ms:
             self.report("peer_clock_ahead", peer=peer, ahead_ms=ahead_ms)
--- a/comfreywharf/daemon/operating/submissions.py
+++ b/comfreywharf/daemon/operating/submissions.py
@@ -1,4 +1,4 @@
-"""Append an operator's record, and say what became of it."""
+"""Append an operator's record to the log, and return its outcome."""
 
 import attrs
 from returns.result import Failure
@@ -56,10 +56,10 @@
 
 
 def submit_patch(follower, record):
-    """Append a patch and return what became of it.
+    """Append a patch and return its outcome as a `SubmissionDocument`.
 
-    A base below the version in force can't be accepted any more, since versions
-    only grow; it is refused here, and the log is spared.
+    A patch whose base version is below the version in force can't be accepted any
+    more, since versions only grow. It is refused here without an append to the log.
     """
     known = submission(follower.state, record.record_id, record.base_version)
     if known.verdict != Verdict.UNKNOWN:
@@ -68,11 +68,11 @@
 
 
 def submit_record(follower, record, base_version=None):
-    """Append a record, wait until it is read back, and return what became of it.
+    """Append a record, wait until it is read back, and return its outcome.
 
-    A record that can't be read back in time isn't acknowledged: it may still
-    take effect, and whoever asked has to ask again by its id. One that was
-    never sent is refused for good.
+    A record that isn't read back in time isn't acknowledged: it may still take
+    effect, and the operator has to query its outcome by its id. A record that was
+    never sent to the log is refused for good.
     """
     sent = True
     try:
@@ -86,11 +86,11 @@
 
 
 def _has_passed(state, base_version):
-    """Return whether another record than an unseen one took a base version.
+    """Return whether a record other than an unknown one was accepted on a base version.
 
-    Only so many outcomes are remembered. If those from when the next version
-    was accepted are forgotten, the unseen record may be the very one that was
-    accepted, and its writer would be told that it was refused.
+    The number of remembered outcomes is limited. Once the outcomes from when the
+    next version was accepted are forgotten, the unknown record may itself be the
+    accepted one, and it must not be reported as refused.
     """
     taken = configuration_at(state, base_version + 1)
     oldest = next(iter(state.outcomes.values()), None)
@@ -98,7 +98,7 @@
 
 
 def submission(state, record_id, base_version=None):
-    """Return what the state knows of a record."""
+    """Return the outcome of a record, as far as the folded state has it."""
     verdict, reason, offset = Verdict.UNKNOWN, "not-read-back", -1
     outcome = state.outcomes.get(record_id)
     if outcome is not None:
--- a/comfreywharf/daemon/operating/views.py
+++ b/comfreywharf/daemon/operating/views.py
@@ -1,4 +1,4 @@
-"""What operators see of the folded state: documents made of it, nothing decided."""
+"""Documents of the folded state for operators; this module makes no decisions."""
 
 from collections import Counter
 
@@ -78,7 +78,7 @@
 
 
 def owner_document(state, reasons, service, key_hash):
-    """Return the `OwnerDocument` of a hash, or ``None`` without such a slice."""
+    """Return the `OwnerDocument` of a hash, or ``None`` if no slice contains it."""
     piece = state.owner_of(service, key_hash)
     if piece is None:
         return None
@@ -105,7 +105,7 @@
 
 
 def _version_at(state, offset):
-    """Return the configuration version in force at an offset; -1: not known."""
+    """Return the configuration version in force at an offset; -1 if unknown."""
     for config in [state.config, *reversed(state.config_history)]:
         if config.offset <= offset:
             return config.version
@@ -135,7 +135,7 @@
 
 
 def version_documents(state):
-    """Return a `VersionDocument` for each kept version, the newest first."""
+    """Return a `VersionDocument` for each kept version but the oldest, newest first."""
     kept = [*state.config_history, state.config]
     documents = []
     for earlier, later in zip(kept, kept[1:], strict=False):
@@ -152,7 +152,7 @@
 
 
 def changed_since(state, version):
-    """Return, in lines, who made the versions since one, and what changed."""
+    """Return lines with the authors of the versions since one, and what changed."""
     since = changes_since(state, version)
     if not since.known:
         return (f"version {version} is not kept; compare with the one in force",)
