--- a/comfreywharf/daemon/__init__.py
+++ b/comfreywharf/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The node process: gevent shells that carry messages to the decisions."""
+"""The node process: gevent greenlets and sockets around the pure decision code."""
--- a/comfreywharf/daemon/handler.py
+++ b/comfreywharf/daemon/handler.py
@@ -1,4 +1,4 @@
-"""The peers' port: the thrift interface ``Node``, as other nodes call it."""
+"""The peer port: the thrift interface ``Node``, which other nodes call."""
 
 from comfreywharf.daemon.belonging.gossip_calls import GossipCalls
 from comfreywharf.daemon.owning.lease_calls import LeaseCalls
@@ -8,13 +8,13 @@
 
 
 class PeerHandler:
-    """Gather the calls of the interface from the modules that answer them."""
+    """Dispatch each call of the interface to the object that implements it."""
 
     def __init__(self, node):
         self._parts = (ForwardCalls(node), LeaseCalls(node), GossipCalls(node))
 
     def __getattr__(self, name):
-        """Return the part's method that answers a call."""
+        """Return the method that answers a call."""
         for part in self._parts:
             if hasattr(part, name):
                 return getattr(part, name)
--- a/comfreywharf/daemon/main.py
+++ b/comfreywharf/daemon/main.py
@@ -52,8 +52,8 @@
     try:
         node.start()
     except OSError as error:
-        # The settings may be right on another machine: the host isn't this
-        # one's, or another process has the port.
+        # The settings themselves are valid: the host belongs to another machine,
+        # or another process uses the port.
         print(f"{settings}: can't listen: {error}", file=sys.stderr)
         sys.exit(EXIT_CANNOT_LISTEN)
     stopped = Event()
--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -1,4 +1,4 @@
-"""A node: its parts, put together, and the greenlets that run them."""
+"""A node: its components, and the greenlets that run them."""
 
 import time
 
@@ -51,8 +51,8 @@
 class Node:
     """The process beside one backend server.
 
-    ``began_s`` is when its process began, or a later time: what an earlier process of
-    the node granted counts from then.
+    ``began_s`` is when its process started, or a later time, on the boot clock. The
+    durations of grants from an earlier process of the node are counted from then.
     """
 
     def __init__(self, settings, ports=None, began_s=None):
@@ -151,7 +151,7 @@
             self.snapshots.run()
 
     def _live(self):
-        """Follow this node's life cycle, and notice that it was frozen."""
+        """Update this node's lifecycle state, and report pauses of the process."""
         pauses = PauseDetector(boottime_s(), LIFE_CHECK_S)
         told_too_few = False
         while True:
@@ -170,7 +170,7 @@
                 told_too_few = True
 
     def _announce_if_removed(self):
-        """Come back after the planner took a long silence for the end."""
+        """Announce the node again if the planner removed it after a long silence."""
         if not self.ports.removes_lost or not self.follower.usable:
             return
         known = self.settings.node_id in self.follower.state.members
@@ -189,11 +189,11 @@
         )
 
     def _begin(self):
-        """Choose this process's incarnation, once the log's end was seen.
+        """Choose this process's incarnation, once the log was read to its end.
 
-        A machine may be replaced by one whose clock is behind. Its announcement
-        would be refused as that of an older process, and the node would never
-        own anything again.
+        A machine may be replaced by one whose clock is behind. With an incarnation
+        from that clock alone, its announcement would be refused as that of an older
+        process, and the node would never own anything again.
         """
         self.follower.caught_up.wait()
         member = self.follower.state.members.get(self.settings.node_id)
@@ -202,14 +202,14 @@
         self.begun.set()
 
     def stop(self, reason):
-        """Stop: hand over what this node owns, finish what it began, end."""
+        """Stop: hand over all slices, finish running requests, then shut down."""
         stop_gracefully(self)
         self.life.stop()
         self.report("node_stopped", reason=reason)
         self.kill()
 
     def kill(self):
-        """End at once, as a killed process would."""
+        """Stop at once, as a killed process would."""
         gevent.killall(self._greenlets)
         for server in self._servers:
             server.stop()
@@ -221,17 +221,20 @@
         return known and not self.stopping
 
     def close_to_new_work(self):
-        """Give the leaving backend server nothing more, whatever the log says."""
+        """Send the leaving backend server no new requests, whatever the log says."""
         self.closed_to_new_work = True
         self.leases.surrender("leaving", self.grants.held_until_s(boottime_s()))
 
     @property
     def begins_work(self):
-        """Return whether requests are still passed on to the backend server."""
+        """Return whether new requests are still sent to the backend server."""
         return not self.closed_to_new_work and not self.finishing
 
     def stop_within(self, grace_s, front):
-        """Stop by a bound: hand over, let callers go, finish what was begun."""
+        """Stop within ``grace_s``: hand over, dismiss callers, finish requests.
+
+        ``front`` is the `CallerServer`.
+        """
         self.stopping = True
         end_s = boottime_s() + grace_s - STOP_MARGIN_S
         stop_within(self, front, end_s)
@@ -239,7 +242,7 @@
         self.report("node_stopped", reason="signal")
 
     def backend_announced(self, announcement):
-        """Take the word of the backend server beside this node."""
+        """Process an announcement of the backend server beside this node."""
         self._announced_s = boottime_s()
         current = self.backend.announcement if self.backend else None
         if announcement == current:
@@ -263,7 +266,7 @@
         self._announcing = gevent.spawn(self._announce)
 
     def _watch_backend(self):
-        """Notice a backend server that is gone, and give up its keys."""
+        """Detect a lost backend server, and give up its keys."""
         while True:
             gevent.sleep(BACKEND_CHECK_S)
             silent_s = boottime_s() - self._announced_s
@@ -277,30 +280,31 @@
                 self._look_at_port(self.backend)
 
     def _look_at_port(self, backend):
-        """Give a silent backend server up if its port refuses.
+        """Give up a silent backend server if its port refuses connections.
 
-        Another one may have been announced during the look. Given up in its place, it
-        would be taken for ended for good.
+        Another server may have been announced during the check. It must not be given
+        up in place of the silent one: it would be recorded as ended for good.
         """
         if backend.refuses() and backend is self.backend:
             self.backend_lost("refused")
 
     def _end_refused(self, silent_s):
-        """Take a server that refused and is silent since for ended.
+        """Record a server that refused and has been silent since as ended.
 
-        Its successor would otherwise have to show who it is, by an answer for which
-        it may have no room, before it is used.
+        Otherwise its successor would be used only after it has answered a query for
+        its instance id, and it may have no connection available for that.
         """
         if self._refused and silent_s > self.ports.doubt_s:
             self._refused = False
             self.ports.backend_lost()
 
     def backend_refused(self, backend):
-        """Give up a backend server at whose port nothing listens.
+        """Give up a backend server whose port refuses connections.
 
-        Unlike one that is also silent it isn't done with: its next heartbeat brings
-        it back, if it answers by then. While an answer is awaited it may have closed
-        its port only, and the next grant that is due looks again.
+        Unlike one that is also silent, it isn't recorded as ended: it is used again
+        after its next heartbeat, if it answers by then. While an answer of it is
+        pending, it may only have closed its port, so it is kept; the next grant that
+        is due checks again.
         """
         if backend is not self.backend or (backend.awaits_answer and not self._leaving):
             return
@@ -308,30 +312,31 @@
         self._let_go("refused")
 
     def backend_speaks(self):
-        """Take note that a server which was given up since its port refused lives.
+        """Record a heartbeat of a server that was given up because its port refused.
 
-        It is asked who it is, and may have no room for an answer for a while. Taken
-        for silent meanwhile, it would be ended for good, and get no work again.
+        The server is queried for its instance id, and may have no connection
+        available for a while. If it counted as silent in the meantime, it would be
+        recorded as ended for good and get no more work.
         """
         self._announced_s = boottime_s()
 
     def backend_leaves(self, instance):
-        """Take the backend server's word that it leaves."""
+        """Record that the backend server has reported that it leaves."""
         self._leaving = True
         self.report("backend_leaves", name=instance)
 
     def backend_lost(self, reason):
-        """Give up the keys of a backend server that doesn't serve any more."""
+        """Give up the keys of a backend server that no longer serves."""
         if self.backend is not None:
             self.ports.backend_lost()
             self._let_go(reason)
 
     def _replace_backend(self):
-        """Let go of a backend server whose place another instance has taken.
+        """Give up a backend server that another instance has replaced.
 
-        Where each range is granted by itself, the new one takes it only under a
-        higher fence, and so under a new lease. Elsewhere the next grants replace
-        all that came before, and giving up the lease would only leave the keys to
+        Where each range is granted separately, the new instance accepts a range only
+        with a higher fence, which needs a new lease. Elsewhere the next grants message
+        replaces all earlier ones; giving up the lease would only hand the keys to
         the standbys for a second or two.
         """
         if self.ports.fenced:
@@ -348,23 +353,23 @@
             self.grants.backend_ended()
             held_until_s = NOTHING_HELD_S
         else:
-            # A server that is only silent may go on with the keys it was granted,
-            # and one that took another's place may have been granted them in its
-            # stead.
+            # A server that is only silent may continue to work on the keys that it
+            # was granted, and a replaced one's successor may have been granted them.
             held_until_s = self.grants.held_until_s(boottime_s())
         self.leases.surrender("backend lost", held_until_s)
 
     def _has_ended(self, backend):
         """Return whether a backend server whose port refuses has ended.
 
-        One that leaves closes its port and its idle connections first, and goes on
-        with what it has. Taken for dead, it would work on keys that the next owner's
-        server was granted. A process that crashes ends all of its connections.
+        A leaving server closes its port and its idle connections first, and finishes
+        its requests. If it were considered ended, it would work on keys that the next
+        owner's server is granted. A crash closes all connections of the process, so
+        that no answer is pending on an open one.
         """
         return not self._leaving and not backend.awaits_answer
 
     def _announce(self):
-        """Tell the log of this node and of the backend server beside it."""
+        """Record this node and the backend server beside it in the log."""
         announcement = self.backend.announcement
         self.begun.wait()
         while self.backend and self.backend.announcement == announcement:
@@ -424,7 +429,7 @@
             )
 
     def _on_loaded(self):
-        """Tell what a snapshot changed for this node."""
+        """Report the slices that a loaded snapshot gave to this node or took away."""
         state = self.follower.state
         for change in self.ownership.replaced(state):
             self._report_ownership(change, state.next_offset - 1)
--- a/comfreywharf/daemon/ports.py
+++ b/comfreywharf/daemon/ports.py
@@ -1,8 +1,8 @@
-"""What a node meets at its edges, behind one interface for each place it runs in.
+"""The external interfaces of a node: callers, operators, backend server and log.
 
-The node's parts don't know whether callers, backend servers and the log speak the
-protocols of docs/interfaces-*.md or those of a platform. What differs stands
-behind `Ports`; a platform brings its own.
+The node's components don't depend on whether these use the protocols of
+docs/interfaces-*.md or those of a platform. All that differs is behind `Ports`; a
+platform implements its own.
 """
 
 from abc import ABC, abstractmethod
@@ -26,16 +26,22 @@
 
 
 class Ports(ABC):
-    """The edges of a node.
-
-    ``fenced`` says that backend servers stop work whose grant ended. Where
-    ``remembers`` is false, each send of a caller has an id of its own, so that no
-    answer need be remembered for a resend. A backend server that wasn't heard for
-    ``doubt_s`` is tried; one that wasn't for ``silent_s`` counts as lost, unless
-    that is ``None``. Of the requests of a service that routes lead to,
-    ``retry_fraction`` more may be retries. Whose request the backend server itself
-    refused is told to come back after ``refused_retry_after_ms``. A change of the
-    routes is to be in force within ``routes_apply_s``.
+    """The external interfaces of a node, and the constants that depend on them.
+
+    - ``fenced``: backend servers stop work whose grant has ended.
+    - ``remembers``: answers are remembered for resends. It is false where each send
+      of a caller has an id of its own.
+    - ``doubt_s``: silence in seconds after which a backend server's port is checked.
+    - ``silent_s``: silence in seconds after which a backend server is considered
+      lost; ``None`` if silence alone is no reason.
+    - ``removes_lost``: the planner removes nodes that are lost for long, and a node
+      that was removed announces itself again.
+    - ``retry_fraction``: how many retries are allowed, as a fraction of the requests
+      of a service that routes lead to.
+    - ``refused_retry_after_ms``: the retry delay in an answer to a request that the
+      backend server itself refused.
+    - ``routes_apply_s``: the time in seconds within which a change of the routes has
+      to be in force.
     """
 
     fenced = False
@@ -54,7 +60,7 @@
     @property
     @abstractmethod
     def dialect(self):
-        """Return the `Dialect` in which backend servers are asked."""
+        """Return the `Dialect` of requests to backend servers."""
 
     @abstractmethod
     def make_log_client(self):
@@ -62,18 +68,18 @@
 
     @abstractmethod
     def make_backend(self, announcement):
-        """Return the `Backend` that an `Announcement` names."""
+        """Return the `Backend` of an `Announcement`."""
 
     @abstractmethod
     def make_grants(self, node):
-        """Return what keeps the grants of the backend server up to date."""
+        """Return the object that keeps the backend server's grants up to date."""
 
     @abstractmethod
     def make_servers(self, node):
         """Return the servers for callers, operators and the backend server."""
 
     def make_lines(self):
-        """Return what writes the lines on single requests."""
+        """Return the function that writes log lines about single requests."""
         return no_lines
 
     def lease_terms(self, settings):
@@ -83,7 +89,7 @@
         )
 
     def make_limit(self, slots):
-        """Return the `ConcurrencyLimit` of a backend server that has just begun."""
+        """Return the `ConcurrencyLimit` of a backend server that has just started."""
         return ConcurrencyLimit(slots)
 
     def make_queue(self):
@@ -95,16 +101,16 @@
         return DEFAULT_CHOOSER()
 
     def backend_lost(self):
-        """Take note that the backend server is gone."""
+        """Handle the loss of the backend server."""
         return
 
     def greenlets(self, node):
-        """Return further functions that run as long as the node does."""
+        """Return further functions to run in greenlets while the node runs."""
         return ()
 
 
 class OwnPorts(Ports):
-    """The project's own protocols."""
+    """The external interfaces with the project's own protocols."""
 
     def __init__(self, settings):
         self._settings = settings
@@ -124,11 +130,11 @@
         return Backend(announcement)
 
     def make_grants(self, node):
-        """Return the grants as one message that replaces those before it."""
+        """Return grants that are sent as one message, which replaces earlier ones."""
         return Grants(node)
 
     def make_servers(self, node):
-        """Return the three ports of a node; they aren't started yet."""
+        """Return the servers of the three ports; they aren't started yet."""
         settings = self._settings
         return [
             node.ingress.make_server(settings.host, settings.caller_port),
--- a/comfreywharf/daemon/stopping.py
+++ b/comfreywharf/daemon/stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop: hand over every key, finish every request, then end."""
+"""A planned stop: hand over every key, finish every request, then shut down."""
 
 import gevent
 
@@ -13,15 +13,15 @@
 POLL_S = 0.02
 
 RETIRE_AFTER_S = 1.5
-"""The platform sees two questions unanswered before it sends callers elsewhere;
-until then they would only connect here again."""
+"""The platform sends callers elsewhere after two failed readiness probes. Callers
+that are disconnected earlier would only connect here again."""
 
 FINISH_RESERVE_S = 2.0
-"""What is left of a bounded stop for requests that were begun."""
+"""The part of a bounded stop that is reserved for running requests."""
 
 
 def stop_gracefully(node):
-    """Drain a node through the log, or by its standbys while the log is down."""
+    """Drain a node through the log, or through its standbys if the log is down."""
     if _announce_drain(node):
         _wait_until(lambda: not _has_slices(node), DRAIN_LIMIT_S)
         _wait_until(lambda: not _is_witness(node), WITNESS_LIMIT_S)
@@ -30,11 +30,11 @@
 
 
 def stop_within(node, front, end_s):
-    """Drain a node by a time, whatever still holds on to it then.
+    """Drain a node until ``end_s``, even if requests or slices remain by then.
 
-    Callers are told with each answer to go elsewhere, and go on being served
-    until they have: one that sends on a kept connection in the moment of its
-    closing would lose its request.
+    ``front`` is the `CallerServer`. Each answer asks its caller to connect to another
+    node, and callers are served until they have: a caller that sends a request on a
+    kept-alive connection just as it is closed would lose the request.
     """
     begun_s = boottime_s()
     drained = gevent.spawn(_drain_until, node, end_s - FINISH_RESERVE_S)
@@ -42,7 +42,7 @@
     front.retire()
     _wait_until(lambda: boottime_s() >= end_s - FINISH_RESERVE_S, end_s - begun_s)
     front.refuse_new()
-    # Peers go on passing requests of services that have no owners to this node.
+    # Peers continue to forward requests of services without owners to this node.
     node.finishing = True
     drained.join(max(0.0, end_s - boottime_s()))
     _wait_until(lambda: not _is_busy(node) and not front.busy, end_s - boottime_s())
@@ -70,10 +70,11 @@
 
 
 def _is_witness(node):
-    """Return whether other nodes' leases still need this one's grants.
+    """Return whether other nodes' leases still depend on this one as a witness.
 
-    Were it gone before they have another witness, each would be one loss away
-    from having no majority; with the next node that stops, keys go dark.
+    If it stopped before they have another witness, each of them would be one loss
+    away from having no majority. When the next node stopped, their keys would be
+    unavailable.
     """
     me = node.settings.node_id
     return any(
