--- a/comfreywharf/daemon/servers/__init__.py
+++ b/comfreywharf/daemon/servers/__init__.py
@@ -1,5 +1,5 @@
 """The backend server beside the node: announcement, connections, lifecycle, drain.
 
-Other packages use `Backend`, `Announcement` and `BackendLife`, and `tell_draining`,
-which records in the log that the backend server leaves or takes work again.
+Other packages use `Backend`, `Announcement`, `BackendLifecycle` and `tell_draining`;
+the last one records in the log that the backend server leaves or takes work again.
 """
--- a/comfreywharf/daemon/servers/backend_life.py
+++ b/comfreywharf/daemon/servers/backend_lifecycle.py
@@ -6,7 +6,7 @@
 from comfreywharf.daemon.servers.draining import tell_draining
 from comfreywharf.membership.instances import HeartbeatKind, InstanceTracker
 
-__all__ = ["BackendLife"]
+__all__ = ["BackendLifecycle"]
 
 DRAIN_MARGIN_S = 0.6
 """How long before the end of ``drain_s`` the server gets its last new request. A
@@ -15,7 +15,7 @@
 RETRY_S = 0.2
 
 
-class BackendLife:
+class BackendLifecycle:
     """Pass reports of the current incarnation to the node, in order.
 
     ``drain_s`` is how long after its report that it leaves a server may get new
--- a/comfreywharf/daemon/tests/test_backend_lost.py
+++ b/comfreywharf/daemon/tests/test_backend_lost.py
@@ -7,7 +7,7 @@
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.node import Node
 from comfreywharf.daemon.ports import OwnPorts
-from comfreywharf.daemon.servers.backend_life import BackendLife
+from comfreywharf.daemon.servers.backend_lifecycle import BackendLifecycle
 from comfreywharf.daemon.tests.builders import announcement, node_settings
 
 
@@ -51,7 +51,7 @@
     Cause: only an answer counted as a sign of life, and without one it was ended."""
     node, ended = make_node()
     node.ports.doubt_s = 1.0
-    life = BackendLife(node, drain_s=2.0)
+    life = BackendLifecycle(node, drain_s=2.0)
     life.heard(announcement("i-1"), 1, False)
     node.backend_refused(node.backend)
     assert node.backend is None
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -15,7 +15,7 @@
 from comfreywharf.daemon.ports import Ports
 from comfreywharf.daemon.recording.follower import ReadPace
 from comfreywharf.daemon.requests.caller_server import CallerServer
-from comfreywharf.daemon.servers.backend_life import BackendLife
+from comfreywharf.daemon.servers.backend_lifecycle import BackendLifecycle
 from comfreywharf.load import ConcurrencyLimit, NearFirst
 from comfreywharf.load.admission import RetryAfter
 from comfreywharf.load.fairqueue import RankedQueue
@@ -154,7 +154,7 @@
             desk.limits,
             desk.waits_for_others,
         )
-        self.life = BackendLife(node, settings.drain_s)
+        self.life = BackendLifecycle(node, settings.drain_s)
         operators = OperatorPort(node)
         return [
             self.front,
