--- a/comfreywharf/daemon/servers/backend_lifecycle.py
+++ b/comfreywharf/daemon/servers/backend_lifecycle.py
@@ -29,7 +29,7 @@
         self._announced = None
         self._verifying = set()
 
-    def heard(self, announcement, sequence, leaving):
+    def receive_heartbeat(self, announcement, sequence, leaving):
         """Process a heartbeat; return whether it is current and its sender is in use.
 
         A report of an earlier incarnation, or one that a newer report has overtaken,
@@ -64,12 +64,12 @@
         speaks = self._instances.current == life and word is not HeartbeatKind.STALE
         return speaks and self._node.backend is not None
 
-    def leaves(self, life):
+    def receive_deregistration(self, life):
         """Process a deregistration: the server leaves, or has left."""
         if self._instances.leave(life) is HeartbeatKind.LEAVES:
             self._leave()
 
-    def lost(self):
+    def record_end(self):
         """Record that the current incarnation has ended."""
         self._instances.end()
 
--- a/comfreywharf/daemon/tests/test_backend_lost.py
+++ b/comfreywharf/daemon/tests/test_backend_lost.py
@@ -52,11 +52,11 @@
     node, ended = make_node()
     node.ports.doubt_s = 1.0
     life = BackendLifecycle(node, drain_s=2.0)
-    life.heard(announcement("i-1"), 1, False)
+    life.receive_heartbeat(announcement("i-1"), 1, False)
     node.backend_refused(node.backend)
     assert node.backend is None
     node._announced_s = boottime_s() - 5.0
-    life.heard(announcement("i-1"), 2, False)
+    life.receive_heartbeat(announcement("i-1"), 2, False)
     node._end_refused(boottime_s() - node._announced_s)
     assert ended == []
 
--- a/comfreywharf/platform/heartbeats.py
+++ b/comfreywharf/platform/heartbeats.py
@@ -74,12 +74,14 @@
     def _take(self, instance, call, body, connection, arrived_s):
         """Give a report to the node; return the fields of the answer."""
         if call == "deregister":
-            self._life.leaves(read_deregistration(instance, body))
+            self._life.receive_deregistration(read_deregistration(instance, body))
             return {}
         said = read_heartbeat(instance, body)
         service = said.announcement.service
         self._check_service(service)
-        living = self._life.heard(said.announcement, said.sequence, said.leaving)
+        living = self._life.receive_heartbeat(
+            said.announcement, said.sequence, said.leaving
+        )
         if not living or said.held is None:
             return {}
         report = HoldReport(
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -194,7 +194,7 @@
 
     def backend_lost(self):
         """Take note that the backend server is gone."""
-        self.life.lost()
+        self.life.record_end()
 
     def greenlets(self, node):
         """Return what follows the configuration and declares its services."""
--- a/comfreywharf/platform/tests/test_announcements.py
+++ b/comfreywharf/platform/tests/test_announcements.py
@@ -122,7 +122,8 @@
     """Return a port for heartbeats, what it told of life, and its events."""
     told, events = [], []
     life = SimpleNamespace(
-        heard=lambda *said: told.append(said), leaves=lambda life: told.append(life)
+        receive_heartbeat=lambda *said: told.append(said),
+        receive_deregistration=lambda life: told.append(life),
     )
     table = RouteTable(
         version=1,
