--- a/comfreywharf/daemon/servers/backend_lifecycle.py
+++ b/comfreywharf/daemon/servers/backend_lifecycle.py
@@ -3,7 +3,7 @@
 import gevent
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.servers.draining import tell_draining
+from comfreywharf.daemon.servers.draining import record_draining
 from comfreywharf.membership.instances import HeartbeatKind, InstanceTracker
 
 __all__ = ["BackendLifecycle"]
@@ -119,7 +119,7 @@
 
     def _tell_leaving(self, life):
         while self._instances.current == life and self._instances.leaving:
-            if tell_draining(self._node, True):
+            if record_draining(self._node, True):
                 return
             gevent.sleep(RETRY_S)
 
@@ -130,6 +130,6 @@
             member = self._node.follower.state.members.get(me)
             if member is None or not member.draining:
                 return
-            if tell_draining(self._node, False):
+            if record_draining(self._node, False):
                 return
             gevent.sleep(RETRY_S)
--- a/comfreywharf/daemon/servers/draining.py
+++ b/comfreywharf/daemon/servers/draining.py
@@ -5,12 +5,12 @@
 from comfreywharf.daemon.recording.follower import NotAcknowledged, new_record_id
 from comfreywharf.records import DrainChanged
 
-__all__ = ["tell_draining"]
+__all__ = ["record_draining"]
 
 APPEND_TIMEOUT_S = 1.0
 
 
-def tell_draining(node, draining):
+def record_draining(node, draining):
     """Append a `DrainChanged` record; return whether the log accepted it.
 
     The append times out after `APPEND_TIMEOUT_S`.
--- a/comfreywharf/daemon/stopping.py
+++ b/comfreywharf/daemon/stopping.py
@@ -3,7 +3,7 @@
 import gevent
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.servers.draining import tell_draining
+from comfreywharf.daemon.servers.draining import record_draining
 
 __all__ = ["stop_gracefully", "stop_within"]
 
@@ -57,7 +57,7 @@
 def _announce_drain(node):
     if node.settings.node_id not in node.follower.state.members:
         return False
-    return tell_draining(node, True)
+    return record_draining(node, True)
 
 
 def _has_slices(node):
