--- a/comfreywharf/daemon/servers/backend.py
+++ b/comfreywharf/daemon/servers/backend.py
@@ -41,7 +41,7 @@
     born_ms: int | None = None
 
     @property
-    def life(self):
+    def incarnation(self):
         """Return the incarnation of the server that sent the announcement."""
         return ServerIncarnation(self.instance, self.born_ms)
 
@@ -162,7 +162,7 @@
             # A server that was restarted at the same port doesn't know what the
             # previous process ran. If its "not run" were trusted, the request would
             # be run again, and a booking could be made twice under one request id.
-            if not self.announcement.life.has_id(document.get("instance")):
+            if not self.announcement.incarnation.has_id(document.get("instance")):
                 return CancelReply()
             return CancelReply(
                 confirmed=response.status_code == 200
--- a/comfreywharf/daemon/servers/backend_lifecycle.py
+++ b/comfreywharf/daemon/servers/backend_lifecycle.py
@@ -36,22 +36,24 @@
         doesn't tell what the current incarnation holds. Its answer must not grant
         anything.
         """
-        life = announcement.life
-        word = self._instances.receive_heartbeat(life, sequence, leaving, boottime_s())
+        incarnation = announcement.incarnation
+        word = self._instances.receive_heartbeat(
+            incarnation, sequence, leaving, boottime_s()
+        )
         if word is HeartbeatKind.FIRST:
             self._begin(announcement)
             if leaving:
-                word = self._instances.leave(life)
+                word = self._instances.leave(incarnation)
             gevent.spawn(self._verify, announcement, sequence)
         elif word is HeartbeatKind.RIVAL and self._instances.current.started_before(
-            life
+            incarnation
         ):
             # No verification is needed: it started after the current incarnation,
             # under the same id.
-            self._instances.set_current(life, sequence, boottime_s())
+            self._instances.set_current(incarnation, sequence, boottime_s())
             self._begin(announcement)
             if leaving:
-                word = self._instances.leave(life)
+                word = self._instances.leave(incarnation)
         elif word is HeartbeatKind.RIVAL:
             gevent.spawn(self._verify, announcement, sequence)
         elif word is HeartbeatKind.SAME and self._node.backend is None:
@@ -61,12 +63,14 @@
             self._node.backend_announced(self._announced)
         if word is HeartbeatKind.LEAVES:
             self._leave()
-        speaks = self._instances.current == life and word is not HeartbeatKind.STALE
+        speaks = (
+            self._instances.current == incarnation and word is not HeartbeatKind.STALE
+        )
         return speaks and self._node.backend is not None
 
-    def receive_deregistration(self, life):
+    def receive_deregistration(self, incarnation):
         """Process a deregistration: the server leaves, or has left."""
-        if self._instances.leave(life) is HeartbeatKind.LEAVES:
+        if self._instances.leave(incarnation) is HeartbeatKind.LEAVES:
             self._leave()
 
     def record_end(self):
@@ -84,41 +88,41 @@
         Incarnations with the same id give the same answer; only the start time
         distinguishes them.
         """
-        life = announcement.life
-        if life in self._verifying:
+        incarnation = announcement.incarnation
+        if incarnation in self._verifying:
             return
-        self._verifying.add(life)
+        self._verifying.add(incarnation)
         try:
             found = self._node.ports.identify(self._node, announcement)
         finally:
-            self._verifying.discard(life)
-        if life.has_id(found):
-            if self._instances.current != life:
-                self._instances.set_current(life, sequence, boottime_s())
+            self._verifying.discard(incarnation)
+        if incarnation.has_id(found):
+            if self._instances.current != incarnation:
+                self._instances.set_current(incarnation, sequence, boottime_s())
                 self._begin(announcement)
             elif self._node.backend is None and not self._instances.leaving:
                 # It was given up because its port refused, but it is still running.
                 self._node.backend_announced(self._announced)
-        elif found and self._instances.current == life:
+        elif found and self._instances.current == incarnation:
             self._node.backend_lost("another instance answers")
 
     def _leave(self):
         self._node.backend_leaves(self._instances.current.instance)
         gevent.spawn(self._drain, self._instances.current)
 
-    def _drain(self, life):
+    def _drain(self, incarnation):
         """Record in the log that the server leaves, and stop new work in time.
 
         The bound for the server holds whether or not the log is reachable: this node
         sends it no new request after ``drain_s``.
         """
-        gevent.spawn(self._tell_leaving, life)
+        gevent.spawn(self._tell_leaving, incarnation)
         gevent.sleep(self._drain_s - DRAIN_MARGIN_S)
-        if self._instances.current == life and self._instances.leaving:
+        if self._instances.current == incarnation and self._instances.leaving:
             self._node.close_to_new_work()
 
-    def _tell_leaving(self, life):
-        while self._instances.current == life and self._instances.leaving:
+    def _tell_leaving(self, incarnation):
+        while self._instances.current == incarnation and self._instances.leaving:
             if record_draining(self._node, True):
                 return
             gevent.sleep(RETRY_S)
--- a/comfreywharf/platform/tests/test_announcements.py
+++ b/comfreywharf/platform/tests/test_announcements.py
@@ -25,14 +25,14 @@
     assert (said.sequence, said.leaving) == (4, True)
     assert (announced.host, announced.port) == ("10.0.0.9", 8080)
     assert (announced.service, announced.slots) == ("booking", 8)
-    assert announced.life == ServerIncarnation("i-1", 1_000)
+    assert announced.incarnation == ServerIncarnation("i-1", 1_000)
 
 
 def test_a_server_that_doesnt_say_when_it_began_is_read():
     """Not each server says it."""
     fields = {name: value for name, value in GOOD.items() if name != "born"}
     said = read_heartbeat("i-1", orjson.dumps(fields))
-    assert said.announcement.life == ServerIncarnation("i-1", None)
+    assert said.announcement.incarnation == ServerIncarnation("i-1", None)
 
 
 DAMAGED = [
--- a/comfreywharf/platform/tests/test_lives.py
+++ b/comfreywharf/platform/tests/test_lives.py
@@ -56,7 +56,7 @@
     fields = {**server.word(), "born": born, "sequence": 10**6}
     port = deployment.ports[name][3]
     assert post(port, f"/-/instances/{server.instance}/heartbeat", fields) == 400
-    assert deployment.nodes[name].backend.announcement.life == server.life
+    assert deployment.nodes[name].backend.announcement.incarnation == server.life
 
 
 def test_a_late_deregistration_of_an_earlier_life_changes_nothing(deployment):
