--- a/comfreywharf/daemon/servers/backend_lifecycle.py
+++ b/comfreywharf/daemon/servers/backend_lifecycle.py
@@ -26,7 +26,7 @@
         self._node = node
         self._drain_s = drain_s
         self._instances = InstanceTracker()
-        self._announced = None
+        self._announcement = None
         self._verifying = set()
 
     def receive_heartbeat(self, announcement, sequence, leaving):
@@ -37,50 +37,50 @@
         anything.
         """
         incarnation = announcement.incarnation
-        word = self._instances.receive_heartbeat(
+        kind = self._instances.receive_heartbeat(
             incarnation, sequence, leaving, boottime_s()
         )
-        if word is HeartbeatKind.FIRST:
-            self._begin(announcement)
+        if kind is HeartbeatKind.FIRST:
+            self._start_using(announcement)
             if leaving:
-                word = self._instances.leave(incarnation)
+                kind = self._instances.leave(incarnation)
             gevent.spawn(self._verify, announcement, sequence)
-        elif word is HeartbeatKind.RIVAL and self._instances.current.started_before(
+        elif kind is HeartbeatKind.RIVAL and self._instances.current.started_before(
             incarnation
         ):
             # No verification is needed: it started after the current incarnation,
             # under the same id.
             self._instances.set_current(incarnation, sequence, boottime_s())
-            self._begin(announcement)
+            self._start_using(announcement)
             if leaving:
-                word = self._instances.leave(incarnation)
-        elif word is HeartbeatKind.RIVAL:
+                kind = self._instances.leave(incarnation)
+        elif kind is HeartbeatKind.RIVAL:
             gevent.spawn(self._verify, announcement, sequence)
-        elif word is HeartbeatKind.SAME and self._node.backend is None:
+        elif kind is HeartbeatKind.SAME and self._node.backend is None:
             self._node.backend_speaks()
             gevent.spawn(self._verify, announcement, sequence)
-        elif word is HeartbeatKind.SAME:
-            self._node.backend_announced(self._announced)
-        if word is HeartbeatKind.LEAVES:
-            self._leave()
-        speaks = (
-            self._instances.current == incarnation and word is not HeartbeatKind.STALE
+        elif kind is HeartbeatKind.SAME:
+            self._node.backend_announced(self._announcement)
+        if kind is HeartbeatKind.LEAVES:
+            self._start_leaving()
+        is_current = (
+            self._instances.current == incarnation and kind is not HeartbeatKind.STALE
         )
-        return speaks and self._node.backend is not None
+        return is_current and self._node.backend is not None
 
     def receive_deregistration(self, incarnation):
         """Process a deregistration: the server leaves, or has left."""
         if self._instances.leave(incarnation) is HeartbeatKind.LEAVES:
-            self._leave()
+            self._start_leaving()
 
     def record_end(self):
         """Record that the current incarnation has ended."""
         self._instances.end()
 
-    def _begin(self, announcement):
-        self._announced = announcement
+    def _start_using(self, announcement):
+        self._announcement = announcement
         self._node.backend_announced(announcement)
-        gevent.spawn(self._return)
+        gevent.spawn(self._record_return)
 
     def _verify(self, announcement, sequence):
         """Query the instance id at the server's address before replacing another one.
@@ -99,14 +99,14 @@
         if incarnation.has_id(found):
             if self._instances.current != incarnation:
                 self._instances.set_current(incarnation, sequence, boottime_s())
-                self._begin(announcement)
+                self._start_using(announcement)
             elif self._node.backend is None and not self._instances.leaving:
                 # It was given up because its port refused, but it is still running.
-                self._node.backend_announced(self._announced)
+                self._node.backend_announced(self._announcement)
         elif found and self._instances.current == incarnation:
             self._node.backend_lost("another instance answers")
 
-    def _leave(self):
+    def _start_leaving(self):
         self._node.backend_leaves(self._instances.current.instance)
         gevent.spawn(self._drain, self._instances.current)
 
@@ -116,22 +116,25 @@
         The bound for the server holds whether or not the log is reachable: this node
         sends it no new request after ``drain_s``.
         """
-        gevent.spawn(self._tell_leaving, incarnation)
+        gevent.spawn(self._record_leaving, incarnation)
         gevent.sleep(self._drain_s - DRAIN_MARGIN_S)
         if self._instances.current == incarnation and self._instances.leaving:
             self._node.close_to_new_work()
 
-    def _tell_leaving(self, incarnation):
+    def _record_leaving(self, incarnation):
         while self._instances.current == incarnation and self._instances.leaving:
             if record_draining(self._node, True):
                 return
             gevent.sleep(RETRY_S)
 
-    def _return(self):
-        """Record in the log that a new server takes work after one that left."""
-        me = self._node.settings.node_id
+    def _record_return(self):
+        """Record in the log that a new server takes work after one that left.
+
+        Repeat this until the log accepts the record, or the node isn't draining.
+        """
+        node_id = self._node.settings.node_id
         while self._instances.current and not self._instances.leaving:
-            member = self._node.follower.state.members.get(me)
+            member = self._node.follower.state.members.get(node_id)
             if member is None or not member.draining:
                 return
             if record_draining(self._node, False):
