--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -285,7 +285,7 @@
         Another server may have been announced during the check. It must not be given
         up in place of the silent one: it would be recorded as ended for good.
         """
-        if backend.refuses() and backend is self.backend:
+        if backend.refuses_connections() and backend is self.backend:
             self.backend_lost("refused")
 
     def _end_refused(self, silent_s):
--- a/comfreywharf/daemon/owning/heartbeat_grants.py
+++ b/comfreywharf/daemon/owning/heartbeat_grants.py
@@ -101,7 +101,7 @@
         missed, its keys would be dark for a second more.
         """
         backend = self._node.backend
-        if backend is not None and backend.refuses():
+        if backend is not None and backend.refuses_connections():
             self._node.backend_refused(backend)
 
     def _serving(self):
--- a/comfreywharf/daemon/requests/quarantine.py
+++ b/comfreywharf/daemon/requests/quarantine.py
@@ -104,7 +104,7 @@
 
     def _probe(self, backend):
         for pause_s in (*PROBE_PAUSES_S, 0):
-            if backend.refuses():
+            if backend.refuses_connections():
                 self.confirm()
                 return
             gevent.sleep(pause_s)
--- a/comfreywharf/daemon/servers/backend.py
+++ b/comfreywharf/daemon/servers/backend.py
@@ -204,7 +204,7 @@
         """Return whether an answer is pending on a connection that is still open."""
         return self._client.awaits_answer or self._cancel_client.awaits_answer
 
-    def refuses(self):
+    def refuses_connections(self):
         """Return whether the backend server's port refuses connections.
 
         A timeout or another error doesn't count as a refusal.
--- a/comfreywharf/daemon/tests/test_backend_lost.py
+++ b/comfreywharf/daemon/tests/test_backend_lost.py
@@ -31,12 +31,12 @@
     node.ports.doubt_s = -1.0
     node.backend_announced(announcement("i-1"))
 
-    def refuses():
+    def refuses_connections():
         node.backend_announced(announcement("i-2"))
-        node.backend.refuses = lambda: False
+        node.backend.refuses_connections = lambda: False
         return True
 
-    node.backend.refuses = refuses
+    node.backend.refuses_connections = refuses_connections
     watching = gevent.spawn(node._watch_backend)
     gevent.sleep(0.25)
     watching.kill()
