--- a/comfreywharf/daemon/servers/backend.py
+++ b/comfreywharf/daemon/servers/backend.py
@@ -65,8 +65,8 @@
 class BackendError(Exception):
     """A request that got no complete answer; ``reason`` is the `Reason` for it."""
 
-    def __init__(self, reason, what):
-        super().__init__(what)
+    def __init__(self, reason, message):
+        super().__init__(message)
         self.reason = reason
 
 
@@ -105,8 +105,8 @@
         try:
             sock = self._client.connect()
         except gevent.Timeout as error:
-            what = "no connection in time"
-            raise BackendError(Reason.DEADLINE_BEFORE_START, what) from error
+            message = "no connection in time"
+            raise BackendError(Reason.DEADLINE_BEFORE_START, message) from error
         except (OSError, RuntimeError) as error:
             raise BackendError(Reason.NO_BACKEND, str(error)) from error
         if running.cancelled:
