--- a/comfreywharf/daemon/servers/backend.py
+++ b/comfreywharf/daemon/servers/backend.py
@@ -105,13 +105,15 @@
         try:
             sock = self._client.connect()
         except gevent.Timeout as error:
-            message = "no connection in time"
+            message = "no connection to the backend server before the deadline"
             raise BackendError(Reason.DEADLINE_BEFORE_START, message) from error
         except (OSError, RuntimeError) as error:
             raise BackendError(Reason.NO_BACKEND, str(error)) from error
         if running.cancelled:
             self._client.give_back(sock)
-            raise BackendError(Reason.CALLER_GONE_BEFORE_START, "cancelled")
+            raise BackendError(
+                Reason.CALLER_GONE_BEFORE_START, "the caller disconnected first"
+            )
         return sock
 
     def _send(self, sock, request, header_lines, body, running):
@@ -127,7 +129,10 @@
             return response
         except gevent.Timeout as error:
             _release(response)
-            raise BackendError(Reason.DEADLINE_PASSED, "no answer in time") from error
+            raise BackendError(
+                Reason.DEADLINE_PASSED,
+                "no answer from the backend server before the deadline",
+            ) from error
         except (OSError, HTTPParseError, ValueError) as error:
             _release(response)
             reason = Reason.CALLER_GONE if running.cancelled else Reason.BACKEND_LOST
--- a/comfreywharf/daemon/servers/draining.py
+++ b/comfreywharf/daemon/servers/draining.py
@@ -22,5 +22,7 @@
     try:
         return node.follower.append(record, APPEND_TIMEOUT_S).accepted
     except NotAcknowledged as error:
-        logging.info("draining=%s isn't on record: %s", draining, error)
+        logging.info(
+            "the log has not acknowledged the record draining=%s: %s", draining, error
+        )
         return False
