--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -60,7 +60,7 @@
         self.began_s = boottime_s() if began_s is None else began_s
         self.ports = ports or OwnPorts(settings)
         self.incarnation = time.time_ns() // 1_000_000
-        self.begun = Event()
+        self.incarnation_chosen = Event()
         self.life = NodeLifecycle()
         self.metrics = Metrics()
         self.reporter = Reporter(settings.node_id, self.incarnation, self.metrics)
@@ -132,7 +132,7 @@
             gevent.spawn(self.follower.run),
             gevent.spawn(self.gossip.run),
             gevent.spawn(self._write_snapshots),
-            gevent.spawn(self._begin),
+            gevent.spawn(self._choose_incarnation),
             gevent.spawn(self.leases.run),
             gevent.spawn(self.grants.run),
             gevent.spawn(self.witnessing.run),
@@ -174,7 +174,7 @@
         if not self.ports.removes_lost or not self.follower.usable:
             return
         known = self.settings.node_id in self.follower.state.members
-        if known or self.backend is None or not self.begun.is_set():
+        if known or self.backend is None or not self.incarnation_chosen.is_set():
             return
         if self._announcing is None or self._announcing.ready():
             self._announcing = gevent.spawn(self._announce)
@@ -182,13 +182,13 @@
     def _facts(self):
         member = self.follower.state.members.get(self.settings.node_id)
         return NodeFacts(
-            caught_up=self.begun.is_set(),
+            caught_up=self.incarnation_chosen.is_set(),
             lease_held=self.leases.held(),
             superseded=self.leases.holder.phase == "superseded",
             draining=member is not None and member.draining,
         )
 
-    def _begin(self):
+    def _choose_incarnation(self):
         """Choose this process's incarnation, once the log was read to its end.
 
         A machine may be replaced by one whose clock is behind. With an incarnation
@@ -199,7 +199,7 @@
         member = self.follower.state.members.get(self.settings.node_id)
         if member is not None:
             self.incarnation = max(self.incarnation, member.incarnation + 1)
-        self.begun.set()
+        self.incarnation_chosen.set()
 
     def stop(self, reason):
         """Stop: hand over all slices, finish running requests, then shut down."""
@@ -371,7 +371,7 @@
     def _announce(self):
         """Record this node and the backend server beside it in the log."""
         announcement = self.backend.announcement
-        self.begun.wait()
+        self.incarnation_chosen.wait()
         while self.backend and self.backend.announcement == announcement:
             record = NodeAnnounced(
                 record_id=new_record_id(),
--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -192,7 +192,7 @@
 
     def run(self):
         """Drive the agent until the greenlet is killed."""
-        self._node.begun.wait()
+        self._node.incarnation_chosen.wait()
         self.agent.begin(self._node.incarnation)
         self._node.witnessing.begin(self._node.began_s)
         expired_s = boottime_s()
--- a/comfreywharf/daemon/tests/test_lease_and_log.py
+++ b/comfreywharf/daemon/tests/test_lease_and_log.py
@@ -42,7 +42,7 @@
     grant_by_majority(leases.holder, boottime_s())
     assert leases.holder.phase == "starting"
     node.follower.reachable = False
-    node.begun.set()
+    node.incarnation_chosen.set()
     running = gevent.spawn(leases.run)
     gevent.sleep(0.2)
     running.kill()
