--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -51,13 +51,16 @@
 class Node:
     """The process beside one backend server.
 
-    ``began_s`` is when its process started, or a later time, on the boot clock. The
-    durations of grants from an earlier process of the node are counted from then.
+    ``process_start_s`` is when its process started, or a later time, in seconds on the
+    boot clock. Grants of an earlier process of the node may last as if they had been
+    given at that time.
     """
 
-    def __init__(self, settings, ports=None, began_s=None):
+    def __init__(self, settings, ports=None, process_start_s=None):
         self.settings = settings
-        self.began_s = boottime_s() if began_s is None else began_s
+        self.process_start_s = (
+            boottime_s() if process_start_s is None else process_start_s
+        )
         self.ports = ports or OwnPorts(settings)
         self.incarnation = time.time_ns() // 1_000_000
         self.incarnation_chosen = Event()
--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -194,7 +194,7 @@
         """Drive the agent until the greenlet is killed."""
         self._node.incarnation_chosen.wait()
         self.agent.begin(self._node.incarnation)
-        self._node.witnessing.begin(self._node.began_s)
+        self._node.witnessing.begin(self._node.process_start_s)
         expired_s = boottime_s()
         while True:
             self._wake.wait(self._wait_s(boottime_s()))
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -134,7 +134,7 @@
             lease_s=settings.node.lease_ms / 1000,
             longest_s=settings.longest_hold_s,
         )
-        book = ListedHoldBook.of_new_process(terms, node.began_s)
+        book = ListedHoldBook.of_new_process(terms, node.process_start_s)
         interval_s = settings.heartbeat_interval_s
         ways = {
             GrantWay.ORDERS: RangeGrants(node, book, LONGEST_WORK_S),
