--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -229,7 +229,7 @@
         self.leases.surrender("leaving", self.grants.held_until_s(boottime_s()))
 
     @property
-    def begins_work(self):
+    def accepts_requests(self):
         """Return whether new requests are still sent to the backend server."""
         return not self.closed_to_new_work and not self.finishing
 
@@ -314,7 +314,7 @@
         self._refused = True
         self._let_go("refused")
 
-    def backend_speaks(self):
+    def backend_reported(self):
         """Record a heartbeat of a server that was given up because its port refused.
 
         The server is queried for its instance id, and may have no connection
--- a/comfreywharf/daemon/requests/forwarder.py
+++ b/comfreywharf/daemon/requests/forwarder.py
@@ -78,7 +78,7 @@
         ``body`` is bytes or an iterator of bytes.
         """
         deadline_s = now_s + request.remaining_ms / 1000
-        if not self._node.begins_work:
+        if not self._node.accepts_requests:
             reason = Reason.NOT_YET_OWNER if request.key else Reason.DRAINING
             return StreamedReply(refusal(reason))
         while True:
--- a/comfreywharf/daemon/requests/load.py
+++ b/comfreywharf/daemon/requests/load.py
@@ -187,7 +187,7 @@
         again = self._node.leases.acquire(
             request.service_name, request.key, now_s, running.deadline_s - now_s
         )
-        leaves = not self._node.begins_work
+        leaves = not self._node.accepts_requests
         if not leaves and again.reason is None and again.fence == right.fence:
             running.right = again
             running.deadline_s = min(running.deadline_s, again.deadline_s)
