--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -103,9 +103,9 @@
         self.ingress = Ingress(self, Dispatcher(self, self.ports.route_limits))
         self.ownership = OwnershipChanges(settings.node_id)
         self.meter = Meter(self)
-        self._announced_s = float("-inf")
-        self._refused = False
-        self._leaving = False
+        self._last_report_s = float("-inf")
+        self._port_refused = False
+        self._backend_leaving = False
         self.stopping = False
         self._announcing = None
         self.closed_to_new_work = False
@@ -246,7 +246,7 @@
 
     def backend_announced(self, announcement):
         """Process an announcement of the backend server beside this node."""
-        self._announced_s = boottime_s()
+        self._last_report_s = boottime_s()
         current = self.backend.announcement if self.backend else None
         if announcement == current:
             return
@@ -254,8 +254,8 @@
             self._replace_backend()
         self.grants.backend_changed()
         self.closed_to_new_work = False
-        self._refused = False
-        self._leaving = False
+        self._port_refused = False
+        self._backend_leaving = False
         self.backend = self.ports.make_backend(announcement)
         self.report(
             "backend_announced",
@@ -272,17 +272,17 @@
         """Detect a lost backend server, and give up its keys."""
         while True:
             gevent.sleep(BACKEND_CHECK_S)
-            silent_s = boottime_s() - self._announced_s
+            silent_s = boottime_s() - self._last_report_s
             if self.backend is None:
-                self._end_refused(silent_s)
+                self._record_refused_as_ended(silent_s)
                 continue
             limit_s = self.ports.silent_s
             if limit_s is not None and silent_s > limit_s:
                 self.backend_lost("silent")
             elif silent_s > self.ports.doubt_s:
-                self._look_at_port(self.backend)
+                self._check_port(self.backend)
 
-    def _look_at_port(self, backend):
+    def _check_port(self, backend):
         """Give up a silent backend server if its port refuses connections.
 
         Another server may have been announced during the check. It must not be given
@@ -291,14 +291,14 @@
         if backend.refuses_connections() and backend is self.backend:
             self.backend_lost("refused")
 
-    def _end_refused(self, silent_s):
+    def _record_refused_as_ended(self, silent_s):
         """Record a server that refused and has been silent since as ended.
 
         Otherwise its successor would be used only after it has answered a query for
         its instance id, and it may have no connection available for that.
         """
-        if self._refused and silent_s > self.ports.doubt_s:
-            self._refused = False
+        if self._port_refused and silent_s > self.ports.doubt_s:
+            self._port_refused = False
             self.ports.backend_lost()
 
     def backend_refused(self, backend):
@@ -309,10 +309,12 @@
         pending, it may only have closed its port, so it is kept; the next grant that
         is due checks again.
         """
-        if backend is not self.backend or (backend.awaits_answer and not self._leaving):
+        if backend is not self.backend or (
+            backend.awaits_answer and not self._backend_leaving
+        ):
             return
-        self._refused = True
-        self._let_go("refused")
+        self._port_refused = True
+        self._give_up_backend("refused")
 
     def backend_reported(self):
         """Record a heartbeat of a server that was given up because its port refused.
@@ -321,18 +323,18 @@
         available for a while. If it counted as silent in the meantime, it would be
         recorded as ended for good and get no more work.
         """
-        self._announced_s = boottime_s()
+        self._last_report_s = boottime_s()
 
     def backend_leaves(self, instance):
         """Record that the backend server has reported that it leaves."""
-        self._leaving = True
+        self._backend_leaving = True
         self.report("backend_leaves", name=instance)
 
     def backend_lost(self, reason):
         """Give up the keys of a backend server that no longer serves."""
         if self.backend is not None:
             self.ports.backend_lost()
-            self._let_go(reason)
+            self._give_up_backend(reason)
 
     def _replace_backend(self):
         """Give up a backend server that another instance has replaced.
@@ -343,11 +345,11 @@
         the standbys for a second or two.
         """
         if self.ports.fenced:
-            self._let_go("replaced")
+            self._give_up_backend("replaced")
         else:
             self.backend.close()
 
-    def _let_go(self, reason):
+    def _give_up_backend(self, reason):
         backend, self.backend = self.backend, None
         self.report("backend_lost", name=backend.announcement.name, reason=reason)
         backend.close()
@@ -369,7 +371,7 @@
         owner's server is granted. A crash closes all connections of the process, so
         that no answer is pending on an open one.
         """
-        return not self._leaving and not backend.awaits_answer
+        return not self._backend_leaving and not backend.awaits_answer
 
     def _announce(self):
         """Record this node and the backend server beside it in the log."""
--- a/comfreywharf/daemon/tests/test_backend_lost.py
+++ b/comfreywharf/daemon/tests/test_backend_lost.py
@@ -55,9 +55,9 @@
     life.receive_heartbeat(announcement("i-1"), 1, False)
     node.backend_refused(node.backend)
     assert node.backend is None
-    node._announced_s = boottime_s() - 5.0
+    node._last_report_s = boottime_s() - 5.0
     life.receive_heartbeat(announcement("i-1"), 2, False)
-    node._end_refused(boottime_s() - node._announced_s)
+    node._record_refused_as_ended(boottime_s() - node._last_report_s)
     assert ended == []
 
 
