--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -44,7 +44,7 @@
 __all__ = ["Node"]
 
 BACKEND_CHECK_S = 0.1
-LIFE_CHECK_S = 0.1
+LIFECYCLE_CHECK_S = 0.1
 STOP_MARGIN_S = 0.5
 
 
@@ -64,7 +64,7 @@
         self.ports = ports or OwnPorts(settings)
         self.incarnation = time.time_ns() // 1_000_000
         self.incarnation_chosen = Event()
-        self.life = NodeLifecycle()
+        self.lifecycle = NodeLifecycle()
         self.metrics = Metrics()
         self.reporter = Reporter(settings.node_id, self.incarnation, self.metrics)
         self.report = self.reporter.report
@@ -140,7 +140,7 @@
             gevent.spawn(self.grants.run),
             gevent.spawn(self.witnessing.run),
             gevent.spawn(self._watch_backend),
-            gevent.spawn(self._live),
+            gevent.spawn(self._run_lifecycle),
             gevent.spawn(self.ingress.watch.run),
             gevent.spawn(self.planner.run),
             gevent.spawn(self.load_reports.run),
@@ -153,24 +153,24 @@
         else:
             self.snapshots.run()
 
-    def _live(self):
+    def _run_lifecycle(self):
         """Update this node's lifecycle state, and report pauses of the process."""
-        pauses = PauseDetector(boottime_s(), LIFE_CHECK_S)
-        told_too_few = False
+        pauses = PauseDetector(boottime_s(), LIFECYCLE_CHECK_S)
+        reported_too_few = False
         while True:
-            gevent.sleep(LIFE_CHECK_S)
+            gevent.sleep(LIFECYCLE_CHECK_S)
             paused_s = pauses.record_run(boottime_s())
             if paused_s is not None:
                 self.report("node_was_paused", paused_s=round(paused_s, 3))
-            moved = self.life.observe(self._facts())
-            if moved:
-                self.report("node_state", before=moved[0], after=moved[1])
+            transition = self.lifecycle.observe(self._facts())
+            if transition:
+                self.report("node_state", before=transition[0], after=transition[1])
             self._announce_if_removed()
             members = len(self.follower.state.members)
-            if self.life.state == "joining" and members < WITNESSES:
-                if not told_too_few:
+            if self.lifecycle.state == "joining" and members < WITNESSES:
+                if not reported_too_few:
                     self.report("too_few_nodes", members=members)
-                told_too_few = True
+                reported_too_few = True
 
     def _announce_if_removed(self):
         """Announce the node again if the planner removed it after a long silence."""
@@ -207,7 +207,7 @@
     def stop(self, reason):
         """Stop: hand over all slices, finish running requests, then shut down."""
         stop_gracefully(self)
-        self.life.stop()
+        self.lifecycle.stop()
         self.report("node_stopped", reason=reason)
         self.kill()
 
@@ -241,7 +241,7 @@
         self.stopping = True
         end_s = boottime_s() + grace_s - STOP_MARGIN_S
         stop_within(self, front, end_s)
-        self.life.stop()
+        self.lifecycle.stop()
         self.report("node_stopped", reason="signal")
 
     def backend_announced(self, announcement):
--- a/comfreywharf/daemon/operating/operators.py
+++ b/comfreywharf/daemon/operating/operators.py
@@ -150,7 +150,7 @@
                 config_version=state.config.version,
                 log_reachable=node.follower.reachable,
                 log_read=node.follower.usable,
-                state=node.life.state,
+                state=node.lifecycle.state,
                 lease=node.leases.holder.phase,
                 serving=self._serving(),
                 owned_slices=sum(1 for _ in state.owned_by(node_id)),
