--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -174,7 +174,7 @@
 
     def _announce_if_removed(self):
         """Announce the node again if the planner removed it after a long silence."""
-        if not self.ports.removes_lost or not self.follower.usable:
+        if not self.ports.removes_lost_nodes or not self.follower.usable:
             return
         known = self.settings.node_id in self.follower.state.members
         if known or self.backend is None or not self.incarnation_chosen.is_set():
@@ -276,10 +276,10 @@
             if self.backend is None:
                 self._record_refused_as_ended(silent_s)
                 continue
-            limit_s = self.ports.silent_s
+            limit_s = self.ports.lost_after_s
             if limit_s is not None and silent_s > limit_s:
                 self.backend_lost("silent")
-            elif silent_s > self.ports.doubt_s:
+            elif silent_s > self.ports.check_port_after_s:
                 self._check_port(self.backend)
 
     def _check_port(self, backend):
@@ -297,7 +297,7 @@
         Otherwise its successor would be used only after it has answered a query for
         its instance id, and it may have no connection available for that.
         """
-        if self._port_refused and silent_s > self.ports.doubt_s:
+        if self._port_refused and silent_s > self.ports.check_port_after_s:
             self._port_refused = False
             self.ports.backend_lost()
 
--- a/comfreywharf/daemon/owning/planner.py
+++ b/comfreywharf/daemon/owning/planner.py
@@ -122,7 +122,7 @@
             # round would leave its server overloaded for several rounds.
             if not any(isinstance(action, Split) for action in actions):
                 break
-        if self._node.ports.removes_lost:
+        if self._node.ports.removes_lost_nodes:
             self._remove_lost(state, now_s)
 
     def _append_all(self, actions):
--- a/comfreywharf/daemon/ports.py
+++ b/comfreywharf/daemon/ports.py
@@ -29,13 +29,14 @@
     """The external interfaces of a node, and the constants that depend on them.
 
     - ``fenced``: backend servers stop work whose grant has ended.
-    - ``remembers``: answers are remembered for resends. It is false where each send
-      of a caller has an id of its own.
-    - ``doubt_s``: silence in seconds after which a backend server's port is checked.
-    - ``silent_s``: silence in seconds after which a backend server is considered
+    - ``remembers_answers``: answers are remembered for resends. It is false where each
+      send of a caller has an id of its own.
+    - ``check_port_after_s``: silence in seconds after which a backend server's port is
+      checked.
+    - ``lost_after_s``: silence in seconds after which a backend server is considered
       lost; ``None`` if silence alone is no reason.
-    - ``removes_lost``: the planner removes nodes that are lost for long, and a node
-      that was removed announces itself again.
+    - ``removes_lost_nodes``: the planner removes nodes that are lost for long, and a
+      node that was removed announces itself again.
     - ``retry_fraction``: how many retries are allowed, as a fraction of the requests
       of a service that routes lead to.
     - ``refused_retry_after_ms``: the retry delay in an answer to a request that the
@@ -45,14 +46,14 @@
     """
 
     fenced = False
-    remembers = True
-    doubt_s = 0.4
-    silent_s = 1.0
+    remembers_answers = True
+    check_port_after_s = 0.4
+    lost_after_s = 1.0
     placement = PlacementPace()
     route_limits = RouteLimits()
     read_pace = ReadPace()
     retry_after = RetryAfter()
-    removes_lost = False
+    removes_lost_nodes = False
     retry_fraction = DEFAULT_RETRY_FRACTION
     refused_retry_after_ms = 1000
     routes_apply_s = float("inf")
--- a/comfreywharf/daemon/requests/forwarder.py
+++ b/comfreywharf/daemon/requests/forwarder.py
@@ -92,7 +92,7 @@
             self._node.load_reports.count(right)
             self._node.load.count(right)
             must_run_once = request.key and request.method not in SAFE_METHODS
-            if not must_run_once or not self._node.ports.remembers:
+            if not must_run_once or not self._node.ports.remembers_answers:
                 return self._forward(request, body, right, deadline_s, None)
             served = self._serve_once(request, body, right, now_s, deadline_s)
             if served is not None:
--- a/comfreywharf/daemon/tests/test_backend_lost.py
+++ b/comfreywharf/daemon/tests/test_backend_lost.py
@@ -28,7 +28,7 @@
     Cause: the refusal was taken for the server's that is there by now. Its life
     counts as ended, so that each further heartbeat of it is passed over."""
     node, ended = make_node()
-    node.ports.doubt_s = -1.0
+    node.ports.check_port_after_s = -1.0
     node.backend_announced(announcement("i-1"))
 
     def refuses_connections():
@@ -50,7 +50,7 @@
     for two seconds it has no room for an answer to the question who it is.
     Cause: only an answer counted as a sign of life, and without one it was ended."""
     node, ended = make_node()
-    node.ports.doubt_s = 1.0
+    node.ports.check_port_after_s = 1.0
     life = BackendLifecycle(node, drain_s=2.0)
     life.receive_heartbeat(announcement("i-1"), 1, False)
     node.backend_refused(node.backend)
--- a/comfreywharf/daemon/tests/test_planner_rounds.py
+++ b/comfreywharf/daemon/tests/test_planner_rounds.py
@@ -27,7 +27,7 @@
     node = SimpleNamespace(
         settings=SimpleNamespace(node_id="planner"),
         follower=FoldedLog(cluster.state),
-        ports=SimpleNamespace(removes_lost=False),
+        ports=SimpleNamespace(removes_lost_nodes=False),
     )
     planner = Planner(node)
     planner._planning = cluster.planning
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -74,9 +74,9 @@
     """The platform's protocols; see `Ports`."""
 
     fenced = True
-    remembers = False
-    silent_s = None
-    removes_lost = True
+    remembers_answers = False
+    lost_after_s = None
+    removes_lost_nodes = True
     placement = PlacementPace(
         warm_up_s=3.0,
         smoothing_s=2.0,
@@ -100,7 +100,7 @@
         self._settings = settings
         self._dialect = PlatformDialect()
         self.store = Store(settings.store)
-        self.doubt_s = MISSED_HEARTBEATS * settings.heartbeat_interval_s
+        self.check_port_after_s = MISSED_HEARTBEATS * settings.heartbeat_interval_s
         self.retry_fraction = RETRY_SHARE * settings.retry_fraction
         self.routes_apply_s = settings.routes_apply_s
         self.front = None
--- a/comfreywharf/platform/tests/test_lives.py
+++ b/comfreywharf/platform/tests/test_lives.py
@@ -82,7 +82,7 @@
     Sequence: a server crashes, and nothing listens at its port.
     Cause: only missed heartbeats led to a look at the port."""
     name = deployment.holder(7)
-    deployment.nodes[name].ports.doubt_s = float("inf")
+    deployment.nodes[name].ports.check_port_after_s = float("inf")
     deployment.servers[name].crash()
     wait_for(lambda: deployment.holder(7) not in (None, name))
     wait_for(lambda: deployment.ask(deployment.elsewhere(7)).status == 200)
