--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -69,7 +69,7 @@
         self.reporter = Reporter(settings.node_id, self.incarnation, self.metrics)
         self.report = self.reporter.report
         self.events = self.reporter.events
-        self.decisions = Decisions(self, self.ports.make_lines())
+        self.decisions = Decisions(self, self.ports.make_line_writer())
         self.backend = None
         client = self.ports.make_log_client()
         self.follower = Follower(
--- a/comfreywharf/daemon/operating/decisions.py
+++ b/comfreywharf/daemon/operating/decisions.py
@@ -7,7 +7,7 @@
 from comfreywharf.load.estimates import work_kind
 from comfreywharf.routing import Outcome
 
-__all__ = ["NEVER_AGE_S", "Decisions", "StdoutLines", "no_lines"]
+__all__ = ["NEVER_AGE_S", "Decisions", "StdoutLineWriter", "discard_line"]
 
 NEVER_AGE_S = 3600.0
 """The age that is reported if nothing was ever confirmed, and the highest one."""
@@ -16,12 +16,12 @@
 """Maximum length of a line. Up to this length a write to a pipe is atomic (pipe(7))."""
 
 
-def no_lines(line):
+def discard_line(line):
     """Write nothing, and return true; for nodes without lines on single requests."""
     return True
 
 
-class StdoutLines:
+class StdoutLineWriter:
     """Write lines to standard output without blocking.
 
     If nobody reads the output, a blocking write to the full pipe would stop the
@@ -48,7 +48,7 @@
 
     def __init__(self, node, write):
         self._node = node
-        self.enabled = write is not no_lines
+        self.enabled = write is not discard_line
         self._log = DecisionLog(node.settings.node_id, write, node.reporter.stamp)
 
     def ended(self, call, reply, now_s):
--- a/comfreywharf/daemon/ports.py
+++ b/comfreywharf/daemon/ports.py
@@ -7,7 +7,7 @@
 
 from abc import ABC, abstractmethod
 
-from comfreywharf.daemon.operating.decisions import no_lines
+from comfreywharf.daemon.operating.decisions import discard_line
 from comfreywharf.daemon.operating.operators import BackendPort, OperatorPort
 from comfreywharf.daemon.owning.grants import Grants
 from comfreywharf.daemon.recording.follower import ReadPace
@@ -79,9 +79,9 @@
     def make_servers(self, node):
         """Return the servers for callers, operators and the backend server."""
 
-    def make_lines(self):
+    def make_line_writer(self):
         """Return the function that writes log lines about single requests."""
-        return no_lines
+        return discard_line
 
     def lease_terms(self, settings):
         """Return the `LeaseTerms` of a node's settings."""
--- a/comfreywharf/events/tests/test_decisions.py
+++ b/comfreywharf/events/tests/test_decisions.py
@@ -6,7 +6,7 @@
 import orjson
 import pytest
 
-from comfreywharf.daemon.operating.decisions import StdoutLines
+from comfreywharf.daemon.operating.decisions import StdoutLineWriter
 from comfreywharf.events.decisions import LINES_BURST, DecisionLog, is_sampled
 from comfreywharf.events.explain import read_steps, tell_story
 
@@ -63,7 +63,7 @@
     Cause: a write that waits."""
     reader, writer = os.pipe()
     try:
-        write = StdoutLines(writer)
+        write = StdoutLineWriter(writer)
         line = b"x" * 4000 + b"\n"
         taken = [write(line) for _ in range(100)]
         assert taken[0] and not taken[-1]
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -6,7 +6,7 @@
 from geventhttpclient.response import HTTPParseError
 
 from comfreywharf.daemon.connections.http import NodelayHandler, SingleSendClient
-from comfreywharf.daemon.operating.decisions import StdoutLines
+from comfreywharf.daemon.operating.decisions import StdoutLineWriter
 from comfreywharf.daemon.operating.operators import OperatorPort
 from comfreywharf.daemon.owning.declaring import Declaring
 from comfreywharf.daemon.owning.grants_by_service import GrantsByService
@@ -163,9 +163,9 @@
             operators.make_server(settings.node.host, settings.node.operator_port),
         ]
 
-    def make_lines(self):
+    def make_line_writer(self):
         """Return standard output, which the platform collects."""
-        return StdoutLines()
+        return StdoutLineWriter()
 
     def lease_terms(self, settings):
         """Return terms with which lost witnesses are replaced soon."""
