--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -233,14 +233,11 @@
         """Return whether new requests are still sent to the backend server."""
         return not self.closed_to_new_work and not self.finishing
 
-    def stop_within(self, grace_s, front):
-        """Stop within ``grace_s``: hand over, dismiss callers, finish requests.
-
-        ``front`` is the `CallerServer`.
-        """
+    def stop_within(self, grace_s, caller_server):
+        """Stop within ``grace_s`` seconds: hand over all slices, finish requests."""
         self.stopping = True
         end_s = boottime_s() + grace_s - STOP_MARGIN_S
-        stop_within(self, front, end_s)
+        stop_within(self, caller_server, end_s)
         self.lifecycle.stop()
         self.report("node_stopped", reason="signal")
 
--- a/comfreywharf/daemon/stopping.py
+++ b/comfreywharf/daemon/stopping.py
@@ -29,23 +29,25 @@
     _wait_until(lambda: not _is_busy(node), FINISH_LIMIT_S)
 
 
-def stop_within(node, front, end_s):
+def stop_within(node, caller_server, end_s):
     """Drain a node until ``end_s``, even if requests or slices remain by then.
 
-    ``front`` is the `CallerServer`. Each answer asks its caller to connect to another
-    node, and callers are served until they have: a caller that sends a request on a
-    kept-alive connection just as it is closed would lose the request.
+    Each answer asks its caller to connect to another node, and callers are served
+    until they have: a caller that sends a request on a kept-alive connection just as
+    it is closed would lose the request.
     """
-    begun_s = boottime_s()
-    drained = gevent.spawn(_drain_until, node, end_s - FINISH_RESERVE_S)
-    gevent.sleep(min(RETIRE_AFTER_S, max(0.0, end_s - begun_s)))
-    front.retire()
-    _wait_until(lambda: boottime_s() >= end_s - FINISH_RESERVE_S, end_s - begun_s)
-    front.refuse_new()
+    start_s = boottime_s()
+    draining = gevent.spawn(_drain_until, node, end_s - FINISH_RESERVE_S)
+    gevent.sleep(min(RETIRE_AFTER_S, max(0.0, end_s - start_s)))
+    caller_server.retire()
+    _wait_until(lambda: boottime_s() >= end_s - FINISH_RESERVE_S, end_s - start_s)
+    caller_server.refuse_new()
     # Peers continue to forward requests of services without owners to this node.
     node.finishing = True
-    drained.join(max(0.0, end_s - boottime_s()))
-    _wait_until(lambda: not _is_busy(node) and not front.busy, end_s - boottime_s())
+    draining.join(max(0.0, end_s - boottime_s()))
+    _wait_until(
+        lambda: not _is_busy(node) and not caller_server.busy, end_s - boottime_s()
+    )
 
 
 def _drain_until(node, end_s):
@@ -61,9 +63,9 @@
 
 
 def _has_slices(node):
-    me = node.settings.node_id
+    node_id = node.settings.node_id
     return any(
-        me in (piece.owner, piece.previous)
+        node_id in (piece.owner, piece.previous)
         for pieces in node.follower.state.slices.values()
         for piece in pieces.slices
     )
@@ -76,9 +78,9 @@
     away from having no majority. When the next node stopped, their keys would be
     unavailable.
     """
-    me = node.settings.node_id
+    node_id = node.settings.node_id
     return any(
-        me in group
+        node_id in group
         for member in node.follower.state.members.values()
         for group in member.witness_groups
     )
