--- a/comfreywharf/daemon/operating/jsonport.py
+++ b/comfreywharf/daemon/operating/jsonport.py
@@ -17,7 +17,7 @@
 from comfreywharf.records.codec import converter
 from comfreywharf.settings import suggest
 
-__all__ = ["BadInput", "JsonPort", "Question", "Reply", "TextReply", "structure"]
+__all__ = ["BadInput", "JsonPort", "JsonRequest", "Reply", "TextReply", "structure"]
 
 MAX_BODY_BYTES = 1 << 20
 MAX_CONNECTIONS = 256
@@ -36,7 +36,7 @@
     return str(error) if isinstance(error, _WrongType) else format_exception(error, cls)
 
 
-def _exactly(kind):
+def _require_type(kind):
     def read(value, _):
         # By default, cattrs converts the text "no" to true, and 7.9 to 7.
         if type(value) is not kind:
@@ -47,8 +47,8 @@
 
 
 for _kind in _TYPE_NAMES:
-    _strict.register_structure_hook(_kind, _exactly(_kind))
-    _lenient.register_structure_hook(_kind, _exactly(_kind))
+    _strict.register_structure_hook(_kind, _require_type(_kind))
+    _lenient.register_structure_hook(_kind, _require_type(_kind))
 
 
 class BadInput(Exception):
@@ -80,7 +80,7 @@
     content_type: str
 
 
-class Question:
+class JsonRequest:
     """One HTTP request to a `JsonPort`."""
 
     def __init__(self, environ):
@@ -148,16 +148,16 @@
 
 
 class JsonPort:
-    """A WSGI application that calls a function for each method and path.
+    """A WSGI application that calls a handler for each method and path.
 
-    A function takes a `Question` and returns a `Reply` or a `TextReply`. An unexpected
-    exception is logged and answered with status 500; the process continues.
+    A handler takes a `JsonRequest` and returns a `Reply` or a `TextReply`. An
+    unexpected exception is logged and answered with status 500; the process continues.
     """
 
     def __init__(self, routes):
         self._routes = defaultdict(dict)
-        for (method, path), function in routes.items():
-            self._routes[path][method] = function
+        for (method, path), handler in routes.items():
+            self._routes[path][method] = handler
 
     def make_server(self, host, port):
         """Return the server; it isn't started yet."""
@@ -171,7 +171,7 @@
 
     def __call__(self, environ, start_response):
         """Answer one request."""
-        reply = self.answer(Question(environ))
+        reply = self.answer(JsonRequest(environ))
         if isinstance(reply, TextReply):
             body, content_type = reply.text, reply.content_type
         else:
@@ -183,29 +183,29 @@
         start_response(f"{reply.status} Answer", headers)
         return [body]
 
-    def answer(self, question):
+    def answer(self, request):
         """Return the reply to a request; all exceptions become error replies."""
         try:
-            return self._find(question)(question)
+            return self._find_handler(request)(request)
         except BadInput as error:
             return Reply(error.status, error.document)
         except Exception:
-            logging.exception("%s %s failed", question.method, question.path)
+            logging.exception("%s %s failed", request.method, request.path)
             return Reply(500, ErrorDocument(error="internal; see the node's log"))
 
-    def _find(self, question):
-        if question.path not in self._routes:
+    def _find_handler(self, request):
+        if request.path not in self._routes:
             known = sorted(self._routes)
             raise BadInput(
                 404,
-                f"path: found {question.path[:80]!r}; "
-                f"expected one of {', '.join(known)}{suggest(question.path, known)}",
+                f"path: found {request.path[:80]!r}; "
+                f"expected one of {', '.join(known)}{suggest(request.path, known)}",
             )
-        functions = self._routes[question.path]
-        if question.method not in functions:
+        handlers = self._routes[request.path]
+        if request.method not in handlers:
             raise BadInput(
                 405,
-                f"method: found {question.method}; "
-                f"expected {' or '.join(sorted(functions))}",
+                f"method: found {request.method}; "
+                f"expected {' or '.join(sorted(handlers))}",
             )
-        return functions[question.method]
+        return handlers[request.method]
--- a/comfreywharf/daemon/operating/operators.py
+++ b/comfreywharf/daemon/operating/operators.py
@@ -55,8 +55,8 @@
         super().__init__({("POST", "/announce"): self._announce})
         self._node = node
 
-    def _announce(self, question):
-        announcement = question.document(Announcement, lenient=True)
+    def _announce(self, request):
+        announcement = request.document(Announcement, lenient=True)
         _check_announcement(announcement)
         self._node.backend_announced(announcement)
         return Reply(200, {"node_id": self._node.settings.node_id})
@@ -134,7 +134,7 @@
             )
         return self._state
 
-    def _status(self, question):
+    def _status(self, request):
         node, state = self._node, self._state
         node_id = node.settings.node_id
         member = state.members.get(node_id)
@@ -171,33 +171,33 @@
         served = self._node.leases.table.serving(self._state, boottime_s())
         return dict(Counter(service for service, *_ in served))
 
-    def _whole_state(self, question):
+    def _whole_state(self, request):
         return Reply(200, converter.unstructure(self._state))
 
-    def _nodes(self, question):
+    def _nodes(self, request):
         return Reply(200, node_documents(self._state))
 
-    def _services(self, question):
+    def _services(self, request):
         return Reply(200, service_documents(self._state))
 
-    def _owner(self, question):
+    def _owner(self, request):
         state = self._read_state()
-        service = question.text("service")
+        service = request.text("service")
         declared = state.config.services
         if service not in declared:
             known = ", ".join(sorted(declared)) or "none yet"
             raise BadInput(404, f"service: found {service!r}; declared are {known}")
         if not declared[service].divided_by_key:
             raise BadInput(409, f"{service} isn't divided by key: any node serves it")
-        value = question.integer("key_hash")
+        value = request.integer("key_hash")
         if value >= KEY_SPACE:
             raise BadInput(400, f"key_hash: found {value}; expected < {KEY_SPACE}")
         document = owner_document(state, self._reasons, service, value)
         return Reply(200, document)
 
-    def _config(self, question):
+    def _config(self, request):
         state = self._read_state()
-        version = question.integer("version", state.config.version)
+        version = request.integer("version", state.config.version)
         config = configuration_at(state, version)
         if config is None:
             raise BadInput(
@@ -207,30 +207,30 @@
             )
         return Reply(200, config_document(config))
 
-    def _history(self, question):
+    def _history(self, request):
         return Reply(200, version_documents(self._read_state()))
 
-    def _submit(self, question):
+    def _submit(self, request):
         self._read_state()
-        record = patch_from_order(question.document(PatchOrder))
+        record = patch_from_order(request.document(PatchOrder))
         document = submit_patch(self._node.follower, record)
         return Reply(_STATUS_OF_VERDICT[document.verdict], document)
 
-    def _outcome(self, question):
-        record_id = question.text("record_id")
-        base_version = question.integer("base_version", NO_BASE)
+    def _outcome(self, request):
+        record_id = request.text("record_id")
+        base_version = request.integer("base_version", NO_BASE)
         if base_version == NO_BASE:
             base_version = None
         return Reply(200, submission(self._read_state(), record_id, base_version))
 
-    def _drain(self, question):
-        return self._change_drain(question, draining=True)
+    def _drain(self, request):
+        return self._change_drain(request, draining=True)
 
-    def _undrain(self, question):
-        return self._change_drain(question, draining=False)
+    def _undrain(self, request):
+        return self._change_drain(request, draining=False)
 
-    def _change_drain(self, question, draining):
-        order = question.document(DrainOrder)
+    def _change_drain(self, request, draining):
+        order = request.document(DrainOrder)
         members = self._read_state().members
         if order.node_id not in members:
             known = ", ".join(sorted(members)[:20])
@@ -254,7 +254,7 @@
             ),
         )
 
-    def _quarantine(self, question):
+    def _quarantine(self, request):
         quarantine = self._quarantine_shell()
         entries = quarantine.list(boottime_s()) if quarantine else []
         return Reply(
@@ -271,8 +271,8 @@
             ],
         )
 
-    def _lift(self, question):
-        order = question.document(LiftOrder)
+    def _lift(self, request):
+        order = request.document(LiftOrder)
         quarantine = self._quarantine_shell()
         if quarantine is None or not quarantine.lift(order.fingerprint):
             raise BadInput(
@@ -287,11 +287,11 @@
         """Return the node's quarantine, or ``None`` in a node without one."""
         return getattr(getattr(self._node, "load", None), "quarantine", None)
 
-    def _events(self, question):
-        events = self._node.events.since(question.integer("since", 0))
+    def _events(self, request):
+        events = self._node.events.since(request.integer("since", 0))
         return Reply(200, events)
 
-    def _doctor(self, question):
+    def _doctor(self, request):
         return Reply(200, diagnose(self._node))
 
 
