--- a/comfreywharf/daemon/operating/assignments.py
+++ b/comfreywharf/daemon/operating/assignments.py
@@ -29,7 +29,7 @@
     def __init__(self):
         self._reasons = {}
 
-    def note(self, record, result, offset):
+    def update(self, record, result, offset):
         """Record a folded record as the reason for the slices that it changed."""
         if not result.accepted or isinstance(record, MoveCompleted):
             return
--- a/comfreywharf/daemon/operating/diagnosis.py
+++ b/comfreywharf/daemon/operating/diagnosis.py
@@ -37,7 +37,7 @@
     address = node.settings.log
     client = LogClient(address.host, address.port, timeout_s=PROBE_TIMEOUT_S)
     start = node.follower.state.next_offset
-    begun_s = boottime_s()
+    start_s = boottime_s()
     try:
         batch = client.read(node.settings.log_stream, start, limit=1)
     except LogTruncated as error:
@@ -54,7 +54,7 @@
             found=str(error),
             advice=f"is the log service at {address.host}:{address.port} up?",
         )
-    took_ms = (boottime_s() - begun_s) * 1000
+    took_ms = (boottime_s() - start_s) * 1000
     lag = batch.next - start
     return CheckDocument(
         name="log",
@@ -133,7 +133,7 @@
 
 def _check_peer(member):
     address = (member.host, member.peer_port)
-    begun_s = boottime_s()
+    start_s = boottime_s()
     try:
         socket.create_connection(address, timeout=PROBE_TIMEOUT_S).close()
     except OSError as error:
@@ -143,6 +143,6 @@
             found=f"{member.host}:{member.peer_port}: {error}",
             advice="is the node up, and may this node connect to its peer port?",
         )
-    took_ms = (boottime_s() - begun_s) * 1000
+    took_ms = (boottime_s() - start_s) * 1000
     found = f"connects in {took_ms:.1f} ms"
     return CheckDocument(name=f"peer {member.node_id}", well=True, found=found)
--- a/comfreywharf/daemon/operating/operators.py
+++ b/comfreywharf/daemon/operating/operators.py
@@ -21,7 +21,7 @@
 from comfreywharf.daemon.operating.jsonport import BadInput, JsonPort, Reply
 from comfreywharf.daemon.operating.submissions import (
     patch_from_order,
-    submission,
+    submission_document,
     submit_patch,
     submit_record,
 )
@@ -39,7 +39,7 @@
 
 __all__ = ["BackendPort", "OperatorPort"]
 
-NO_BASE = -1
+NO_BASE_VERSION = -1
 
 _STATUS_OF_VERDICT = {
     Verdict.ACCEPTED: 200,
@@ -117,7 +117,7 @@
         return self._node.follower.state
 
     def _on_folded(self, record, result):
-        self._reasons.note(record, result, self._state.next_offset - 1)
+        self._reasons.update(record, result, self._state.next_offset - 1)
 
     def _read_state(self):
         """Return the folded state; raise `BadInput` unless the log was read to its end.
@@ -218,10 +218,12 @@
 
     def _outcome(self, request):
         record_id = request.text("record_id")
-        base_version = request.integer("base_version", NO_BASE)
-        if base_version == NO_BASE:
+        base_version = request.integer("base_version", NO_BASE_VERSION)
+        if base_version == NO_BASE_VERSION:
             base_version = None
-        return Reply(200, submission(self._read_state(), record_id, base_version))
+        return Reply(
+            200, submission_document(self._read_state(), record_id, base_version)
+        )
 
     def _drain(self, request):
         return self._change_drain(request, draining=True)
@@ -255,7 +257,7 @@
         )
 
     def _quarantine(self, request):
-        quarantine = self._quarantine_shell()
+        quarantine = self._find_quarantine()
         entries = quarantine.list(boottime_s()) if quarantine else []
         return Reply(
             200,
@@ -273,7 +275,7 @@
 
     def _lift(self, request):
         order = request.document(LiftOrder)
-        quarantine = self._quarantine_shell()
+        quarantine = self._find_quarantine()
         if quarantine is None or not quarantine.lift(order.fingerprint):
             raise BadInput(
                 404,
@@ -283,7 +285,7 @@
         logging.info("%s lifted %s", order.author[:80], order.fingerprint)
         return Reply(200, order)
 
-    def _quarantine_shell(self):
+    def _find_quarantine(self):
         """Return the node's quarantine, or ``None`` in a node without one."""
         return getattr(getattr(self._node, "load", None), "quarantine", None)
 
--- a/comfreywharf/daemon/operating/submissions.py
+++ b/comfreywharf/daemon/operating/submissions.py
@@ -14,7 +14,7 @@
 from comfreywharf.declarations import service_from_fields
 from comfreywharf.records import ConfigPatched, Refusal
 
-__all__ = ["patch_from_order", "submission", "submit_patch", "submit_record"]
+__all__ = ["patch_from_order", "submission_document", "submit_patch", "submit_record"]
 
 
 MAX_TEXT_CHARACTERS = 200
@@ -61,9 +61,11 @@
     A patch whose base version is below the version in force can't be accepted any
     more, since versions only grow. It is refused here without an append to the log.
     """
-    known = submission(follower.state, record.record_id, record.base_version)
-    if known.verdict != Verdict.UNKNOWN:
-        return known
+    document = submission_document(
+        follower.state, record.record_id, record.base_version
+    )
+    if document.verdict != Verdict.UNKNOWN:
+        return document
     return submit_record(follower, record, record.base_version)
 
 
@@ -79,13 +81,13 @@
         follower.append(record)
     except NotAcknowledged as error:
         sent = error.sent
-    document = submission(follower.state, record.record_id, base_version)
+    document = submission_document(follower.state, record.record_id, base_version)
     if document.verdict == Verdict.UNKNOWN and not sent:
         return attrs.evolve(document, verdict=Verdict.REFUSED, reason=NOT_SENT)
     return document
 
 
-def _has_passed(state, base_version):
+def _is_base_taken(state, base_version):
     """Return whether a record other than an unknown one was accepted on a base version.
 
     The number of remembered outcomes is limited. Once the outcomes from when the
@@ -97,14 +99,14 @@
     return taken is not None and oldest is not None and oldest.offset <= taken.offset
 
 
-def submission(state, record_id, base_version=None):
+def submission_document(state, record_id, base_version=None):
     """Return the outcome of a record, as far as the folded state has it."""
     verdict, reason, offset = Verdict.UNKNOWN, "not-read-back", -1
     outcome = state.outcomes.get(record_id)
     if outcome is not None:
         verdict = Verdict.ACCEPTED if outcome.accepted else Verdict.REFUSED
         reason, offset = outcome.reason, outcome.offset
-    elif base_version is not None and _has_passed(state, base_version):
+    elif base_version is not None and _is_base_taken(state, base_version):
         verdict, reason = Verdict.REFUSED, Refusal.STALE_VERSION.value
     stale = verdict == Verdict.REFUSED and base_version is not None
     return SubmissionDocument(
--- a/comfreywharf/daemon/operating/views.py
+++ b/comfreywharf/daemon/operating/views.py
@@ -145,7 +145,7 @@
                 offset=later.offset,
                 author=later.author,
                 note=later.note,
-                changes=_lines(earlier.services, later.services),
+                changes=_difference_lines(earlier.services, later.services),
             )
         )
     return documents[::-1]
@@ -162,9 +162,9 @@
     )
     before = {change.name: change.before for change in since.changes if change.before}
     after = {change.name: change.after for change in since.changes if change.after}
-    return notes + _lines(before, after)
+    return notes + _difference_lines(before, after)
 
 
-def _lines(before, after):
+def _difference_lines(before, after):
     found = differences(before, after)
     return tuple(line for difference in found for line in difference.lines())
