--- a/comfreywharf/daemon/operating/decisions.py
+++ b/comfreywharf/daemon/operating/decisions.py
@@ -51,7 +51,7 @@
         self.enabled = write is not discard_line
         self._log = DecisionLog(node.settings.node_id, write, node.reporter.stamp)
 
-    def ended(self, call, reply, now_s):
+    def request_ended(self, call, reply, now_s):
         """Log how a caller's request ended; only a sample of those without a reason."""
         if not self.enabled:
             return
@@ -69,18 +69,20 @@
         kind = "refused" if reply.outcome == Outcome.NOT_RUN else "unknown"
         facts["reason"] = reply.reason
         facts["retry_after_ms"] = reply.retry_after_ms
-        facts |= self._routes_belief(now_s)
-        self._log.tell(now_s, request.request_id, kind, **facts, **self._belief(now_s))
+        facts |= self._routes_view(now_s)
+        self._log.tell(
+            now_s, request.request_id, kind, **facts, **self._log_view(now_s)
+        )
 
     def turned_away(self, request_id, reply, now_s):
         """Log that a request was refused because of its content."""
         if not self.enabled:
             return
         facts = {"status": reply.status, "reason": reply.reason}
-        facts |= self._routes_belief(now_s)
+        facts |= self._routes_view(now_s)
         self._log.tell(now_s, request_id, "turned_away", **facts)
 
-    def step(self, call, decision, reply, target, ownership):
+    def next_step(self, call, decision, reply, target, ownership):
         """Log the next step of a request after a refusal: its target, or none."""
         if not self.enabled:
             return
@@ -90,7 +92,7 @@
             facts["owner"] = ownership.owner
             facts["standby"] = ownership.standby
             facts["previous"] = ownership.previous
-        facts |= self._belief(now_s)
+        facts |= self._log_view(now_s)
         self._log.tell(now_s, call.request.request_id, decision, **facts)
 
     def no_right(self, request, right, now_s):
@@ -105,7 +107,7 @@
             reason=right.reason.value,
             hint=right.owner_hint,
             lease=holder.phase,
-            **self._belief(now_s),
+            **self._log_view(now_s),
         )
 
     def not_admitted(self, request, reply, state, now_s):
@@ -143,12 +145,12 @@
             deadline_left_ms=round((running.deadline_s - now_s) * 1000),
         )
 
-    def _routes_belief(self, now_s):
+    def _routes_view(self, now_s):
         routes = self._node.routes
         age_ms = round(min(routes.age_s(now_s), NEVER_AGE_S) * 1000)
         return {"routes_version": routes.version, "routes_age_ms": age_ms}
 
-    def _belief(self, now_s):
+    def _log_view(self, now_s):
         follower = self._node.follower
         age_s = min(now_s - follower.confirmed_s, NEVER_AGE_S)
         return {
--- a/comfreywharf/daemon/operating/metering.py
+++ b/comfreywharf/daemon/operating/metering.py
@@ -34,7 +34,7 @@
         self._node = node
         self._metrics = node.metrics
 
-    def refused_at_once(self, reply, began_s):
+    def request_refused(self, reply, began_s):
         """Count a request whose service is unknown or not declared.
 
         It gets an empty service label: otherwise a caller could create any number of
--- a/comfreywharf/daemon/requests/dispatch.py
+++ b/comfreywharf/daemon/requests/dispatch.py
@@ -150,7 +150,7 @@
         kind = {GiveUp: "given_up", Hold: "held"}.get(type(step), "sent_again")
         target = "" if isinstance(step, GiveUp) else step.progress.target
         ownership = self._ownership(call.request) if call.request.key else None
-        self._node.decisions.step(call, kind, reply, target, ownership)
+        self._node.decisions.next_step(call, kind, reply, target, ownership)
 
     def _decide(self, call, progress, reply, tried):
         ownership, other_member = None, ""
--- a/comfreywharf/daemon/requests/ingress.py
+++ b/comfreywharf/daemon/requests/ingress.py
@@ -85,7 +85,7 @@
     def refuse(self, reason, now_s, request_id=""):
         """Return the reply to a request that is refused before it is dispatched."""
         reply = refusal(reason)
-        self._node.meter.refused_at_once(reply, now_s)
+        self._node.meter.request_refused(reply, now_s)
         self._node.decisions.turned_away(request_id, reply, now_s)
         return reply
 
@@ -110,7 +110,7 @@
         finally:
             self.watch.leave(call)
         self._node.meter.request_ended(call, reply)
-        self._node.decisions.ended(call, reply, boottime_s())
+        self._node.decisions.request_ended(call, reply, boottime_s())
         if body_stream is None:
             return reply, None
         return reply, self._stream_to_caller(body_stream.parts(reply.body), call.sock)
