--- a/comfreywharf/daemon/operating/reporter.py
+++ b/comfreywharf/daemon/operating/reporter.py
@@ -22,10 +22,10 @@
 
 __all__ = ["Reporter"]
 
-LINES_BURST = 20
-LINES_PER_S = 0.5
-KEPT_BURST = 200
-KEPT_PER_S = 5.0
+LOG_BURST = 20
+LOG_EVENTS_PER_S = 0.5
+RING_BURST = 200
+RING_EVENTS_PER_S = 5.0
 QUIET_S = 5.0
 
 _LEVELS = {
@@ -42,8 +42,8 @@
         self._metrics = metrics or Metrics()
         self.clock = EventClock()
         self.events = EventRing(node_id, incarnation)
-        self._lines = RateLimit(LINES_BURST, LINES_PER_S)
-        self._kept = RateLimit(KEPT_BURST, KEPT_PER_S)
+        self._log_limit = RateLimit(LOG_BURST, LOG_EVENTS_PER_S)
+        self._ring_limit = RateLimit(RING_BURST, RING_EVENTS_PER_S)
 
     def report(self, name, /, **fields):
         """Add an event to the ring and to the log; see docs/events.md."""
@@ -54,14 +54,14 @@
         now_s = boottime_s()
         severity = by_name(name).severity
         self._metrics.event_reported(name, severity.value)
-        unkept = self._kept.admit(name, now_s)
-        if unkept is None:
-            self._lines.withhold(name, now_s)
+        withheld = self._ring_limit.admit(name, now_s)
+        if withheld is None:
+            self._log_limit.withhold(name, now_s)
             return
-        if unkept and name != "events_withheld":
-            self.report("events_withheld", event=name, place="ring", count=unkept)
+        if withheld and name != "events_withheld":
+            self.report("events_withheld", event=name, place="ring", count=withheld)
         event = self.events.add(name, self.clock.tick(_now_ms()), fields)
-        repeats = self._lines.admit(name, now_s)
+        repeats = self._log_limit.admit(name, now_s)
         if repeats is not None:
             logging.log(_LEVELS[severity], format_line(event, repeats))
 
@@ -73,9 +73,9 @@
         while True:
             gevent.sleep(QUIET_S)
             now_s = boottime_s()
-            for name, count in self._lines.take_withheld(now_s, QUIET_S):
+            for name, count in self._log_limit.take_withheld(now_s, QUIET_S):
                 self.report("events_withheld", event=name, place="log", count=count)
-            for name, count in self._kept.take_withheld(now_s, QUIET_S):
+            for name, count in self._ring_limit.take_withheld(now_s, QUIET_S):
                 self.report("events_withheld", event=name, place="ring", count=count)
 
     def stamp(self):
