--- a/comfreywharf/daemon/operating/jsonport.py
+++ b/comfreywharf/daemon/operating/jsonport.py
@@ -190,7 +190,9 @@
         except BadInput as error:
             return Reply(error.status, error.document)
         except Exception:
-            logging.exception("%s %s failed", request.method, request.path)
+            logging.exception(
+                "internal error in the HTTP request %s %s", request.method, request.path
+            )
             return Reply(500, ErrorDocument(error="internal; see the node's log"))
 
     def _find_handler(self, request):
--- a/comfreywharf/daemon/operating/operators.py
+++ b/comfreywharf/daemon/operating/operators.py
@@ -282,7 +282,11 @@
                 f"fingerprint: found {order.fingerprint[:80]!r}; "
                 "expected one that `comfreywharf quarantine list` shows",
             )
-        logging.info("%s lifted %s", order.author[:80], order.fingerprint)
+        logging.info(
+            "%s lifted the quarantine of request %s",
+            order.author[:80],
+            order.fingerprint,
+        )
         return Reply(200, order)
 
     def _find_quarantine(self):
