--- a/comfreywharf/daemon/tests/test_backend_answers.py
+++ b/comfreywharf/daemon/tests/test_backend_answers.py
@@ -1,4 +1,4 @@
-"""Answers on shared connections: never another caller's, never a part as the whole.
+"""Each caller gets its own answer, and a truncated answer is an error.
 
 A scripted server sends each kind of bad answer over a real socket.
 """
@@ -25,17 +25,17 @@
 
 
 def failure(backend, **fields):
-    """Return the reason for which one request has no answer."""
+    """Return the reason of the `BackendError` that one request raises."""
     with pytest.raises(BackendError) as caught:
         exchange(backend, **fields)
     return caught.value.reason
 
 
-def test_an_answer_after_the_timeout_is_not_the_next_callers():
-    """Symptom: a caller reads a stranger's booking.
+def test_a_late_answer_is_not_returned_to_the_next_request():
+    """A connection isn't reused after a timeout.
 
-    Sequence: a request times out; the next one takes the same connection; the
-    late answer arrives. Cause: the connection went back to the pool.
+    Otherwise the next request would be sent on it, the late answer would arrive
+    there, and its caller would read another caller's booking.
     """
     late = Reply(whole(b"late"), wait_s=0.1)
     with ScriptedServer(late, Reply(whole(b"own"))) as server:
@@ -48,14 +48,15 @@
 @pytest.mark.parametrize(
     "surplus", [whole(b"doubled"), b"rubbish", b"\r\n\r\nHTTP/1.1 500 No\r\n\r\n"]
 )
-def test_bytes_behind_an_answer_change_neither_it_nor_the_next(surplus):
-    """Symptom: an answer with another one's status, and both bodies.
+def test_surplus_bytes_after_an_answer_change_no_answer(surplus):
+    """Surplus bytes after an answer are ignored, and the connection is closed.
 
-    Sequence: a server sends one answer too many in the same segment. Cause: the
-    library goes on parsing, and the connection is back in the pool by then.
+    A server may send two answers in one segment. If the HTTP library went on
+    parsing, the first answer would get the status of the second and both bodies.
+    If the connection went back to the pool, the next request would get the second.
     """
-    doubled = Reply(whole(b"first") + surplus)
-    with ScriptedServer(doubled, Reply(whole(b"second"))) as server:
+    two_answers = Reply(whole(b"first") + surplus)
+    with ScriptedServer(two_answers, Reply(whole(b"second"))) as server:
         backend = backend_for(server)
         assert exchange(backend) == (200, b"first")
         assert exchange(backend) == (200, b"second")
@@ -66,12 +67,15 @@
     ("length", "refused", "connections"),
     [(4096, True, 2), (4096, False, 1), (100, True, 1)],
 )
-def test_a_connection_with_half_a_body_on_it_is_given_up(length, refused, connections):
-    """Symptom: a request reaches its server a second after its caller has left.
-
-    Sequence: a server refuses an upload before it has read it, and reads on; the
-    next request goes out on that connection; its caller leaves. Cause: a whole
-    answer was taken for the sign that the server is done with the request.
+def test_a_connection_is_closed_if_a_long_body_was_refused(
+    length, refused, connections
+):
+    """A connection isn't reused while the server may still read a refused body.
+
+    A server may refuse an upload before it has read the body, and then read on. A
+    request that is sent next on that connection would reach the server only after
+    that, possibly after its caller has left. A complete answer alone doesn't prove
+    that the server is done with the request.
     """
     first = whole(b"full")
     if refused:
@@ -83,8 +87,8 @@
         assert server.connections == connections
 
 
-def test_bytes_that_come_while_a_connection_is_idle_retire_it():
-    """A doubled answer that arrives later is seen before the next send."""
+def test_bytes_on_an_idle_connection_close_it():
+    """A second answer that arrives later is detected before the next send."""
     with ScriptedServer(Reply(whole(b"1")), Reply(whole(b"2"))) as server:
         backend = backend_for(server)
         exchange(backend)
@@ -94,7 +98,7 @@
 
 
 @pytest.mark.parametrize(
-    "cut",
+    "truncated",
     [
         whole(b"whole")[:-2],
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
@@ -104,25 +108,25 @@
     ],
     ids=["length", "chunks", "no length", "headers", "nothing"],
 )
-def test_a_cut_answer_is_an_error(cut):
-    """Symptom: half of a measurement sheet, told as a success.
+def test_a_truncated_answer_is_an_error(truncated):
+    """The end of the connection isn't accepted as the end of an answer.
 
-    Sequence: the server's connection ends in the middle of an answer. Cause: an
-    end of the stream was taken for the end of the answer.
+    Otherwise a caller would get half of a measurement sheet with status 200 when
+    the server's connection ends in the middle of an answer.
     """
-    with ScriptedServer(Reply(cut, close=True)) as server:
+    with ScriptedServer(Reply(truncated, close=True)) as server:
         with pytest.raises((BackendError, HTTPParseError)):
             exchange(backend_for(server))
 
 
 def test_a_request_is_sent_once_whatever_its_method():
-    """Symptom: one GET that crashes a server crashes it again and again.
+    """The HTTP library doesn't resend a request whose connection is closed.
 
-    Sequence: the server closes the connection instead of answering. Cause: the
-    library sends requests with an idempotent method again by itself.
+    By default it resends requests with an idempotent method, so that one GET that
+    crashes its server would crash it again after each restart.
     """
-    ends = [Reply(b"", close=True)] * 3
-    with ScriptedServer(Reply(whole(b"1")), *ends) as server:
+    closed = [Reply(b"", close=True)] * 3
+    with ScriptedServer(Reply(whole(b"1")), *closed) as server:
         backend = backend_for(server)
         exchange(backend)
         assert failure(backend) == Reason.BACKEND_LOST
@@ -138,24 +142,24 @@
         assert exchange(backend) == (200, b"2")
 
 
-def test_no_connection_means_not_run():
-    """A refused connection proves that nothing ran."""
+def test_a_refused_connection_proves_that_nothing_ran():
+    """The reason of the error is one that means "not run"."""
     with ScriptedServer() as server:
         backend = backend_for(server)
     assert failure(backend) == Reason.NO_BACKEND
 
 
-@pytest.mark.parametrize("instance, believed", [("1", True), ("2", False)])
-def test_only_the_process_that_had_the_request_can_prove_it_not_run(instance, believed):
-    """Symptom: a request whose server died runs again, and books twice.
+@pytest.mark.parametrize("instance, trusted", [("1", True), ("2", False)])
+def test_only_the_process_that_had_the_request_can_prove_it_not_run(instance, trusted):
+    """A cancellation reply from another instance proves nothing.
 
-    Sequence: the server dies with the request and is restarted at the same
-    port; the node's cancellation reaches the new process, which knows of no such
-    request and says that it didn't run. Cause: the new process is taken for the
-    one that had the request.
+    A server crashes while it runs a request, and is restarted at the same port. The
+    node's cancellation reaches the new process, which doesn't know the request and
+    replies that it didn't run. If the node trusted that, the request would run again
+    and book twice.
     """
     document = b'{"cancelled": true, "not_run": true, "instance": "%s"}'
     answer = whole(document % instance.encode())
     with ScriptedServer(Reply(answer)) as server:
         reply = backend_for(server).cancel("attempt", "id")
-    assert (reply.confirmed, reply.not_run) == (believed, believed)
+    assert (reply.confirmed, reply.not_run) == (trusted, trusted)
--- a/comfreywharf/daemon/tests/test_backend_lost.py
+++ b/comfreywharf/daemon/tests/test_backend_lost.py
@@ -1,4 +1,4 @@
-"""When a node gives its backend server up, and when it is taken for ended."""
+"""When a node gives its backend server up, and when it considers it ended."""
 
 import socket
 
@@ -12,7 +12,7 @@
 
 
 def make_node():
-    """Return a node, and the list of ends that it tells its ports."""
+    """Return a node, and the list of backend losses that it reports to its ports."""
     settings = node_settings()
     node = Node(settings, OwnPorts(settings))
     ended = []
@@ -21,12 +21,14 @@
     return node, ended
 
 
-def test_a_new_server_isnt_given_up_for_the_port_of_the_one_before():
-    """Symptom: a server that began again in place gets no work, for good.
-    Sequence: a server crashed and is silent; its port is tried; while that goes on
-    the next server's heartbeat comes; the port refused.
-    Cause: the refusal was taken for the server's that is there by now. Its life
-    counts as ended, so that each further heartbeat of it is passed over."""
+def test_a_new_server_isnt_given_up_for_the_refused_port_of_the_one_before():
+    """A refused port check doesn't end a server that was announced during the check.
+
+    A server crashes and is silent, so its port is checked. During the check the next
+    server's heartbeat arrives; then the port refuses. If the refusal were attributed
+    to the new server, it would be recorded as ended, and its further heartbeats
+    would be ignored: it would never get work.
+    """
     node, ended = make_node()
     node.ports.check_port_after_s = -1.0
     node.backend_announced(announcement("i-1"))
@@ -44,27 +46,32 @@
     assert node.backend.announcement.instance == "i-2"
 
 
-def test_a_server_that_speaks_isnt_ended_since_its_port_refused_once():
-    """Symptom: a living server gets no work, for good.
-    Sequence: its port refuses, so that its keys are given up; its heartbeats go on;
-    for two seconds it has no room for an answer to the question who it is.
-    Cause: only an answer counted as a sign of life, and without one it was ended."""
+def test_a_server_that_sends_heartbeats_isnt_ended_by_one_refusal_of_its_port():
+    """A heartbeat proves that a server runs, even without an answer to a query.
+
+    A server's port refuses, so that its keys are given up. It continues to send
+    heartbeats, but for two seconds it has no connection available for the query for
+    its instance id. If only an answer to the query counted, the running server would
+    be recorded as ended and would never get work again.
+    """
     node, ended = make_node()
     node.ports.check_port_after_s = 1.0
-    life = BackendLifecycle(node, drain_s=2.0)
-    life.receive_heartbeat(announcement("i-1"), 1, False)
+    lifecycle = BackendLifecycle(node, drain_s=2.0)
+    lifecycle.receive_heartbeat(announcement("i-1"), 1, False)
     node.backend_refused(node.backend)
     assert node.backend is None
     node._last_report_s = boottime_s() - 5.0
-    life.receive_heartbeat(announcement("i-1"), 2, False)
+    lifecycle.receive_heartbeat(announcement("i-1"), 2, False)
     node._record_refused_as_ended(boottime_s() - node._last_report_s)
     assert ended == []
 
 
-def test_a_server_that_has_answers_to_give_isnt_dead_though_its_port_refuses():
-    """Symptom: a key is given on while its last holder still works on it.
-    Sequence: a server closes its port, and goes on with what it has.
-    Cause: a port that refuses was taken for the end of the process."""
+def test_a_server_with_pending_answers_isnt_given_up_though_its_port_refuses():
+    """A refused port doesn't prove that a process with pending answers has ended.
+
+    A leaving server closes its port and finishes its requests. If it were considered
+    ended, a key would be granted to another server while this one still works on it.
+    """
     node, _ = make_node()
     node.backend_announced(announcement("i-1"))
     backend = node.backend
--- a/comfreywharf/daemon/tests/test_backend_replaced.py
+++ b/comfreywharf/daemon/tests/test_backend_replaced.py
@@ -1,4 +1,4 @@
-"""A backend server that another one takes the place of, unnoticed."""
+"""A backend server that another instance replaces before its loss is detected."""
 
 from types import SimpleNamespace
 
@@ -10,13 +10,15 @@
 
 
 @pytest.mark.parametrize(("fenced", "surrenders"), [(False, 0), (True, 1)])
-def test_the_lease_is_given_up_only_where_the_new_one_needs_a_higher_fence(
+def test_the_lease_is_given_up_only_where_the_new_instance_needs_a_higher_fence(
     fenced, surrenders
 ):
-    """Symptom: keys are refused for a second or two whenever a server restarts fast.
-    Sequence: a new instance announces itself before the old one's port refused.
-    Cause: the lease was surrendered, and standbys took the keys over, also where a
-    grant message replaces all that came before it."""
+    """A fast restart keeps the lease if a grants message replaces all earlier ones.
+
+    A new instance announces itself before the earlier one's port refuses. If the
+    lease were surrendered without need, standbys would take the keys over, and they
+    would be refused for a second or two after each fast restart.
+    """
     settings = node_settings()
     ports = OwnPorts(settings)
     ports.fenced = fenced
