--- a/comfreywharf/daemon/tests/operator_builders.py
+++ b/comfreywharf/daemon/tests/operator_builders.py
@@ -1,4 +1,4 @@
-"""A node without processes for tests of the operators' port."""
+"""An operators' port over a fake node, for tests without processes."""
 
 import io
 from types import SimpleNamespace
@@ -19,21 +19,21 @@
     fold,
 )
 
-__all__ = ["FakeFollower", "FakeQuarantine", "ask", "make_port", "patch_order"]
+__all__ = ["FakeFollower", "FakeQuarantine", "make_port", "patch_order", "send_request"]
 
 
 class FakeFollower:
-    """A follower whose log is the state itself, with the log's failures.
+    """A follower that folds appended records at once, and can simulate log failures.
 
-    ``lost`` lets a record take effect without the writer learning of it in
-    time; ``down`` lets it take no effect at all, and ``sent`` says whether it
-    was sent nevertheless.
+    If ``loses_answers`` is set, a record takes effect, but its append isn't
+    acknowledged. If ``down`` is set, a record takes no effect, and ``sent`` says
+    whether the failed append had sent it.
     """
 
     def __init__(self):
         self.state = ClusterState()
         self.reachable = self.usable = True
-        self.lost = self.down = False
+        self.loses_answers = self.down = False
         self.sent = True
         self.appended = []
         self._listeners = []
@@ -47,13 +47,16 @@
             result = fold(self.state, self.state.next_offset, record)
             for listener in self._listeners:
                 listener(record, result)
-        if self.down or self.lost:
+        if self.down or self.loses_answers:
             raise NotAcknowledged(record.record_id, self.sent)
         return self.state.outcomes[record.record_id]
 
 
 def make_port():
-    """Return an `OperatorPort` over two nodes that share the service booking."""
+    """Return an `OperatorPort` and its `FakeFollower`.
+
+    The log has two nodes with the service booking; the first owns both its slices.
+    """
     follower = FakeFollower()
     node = SimpleNamespace(
         settings=SimpleNamespace(
@@ -128,7 +131,7 @@
 
 
 def patch_order(base_version=1, record_id="second", **fields):
-    """Return the document of a patch that changes booking's queue."""
+    """Return the document of a patch that changes booking's queue length."""
     order = {
         "record_id": record_id,
         "base_version": base_version,
@@ -138,8 +141,10 @@
     return order | fields
 
 
-def ask(port, method, path, document=None, query="", content_type="application/json"):
-    """Return the status and document of an answer of the port."""
+def send_request(
+    port, method, path, document=None, query="", content_type="application/json"
+):
+    """Send a request to the port; return the status and document of its answer."""
     body = document if isinstance(document, bytes) else orjson.dumps(document)
     environ = {
         "REQUEST_METHOD": method,
--- a/comfreywharf/daemon/tests/test_operators.py
+++ b/comfreywharf/daemon/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' port answers what is so, and refuses bad input with its place."""
+"""The operators' port gives correct answers, and refuses bad input with its place."""
 
 from types import SimpleNamespace
 
@@ -8,9 +8,9 @@
 
 from comfreywharf.daemon.tests.operator_builders import (
     FakeQuarantine,
-    ask,
     make_port,
     patch_order,
+    send_request,
 )
 from comfreywharf.events import by_name
 from comfreywharf.records import UnknownRecord, key_hash
@@ -31,50 +31,53 @@
 
 
 def test_owner_of_a_key_with_reason():
-    """An operator is told who owns a key, since when, by which version, and why."""
+    """The answer has a key's owner, since which offset and version, and why."""
     port, follower = make_port()
     query = f"service=booking&key_hash={key_hash(b'vesta')}"
-    status, owner = ask(port, "GET", "/owner", query=query)
+    status, owner = send_request(port, "GET", "/owner", query=query)
     assert status == 200
     assert (owner["owner"], owner["standby"]) == ("booking-1", "booking-2")
     assert (owner["since_offset"], owner["config_version"]) == (4, 1)
     assert owner["reason"] == "the planner of term 1 assigned it"
 
 
-def test_reason_from_before_the_node_began_to_read():
-    """Symptom: an operator is given an older move's reason for a slice's place.
+def test_reason_is_unknown_if_the_slice_changed_before_the_node_began_to_read():
+    """The reason of an older move isn't given for a slice that changed since.
 
-    Sequence: the node folds a move, misses later ones, and starts again from a
-    snapshot. Cause: the remembered reason belongs to another record.
+    A node folds a move, misses later ones, and continues from a snapshot. The reason
+    that it remembers for the slice then belongs to an older record.
     """
     port, follower = make_port()
     pieces = follower.state.slices["booking"]
     pieces.replace(attrs.evolve(pieces.at_start(0), epoch=99))
-    _, owner = ask(port, "GET", "/owner", query="service=booking&key_hash=0")
+    _, owner = send_request(port, "GET", "/owner", query="service=booking&key_hash=0")
     assert "before this node began" in owner["reason"]
 
 
 def test_patch_is_acknowledged_after_it_was_read_back():
-    """An accepted patch is in the state that answers, and in the history."""
+    """An accepted patch is in force at the answering node, and in the history."""
     port, follower = make_port()
-    status, answer = ask(port, "POST", "/config", patch_order())
+    status, answer = send_request(port, "POST", "/config", patch_order())
     assert (status, answer["verdict"], answer["version"]) == (200, "accepted", 2)
     assert follower.state.config.services["booking"].queue_length == 7
-    _, history = ask(port, "GET", "/config/history")
+    _, history = send_request(port, "GET", "/config/history")
     assert [entry["version"] for entry in history] == [2, 1]
     assert "+   queue_length = 7" in history[0]["changes"]
 
 
 def test_stale_patch_is_refused_with_what_changed():
-    """Symptom: two operators' patches would be merged into what neither meant.
+    """A patch is refused if another one was accepted on its base version.
 
-    Sequence: both build on version 1, one is accepted, the other arrives.
-    Cause: a patch doesn't say which configuration it was made for.
+    Two operators base patches on version 1, and one patch is accepted before the
+    other arrives. Without the base version in the patch, both would be merged into a
+    configuration that neither operator intended.
     """
     port, follower = make_port()
-    ask(port, "POST", "/config", patch_order())
+    send_request(port, "POST", "/config", patch_order())
     appended = len(follower.appended)
-    status, answer = ask(port, "POST", "/config", patch_order(record_id="third"))
+    status, answer = send_request(
+        port, "POST", "/config", patch_order(record_id="third")
+    )
     assert (status, answer["verdict"]) == (409, "refused")
     assert answer["reason"] == "stale_version"
     assert answer["changed_since"] == [
@@ -88,86 +91,87 @@
 
 @pytest.mark.parametrize("took_effect", [True, False])
 def test_lost_answer_is_unknown_and_resolved_by_id(took_effect):
-    """Symptom: an operator's tool reports a failure, and the patch is in force.
+    """A lost answer of the log isn't reported as a failure of the patch.
 
-    Sequence: the record is appended, the log's answer is lost, the tool asks
-    again. Cause: a lost answer says nothing of the write.
+    The record is appended, and the log's answer is lost, so that the patch may be in
+    force. The outcome is unknown until the tool queries it by the record's id.
     """
     port, follower = make_port()
-    follower.lost, follower.down = took_effect, not took_effect
-    status, answer = ask(port, "POST", "/config", patch_order())
+    follower.loses_answers, follower.down = took_effect, not took_effect
+    status, answer = send_request(port, "POST", "/config", patch_order())
     query = "record_id=second&base_version=1"
-    _, outcome = ask(port, "GET", "/config/outcome", query=query)
+    _, outcome = send_request(port, "GET", "/config/outcome", query=query)
     if took_effect:
         assert (status, outcome["verdict"]) == (200, "accepted")
     else:
         assert (status, outcome["verdict"]) == (202, "unknown")
-    # Asked again with the same id, the node appends no second copy of what it
-    # has read back.
-    follower.lost = follower.down = False
-    ask(port, "POST", "/config", patch_order())
+    # If the same patch is submitted again, the node appends no second copy of a
+    # record that it has read back.
+    follower.loses_answers = follower.down = False
+    send_request(port, "POST", "/config", patch_order())
     assert follower.state.config.version == 2
     assert len(follower.appended) == (6 if took_effect else 7)
 
 
 def test_record_that_was_never_sent_is_refused():
-    """Where nothing left the node, the operator needn't ask again later."""
+    """The outcome of a record that never left the node is final."""
     port, follower = make_port()
     follower.down, follower.sent = True, False
-    status, answer = ask(port, "POST", "/config", patch_order())
+    status, answer = send_request(port, "POST", "/config", patch_order())
     assert (status, answer["verdict"], answer["reason"]) == (409, "refused", "not-sent")
 
 
-def test_unseen_record_of_a_passed_version_is_refused():
-    """A patch that the fold can only refuse isn't left as unknown."""
+def test_unknown_patch_of_an_outdated_version_is_refused():
+    """A patch that the fold can only refuse isn't reported as unknown."""
     port, follower = make_port()
-    ask(port, "POST", "/config", patch_order())
+    send_request(port, "POST", "/config", patch_order())
     query = "record_id=never-seen&base_version=1"
-    _, outcome = ask(port, "GET", "/config/outcome", query=query)
+    _, outcome = send_request(port, "GET", "/config/outcome", query=query)
     assert (outcome["verdict"], outcome["reason"]) == ("refused", "stale_version")
 
 
 def test_forgotten_outcome_stays_unknown():
-    """Symptom: the author of the patch in force is told that it was refused.
+    """A patch whose outcome is forgotten isn't reported as refused.
 
-    Sequence: a patch is accepted, its answer is lost, and so many records
-    follow that its outcome is forgotten before its author asks. Cause: its base
-    version has passed by its own acceptance.
+    A patch is accepted, its answer is lost, and so many records follow that its
+    outcome is forgotten before its author queries it. Its base version is no longer
+    in force because the patch itself was accepted, so that proves no refusal.
     """
     port, follower = make_port()
-    ask(port, "POST", "/config", patch_order())
+    send_request(port, "POST", "/config", patch_order())
     for number in range(REMEMBERED_RECORDS):
         follower.append(UnknownRecord(record_id=f"later-{number}", kind="later"))
     query = "record_id=second&base_version=1"
-    _, outcome = ask(port, "GET", "/config/outcome", query=query)
+    _, outcome = send_request(port, "GET", "/config/outcome", query=query)
     assert outcome["verdict"] == "unknown"
 
 
 def test_lost_drain_is_not_taken_for_a_stale_patch():
-    """Symptom: an operator is told that a drain was refused, and it is in force.
+    """A drain that isn't read back yet isn't reported as refused.
 
-    Sequence: the drain's record reaches the log late, its author asks at once.
-    Cause: only a patch is refused because a version has passed.
+    The drain's record reaches the log late, and its author queries the outcome at
+    once. Only a patch has a base version that can be outdated; the drain may still
+    take effect.
     """
     port, follower = make_port()
     follower.down = True
     order = {"node_id": "booking-1", "author": "ilze", "record_id": "a"}
-    status, answer = ask(port, "POST", "/drain", order)
+    status, answer = send_request(port, "POST", "/drain", order)
     assert (status, answer["submission"]["verdict"]) == (202, "unknown")
-    _, outcome = ask(port, "GET", "/config/outcome", query="record_id=a")
+    _, outcome = send_request(port, "GET", "/config/outcome", query="record_id=a")
     assert outcome["verdict"] == "unknown"
 
 
 @pytest.mark.parametrize("path", ["/config", "/config/history", "/owner"])
-def test_node_that_has_not_read_the_log(path):
-    """Symptom: an operator's file is compared with an empty configuration.
+def test_node_that_has_not_read_the_log_refuses_queries(path):
+    """A node answers 503 until it has read the log to its end.
 
-    Sequence: a node starts, an operator asks it before it has read the log.
-    Cause: a state that isn't complete looks like one that is.
+    Otherwise an operator who queries a starting node would get its incomplete state,
+    and compare a configuration file with an empty configuration.
     """
     port, follower = make_port()
     follower.usable = False
-    status, answer = ask(port, "GET", path, query="service=booking&key_hash=0")
+    status, answer = send_request(port, "GET", path, query="service=booking&key_hash=0")
     assert status == 503
     assert "another node" in answer["error"]
 
@@ -176,31 +180,31 @@
     """A lifted request is no longer listed, and can't be lifted again."""
     port, _ = make_port()
     port._node.load = SimpleNamespace(quarantine=FakeQuarantine())
-    _, [entry] = ask(port, "GET", "/quarantine")
+    _, [entry] = send_request(port, "GET", "/quarantine")
     assert (entry["fingerprint"], entry["standing"]) == ("9f86", "condemned")
     order = {"fingerprint": "9f86", "author": "ilze"}
-    assert ask(port, "POST", "/quarantine/lift", order)[0] == 200
-    assert ask(port, "GET", "/quarantine") == (200, [])
-    assert ask(port, "POST", "/quarantine/lift", order)[0] == 404
+    assert send_request(port, "POST", "/quarantine/lift", order)[0] == 200
+    assert send_request(port, "GET", "/quarantine") == (200, [])
+    assert send_request(port, "POST", "/quarantine/lift", order)[0] == 404
 
 
 def test_events_after_a_sequence_number():
-    """A tool that asks again gets only what it hasn't seen."""
+    """A tool that polls gets only the events that it hasn't received yet."""
     port, _ = make_port()
     for incarnation in (1, 2):
         fields = {field: incarnation for field in by_name("node_started").fields}
         port._node.events.add("node_started", 7 << 16, fields)
-    status, events = ask(port, "GET", "/events", query="since=1")
+    status, events = send_request(port, "GET", "/events", query="since=1")
     assert (status, [event["sequence"] for event in events]) == (200, [2])
 
 
 def test_drain_and_undrain():
-    """A drain is acknowledged with what still has to move."""
+    """The answer to a drain has the number of slices that still have to move."""
     port, follower = make_port()
     order = {"node_id": "booking-1", "author": "ilze", "record_id": "a"}
-    status, answer = ask(port, "POST", "/drain", order)
+    status, answer = send_request(port, "POST", "/drain", order)
     assert (status, answer["draining"], answer["owned_slices"]) == (200, True, 2)
-    status, answer = ask(port, "POST", "/undrain", order | {"record_id": "b"})
+    status, answer = send_request(port, "POST", "/undrain", order | {"record_id": "b"})
     assert (status, answer["draining"]) == (200, False)
 
 
@@ -223,7 +227,7 @@
     """Each fault of a patch is named, and nothing is appended."""
     port, follower = make_port()
     appended = len(follower.appended)
-    status, answer = ask(port, "POST", "/config", order)
+    status, answer = send_request(port, "POST", "/config", order)
     assert status == 400
     assert expected in str(answer["wrong"])
     assert len(follower.appended) == appended
@@ -243,10 +247,10 @@
         ("GET", "/events", "since=x", 400),
     ],
 )
-def test_bad_question(method, path, query, status):
-    """A bad question says what was found and what was expected."""
+def test_bad_request_names_what_was_found_or_expected(method, path, query, status):
+    """The error of a bad request says what was expected, declared or in force."""
     port, _ = make_port()
-    answered, document = ask(port, method, path, query=query)
+    answered, document = send_request(port, method, path, query=query)
     assert answered == status
     assert (
         "expected" in document["error"]
@@ -256,13 +260,15 @@
 
 
 def test_form_posts_are_refused():
-    """Symptom: a patch that no operator sent.
+    """A patch is accepted only with the content type ``application/json``.
 
-    Sequence: an operator's browser shows a page that posts a form to the port.
-    Cause: browsers let any page post forms anywhere.
+    Browsers let any page post a form to any address. Otherwise a page in an
+    operator's browser could submit a patch that no operator sent.
     """
     port, follower = make_port()
-    status, _ = ask(port, "POST", "/config", patch_order(), content_type="text/plain")
+    status, _ = send_request(
+        port, "POST", "/config", patch_order(), content_type="text/plain"
+    )
     assert (status, follower.state.config.version) == (415, 1)
 
 
@@ -275,7 +281,7 @@
 )
 @settings(derandomize=True, deadline=None)
 def test_no_body_makes_the_port_fail(path, body):
-    """Whatever is posted, the answer is an answer and not an internal error."""
+    """No posted body leads to an internal error or another unexpected status."""
     port, _ = make_port()
-    status, _ = ask(port, "POST", path, body)
+    status, _ = send_request(port, "POST", path, body)
     assert status in (200, 202, 400, 404, 409)
