--- a/comfreywharf/daemon/tests/builders.py
+++ b/comfreywharf/daemon/tests/builders.py
@@ -1,4 +1,4 @@
-"""Test data: a backend server that sends what it is told to, byte by byte."""
+"""Test data, and a backend server that sends scripted bytes as answers."""
 
 import attrs
 import gevent
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Reply:
-    """What is sent for one request: bytes, after a wait, and then a close."""
+    """What is sent for one request: a wait, then bytes, then optionally a close."""
 
     data: bytes
     wait_s: float = 0.0
@@ -35,16 +35,16 @@
 
 
 def whole(body, *extra):
-    """Return the bytes of a whole answer."""
+    """Return the bytes of a complete answer."""
     lines = ["HTTP/1.1 200 OK", f"Content-Length: {len(body)}", *extra, "", ""]
     return "\r\n".join(lines).encode() + body
 
 
 class ScriptedServer:
-    """Answer each request with the next `Reply`, on whatever connection it came.
+    """Answer each request with the next `Reply`, whichever connection it arrives on.
 
-    ``connections`` counts those that were opened, ``requests`` the requests;
-    ``sockets`` are this server's ends.
+    ``connections`` counts the accepted connections, ``requests`` the requests;
+    ``sockets`` are the server's sockets of the connections.
     """
 
     def __init__(self, *replies):
@@ -100,7 +100,7 @@
 
 
 def announcement(instance):
-    """Return what a server says that checks fences."""
+    """Return the announcement of a server that checks fences."""
     return Announcement(
         name="s",
         service="booking",
@@ -114,7 +114,7 @@
 
 
 def backend_for(server):
-    """Return a `Backend` with one connection."""
+    """Return a `Backend` of a `ScriptedServer`, with one connection."""
     return Backend(
         Announcement(
             name="scripted",
@@ -130,7 +130,7 @@
 
 
 def running(request_id="id", timeout_s=5.0):
-    """Return a request as the forwarder keeps it while it runs."""
+    """Return a `RunningRequest`, as the forwarder keeps it for a request."""
     deadline_s = boottime_s() + timeout_s
     key = RequestKey("booking", 1, request_id)
     return RunningRequest(key, "attempt", Right(deadline_s=deadline_s), deadline_s)
