--- a/comfreywharf/daemon/tests/builders.py
+++ b/comfreywharf/daemon/tests/builders.py
@@ -18,10 +18,10 @@
     "ScriptedServer",
     "announcement",
     "backend_for",
+    "complete_answer",
     "node_settings",
     "request",
     "running",
-    "whole",
 ]
 
 
@@ -34,7 +34,7 @@
     close: bool = False
 
 
-def whole(body, *extra):
+def complete_answer(body, *extra):
     """Return the bytes of a complete answer."""
     lines = ["HTTP/1.1 200 OK", f"Content-Length: {len(body)}", *extra, "", ""]
     return "\r\n".join(lines).encode() + body
--- a/comfreywharf/daemon/tests/test_backend_answers.py
+++ b/comfreywharf/daemon/tests/test_backend_answers.py
@@ -11,9 +11,9 @@
     Reply,
     ScriptedServer,
     backend_for,
+    complete_answer,
     request,
     running,
-    whole,
 )
 from comfreywharf.routing import Reason
 
@@ -37,8 +37,8 @@
     Otherwise the next request would be sent on it, the late answer would arrive
     there, and its caller would read another caller's booking.
     """
-    late = Reply(whole(b"late"), wait_s=0.1)
-    with ScriptedServer(late, Reply(whole(b"own"))) as server:
+    late = Reply(complete_answer(b"late"), wait_s=0.1)
+    with ScriptedServer(late, Reply(complete_answer(b"own"))) as server:
         backend = backend_for(server)
         assert failure(backend, timeout_s=0.05) == Reason.DEADLINE_PASSED
         assert exchange(backend) == (200, b"own")
@@ -46,7 +46,8 @@
 
 
 @pytest.mark.parametrize(
-    "surplus", [whole(b"doubled"), b"rubbish", b"\r\n\r\nHTTP/1.1 500 No\r\n\r\n"]
+    "surplus",
+    [complete_answer(b"doubled"), b"rubbish", b"\r\n\r\nHTTP/1.1 500 No\r\n\r\n"],
 )
 def test_surplus_bytes_after_an_answer_change_no_answer(surplus):
     """Surplus bytes after an answer are ignored, and the connection is closed.
@@ -55,8 +56,8 @@
     parsing, the first answer would get the status of the second and both bodies.
     If the connection went back to the pool, the next request would get the second.
     """
-    two_answers = Reply(whole(b"first") + surplus)
-    with ScriptedServer(two_answers, Reply(whole(b"second"))) as server:
+    two_answers = Reply(complete_answer(b"first") + surplus)
+    with ScriptedServer(two_answers, Reply(complete_answer(b"second"))) as server:
         backend = backend_for(server)
         assert exchange(backend) == (200, b"first")
         assert exchange(backend) == (200, b"second")
@@ -77,10 +78,10 @@
     that, possibly after its caller has left. A complete answer alone doesn't prove
     that the server is done with the request.
     """
-    first = whole(b"full")
+    first = complete_answer(b"full")
     if refused:
         first = first.replace(b"200 OK", b"503 Full")
-    with ScriptedServer(Reply(first), Reply(whole(b"next"))) as server:
+    with ScriptedServer(Reply(first), Reply(complete_answer(b"next"))) as server:
         backend = backend_for(server)
         exchange(backend, method="POST", body=b"x" * length)
         assert exchange(backend) == (200, b"next")
@@ -89,10 +90,12 @@
 
 def test_bytes_on_an_idle_connection_close_it():
     """A second answer that arrives later is detected before the next send."""
-    with ScriptedServer(Reply(whole(b"1")), Reply(whole(b"2"))) as server:
+    with ScriptedServer(
+        Reply(complete_answer(b"1")), Reply(complete_answer(b"2"))
+    ) as server:
         backend = backend_for(server)
         exchange(backend)
-        server.sockets[0].sendall(whole(b"late"))
+        server.sockets[0].sendall(complete_answer(b"late"))
         assert exchange(backend) == (200, b"2")
         assert server.connections == 2
 
@@ -100,7 +103,7 @@
 @pytest.mark.parametrize(
     "truncated",
     [
-        whole(b"whole")[:-2],
+        complete_answer(b"whole")[:-2],
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
         b"HTTP/1.1 200 OK\r\n\r\nno length given",
         b"HTTP/1.1 200 OK\r\nContent-Le",
@@ -126,7 +129,7 @@
     crashes its server would crash it again after each restart.
     """
     closed = [Reply(b"", close=True)] * 3
-    with ScriptedServer(Reply(whole(b"1")), *closed) as server:
+    with ScriptedServer(Reply(complete_answer(b"1")), *closed) as server:
         backend = backend_for(server)
         exchange(backend)
         assert failure(backend) == Reason.BACKEND_LOST
@@ -135,8 +138,8 @@
 
 def test_a_connection_that_the_server_closed_while_idle_is_not_used():
     """The request goes out on a new connection instead of being lost."""
-    closed = Reply(whole(b"1"), close=True)
-    with ScriptedServer(closed, Reply(whole(b"2"))) as server:
+    closed = Reply(complete_answer(b"1"), close=True)
+    with ScriptedServer(closed, Reply(complete_answer(b"2"))) as server:
         backend = backend_for(server)
         exchange(backend)
         assert exchange(backend) == (200, b"2")
@@ -159,7 +162,7 @@
     and book twice.
     """
     document = b'{"cancelled": true, "not_run": true, "instance": "%s"}'
-    answer = whole(document % instance.encode())
+    answer = complete_answer(document % instance.encode())
     with ScriptedServer(Reply(answer)) as server:
         reply = backend_for(server).cancel("attempt", "id")
     assert (reply.confirmed, reply.not_run) == (trusted, trusted)
--- a/comfreywharf/daemon/tests/test_proofs_of_death.py
+++ b/comfreywharf/daemon/tests/test_proofs_of_death.py
@@ -11,8 +11,8 @@
     ScriptedServer,
     announcement,
     backend_for,
+    complete_answer,
     node_settings,
-    whole,
 )
 from comfreywharf.ownership.holds import GrantOrder, HoldTerms
 from comfreywharf.platform.backends import PlatformBackend
@@ -44,7 +44,7 @@
         handover="",
         terms=TERMS,
     )
-    with ScriptedServer(Reply(whole(b""), wait_s=SLOW_S)) as server:
+    with ScriptedServer(Reply(complete_answer(b""), wait_s=SLOW_S)) as server:
         there = backend_for(server).announcement
         backend = PlatformBackend(there, lambda: "/")
         process = backend.orders.reach()
--- a/comfreywharf/platform/tests/test_backends.py
+++ b/comfreywharf/platform/tests/test_backends.py
@@ -12,9 +12,9 @@
     Reply,
     ScriptedServer,
     backend_for,
+    complete_answer,
     request,
     running,
-    whole,
 )
 from comfreywharf.platform.backends import PlatformBackend, PlatformDialect
 from comfreywharf.routing import Reason
@@ -44,9 +44,9 @@
     class Twice(ScriptedServer):
         def _serve(self, sock, address):
             sock.recv(65536)
-            sock.sendall(whole(b"earlier", *OTHER))
+            sock.sendall(complete_answer(b"earlier", *OTHER))
             gevent.sleep(0.05)
-            sock.sendall(whole(b"own", *OWN))
+            sock.sendall(complete_answer(b"own", *OWN))
 
     with Twice() as server:
         assert exchange(server)[:3] == (200, b"own", True)
@@ -54,7 +54,7 @@
 
 def test_only_answers_to_others_are_no_answer():
     """Nothing is made up where the own one never comes."""
-    reply = Reply(whole(b"x", *OTHER), close=True)
+    reply = Reply(complete_answer(b"x", *OTHER), close=True)
     with ScriptedServer(reply) as server, pytest.raises(BackendError) as caught:
         exchange(server)
     assert caught.value.reason == Reason.BACKEND_LOST
@@ -99,7 +99,7 @@
     """Symptom: a booking is run twice.
     Sequence: a server's failure is taken for a refusal, and the request sent again.
     Cause: a status alone was believed."""
-    data = whole(b"", *OWN, *extra).replace(b"200 OK", b"%d X" % status)
+    data = complete_answer(b"", *OWN, *extra).replace(b"200 OK", b"%d X" % status)
     with ScriptedServer(Reply(data)) as server:
         backend = make_backend(server)
         response = backend.exchange(request("POST"), "", b"", running())
@@ -108,7 +108,7 @@
 
 def test_a_success_without_its_stamp_isnt_passed_on():
     """It is no whole answer of the server's."""
-    data = whole(b"x", "X-Attempt-Id: id")
+    data = complete_answer(b"x", "X-Attempt-Id: id")
     with ScriptedServer(Reply(data)) as server:
         assert exchange(server)[2] is False
 
