--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -46,6 +46,7 @@
 BACKEND_CHECK_S = 0.1
 LIFECYCLE_CHECK_S = 0.1
 STOP_MARGIN_S = 0.5
+"""The part of a bounded stop's grace period that is kept free at its end."""
 
 
 class Node:
--- a/comfreywharf/daemon/operating/documents.py
+++ b/comfreywharf/daemon/operating/documents.py
@@ -244,7 +244,7 @@
 
 @attrs.frozen(kw_only=True)
 class DoctorDocument:
-    """All checks of a node."""
+    """The results of all checks of a node."""
 
     node_id: str
     checks: tuple[CheckDocument, ...]
--- a/comfreywharf/daemon/stopping.py
+++ b/comfreywharf/daemon/stopping.py
@@ -13,11 +13,13 @@
 POLL_S = 0.02
 
 RETIRE_AFTER_S = 1.5
-"""The platform sends callers elsewhere after two failed readiness probes. Callers
-that are disconnected earlier would only connect here again."""
+"""How long after the start of a bounded stop callers are disconnected. The platform
+sends them elsewhere after two failed readiness probes; callers that are disconnected
+earlier would only connect here again."""
 
 FINISH_RESERVE_S = 2.0
-"""The part of a bounded stop that is reserved for running requests."""
+"""The last part of a bounded stop, in which no new requests are accepted. It is
+reserved for running requests."""
 
 
 def stop_gracefully(node):
