--- a/comfreywharf/daemon/operating/jsonport.py
+++ b/comfreywharf/daemon/operating/jsonport.py
@@ -1,4 +1,4 @@
-"""A port that answers HTTP with JSON: routes, bounded bodies, clear errors."""
+"""An HTTP server for JSON documents: routes, bounded bodies, errors with places."""
 
 from collections import defaultdict
 from urllib.parse import parse_qsl
@@ -17,7 +17,7 @@
 from comfreywharf.records.codec import converter
 from comfreywharf.settings import suggest
 
-__all__ = ["BadInput", "JsonPort", "Question", "Reply", "TextReply", "structure"]
+__all__ = ["BadInput", "JsonPort", "JsonRequest", "Reply", "TextReply", "structure"]
 
 MAX_BODY_BYTES = 1 << 20
 MAX_CONNECTIONS = 256
@@ -29,16 +29,16 @@
 
 
 class _WrongType(ValueError):
-    """A value of another type; its text says what was expected."""
+    """A value has the wrong type; the message says which type was expected."""
 
 
 def _describe(error, cls):
     return str(error) if isinstance(error, _WrongType) else format_exception(error, cls)
 
 
-def _exactly(kind):
+def _require_type(kind):
     def read(value, _):
-        # The library would take the text "no" for true, and 7.9 for 7.
+        # By default, cattrs converts the text "no" to true, and 7.9 to 7.
         if type(value) is not kind:
             raise _WrongType(f"found {value!r:.80}; expected {_TYPE_NAMES[kind]}")
         return value
@@ -47,12 +47,15 @@
 
 
 for _kind in _TYPE_NAMES:
-    _strict.register_structure_hook(_kind, _exactly(_kind))
-    _lenient.register_structure_hook(_kind, _exactly(_kind))
+    _strict.register_structure_hook(_kind, _require_type(_kind))
+    _lenient.register_structure_hook(_kind, _require_type(_kind))
 
 
 class BadInput(Exception):
-    """A question that can't be answered as it is asked."""
+    """A request that is invalid, or can't be answered now.
+
+    ``status`` is the HTTP status and ``document`` the `ErrorDocument` of the answer.
+    """
 
     def __init__(self, status, error, wrong=()):
         super().__init__(error)
@@ -62,7 +65,7 @@
 
 @attrs.frozen
 class Reply:
-    """A status and a document."""
+    """An answer: an HTTP status and a document that is sent as JSON."""
 
     status: int
     document: object
@@ -70,15 +73,15 @@
 
 @attrs.frozen
 class TextReply:
-    """A status and a text that isn't JSON."""
+    """An answer that isn't JSON: an HTTP status and a text."""
 
     status: int
     text: bytes
     content_type: str
 
 
-class Question:
-    """One request to the port."""
+class JsonRequest:
+    """One HTTP request to a `JsonPort`."""
 
     def __init__(self, environ):
         self._environ = environ
@@ -87,13 +90,17 @@
         self._query = dict(parse_qsl(environ.get("QUERY_STRING", "")))
 
     def text(self, name):
-        """Return a value of the query; without one the input is bad."""
+        """Return a value of the query; raise `BadInput` if it is missing."""
         if name not in self._query:
             raise BadInput(400, f"query: found no {name}; expected {name}=...")
         return self._query[name]
 
     def integer(self, name, default=None):
-        """Return a whole number of the query."""
+        """Return a whole number of the query, or ``default`` if it is missing.
+
+        Raises `BadInput` if the value isn't a whole number, or if it is missing and
+        there is no default.
+        """
         if default is not None and name not in self._query:
             return default
         text = self.text(name)
@@ -104,11 +111,11 @@
         return int(text)
 
     def document(self, cls, lenient=False):
-        """Return the body as a message of a class.
+        """Return the body as a message of a class; raise `BadInput` if it is invalid.
 
-        An operator's browser could be made to post here by any page it shows. A
-        page can't set this content type without asking first, and nobody
-        answers that question here.
+        Any page in an operator's browser could post a form to this port. A page can
+        set the content type ``application/json`` only after a CORS preflight request,
+        which this port doesn't answer.
         """
         if not lenient and self._environ.get("CONTENT_TYPE") != "application/json":
             raise BadInput(415, "Content-Type: expected application/json")
@@ -132,7 +139,7 @@
 
 
 def structure(fields, cls, lenient=False):
-    """Return parsed JSON as a message; all that is wrong makes one `BadInput`."""
+    """Return parsed JSON as a message; raise one `BadInput` that lists all faults."""
     try:
         return (_lenient if lenient else _strict).structure(fields, cls)
     except Exception as error:
@@ -141,16 +148,16 @@
 
 
 class JsonPort:
-    """A WSGI application that calls a function for each method and path.
+    """A WSGI application that calls a handler for each method and path.
 
-    A function takes a `Question` and returns a `Reply` or a `TextReply`. What it
-    raises by mistake is logged and answered 500; the process lives.
+    A handler takes a `JsonRequest` and returns a `Reply` or a `TextReply`. An
+    unexpected exception is logged and answered with status 500; the process continues.
     """
 
     def __init__(self, routes):
         self._routes = defaultdict(dict)
-        for (method, path), function in routes.items():
-            self._routes[path][method] = function
+        for (method, path), handler in routes.items():
+            self._routes[path][method] = handler
 
     def make_server(self, host, port):
         """Return the server; it isn't started yet."""
@@ -164,7 +171,7 @@
 
     def __call__(self, environ, start_response):
         """Answer one request."""
-        reply = self.answer(Question(environ))
+        reply = self.answer(JsonRequest(environ))
         if isinstance(reply, TextReply):
             body, content_type = reply.text, reply.content_type
         else:
@@ -176,29 +183,31 @@
         start_response(f"{reply.status} Answer", headers)
         return [body]
 
-    def answer(self, question):
-        """Return the reply to a question, whatever it is."""
+    def answer(self, request):
+        """Return the reply to a request; all exceptions become error replies."""
         try:
-            return self._find(question)(question)
+            return self._find_handler(request)(request)
         except BadInput as error:
             return Reply(error.status, error.document)
         except Exception:
-            logging.exception("%s %s failed", question.method, question.path)
+            logging.exception(
+                "internal error in the HTTP request %s %s", request.method, request.path
+            )
             return Reply(500, ErrorDocument(error="internal; see the node's log"))
 
-    def _find(self, question):
-        if question.path not in self._routes:
+    def _find_handler(self, request):
+        if request.path not in self._routes:
             known = sorted(self._routes)
             raise BadInput(
                 404,
-                f"path: found {question.path[:80]!r}; "
-                f"expected one of {', '.join(known)}{suggest(question.path, known)}",
+                f"path: found {request.path[:80]!r}; "
+                f"expected one of {', '.join(known)}{suggest(request.path, known)}",
             )
-        functions = self._routes[question.path]
-        if question.method not in functions:
+        handlers = self._routes[request.path]
+        if request.method not in handlers:
             raise BadInput(
                 405,
-                f"method: found {question.method}; "
-                f"expected {' or '.join(sorted(functions))}",
+                f"method: found {request.method}; "
+                f"expected {' or '.join(sorted(handlers))}",
             )
-        return functions[question.method]
+        return handlers[request.method]
--- a/comfreywharf/daemon/operating/reporter.py
+++ b/comfreywharf/daemon/operating/reporter.py
@@ -1,4 +1,7 @@
-"""Events of this node: stamped, kept in the ring, written to the log."""
+"""Report events of this node: stamp them, keep them in a ring, write them to the log.
+
+The log here is the process's own log, not the log service.
+"""
 
 import time
 
@@ -19,10 +22,10 @@
 
 __all__ = ["Reporter"]
 
-LINES_BURST = 20
-LINES_PER_S = 0.5
-KEPT_BURST = 200
-KEPT_PER_S = 5.0
+LOG_BURST = 20
+LOG_EVENTS_PER_S = 0.5
+RING_BURST = 200
+RING_EVENTS_PER_S = 5.0
 QUIET_S = 5.0
 
 _LEVELS = {
@@ -33,14 +36,14 @@
 
 
 class Reporter(Stamps):
-    """Report events; each kind of event is bounded in the log and in the ring."""
+    """Report events; the rate of each kind of event is limited in log and ring."""
 
     def __init__(self, node_id, incarnation, metrics=None):
         self._metrics = metrics or Metrics()
         self.clock = EventClock()
         self.events = EventRing(node_id, incarnation)
-        self._lines = RateLimit(LINES_BURST, LINES_PER_S)
-        self._kept = RateLimit(KEPT_BURST, KEPT_PER_S)
+        self._log_limit = RateLimit(LOG_BURST, LOG_EVENTS_PER_S)
+        self._ring_limit = RateLimit(RING_BURST, RING_EVENTS_PER_S)
 
     def report(self, name, /, **fields):
         """Add an event to the ring and to the log; see docs/events.md."""
@@ -51,33 +54,36 @@
         now_s = boottime_s()
         severity = kind_by_name(name).severity
         self._metrics.event_reported(name, severity.value)
-        unkept = self._kept.admit(name, now_s)
-        if unkept is None:
-            self._lines.withhold(name, now_s)
+        withheld = self._ring_limit.admit(name, now_s)
+        if withheld is None:
+            self._log_limit.withhold(name, now_s)
             return
-        if unkept and name != "events_withheld":
-            self.report("events_withheld", event=name, place="ring", count=unkept)
+        if withheld and name != "events_withheld":
+            self.report("events_withheld", event=name, place="ring", count=withheld)
         event = self.events.add(name, self.clock.tick(_now_ms()), fields)
-        repeats = self._lines.admit(name, now_s)
+        repeats = self._log_limit.admit(name, now_s)
         if repeats is not None:
             logging.log(_LEVELS[severity], format_line(event, repeats))
 
     def run(self):
-        """Tell of held back events once they have ended, until killed."""
+        """Report numbers of withheld events once none followed for `QUIET_S`.
+
+        Runs until killed.
+        """
         while True:
             gevent.sleep(QUIET_S)
             now_s = boottime_s()
-            for name, count in self._lines.take_withheld(now_s, QUIET_S):
+            for name, count in self._log_limit.take_withheld(now_s, QUIET_S):
                 self.report("events_withheld", event=name, place="log", count=count)
-            for name, count in self._kept.take_withheld(now_s, QUIET_S):
+            for name, count in self._ring_limit.take_withheld(now_s, QUIET_S):
                 self.report("events_withheld", event=name, place="ring", count=count)
 
     def stamp(self):
-        """Return the time for a message that is sent now."""
+        """Return the event clock's time for a message that is sent now."""
         return self.clock.tick(_now_ms())
 
     def receive(self, peer, received):
-        """Take a peer's time into account."""
+        """Merge the event clock's time from a peer's message into this node's clock."""
         ahead_ms = self.clock.merge(received, _now_ms())
         if ahead_ms:
             self.report("peer_clock_ahead", peer=peer, ahead_ms=ahead_ms)
--- a/comfreywharf/daemon/owning/heartbeat_grants.py
+++ b/comfreywharf/daemon/owning/heartbeat_grants.py
@@ -108,7 +108,7 @@
         without a server for a second longer.
         """
         backend = self._node.backend
-        if backend is not None and backend.refuses():
+        if backend is not None and backend.refuses_connections():
             self._node.backend_refused(backend)
 
     def _serving(self):
--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/owning/leases.py
@@ -194,9 +194,9 @@
 
     def run(self):
         """Drive the agent until the greenlet is killed."""
-        self._node.begun.wait()
+        self._node.incarnation_chosen.wait()
         self.agent.set_incarnation(self._node.incarnation)
-        self._node.witnessing.begin(self._node.began_s)
+        self._node.witnessing.begin(self._node.process_start_s)
         expired_s = boottime_s()
         while True:
             self._wake.wait(self._wait_s(boottime_s()))
--- /dev/null
+++ b/comfreywharf/daemon/servers/backend_lifecycle.py
@@ -0,0 +1,142 @@
+"""Track the backend server's lifecycle from its heartbeats: start, leave, loss."""
+
+import gevent
+
+from comfreywharf.clock import boottime_s
+from comfreywharf.daemon.servers.draining import record_draining
+from comfreywharf.membership.instances import HeartbeatKind, InstanceTracker
+
+__all__ = ["BackendLifecycle"]
+
+DRAIN_MARGIN_S = 0.6
+"""How long before the end of ``drain_s`` the server gets its last new request. A
+request that was admitted just before still has to reach the server."""
+
+RETRY_S = 0.2
+
+
+class BackendLifecycle:
+    """Pass reports of the current incarnation to the node, in order.
+
+    ``drain_s`` is how long after its report that it leaves a server may get new
+    requests.
+    """
+
+    def __init__(self, node, drain_s):
+        self._node = node
+        self._drain_s = drain_s
+        self._instances = InstanceTracker()
+        self._announcement = None
+        self._verifying = set()
+
+    def receive_heartbeat(self, announcement, sequence, leaving):
+        """Process a heartbeat; return whether it is current and its sender is in use.
+
+        A report of an earlier incarnation, or one that a newer report has overtaken,
+        doesn't tell what the current incarnation holds. Its answer must not grant
+        anything.
+        """
+        incarnation = announcement.incarnation
+        kind = self._instances.receive_heartbeat(
+            incarnation, sequence, leaving, boottime_s()
+        )
+        if kind is HeartbeatKind.FIRST:
+            self._start_using(announcement)
+            if leaving:
+                kind = self._instances.leave(incarnation)
+            gevent.spawn(self._verify, announcement, sequence)
+        elif kind is HeartbeatKind.RIVAL and self._instances.current.started_before(
+            incarnation
+        ):
+            # No verification is needed: it started after the current incarnation,
+            # under the same id.
+            self._instances.set_current(incarnation, sequence, boottime_s())
+            self._start_using(announcement)
+            if leaving:
+                kind = self._instances.leave(incarnation)
+        elif kind is HeartbeatKind.RIVAL:
+            gevent.spawn(self._verify, announcement, sequence)
+        elif kind is HeartbeatKind.SAME and self._node.backend is None:
+            self._node.backend_reported()
+            gevent.spawn(self._verify, announcement, sequence)
+        elif kind is HeartbeatKind.SAME:
+            self._node.backend_announced(self._announcement)
+        if kind is HeartbeatKind.LEAVES:
+            self._start_leaving()
+        is_current = (
+            self._instances.current == incarnation and kind is not HeartbeatKind.STALE
+        )
+        return is_current and self._node.backend is not None
+
+    def receive_deregistration(self, incarnation):
+        """Process a deregistration: the server leaves, or has left."""
+        if self._instances.leave(incarnation) is HeartbeatKind.LEAVES:
+            self._start_leaving()
+
+    def record_end(self):
+        """Record that the current incarnation has ended."""
+        self._instances.end()
+
+    def _start_using(self, announcement):
+        self._announcement = announcement
+        self._node.backend_announced(announcement)
+        gevent.spawn(self._record_return)
+
+    def _verify(self, announcement, sequence):
+        """Query the instance id at the server's address before replacing another one.
+
+        Incarnations with the same id give the same answer; only the start time
+        distinguishes them.
+        """
+        incarnation = announcement.incarnation
+        if incarnation in self._verifying:
+            return
+        self._verifying.add(incarnation)
+        try:
+            found = self._node.ports.identify(self._node, announcement)
+        finally:
+            self._verifying.discard(incarnation)
+        if incarnation.has_id(found):
+            if self._instances.current != incarnation:
+                self._instances.set_current(incarnation, sequence, boottime_s())
+                self._start_using(announcement)
+            elif self._node.backend is None and not self._instances.leaving:
+                # It was given up because its port refused, but it is still running.
+                self._node.backend_announced(self._announcement)
+        elif found and self._instances.current == incarnation:
+            self._node.backend_lost("another instance answers")
+
+    def _start_leaving(self):
+        self._node.backend_leaves(self._instances.current.instance)
+        gevent.spawn(self._drain, self._instances.current)
+
+    def _drain(self, incarnation):
+        """Record in the log that the server leaves, and stop new work in time.
+
+        The bound for the server holds whether or not the log is reachable: this node
+        sends it no new request after ``drain_s``.
+        """
+        gevent.spawn(self._record_leaving, incarnation)
+        gevent.sleep(self._drain_s - DRAIN_MARGIN_S)
+        if self._instances.current == incarnation and self._instances.leaving:
+            self._node.close_to_new_work()
+
+    def _record_leaving(self, incarnation):
+        while self._instances.current == incarnation and self._instances.leaving:
+            if record_draining(self._node, True):
+                return
+            gevent.sleep(RETRY_S)
+
+    def _record_return(self):
+        """Record in the log that a new server takes work after one that left.
+
+        Repeat this until the log accepts the record, or the node isn't draining.
+        """
+        node_id = self._node.settings.node_id
+        while self._instances.current and not self._instances.leaving:
+            member = self._node.follower.state.members.get(node_id)
+            if member is None or not member.draining:
+                return
+            if record_draining(self._node, False):
+                return
+            gevent.sleep(RETRY_S)
--- a/comfreywharf/daemon/servers/draining.py
+++ b/comfreywharf/daemon/servers/draining.py
@@ -1,17 +1,20 @@
-"""Have the log say that this node's backend server leaves, or takes work again."""
+"""Record in the log that this node drains, or that its drain ends."""
 
 from absl import logging
 
 from comfreywharf.daemon.recording.follower import NotAcknowledged, new_record_id
 from comfreywharf.records import DrainChanged
 
-__all__ = ["tell_draining"]
+__all__ = ["record_draining"]
 
 APPEND_TIMEOUT_S = 1.0
 
 
-def tell_draining(node, draining):
-    """Append the record; return whether the log accepted it within a second."""
+def record_draining(node, draining):
+    """Append a `DrainChanged` record; return whether the log accepted it.
+
+    The append times out after `APPEND_TIMEOUT_S`.
+    """
     node_id = node.settings.node_id
     record = DrainChanged(
         record_id=new_record_id(), node_id=node_id, draining=draining, author=node_id
@@ -19,5 +22,7 @@
     try:
         return node.follower.append(record, APPEND_TIMEOUT_S).accepted
     except NotAcknowledged as error:
-        logging.info("draining=%s isn't on record: %s", draining, error)
+        logging.info(
+            "the log has not acknowledged the record draining=%s: %s", draining, error
+        )
         return False
--- a/comfreywharf/daemon/stopping.py
+++ b/comfreywharf/daemon/stopping.py
@@ -1,9 +1,9 @@
-"""A planned stop: hand over every key, finish every request, then end."""
+"""A planned stop: hand over every key, finish every request, then shut down."""
 
 import gevent
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.servers.draining import tell_draining
+from comfreywharf.daemon.servers.draining import record_draining
 
 __all__ = ["stop_gracefully", "stop_within"]
 
@@ -13,15 +13,17 @@
 POLL_S = 0.02
 
 RETIRE_AFTER_S = 1.5
-"""The platform sees two questions unanswered before it sends callers elsewhere;
-until then they would only connect here again."""
+"""How long after the start of a bounded stop callers are disconnected. The platform
+sends them elsewhere after two failed readiness probes; callers that are disconnected
+earlier would only connect here again."""
 
 FINISH_RESERVE_S = 2.0
-"""What is left of a bounded stop for requests that were begun."""
+"""The last part of a bounded stop, in which no new requests are accepted. It is
+reserved for running requests."""
 
 
 def stop_gracefully(node):
-    """Drain a node through the log, or by its standbys while the log is down."""
+    """Drain a node through the log, or through its standbys if the log is down."""
     if _announce_drain(node):
         _wait_until(lambda: not _has_slices(node), DRAIN_LIMIT_S)
         _wait_until(lambda: not _is_witness(node), WITNESS_LIMIT_S)
@@ -29,23 +31,25 @@
     _wait_until(lambda: not _is_busy(node), FINISH_LIMIT_S)
 
 
-def stop_within(node, front, end_s):
-    """Drain a node by a time, whatever still holds on to it then.
+def stop_within(node, caller_server, end_s):
+    """Drain a node until ``end_s``, even if requests or slices remain by then.
 
-    Callers are told with each answer to go elsewhere, and go on being served
-    until they have: one that sends on a kept connection in the moment of its
-    closing would lose its request.
+    Each answer asks its caller to connect to another node, and callers are served
+    until they have: a caller that sends a request on a kept-alive connection just as
+    it is closed would lose the request.
     """
-    begun_s = boottime_s()
-    drained = gevent.spawn(_drain_until, node, end_s - FINISH_RESERVE_S)
-    gevent.sleep(min(RETIRE_AFTER_S, max(0.0, end_s - begun_s)))
-    front.retire()
-    _wait_until(lambda: boottime_s() >= end_s - FINISH_RESERVE_S, end_s - begun_s)
-    front.refuse_new()
-    # Peers go on passing requests of services that have no owners to this node.
+    start_s = boottime_s()
+    draining = gevent.spawn(_drain_until, node, end_s - FINISH_RESERVE_S)
+    gevent.sleep(min(RETIRE_AFTER_S, max(0.0, end_s - start_s)))
+    caller_server.retire()
+    _wait_until(lambda: boottime_s() >= end_s - FINISH_RESERVE_S, end_s - start_s)
+    caller_server.refuse_new()
+    # Peers continue to forward requests of services without owners to this node.
     node.finishing = True
-    drained.join(max(0.0, end_s - boottime_s()))
-    _wait_until(lambda: not _is_busy(node) and not front.busy, end_s - boottime_s())
+    draining.join(max(0.0, end_s - boottime_s()))
+    _wait_until(
+        lambda: not _is_busy(node) and not caller_server.busy, end_s - boottime_s()
+    )
 
 
 def _drain_until(node, end_s):
@@ -57,27 +61,28 @@
 def _announce_drain(node):
     if node.settings.node_id not in node.follower.state.members:
         return False
-    return tell_draining(node, True)
+    return record_draining(node, True)
 
 
 def _has_slices(node):
-    me = node.settings.node_id
+    node_id = node.settings.node_id
     return any(
-        me in (piece.owner, piece.previous)
+        node_id in (piece.owner, piece.previous)
         for pieces in node.follower.state.slices.values()
         for piece in pieces.slices
     )
 
 
 def _is_witness(node):
-    """Return whether other nodes' leases still need this one's grants.
+    """Return whether other nodes' leases still depend on this one as a witness.
 
-    Were it gone before they have another witness, each would be one loss away
-    from having no majority; with the next node that stops, keys go dark.
+    If it stopped before they have another witness, each of them would be one loss
+    away from having no majority. When the next node stopped, their keys would be
+    unavailable.
     """
-    me = node.settings.node_id
+    node_id = node.settings.node_id
     return any(
-        me in group
+        node_id in group
         for member in node.follower.state.members.values()
         for group in member.witness_groups
     )
--- a/comfreywharf/daemon/tests/test_crash_detection.py
+++ b/comfreywharf/daemon/tests/test_crash_detection.py
@@ -11,8 +11,8 @@
     ScriptedServer,
     announcement,
     backend_for,
+    complete_answer,
     node_settings,
-    whole,
 )
 from comfreywharf.ownership.holds import GrantOrder, HoldTerms
 from comfreywharf.platform.backends import PlatformBackend
@@ -46,7 +46,7 @@
         handover="",
         terms=TERMS,
     )
-    with ScriptedServer(Reply(whole(b""), wait_s=SLOW_S)) as server:
+    with ScriptedServer(Reply(complete_answer(b""), wait_s=SLOW_S)) as server:
         announced = backend_for(server).announcement
         backend = PlatformBackend(announced, lambda: "/")
         process = backend.orders.reach()
--- a/comfreywharf/daemon/tests/test_lease_and_log.py
+++ b/comfreywharf/daemon/tests/test_lease_and_log.py
@@ -42,7 +42,7 @@
     grant_by_majority(leases.holder, boottime_s())
     assert leases.holder.phase == "starting"
     node.follower.reachable = False
-    node.begun.set()
+    node.incarnation_chosen.set()
     running = gevent.spawn(leases.run)
     gevent.sleep(0.2)
     running.kill()
--- a/comfreywharf/events/tests/test_decisions.py
+++ b/comfreywharf/events/tests/test_decisions.py
@@ -6,7 +6,7 @@
 import orjson
 import pytest
 
-from comfreywharf.daemon.operating.decisions import StdoutLines
+from comfreywharf.daemon.operating.decisions import StdoutLineWriter
 from comfreywharf.events.decisions import LINES_BURST, DecisionLog, is_sampled
 from comfreywharf.events.explain import format_steps, read_steps
 
@@ -67,7 +67,7 @@
     """
     reader, writer = os.pipe()
     try:
-        write = StdoutLines(writer)
+        write = StdoutLineWriter(writer)
         line = b"x" * 4000 + b"\n"
         taken = [write(line) for _ in range(100)]
         assert taken[0] and not taken[-1]
--- a/comfreywharf/platform/heartbeats.py
+++ b/comfreywharf/platform/heartbeats.py
@@ -76,12 +76,12 @@
     def _handle(self, instance, call, body, connection, arrived_s):
         """Pass a report to the node and return the fields of the answer."""
         if call == "deregister":
-            self._lifecycle.leaves(read_deregistration(instance, body))
+            self._lifecycle.receive_deregistration(read_deregistration(instance, body))
             return {}
         heartbeat = read_heartbeat(instance, body)
         service = heartbeat.announcement.service
         self._check_service(service)
-        is_current = self._lifecycle.heard(
+        is_current = self._lifecycle.receive_heartbeat(
             heartbeat.announcement, heartbeat.sequence, heartbeat.leaving
         )
         if not is_current or heartbeat.held is None:
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -6,7 +6,7 @@
 from geventhttpclient.response import HTTPParseError
 
 from comfreywharf.daemon.connections.http import NodelayHandler, SingleSendClient
-from comfreywharf.daemon.operating.decisions import StdoutLines
+from comfreywharf.daemon.operating.decisions import StdoutLineWriter
 from comfreywharf.daemon.operating.operators import OperatorPort
 from comfreywharf.daemon.owning.grants_by_service import GrantsByService
 from comfreywharf.daemon.owning.heartbeat_grants import HeartbeatGrants
@@ -15,7 +15,7 @@
 from comfreywharf.daemon.ports import Ports
 from comfreywharf.daemon.recording.follower import ReadOptions
 from comfreywharf.daemon.requests.caller_server import CallerServer
-from comfreywharf.daemon.servers.backend_life import BackendLife
+from comfreywharf.daemon.servers.backend_lifecycle import BackendLifecycle
 from comfreywharf.load import ConcurrencyLimit, NearFirst
 from comfreywharf.load.admission import RetryAfter
 from comfreywharf.load.fairqueue import RankedQueue
@@ -75,9 +75,9 @@
     """The platform's protocols; see `Ports`."""
 
     fenced = True
-    remembers = False
-    silent_s = None
-    removes_lost = True
+    remembers_answers = False
+    lost_after_s = None
+    removes_lost_nodes = True
     placement = PlacementTuning(
         warm_up_s=3.0,
         smoothing_s=2.0,
@@ -101,7 +101,7 @@
         self._settings = settings
         self._dialect = PlatformDialect()
         self.store = Store(settings.store)
-        self.doubt_s = MISSED_HEARTBEATS * settings.heartbeat_interval_s
+        self.check_port_after_s = MISSED_HEARTBEATS * settings.heartbeat_interval_s
         self.retry_fraction = RETRY_SHARE * settings.retry_fraction
         self.routes_apply_s = settings.routes_apply_s
         self.caller_server = None
@@ -135,7 +135,7 @@
             lease_s=settings.node.lease_ms / 1000,
             longest_s=settings.longest_hold_s,
         )
-        book = ListedHoldBook.of_new_process(terms, node.began_s)
+        book = ListedHoldBook.of_new_process(terms, node.process_start_s)
         interval_s = settings.heartbeat_interval_s
         ways = {
             GrantWay.ORDERS: RangeGrants(node, book, RELEASE_TIMEOUT_S),
@@ -157,7 +157,7 @@
             application.limits,
             application.waits_for_others,
         )
-        self.lifecycle = BackendLife(node, settings.drain_s)
+        self.lifecycle = BackendLifecycle(node, settings.drain_s)
         operators = OperatorPort(node)
         return [
             self.caller_server,
@@ -166,9 +166,9 @@
             operators.make_server(settings.node.host, settings.node.operator_port),
         ]
 
-    def make_lines(self):
+    def make_line_writer(self):
         """Return standard output, which the platform collects."""
-        return StdoutLines()
+        return StdoutLineWriter()
 
     def lease_terms(self, settings):
         """Return lease terms with which lost witnesses are replaced soon."""
@@ -197,7 +197,7 @@
 
     def backend_lost(self):
         """Report to the lifecycle that the backend server is lost."""
-        self.lifecycle.lost()
+        self.lifecycle.record_end()
 
     def greenlets(self, node):
         """Return the functions that read the configuration and declare its services."""
--- a/comfreywharf/platform/tests/test_announcements.py
+++ b/comfreywharf/platform/tests/test_announcements.py
@@ -25,14 +25,14 @@
     assert (heartbeat.sequence, heartbeat.leaving) == (4, True)
     assert (announced.host, announced.port) == ("10.0.0.9", 8080)
     assert (announced.service, announced.slots) == ("booking", 8)
-    assert announced.life == ServerIncarnation("i-1", 1_000)
+    assert announced.incarnation == ServerIncarnation("i-1", 1_000)
 
 
 def test_the_start_time_is_optional():
     """The start time is optional."""
     fields = {name: value for name, value in GOOD.items() if name != "born"}
     heartbeat = read_heartbeat("i-1", orjson.dumps(fields))
-    assert heartbeat.announcement.life == ServerIncarnation("i-1", None)
+    assert heartbeat.announcement.incarnation == ServerIncarnation("i-1", None)
 
 
 DAMAGED = [
@@ -123,8 +123,8 @@
     """Return a heartbeat port, the calls to its lifecycle, and its events."""
     received, events = [], []
     life = SimpleNamespace(
-        heard=lambda *call: received.append(call),
-        leaves=lambda incarnation: received.append(incarnation),
+        receive_heartbeat=lambda *call: received.append(call),
+        receive_deregistration=lambda incarnation: received.append(incarnation),
     )
     table = RouteTable(
         version=1,
--- a/comfreywharf/platform/tests/test_backends.py
+++ b/comfreywharf/platform/tests/test_backends.py
@@ -12,9 +12,9 @@
     Reply,
     ScriptedServer,
     backend_for,
+    complete_answer,
     request,
     running,
-    whole,
 )
 from comfreywharf.platform.backends import PlatformBackend, PlatformDialect
 from comfreywharf.routing import Reason
@@ -46,9 +46,9 @@
     class Twice(ScriptedServer):
         def _serve(self, sock, address):
             sock.recv(65536)
-            sock.sendall(whole(b"earlier", *OTHER))
+            sock.sendall(complete_answer(b"earlier", *OTHER))
             gevent.sleep(0.05)
-            sock.sendall(whole(b"own", *OWN))
+            sock.sendall(complete_answer(b"own", *OWN))
 
     with Twice() as server:
         assert exchange(server)[:3] == (200, b"own", True)
@@ -56,7 +56,7 @@
 
 def test_a_request_is_lost_if_only_other_answers_arrive():
     """If the own answer never arrives, the request is lost."""
-    reply = Reply(whole(b"x", *OTHER), close=True)
+    reply = Reply(complete_answer(b"x", *OTHER), close=True)
     with ScriptedServer(reply) as server, pytest.raises(BackendError) as caught:
         exchange(server)
     assert caught.value.reason == Reason.BACKEND_LOST
@@ -107,7 +107,7 @@
     A server's failure must not be taken for a refusal because of its status alone,
     since the request would then be sent again.
     """
-    data = whole(b"", *OWN, *extra).replace(b"200 OK", b"%d X" % status)
+    data = complete_answer(b"", *OWN, *extra).replace(b"200 OK", b"%d X" % status)
     with ScriptedServer(Reply(data)) as server:
         backend = make_backend(server)
         response = backend.exchange(request("POST"), "", b"", running())
@@ -116,7 +116,7 @@
 
 def test_a_success_without_its_stamp_is_rejected():
     """Without the stamp it isn't a complete answer of the server."""
-    data = whole(b"x", "X-Attempt-Id: id")
+    data = complete_answer(b"x", "X-Attempt-Id: id")
     with ScriptedServer(Reply(data)) as server:
         assert exchange(server)[2] is False
 
--- a/comfreywharf/platform/tests/test_incarnations.py
+++ b/comfreywharf/platform/tests/test_incarnations.py
@@ -57,7 +57,7 @@
     fields = {**server.word(), "born": born, "sequence": 10**6}
     port = deployment.ports[name][3]
     assert post(port, f"/-/instances/{server.instance}/heartbeat", fields) == 400
-    assert deployment.nodes[name].backend.announcement.life == server.life
+    assert deployment.nodes[name].backend.announcement.incarnation == server.life
 
 
 def test_a_late_deregistration_of_an_earlier_incarnation_changes_nothing(deployment):
@@ -87,7 +87,7 @@
     heartbeats.
     """
     name = deployment.holder(7)
-    deployment.nodes[name].ports.doubt_s = float("inf")
+    deployment.nodes[name].ports.check_port_after_s = float("inf")
     deployment.servers[name].crash()
     wait_for(lambda: deployment.holder(7) not in (None, name))
     wait_for(lambda: deployment.send_request(deployment.non_holder(7)).status == 200)
