--- a/comfreywharf_dev/events/check.py
+++ b/comfreywharf_dev/events/check.py
@@ -1,6 +1,6 @@
-"""Compare the events that the code reports with the catalogue, by syntax trees.
+"""Compare the events that the code reports with the catalogue, using syntax trees.
 
-All findings are collected and printed together, each with its place.
+All findings are collected and printed together, each with file and line.
 """
 
 import ast
@@ -16,23 +16,27 @@
 __all__ = ["Call", "calls_in", "catalogue_findings", "check_calls", "main"]
 
 REPORTERS = frozenset({"report", "_report"})
-"""The names under which code is given the function that reports an event."""
+"""The names that the code uses for the function that reports an event."""
 
 GROUPS = {1: "node", 2: "log and configuration", 3: "ownership", 4: "requests"}
 GROUPS |= {5: "backend servers", 6: "planner"}
 
 LINE_FIELDS = frozenset({"node", "run", "seq", "clock", "repeats"})
-"""Fields that each line of the log has already."""
+"""Fields that every line of the log has."""
 
 PRIVATE_FIELDS = frozenset({"key", "body", "path", "query", "headers", "answer"})
-"""Names of what people's records may stand in; a log has hashes at most."""
+"""Names of fields that may hold personal data, of which a log holds only hashes."""
 
 ROOT = Path(__file__).parents[2]
 
 
 @attrs.frozen(kw_only=True)
 class Call:
-    """One place in the code that reports an event; ``name`` is ``None`` if unread."""
+    """A call that reports an event.
+
+    ``name`` is ``None`` if the event's name isn't a literal string;
+    ``open_fields`` is true if the call has fields other than plain keywords.
+    """
 
     place: str
     name: str | None
@@ -41,7 +45,7 @@
 
 
 def calls_in(source, path):
-    """Yield a `Call` for each ``report("name", ...)`` in a module's text."""
+    """Yield a `Call` for each ``report("name", ...)`` in a module's source."""
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Call) and _called_name(node.func) in REPORTERS:
             first = node.args[0] if node.args else None
@@ -62,7 +66,10 @@
 
 
 def check_calls(calls, catalogue):
-    """Return findings where calls and catalogue differ, in either direction."""
+    """Return findings for events that only the calls or only the catalogue have.
+
+    Calls whose fields differ from the catalogue are findings too.
+    """
     findings = []
     for call in calls:
         kind = catalogue.get(call.name)
@@ -83,7 +90,7 @@
 
 
 def catalogue_findings(kinds):
-    """Return findings about numbers, names and fields of the catalogue itself."""
+    """Return findings on numbers, names, fields and actions in the catalogue."""
     findings = []
     for what in ("number", "name"):
         counts = Counter(getattr(kind, what) for kind in kinds)
--- a/comfreywharf_dev/events/tests/test_check.py
+++ b/comfreywharf_dev/events/tests/test_check.py
@@ -1,4 +1,4 @@
-"""The check of events against the catalogue finds what it is there to find."""
+"""Tests of the check of reported events against the catalogue."""
 
 import attrs
 import pytest
@@ -22,7 +22,7 @@
 
 
 def test_code_catalogue_and_page_agree():
-    """CI fails as long as code, catalogue and docs/events.md differ."""
+    """The code, the catalogue and docs/events.md agree."""
     assert all_findings() == []
 
 
@@ -40,7 +40,7 @@
     ],
 )
 def test_calls_are_compared_with_the_catalogue(source, found):
-    """Each way in which a call can differ from the catalogue is a finding."""
+    """Each kind of difference between a call and the catalogue is a finding."""
     findings = check_calls(list(calls_in(source, "m.py")), {KIND.name: KIND})
     assert bool(findings) == bool(found)
     assert found in "\n".join(findings)
@@ -57,6 +57,6 @@
     ],
 )
 def test_the_catalogue_itself_is_checked(changes, found):
-    """Numbers are unique and in their range, fields are fit for a log."""
+    """Numbers and names are unique, numbers in range, and fields allowed in a log."""
     findings = catalogue_findings([KIND, attrs.evolve(KIND, **changes)])
     assert any(found in finding for finding in findings)
