--- a/comfreywharf_dev/playground/__init__.py
+++ b/comfreywharf_dev/playground/__init__.py
@@ -1,1 +1,1 @@
-"""A small deployment on loopback to try the tool on, and to try the docs with."""
+"""A small deployment on loopback for trying the tool and for testing the docs."""
--- a/comfreywharf_dev/playground/blocks.py
+++ b/comfreywharf_dev/playground/blocks.py
@@ -1,7 +1,7 @@
-"""The commands that a page of the docs shows, with the output it shows for each.
+"""Parse the commands in a page of the docs, with the output shown for each.
 
-A block is marked for the check by a line ``<!-- run -->`` before its fence. In
-the shown output ``...`` stands for anything, and blanks count as one.
+A line ``<!-- run -->`` before a code block selects it for the check. In the
+shown output ``...`` matches anything, and any run of whitespace matches any other.
 """
 
 import re
@@ -18,7 +18,7 @@
 
 @attrs.frozen(kw_only=True)
 class Shown:
-    """A command as shown, with its output and exit code."""
+    """A command in a page, with the output and exit code that the page shows."""
 
     command: str
     output: str
@@ -43,6 +43,6 @@
 
 
 def matches(shown, output):
-    """Return whether a command's output is the shown one."""
+    """Return whether a command's output matches the shown one."""
     options = ELLIPSIS | NORMALIZE_WHITESPACE
     return OutputChecker().check_output(shown.output, output, options)
--- a/comfreywharf_dev/playground/main.py
+++ b/comfreywharf_dev/playground/main.py
@@ -21,7 +21,7 @@
 
 
 def environment(cluster):
-    """Return the environment variables that point the tool at a cluster."""
+    """Return the environment variables with which the tool reaches a cluster."""
     plan = cluster.plans[ASKED_NODE]
     return {
         "COMFREYWHARF_NODE": f"127.0.0.1:{plan.operator_port}",
--- a/comfreywharf_dev/playground/tests/test_pages.py
+++ b/comfreywharf_dev/playground/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The commands in the docs run as shown, on a small cluster of real processes."""
+"""Tests of the commands in the docs, on a small cluster of real processes."""
 
 import os
 import re
@@ -25,7 +25,7 @@
 @pytest.mark.processes
 @pytest.mark.parametrize("page", PAGES)
 def test_commands_run_as_shown(page, tmp_path):
-    """Each marked command of a page gives the output and exit code it shows."""
+    """Each marked command gives the output and exit code that the page shows."""
     shown = shown_commands((ROOT / page).read_text(encoding="utf-8"))
     assert shown, f"{page} marks no command"
     work = tmp_path / "work"
@@ -53,7 +53,7 @@
 
 
 def test_a_wrong_page_is_noticed():
-    """A page whose output or exit code differs from the program's doesn't pass."""
+    """Output that differs from the shown output doesn't match; exit codes are read."""
     page = "<!-- run -->\n```console\n$ one # exits with 1\na ... z\n$ two\n```\n"
     one, two = shown_commands(page)
     assert (one.exit_code, two.exit_code, two.output) == (1, 0, "")
@@ -64,7 +64,7 @@
 
 @pytest.mark.processes
 def test_playground_runs_until_it_is_interrupted():
-    """The playground says where to connect, and ends without leaving processes."""
+    """The playground prints where to connect, and stops with status 0 on SIGINT."""
     process = subprocess.Popen(
         [sys.executable, "-m", "comfreywharf_dev.playground.main"],
         stdout=subprocess.PIPE,
@@ -84,7 +84,7 @@
 
 
 def test_links_lead_somewhere():
-    """No page links to a file that isn't there."""
+    """Every relative link in the docs points to an existing file."""
     missing = [
         f"{page.relative_to(ROOT)}: {target}"
         for page in LINKED_PAGES
--- a/comfreywharf_dev/playground/tests/test_tool.py
+++ b/comfreywharf_dev/playground/tests/test_tool.py
@@ -1,4 +1,4 @@
-"""The tool against real processes: operators who race, answers that are lost."""
+"""Tests of the tool with real processes: concurrent operators and lost answers."""
 
 import os
 import subprocess
@@ -53,10 +53,10 @@
 
 
 def test_operators_race(cluster):
-    """Symptom: both operators are told that theirs is in force, and one's is not.
+    """Only one of two concurrent submissions with the same base is accepted.
 
-    Sequence: both submit against one version through two nodes at once. Cause:
-    nothing between the nodes orders the two but the log.
+    Two operators submit at once through two nodes. Only the log orders the two, so
+    a node that doesn't wait for the log's decision would report success to both.
     """
     base = version(cluster)
     racers = [
@@ -75,10 +75,11 @@
 
 
 def test_answers_lost_on_the_way(cluster):
-    """Symptom: an operator is told of a failure, submits again, and has two.
+    """A submission is applied once and succeeds when the log's answers are lost.
 
-    Sequence: the log takes the record and its answer is lost, several times.
-    Cause: a lost answer says nothing of the write.
+    The log writes the record, but its answer is lost several times. A lost answer
+    doesn't say whether the write happened: treating it as a failure would make the
+    operator submit again and create a second version.
     """
     base = version(cluster)
     http_json(cluster.log_port, "POST", "/switches", {"lose_answers": 3})
@@ -89,7 +90,7 @@
 
 
 def test_playground_environment_names_the_asked_node(cluster):
-    """The variables that the docs use lead to a node of the cluster."""
+    """The variables that the docs use point to a node of the cluster."""
     words = environment(cluster)
     port = int(words["COMFREYWHARF_NODE"].rpartition(":")[2])
     assert http_json(port, "GET", "/status")[2]["node_id"] == "booking-1"
