--- a/Makefile
+++ b/Makefile
@@ -16,13 +16,13 @@
 check: lint
 	$(BIN)/pytest -n 6 --dist loadfile -m "not processes"
 
-# All tests. Those that start processes run one after the other: which witnesses a
-# node gets hangs on the order in which nodes announce themselves, and so on load.
+# All tests. Those that start processes run sequentially: the witnesses of a node
+# depend on the order in which nodes announce themselves, and so on machine load.
 test: lint
 	$(BIN)/pytest -n 4 --dist loadfile -m "not processes"
 	$(BIN)/pytest -m processes
 
-# Runs of drawn faults, one a seed.
+# Runs with random faults, one for each seed.
 SEEDS ?= 1-50
 
 soak: $(VENV)/ready
--- a/comfreywharf_dev/__init__.py
+++ b/comfreywharf_dev/__init__.py
@@ -1,4 +1,4 @@
-"""What develops and proves comfreywharf: stand-ins, demo, benchmarks.
+"""Tools to develop and test comfreywharf: stand-ins, demonstration, benchmarks.
 
 The product never imports this package.
 """
--- a/conftest.py
+++ b/conftest.py
@@ -1,7 +1,7 @@
-"""Let the tests that KNOWN-RED.txt names fail, and print them with their cause.
+"""Expect the tests in KNOWN-RED.txt to fail, and print them with their cause.
 
-A line holds a test's id, the cause and the issue, divided by ``|``. A test that is
-named and passes fails the run: its line has to go.
+Each line holds a test's id, the cause and the issue, separated by ``|``. A listed
+test that passes fails the run, so that its line is removed.
 """
 
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class KnownRed:
-    """A test that fails for a fault of the product which isn't mended yet."""
+    """A test that fails because of a fault in the product that isn't fixed yet."""
 
     test: str
     cause: str
@@ -23,7 +23,7 @@
 
 
 def read_known_red():
-    """Return what the file names; raises `pytest.UsageError` for a bad file."""
+    """Return the listed tests; raises `pytest.UsageError` for an invalid file."""
     if not PATH.exists():
         return []
     lines = [line for line in PATH.read_text().splitlines() if line.strip()]
@@ -37,7 +37,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Expect the named tests to fail."""
+    """Mark the listed tests as expected to fail."""
     known = {red.test: red for red in read_known_red()}
     for item in items:
         red = known.get(item.nodeid)
@@ -46,7 +46,7 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print the list, so that nobody takes the run for a clean one."""
+    """Print the listed tests, so that the run isn't mistaken for a clean one."""
     for red in read_known_red():
         line = f"KNOWN RED {red.test}: {red.cause} ({red.issue})"
         terminalreporter.write_line(line, yellow=True)
