--- a/comfreywharf_dev/bench/__init__.py
+++ b/comfreywharf_dev/bench/__init__.py
@@ -1,7 +1,7 @@
 """Benchmarks with regression bounds; see docs/benchmarks.md.
 
 A module of this package with a function ``run()`` is a benchmark of that name.
-``run()`` returns `Figure` objects; ``bounds/NAME.toml`` says how far each may go.
+``run()`` returns `Figure` objects; ``bounds/NAME.toml`` holds the limits of figures.
 """
 
 from comfreywharf_dev.bench.figures import Figure, Judged
--- a/comfreywharf_dev/bench/__main__.py
+++ b/comfreywharf_dev/bench/__main__.py
@@ -20,7 +20,7 @@
     Parameters
     ----------
     names
-        Which ones; all if none is named.
+        The benchmarks to run; all if no name is given.
     list_names
         Only print the names.
     """
--- a/comfreywharf_dev/bench/capacity.py
+++ b/comfreywharf_dev/bench/capacity.py
@@ -1,8 +1,8 @@
-"""Work out docs/CAPACITY.md from measured slopes.
+"""Compute docs/CAPACITY.md from measured slopes.
 
-``python -m comfreywharf_dev.bench.capacity take --note "..."`` keeps the figures of
-the last runs; ``write`` works out the page; ``check`` fails where they disagree.
-The prose stands in ``capacity_page.md``, with a name for each number.
+``python -m comfreywharf_dev.bench.capacity take --note "..."`` stores the figures of
+the last runs; ``write`` writes the page; ``check`` fails if the page is outdated.
+``capacity_page.md`` is the template of the page, with a placeholder for each number.
 """
 
 import sys
@@ -33,7 +33,7 @@
 
 @attrs.frozen(kw_only=True)
 class Deployment:
-    """The size to design for, and the assumptions that the letter leaves open."""
+    """The size to design for, and assumptions where the requirements give no value."""
 
     nodes: int = 640
     keys: int = 470_000_000
@@ -52,17 +52,20 @@
 
     @property
     def node_requests_per_s(self):
-        """Return the requests that each node takes from callers, in the mean."""
+        """Return the mean rate of requests that a node receives from callers."""
         return self.requests_per_s / self.nodes
 
     @property
     def slices(self):
-        """Return the slices of all services."""
+        """Return the number of slices of all services."""
         return self.nodes * self.slices_per_node
 
 
 def take(measured, folder, note):
-    """Return the kept figures with those of the last runs put in, and the history."""
+    """Return the stored figures updated with those of the last runs.
+
+    Runs that ended in an error are left out. A note adds an entry to the history.
+    """
     kept = {**measured}
     for name in BENCHMARKS:
         path = folder / f"{name}.json"
@@ -104,7 +107,7 @@
 
 
 class Sheet:
-    """The numbers of the page, worked out from what was measured."""
+    """The numbers of the page, computed from the stored figures."""
 
     def __init__(self, measured, deployment):
         self._measured = measured
@@ -112,22 +115,22 @@
         self.numbers = {}
 
     def figure(self, name):
-        """Return a kept figure by ``benchmark.figure``."""
+        """Return a stored figure, given as ``benchmark.figure``."""
         benchmark, _, figure = name.partition(".")
         return self._measured[benchmark]["figures"][figure]["value"]
 
     def points(self, name):
-        """Return the points behind a kept figure."""
+        """Return the measured points of a stored figure."""
         benchmark, _, figure = name.partition(".")
         return self._measured[benchmark]["figures"][figure]["points"]
 
     def put(self, **numbers):
-        """Name numbers or texts of the page."""
+        """Set numbers or texts of the page by name."""
         for name, value in numbers.items():
             self.numbers[name] = value if isinstance(value, str) else show(value)
 
     def fill(self):
-        """Work out every number and return them by name."""
+        """Compute all numbers and return them by name."""
         for name, value in attrs.asdict(self._deployment).items():
             self.put(**{name: value})
         self._requests()
@@ -280,9 +283,9 @@
         size = self._deployment
         record_bytes = self.figure("state_size.announcement_bytes")
         fold_us = self.figure("state_size.announcement_fold_us")
-        # A restart writes an announcement and a lease; its slices move away
-        # before and come back after, in one record each, and each slice that
-        # was moved is reported as released once a way.
+        # A restart writes an announcement and a lease. Its slices move away
+        # before it and back after it, with one record for each direction, and
+        # each moved slice is reported as released once in each direction.
         restart_records = 4 + 2 * size.slices_per_node
         loss_records = 2 + 2 * size.slices_per_node
         records = size.patches_per_day
@@ -335,7 +338,7 @@
 
 
 def render(measured, template):
-    """Return the page for kept figures; raises `KeyError` where one is missing."""
+    """Return the page for stored figures; raises `KeyError` if one is missing."""
     numbers = Sheet(measured, Deployment()).fill()
     return Template(template).substitute(numbers)
 
@@ -349,7 +352,7 @@
 
 @app.command(name="take")
 def take_command(*, note: str = ""):
-    """Keep the figures of the last runs; a note adds them to the history."""
+    """Store the figures of the last runs; a note adds them to the history."""
     kept = take(_read_measured(), OUTPUT_FOLDER, note)
     options = orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS
     MEASURED.write_bytes(orjson.dumps(kept, option=options) + b"\n")
@@ -364,7 +367,7 @@
 
 @app.command
 def check():
-    """Exit with 1 if the page isn't the one that the kept figures give."""
+    """Exit with 1 if the page doesn't match the stored figures."""
     page = render(_read_measured(), TEMPLATE.read_text(encoding="utf-8"))
     if page != PAGE.read_text(encoding="utf-8"):
         sys.exit(
--- a/comfreywharf_dev/bench/control_cost.py
+++ b/comfreywharf_dev/bench/control_cost.py
@@ -1,8 +1,8 @@
-"""What control costs a node: processor time, memory and bytes, by number of nodes.
+"""Cost of the control plane per node: processor time, memory and network bytes.
 
 Nodes are added in groups to one running cluster, each group with a service of its
-own, so that every node owns as many slices at every size. No request is sent while
-it is measured. One process plays the backend servers of a whole group.
+own, so that a node owns the same number of slices at every size. No requests are
+sent during the measurement. One process acts as the backend servers of a whole group.
 """
 
 import statistics
@@ -29,7 +29,7 @@
 DOMAINS = 6
 TARGET_NODES = 640
 SEGMENT_HEADER_BYTES = 52
-"""Of IPv4 and TCP with timestamps."""
+"""Headers of IPv4 and of TCP with timestamps."""
 
 START_TIMEOUT_S = 40.0
 MEBIBYTE = 1 << 20
@@ -37,7 +37,7 @@
 
 @attrs.frozen(kw_only=True)
 class Sample:
-    """The mean node at one size; ``worst_core`` is the busiest node's."""
+    """Means over the nodes at one size; ``worst_core`` is that of the busiest node."""
 
     nodes: int
     core: float
@@ -49,14 +49,14 @@
 
 
 class GrowingCluster(AuditedCluster):
-    """A cluster that gets more nodes while it runs."""
+    """A cluster to which nodes are added while it runs."""
 
     def __init__(self, folder):
         super().__init__(folder, [])
         self.group_processes = []
 
     def grow(self, count):
-        """Add a group of nodes with a service of its own; return the service."""
+        """Add a group of nodes with a service of its own; return the service's name."""
         service = f"group-{len(self.group_processes)}"
         first = len(self.plans)
         plans = [
@@ -102,10 +102,10 @@
         return sock.getsockname()[1]
 
     def start_server(self, node_id):
-        """Do nothing: a group's server stands beside all of its nodes."""
+        """Do nothing: a group has one server for all of its nodes."""
 
     def stop(self):
-        """End every process that this object started."""
+        """Stop every process that this object started."""
         for process in self.group_processes:
             process.kill()
             process.wait()
@@ -115,8 +115,8 @@
 def run(sizes=SIZES):
     """Measure at each size and return the figures.
 
-    A machine that can't start the largest size in time still gives the figures
-    of the smaller ones; ``largest_size`` then breaks its bound.
+    If a size can't be started in time, the figures of the smaller sizes are still
+    returned; ``largest_size`` then breaks its bound.
     """
     samples = []
     with tempfile.TemporaryDirectory() as folder, GrowingCluster(folder) as cluster:
@@ -136,7 +136,7 @@
 
 
 def measure(cluster, window_s=WINDOW_S):
-    """Return the `Sample` of a cluster over some seconds."""
+    """Return the `Sample` of a cluster over ``window_s`` seconds."""
     audited = list(cluster.plans)[:: max(1, len(cluster.plans) // 8)]
     pids = [plan.node_process.pid for plan in cluster.plans.values()]
     carried_before = {node_id: _carried(cluster, node_id) for node_id in audited}
@@ -167,7 +167,7 @@
 
 
 def _carried(cluster, node_id):
-    """Return what each of a node's connections to other machines carried so far."""
+    """Return the traffic so far of a node's connections to other nodes and the log."""
     plan = cluster.plans[node_id]
     own = {plan.backend_port, plan.server_port, plan.operator_port}
     return {
--- a/comfreywharf_dev/bench/figures.py
+++ b/comfreywharf_dev/bench/figures.py
@@ -1,4 +1,4 @@
-"""What a benchmark measured, and how it compares with its bound."""
+"""Figures that benchmarks measure, and their comparison with bounds."""
 
 import math
 import tomllib
@@ -19,11 +19,11 @@
 
 
 class BoundError(ValueError):
-    """A file of bounds that can't be used: it says where and what was expected."""
+    """An invalid entry in a file of bounds."""
 
 
 class Comparison(Enum):
-    """On which side of its bound a figure has to stay."""
+    """Whether a bound is an upper or a lower limit."""
 
     AT_MOST = "at_most"
     AT_LEAST = "at_least"
@@ -33,8 +33,8 @@
 class Figure:
     """One measured value.
 
-    ``points`` are pairs ``(x, y)`` behind the value, for a plot; ``note`` says
-    in a sentence how the value came about.
+    ``points`` are the measured pairs ``(x, y)`` from which the value is derived, for
+    a plot; ``note`` explains the value in a sentence.
 
     >>> Figure(name="cost_ratio", value=1.4, unit="ratio").value
     1.4
@@ -49,13 +49,13 @@
 
 @attrs.frozen(kw_only=True)
 class Bound:
-    """How far a figure may go."""
+    """The upper or lower limit of a figure."""
 
     limit: float
     comparison: Comparison
 
     def holds(self, value):
-        """Return whether a value keeps the bound; a value that is no number never does.
+        """Return whether a value is within the bound; NaN never is.
 
         >>> Bound(limit=1.6, comparison=Comparison.AT_MOST).holds(1.7)
         False
@@ -69,7 +69,7 @@
 
 @attrs.frozen(kw_only=True)
 class Judged:
-    """A figure beside its bound; ``passed`` is true where there is none."""
+    """A figure with its bound; ``passed`` is true if it has no bound."""
 
     benchmark: str
     figure: Figure
@@ -88,9 +88,9 @@
 
 
 def read_bounds(folder, benchmark):
-    """Return the bounds of a benchmark by figure; none if it has no file.
+    """Return the bounds of a benchmark by figure; an empty dict if it has no file.
 
-    Raises `BoundError` for an entry with other than one known comparison.
+    Raises `BoundError` for an entry that doesn't have exactly one known comparison.
     """
     path = Path(folder) / f"{benchmark}.toml"
     if not path.exists():
@@ -111,8 +111,8 @@
 def judge(benchmark, figures, bounds):
     """Return a `Judged` for each figure.
 
-    A bound whose figure is missing counts as broken: a benchmark that stopped
-    measuring something would otherwise pass for ever.
+    A bound whose figure is missing counts as broken: otherwise a benchmark that no
+    longer measures a figure would always pass.
     """
     judged = [_judge_one(benchmark, figure, bounds) for figure in figures]
     measured = {figure.name for figure in figures}
--- a/comfreywharf_dev/bench/generator.py
+++ b/comfreywharf_dev/bench/generator.py
@@ -1,6 +1,7 @@
-"""A load generator: one process, closed or open loop, seeded and bounded.
+"""A load generator in one process, with a closed or open loop.
 
-The result goes to standard output as one JSON document.
+It is seeded, and limited in requests and seconds. The result is written to standard
+output as one JSON document.
 """
 
 import random
@@ -26,12 +27,12 @@
 
 @attrs.frozen(kw_only=True)
 class Load:
-    """What to send, where, and how much of it.
+    """The requests to send, their target, rate and duration.
 
-    ``keys`` are taken in a seeded random order. With a ``rate_per_s`` requests
-    are due at seeded exponential intervals whatever becomes of the earlier ones;
-    without it each of ``concurrency`` callers sends its next request when it has
-    the answer to the last.
+    Each request takes a random key of ``keys``. With a ``rate_per_s`` (open loop),
+    requests are due at seeded, exponentially distributed intervals, independent of
+    the earlier answers. Without it (closed loop), each of ``concurrency`` callers
+    sends its next request when it has received the answer to the previous one.
     """
 
     port: int
@@ -45,7 +46,7 @@
 
 
 class LoadResult:
-    """Counts by status, and the times of the answers."""
+    """Numbers of requests by status, and a histogram of their durations."""
 
     def __init__(self):
         self.histogram = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
@@ -53,7 +54,7 @@
         self.sent = 0
 
     def document(self, elapsed_s):
-        """Return the result as plain values."""
+        """Return the result as a document of plain values."""
         histogram = self.histogram
         percentiles = {
             str(level): histogram.get_value_at_percentile(level) / 1000
@@ -71,7 +72,7 @@
 
 
 class _Sender:
-    """Send requests of a load and count what comes back."""
+    """Send requests of a load, and record their statuses and durations."""
 
     def __init__(self, load, result):
         self._load = load
@@ -81,7 +82,7 @@
         self._client = PlainClient("127.0.0.1", load.port, concurrency=load.concurrency)
 
     def send(self, due_s):
-        """Send one request; its time counts from when it was due."""
+        """Send one request; its duration is measured from ``due_s``."""
         headers = {"Comfreywharf-Key": self._random.choice(self._load.keys)}
         self._result.sent += 1
         try:
@@ -98,7 +99,7 @@
 
 
 def run_closed(load):
-    """Return the document of a closed-loop run."""
+    """Run a load as a closed loop and return the result document."""
     result = LoadResult()
     sender = _Sender(load, result)
     start_s = boottime_s()
@@ -113,10 +114,10 @@
 
 
 def run_open(load):
-    """Return the document of an open-loop run.
+    """Run a load as an open loop and return the result document.
 
-    Requests wait for one of ``concurrency`` callers when all are busy; the wait
-    counts, since their time runs from when they were due.
+    Requests wait for one of ``concurrency`` callers if all are busy. The wait is part
+    of a request's duration, which is measured from when the request was due.
     """
     result = LoadResult()
     sender = _Sender(load, result)
@@ -147,7 +148,7 @@
 
 @app.default
 def generate(load_json: str):
-    """Run the load that a JSON document describes."""
+    """Run the load given as a JSON document."""
     fields = orjson.loads(load_json)
     load = Load(**{**fields, "keys": tuple(fields["keys"])})
     if load.seconds > MAX_SECONDS:
--- a/comfreywharf_dev/bench/gossip.py
+++ b/comfreywharf_dev/bench/gossip.py
@@ -1,10 +1,10 @@
-"""How a change of configuration reaches all nodes: polling, gossip, or both.
+"""Time and cost to spread a change of configuration: polling, gossip, or both.
 
-Nodes of one process follow a log service in another one, in four ways: each
-polls the log and nothing else; each also exchanges with peers, as the product
-does; a few poll and the others hear from peers; and all but one are cut
-from the log. The first and the last are the product's own parts, the third is a
-trial that stands here only.
+Nodes in one process follow a log service in another process, in four variants: all
+only poll the log; all poll and also exchange records with peers, as in the product;
+a few poll and the others receive records from peers; all nodes but one are cut off
+from the log. The third variant is an experiment that exists only here; the others
+use the product's own components.
 """
 
 import time
@@ -39,7 +39,7 @@
 
 @attrs.frozen(kw_only=True)
 class Way:
-    """One way to spread records."""
+    """One variant of how records spread."""
 
     name: str
     gossip: bool = True
@@ -57,13 +57,13 @@
 
 @attrs.define
 class Counted:
-    """Bytes that nodes wrote to each other."""
+    """Number of bytes that nodes wrote to each other."""
 
     sent_bytes: int = 0
 
 
 class SparseFollower(Follower):
-    """A follower that asks the log now and then, and hears the rest from peers."""
+    """A follower that rarely reads the log and receives most records from peers."""
 
     def _read(self):
         super()._read()
@@ -71,7 +71,7 @@
 
 
 class SparseNode(FleetNode):
-    """A node of the trial: it tells peers of each record and asks who knows more."""
+    """A node that notifies peers of each record and queries peers that have more."""
 
     def __init__(self, node_id, log_port):
         super().__init__(node_id, log_port)
@@ -89,7 +89,7 @@
 
 
 def run():
-    """Measure each way and return the figures."""
+    """Measure each variant and return the figures."""
     figures = []
     for way in WAYS:
         figures += _measure(way)
@@ -179,7 +179,7 @@
 
 
 def _cost(nodes, port, log_pid, counted, work):
-    """Return what one node and the log spent a second while ``work`` ran."""
+    """Return the cost per second of a mean node and of the log while ``work`` runs."""
     before = _read_counters(port, log_pid, counted)
     began_s = boottime_s()
     work()
--- a/comfreywharf_dev/bench/list_cost.py
+++ b/comfreywharf_dev/bench/list_cost.py
@@ -1,7 +1,7 @@
-"""What a heartbeat and its list of ranges cost, by the number of ranges.
+"""Cost of a heartbeat and of the list of ranges in its answer, by number of ranges.
 
-Every second range has a fence of its own, so that no two are one row; in ``_alike`` all
-have one fence and are neighbours.
+Adjacent ranges have different fences, so that none share a row of the list. For the
+figures with ``_alike`` all ranges have the same fence and are adjacent.
 """
 
 import time
@@ -38,7 +38,7 @@
 
 
 def run():
-    """Answer heartbeats of servers that hold so many ranges."""
+    """Answer heartbeats of servers for each number of ranges; return the figures."""
     figures = []
     for size in SIZES:
         for name, fences in (("", 2), ("_alike", 1)):
@@ -51,7 +51,7 @@
 
 
 def _measure(size, fences):
-    """Return the processor time of all heartbeats, and the last answer's bytes."""
+    """Return the processor time of all heartbeats, and the size of the last answer."""
     lists = HoldLists(ListedHoldBook(HoldTerms(lease_s=LEASE_S, longest_s=10.0)))
     lists.room = LIST_ROOM
     held, answer = [], b""
--- a/comfreywharf_dev/bench/load_choice.py
+++ b/comfreywharf_dev/bench/load_choice.py
@@ -1,9 +1,8 @@
 """Choice among servers that aren't divided by key: one of three ten times slower.
 
-Four ingress nodes with measurements of their own send to three servers, at 40% of
-the three servers' capacity. Compared are the ways to choose, with and without
-ejection of the slow one; the ratio is the p99 with a slow server over that
-without one.
+Four ingress nodes, each with its own measurements, send to three servers at 40% of
+the three servers' capacity. The choosers are compared with and without ejection of
+slow servers. The ratio is the p99 latency with a slow server over that without one.
 """
 
 import random
@@ -25,7 +24,7 @@
 
 
 class _Ingress:
-    """One node that chooses, by its own measurements alone."""
+    """An ingress node that chooses servers by its own measurements only."""
 
     def __init__(self, clock, chance, servers, chooser, ejects):
         self._clock = clock
--- a/comfreywharf_dev/bench/load_cost.py
+++ b/comfreywharf_dev/bench/load_cost.py
@@ -1,4 +1,4 @@
-"""Processor time that the decisions about load add to one request."""
+"""Processor time per request of the decisions on load."""
 
 import random
 import time
--- a/comfreywharf_dev/bench/load_fairness.py
+++ b/comfreywharf_dev/bench/load_fairness.py
@@ -1,8 +1,8 @@
-"""A hot key beside its neighbours on one server, with and without fair queueing.
+"""A hot key and other keys on one server, with and without fair queueing.
 
-The neighbours ask for 40% of the server's capacity, its share; the hot key asks for
-ten times that. The ratio is the neighbours' p99 with the hot key over that without
-it; a refused neighbour counts as having waited for its whole patience.
+The other keys ("neighbours") together send requests for 40% of the server's capacity,
+the hot key for ten times as much. The ratio is the neighbours' p99 latency with the
+hot key over that without it. A refused request counts with the full timeout.
 """
 
 import random
@@ -21,7 +21,7 @@
 
 
 def _neighbours(hot, fair):
-    """Return the p99 in seconds and the refused part of the neighbours."""
+    """Return the p99 latency in seconds and the refused fraction of the neighbours."""
     clock, chance = Clock(), random.Random(4)
     server = ModelServer(clock, chance)
     server.state.fair = fair
--- a/comfreywharf_dev/bench/load_goodput.py
+++ b/comfreywharf_dev/bench/load_goodput.py
@@ -1,8 +1,8 @@
-"""Goodput in an overload, and recovery after it, with and without admission.
+"""Goodput in an overload and recovery after it, with and without admission control.
 
-One server with 12 slots and 10 ms of work on average; callers wait 0.8 s. The
-variant without the mechanism has the same slots, an unbounded queue, and begins
-what can't be done in time.
+One server has 12 slots, and a request takes 10 ms on average; callers time out after
+0.8 s. The variant without admission control has the same slots and an unbounded queue,
+and it starts requests even if they can't meet their deadlines.
 """
 
 import random
@@ -38,7 +38,7 @@
 
 
 def _goodput(load, admission):
-    """Return the good answers a second at a load in multiples of the capacity."""
+    """Return the good answers per second at a load in multiples of the capacity."""
     clock, chance = Clock(), random.Random(1)
     server = _server(clock, chance, admission)
     good = []
@@ -53,7 +53,7 @@
 
 @attrs.define
 class _Caller:
-    """A caller who tries a few times; a hasty one doesn't heed Retry-After."""
+    """A caller that retries a few times; a hasty one ignores Retry-After."""
 
     clock: Clock
     server: ModelServer
@@ -75,10 +75,11 @@
 
 
 def _recovery_s(admission, hasty):
-    """Return how long after a spike the goodput is back, and new callers served.
+    """Return two recovery times after a spike, in seconds.
 
-    The first is the time until each second has as many good answers as callers
-    come; the second until these callers have an answer to their first try.
+    Each is the time after which no second falls below `RECOVERED_PART`. The first is
+    for the good answers, divided by the mean number of new callers; the second for
+    the new callers with a good answer to their first try, divided by all new callers.
     """
     clock, chance = Clock(), random.Random(2)
     server = _server(clock, chance, admission)
--- a/comfreywharf_dev/bench/load_model.py
+++ b/comfreywharf_dev/bench/load_model.py
@@ -1,8 +1,8 @@
-"""A backend server and its callers in simulated time, around the admission code.
+"""A simulation of a backend server with admission control and of its callers.
 
-The decisions are the product's own (`comfreywharf.load`); only service times,
-arrivals and callers are modelled, from a seeded generator, so that each run gives
-the same figures.
+The decisions are made by the product's code (`comfreywharf.load`). Only service
+times, arrivals and callers are modelled, with a seeded random generator, so that
+every run gives the same figures.
 """
 
 import heapq
@@ -29,7 +29,7 @@
 
 
 class Clock:
-    """Simulated time: calls that are due later."""
+    """Simulated time with a queue of scheduled calls."""
 
     def __init__(self):
         self.now_s = 0.0
@@ -37,11 +37,11 @@
         self._order = itertools.count()
 
     def at(self, time_s, call):
-        """Have ``call()`` made at a time."""
+        """Schedule ``call()`` for a simulated time."""
         heapq.heappush(self._due, (time_s, next(self._order), call))
 
     def run(self, until_s):
-        """Make the calls that are due until a time."""
+        """Make the calls that are due up to a time, and advance to that time."""
         while self._due and self._due[0][0] <= until_s:
             self.now_s, _, call = heapq.heappop(self._due)
             call()
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class Outcome:
-    """What became of one request; ``retry_after_s`` comes with a refusal."""
+    """The outcome of one request; ``retry_after_s`` is set for refused requests."""
 
     good: bool
     refused: bool
@@ -59,12 +59,12 @@
 
 
 class ModelServer:
-    """Slots with random service times, behind the product's admission.
+    """A server whose slots have random service times, with the product's admission.
 
-    Work that was begun keeps its slot to the end, also when its deadline has
-    passed, as in the stand-in backend server. ``slow_factor`` stretches the service
-    times; ``crowding`` adds that fraction for each other request in flight
-    while the server is cold, that is, until it gave ``cold_answers``.
+    A started request keeps its slot until it is done, even if its deadline passes, as
+    in the stand-in backend server. Service times are multiplied by ``slow_factor``.
+    While the server is cold, that is, until it has given ``cold_answers`` good
+    answers, each other request in flight adds the fraction ``crowding`` to them.
     """
 
     def __init__(self, clock, chance, *, slots=12, mean_s=0.01, queue_length=256):
@@ -82,11 +82,11 @@
 
     @property
     def capacity_per_s(self):
-        """Return how many requests a second the slots can do."""
+        """Return the number of requests per second that the slots can serve."""
         return self.state.limit.slots / self._mean_s
 
     def send(self, flow, patience_s, tell):
-        """Send a request; ``tell(Outcome)`` is called when it has an outcome."""
+        """Send a request; ``tell(Outcome)`` is called when its outcome is known."""
         now_s = self._clock.now_s
         ticket = Ticket(flow=flow, deadline_s=now_s + patience_s, arrived_s=now_s)
         self._callers[ticket] = tell
@@ -127,7 +127,7 @@
 
 
 def arrivals(clock, chance, rate_per_s, start_s, end_s, send):
-    """Call ``send()`` at random times, at a mean rate."""
+    """Call ``send()`` at exponentially distributed intervals with a mean rate."""
 
     def next_one():
         if clock.now_s >= start_s:
@@ -140,6 +140,6 @@
 
 
 def percentile(values, fraction):
-    """Return the value below which a fraction of them lies."""
+    """Return the value below which a fraction of the values lies."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(len(ordered) * fraction))]
--- a/comfreywharf_dev/bench/load_ramp.py
+++ b/comfreywharf_dev/bench/load_ramp.py
@@ -1,7 +1,7 @@
 """A backend server just after its start, with and without the ramp of slots.
 
-While it is cold, until it gave 400 answers, each request in flight makes the others
-slower, as with empty caches and pools. It is asked for 60% of its warm capacity.
+The server is cold until it has given 400 answers: each request in flight slows down
+the others, as with empty caches and pools. The load is 60% of its warm capacity.
 """
 
 import random
--- a/comfreywharf_dev/bench/numbers.py
+++ b/comfreywharf_dev/bench/numbers.py
@@ -1,10 +1,10 @@
-"""Numbers as pages show them."""
+"""Formatting of numbers for pages."""
 
 __all__ = ["show"]
 
 
 def show(number):
-    """Return a number as the page shows it: three digits, thousands apart.
+    """Return a number with three significant digits and separated thousands.
 
     >>> show(11250.0), show(0.03127), show(640), show(494.53)
     ('11,250', '0.0313', '640', '495')
--- a/comfreywharf_dev/bench/path_cost.py
+++ b/comfreywharf_dev/bench/path_cost.py
@@ -1,9 +1,9 @@
-"""What one routed request costs, against the bare chain with the same body.
+"""Cost of one routed request, compared with the bare chain.
 
 Routed: caller, ingress node, owner's node, backend server. Bare: caller, WSGI
-server with geventhttpclient, backend server. Caller, body and backend server are
-the same programs in both. The cost of a request is the slope of processor time over
-several rates.
+server with geventhttpclient, backend server. Both use the same caller, body and
+backend server. The cost of a request is the slope of processor time over several
+request rates.
 """
 
 import tempfile
@@ -40,7 +40,7 @@
 
 @attrs.frozen(kw_only=True)
 class Chain:
-    """A running chain: where to send, and by role the process whose time counts."""
+    """A running chain: its entry, and the ids of the measured processes by role."""
 
     port: int
     path: str
@@ -72,13 +72,13 @@
 
 @contextmanager
 def routed_chain():
-    """Run four nodes; yield the chains through an ingress node, and past it.
+    """Run four nodes; yield the chain through an ingress node and the direct chain.
 
-    One node owns every key: a planner moves load away from one of several while
-    it is measured, and three owners at a third of the rate wake up more often
-    than the one server of the bare chain. The others, one of them the ingress
-    node, serve another service. Past the ingress node is what a caller gets who
-    knows the owner and goes there at once.
+    One node owns every key. With several owners, the planner would move load during
+    the measurement, and three owners at a third of the rate would wake up more often
+    than the one server of the bare chain. The other nodes, one of them the ingress
+    node, serve another service. The direct chain is that of a caller who sends to the
+    owner's node, without the ingress node.
     """
     plans = riga_plans(booking=1, files=3, slots=64)
     with (
@@ -102,7 +102,7 @@
 
 
 def run():
-    """Measure the chains in turns and return the figures."""
+    """Measure the chains alternately and return the figures."""
     with bare_chain() as bare_ends, routed_chain() as (routed_ends, direct_ends):
         bare, routed = Measured(bare_ends), Measured(routed_ends)
         direct = Measured(direct_ends)
@@ -119,7 +119,7 @@
 
 
 class Measured:
-    """What was measured of one chain so far."""
+    """The measurements of one chain so far."""
 
     def __init__(self, chain):
         self.chain = chain
@@ -131,24 +131,24 @@
         self.not_answered = 0
 
     def generate(self, processes=1, **fields):
-        """Run a load on the chain and return the documents."""
+        """Run a load on the chain and return the result documents."""
         documents = generate(attrs.evolve(self.load, **fields), processes)
         self.not_answered += sum(_not_answered(document) for document in documents)
         return documents
 
     @property
     def request_us(self):
-        """Return the processor time of one request by process."""
+        """Return the processor time of one request by role of the process, in us."""
         return {name: fit_line(points).slope for name, points in self.points.items()}
 
     @property
     def total_us(self):
-        """Return the processor time of one request over all processes."""
+        """Return the processor time of one request over all processes, in us."""
         return sum(self.request_us.values())
 
     @property
     def peak_per_s(self):
-        """Return the highest rate that a round reached."""
+        """Return the highest rate over all rounds, in requests per second."""
         return max(self.peaks_per_s)
 
 
--- a/comfreywharf_dev/bench/placement.py
+++ b/comfreywharf_dev/bench/placement.py
@@ -1,7 +1,7 @@
-"""Imbalance, churn and unavailable time of placement, replayed from load traces.
+"""Imbalance, churn and unavailable time of placement in replays of load traces.
 
-Nothing here reads a clock, so the figures are the same in every run; a part of
-them is checked in CI. docs/design/placement.md explains them.
+Nothing here reads a clock, so the figures are the same in every run. Some of them
+are checked in CI. docs/design/placement.md explains them.
 """
 
 import zlib
@@ -32,7 +32,7 @@
 
 
 def run():
-    """Replay every trace for both deployments, and two for 640 nodes."""
+    """Replay every trace for both deployments, and two traces for 640 nodes."""
     figures = []
     for deployment in (RIGA, AHMEDABAD):
         for build in TRACES:
@@ -45,7 +45,7 @@
 
 
 def make_trace(deployment, build, number=0):
-    """Return a trace whose seed depends on its name and number alone."""
+    """Return a trace whose seed depends only on deployment, builder and number."""
     seed = zlib.crc32(f"{deployment.name} {build.__name__} {number}".encode())
     return build(deployment, np.random.default_rng(seed))
 
@@ -53,7 +53,7 @@
 def compare(deployment, build, seeds=SEEDS):
     """Return figures of the product's policy and of both baselines.
 
-    Each is the mean over traces from different seeds.
+    Each figure is the mean over traces with different seeds.
     """
     traces = [make_trace(deployment, build, number) for number in range(seeds)]
     name = f"{deployment.name}_{build.__name__}"
@@ -99,7 +99,7 @@
 
 
 def mechanisms():
-    """Return what single mechanisms are worth: each figure with and without."""
+    """Return a figure with and without each of several mechanisms."""
     coarse = attrs.evolve(RIGA, service=attrs.evolve(RIGA.service, slices=16))
     return [
         *_with_and_without(
@@ -142,7 +142,7 @@
 
 
 def never_policy(service):
-    """Return a policy that moves nothing for balance."""
+    """Return a policy that never moves slices for balance."""
     return attrs.evolve(policy_for(service), trigger=float("inf"))
 
 
--- a/comfreywharf_dev/bench/placement_baselines.py
+++ b/comfreywharf_dev/bench/placement_baselines.py
@@ -1,4 +1,4 @@
-"""What placement is compared with: a hash ring, and rebalancing at once."""
+"""Baselines for placement: a hash ring, and immediate rebalancing."""
 
 import bisect
 
@@ -15,10 +15,10 @@
 
 
 def at_once(service):
-    """Return a policy that moves whatever brings each server to the mean.
+    """Return a policy that at once moves whatever brings each server to the mean.
 
-    It sees the same smoothed rates, splits and pins as the product's policy; it
-    only waits for nothing and bounds nothing.
+    It gets the same smoothed rates, splits and pins as the product's policy, but it
+    has no waiting times and no limits on churn.
     """
     return BoundedRebalance(
         trigger=1.02,
@@ -31,7 +31,7 @@
 
 
 class _Ring:
-    """Plain consistent hashing with points for each server (Karger et al. 1997)."""
+    """Consistent hashing with several points per server (Karger et al. 1997)."""
 
     def __init__(self, node_ids):
         points = [
@@ -54,7 +54,7 @@
 
 
 def replay_hash_ring(trace, step_s=2.0):
-    """Replay a trace with keys placed by a hash ring, and return `Measured`."""
+    """Replay a trace with keys placed by a hash ring; return what was `Measured`."""
     tally = Tally(trace)
     serving = set(trace.deployment.node_ids)
     started_s = dict.fromkeys(serving, float("-inf"))
--- a/comfreywharf_dev/bench/placement_cost.py
+++ b/comfreywharf_dev/bench/placement_cost.py
@@ -1,7 +1,7 @@
-"""What planning costs: processor time of rounds and reports, bytes, memory.
+"""Cost of planning: processor time of rounds and reports, message sizes, memory.
 
-Processor time is this process's own, so that other work on the machine counts
-little; bytes are a message's own, without headers of the network.
+Processor time is that of this process, so that other work on the machine has little
+influence. Message sizes exclude network headers.
 """
 
 import gc
@@ -51,7 +51,7 @@
 
 
 def begin_planning(cluster, now_s=0.0):
-    """Return the state of a planner that heard once of every member."""
+    """Return the state of a planner that has received one report from every member."""
     state = PlanningState.begin(now_s)
     for member in cluster.members.values():
         report = NodeReport(node_id=member.node_id, incarnation=member.incarnation)
@@ -107,7 +107,7 @@
 
 
 def _planned_cluster(members, slices):
-    """Return a cluster after its first round of planning, and that round's time."""
+    """Return a cluster after its first planning round, and the round's time in s."""
     cluster = ClusterState()
 
     def append(kind, **fields):
@@ -151,7 +151,7 @@
 
 
 def _loaded(cluster):
-    """Return a planner's state that knows a rate for each slice."""
+    """Return a planner's state that has a reported rate for each slice."""
     state = PlanningState.begin(0.0)
     owned = {}
     for _, piece in _pieces(cluster):
@@ -180,7 +180,10 @@
 
 
 def _loss_s(cluster):
-    """Return the time of the round that replaces a lost domain's standbys."""
+    """Return the processor time of the round after the loss of a domain, in seconds.
+
+    This round replaces the standbys in the lost domain.
+    """
     state = _loaded(cluster)
     for member in cluster.members.values():
         if member.failure_domain == "domain-0":
@@ -220,7 +223,7 @@
 
 
 def _reports_s(state, data):
-    """Return the processor time to read and take one report, in seconds."""
+    """Return the processor time to decode and apply one report, in seconds."""
     start_s = time.process_time()
     for _ in range(REPORTS):
         message = LoadReport()
@@ -230,7 +233,7 @@
 
 
 def _make_report_s(cluster):
-    """Return the processor time in which a node makes its report, in seconds."""
+    """Return the processor time a node needs to make its report, in seconds."""
     meter = SliceMeter()
     start_s = time.process_time()
     for number in range(ROUNDS):
--- a/comfreywharf_dev/bench/placement_replay.py
+++ b/comfreywharf_dev/bench/placement_replay.py
@@ -1,4 +1,4 @@
-"""Drive the planner's own decisions with a load trace, through the real fold."""
+"""Replay a load trace through the product's planner and its fold of records."""
 
 from collections import defaultdict
 
@@ -36,30 +36,31 @@
 
 PLANNER_ID = "planner"
 TAKEOVER_S = 1.5
-"""How long a lost owner's keys are without service until a standby serves."""
+"""Time in seconds in which a lost owner's keys are unavailable, until the takeover."""
 
 HAND_OVER_S = 0.05
-"""How long a key that moves between live nodes is without service."""
+"""Time in seconds in which a key is unavailable while it moves between live nodes."""
 
 CAPACITY = 1.5
-"""What a warm server can serve, in fair shares of the trace's peak."""
+"""The load that a warm server can serve, in fair shares of the trace's peak."""
 
 COLD_S = 30.0
 COLD_CAPACITY = 0.2
 WARM_UP_S = 60.0
-"""The start of a replay that isn't measured: the first loads aren't known yet."""
+"""The first seconds of a replay, before loads are known, aren't measured."""
 
 HOT_KEYS = 25
 
 
 @attrs.frozen(kw_only=True)
 class Measured:
-    """What a replay showed.
+    """The results of a replay.
 
-    Imbalance is the highest load of a server by the mean over all servers that
-    run and don't drain. ``churn`` is the sum of the load shares that changed
-    owner by plan, ``moves`` their number; ``takeovers`` are counted apart.
-    ``unavailable_s`` weighs each second by the share of the load without service.
+    Imbalance is the highest load of a server divided by the mean over all servers
+    that run and aren't draining. ``churn`` is the sum of the load shares in planned
+    moves, ``moves`` the number of planned moves; ``takeovers`` are counted
+    separately. ``unavailable_s`` weights each second by the share of the load that is
+    unavailable.
     """
 
     imbalance_mean: float
@@ -73,7 +74,7 @@
 
 
 class Tally:
-    """Add up a replay's steps."""
+    """Accumulate the results of a replay's steps."""
 
     def __init__(self, trace):
         self._trace = trace
@@ -86,7 +87,7 @@
         self.most_slices = 0
 
     def step(self, now_s, step_s, loads, cold):
-        """Count a step; ``loads`` are by serving node, ``cold`` those not yet warm."""
+        """Add a step; ``loads`` are by serving node, ``cold`` are the cold nodes."""
         total = sum(loads.values())
         if now_s < WARM_UP_S or total <= 0:
             return
@@ -96,14 +97,14 @@
             self.unavailable_s += step_s * max(0.0, load - limit) / total
 
     def moved(self, now_s, share):
-        """Count a planned move of a share of the load."""
+        """Add a planned move of a share of the load."""
         if now_s >= WARM_UP_S:
             self.churn += share
             self.moves += 1
             self.unavailable_s += HAND_OVER_S * share
 
     def lost(self, seconds, share):
-        """Count a share of the load that nobody served for some seconds."""
+        """Add a share of the load that was unavailable for some seconds."""
         self.unavailable_s += seconds * share
 
     def result(self):
@@ -121,9 +122,9 @@
 
 
 class Replay:
-    """One trace, one planner, one simulated time; nothing reads a clock.
+    """A replay of one trace with one planner in simulated time.
 
-    ``step_s`` is the time between two rounds of planning.
+    ``step_s`` is the time between two planning rounds, in seconds.
     """
 
     def __init__(self, trace, seed=1, step_s=2.0, **planning_fields):
@@ -161,7 +162,7 @@
         self._plan()
         self._measure()
 
-    # The cluster.
+    # State of the cluster.
 
     def _append(self, record):
         return fold(self.cluster, self.cluster.next_offset, record)
@@ -286,10 +287,10 @@
                     )
                 )
 
-    # Load.
+    # Load and reports.
 
     def _slice_rates(self):
-        """Return the requests a second by slice start."""
+        """Return the requests per second of each slice, by its start."""
         starts = np.array([piece.start for piece in self._pieces], dtype=np.int64)
         places = np.searchsorted(starts, self.trace.positions, side="right") - 1
         sums = np.bincount(places, weights=self._key_rates, minlength=len(starts))
@@ -325,7 +326,7 @@
         planning.decide(self._planning, LoadReported(report=report), self._now_s)
 
     def _hot_keys(self):
-        """Return the hottest keys by owner, as a sketch would estimate them."""
+        """Return the hottest keys by owner, with the estimation error of a sketch."""
         service = self.trace.deployment.service.name
         hottest = np.argpartition(self._key_rates, -HOT_KEYS)[-HOT_KEYS:]
         found = defaultdict(list)
--- a/comfreywharf_dev/bench/placement_traces.py
+++ b/comfreywharf_dev/bench/placement_traces.py
@@ -1,8 +1,8 @@
-"""Load traces for replays of placement, made by a seeded builder.
+"""Load traces for replays of placement, made by seeded builders.
 
-A trace says how many requests a second each key gets at any time, and which
-servers drain, stop and start. Rates are expected values; the replay adds the
-noise of counting.
+A trace gives the requests per second of each key at any time, and when servers
+drain, stop and start. Rates are expected values; the replay adds random noise to
+the counts.
 """
 
 import numpy as np
@@ -27,7 +27,7 @@
 
 @frozen(kw_only=True)
 class Deployment:
-    """Servers of a service that is divided by key, and how many keys it has."""
+    """The servers, failure domains and number of keys of a service divided by key."""
 
     name: str
     service: ServiceConfig
@@ -81,9 +81,9 @@
 
 @frozen(kw_only=True)
 class HotKeyPeriod:
-    """A key that is hot for a while; ``share`` is of one server's fair load.
+    """A period in which a key is hot; ``share`` is a fraction of a server's fair load.
 
-    It comes and goes within `EDGE_S`.
+    The rate rises at its start and falls at its end linearly, each within `EDGE_S`.
     """
 
     key: int
@@ -94,7 +94,7 @@
 
 @frozen(kw_only=True)
 class NodeEvent:
-    """A server drains (``drain``), is gone (``stop``) or is back (``start``)."""
+    """A server drains (``drain``), stops (``stop``) or starts (``start``)."""
 
     at_s: float
     node_id: str
@@ -103,7 +103,7 @@
 
 @frozen(kw_only=True)
 class LoadTrace:
-    """Requests by key over time, and what happens to the servers."""
+    """Request rates of keys over time, and the events of the servers."""
 
     name: str
     deployment: Deployment
@@ -122,7 +122,7 @@
     )
 
     def rates(self, now_s):
-        """Return the requests a second of each key at a time."""
+        """Return the requests per second of each key at a time."""
         times, levels = zip(*self.curve, strict=True)
         total = self.peak_per_s * np.interp(now_s, times, levels)
         fair = total / self.deployment.servers
@@ -146,7 +146,7 @@
 def _base(deployment, rng, exponent):
     """Return positions in the hash space and popularities of all keys.
 
-    The head of the distribution is cut, so that no key exceeds a server.
+    The head of the distribution is cut off, so that no key exceeds a server's capacity.
     """
     positions = np.sort(
         rng.integers(0, KEY_SPACE - 1, deployment.keys, dtype=np.int64, endpoint=True)
@@ -187,7 +187,7 @@
 
 
 def deadline_rush(deployment, rng):
-    """Return a rush: seven times the load within ten minutes, and its end."""
+    """Return a trace whose load rises sevenfold within ten minutes and falls again."""
     duration_s = 40 * MINUTE_S
     curve = ((0, 0.15), (300, 0.15), (900, 1.0), (1500, 1.0), (2100, 0.3))
     hot = _hot_periods(deployment, rng, 3, 600.0, duration_s, (0.1, 0.4))
@@ -197,7 +197,7 @@
 
 
 def wedding_season(deployment, rng):
-    """Return a trace in which one calendar after the other runs hot."""
+    """Return a trace in which one calendar after another is hot."""
     duration_s = 40 * MINUTE_S
     hot = _hot_periods(deployment, rng, 1, 480.0, duration_s, (0.5, 0.8))
     return _trace("wedding_season", deployment, rng, duration_s=duration_s, hot=hot)
@@ -214,19 +214,19 @@
 
 
 def changing_hot_keys(deployment, rng):
-    """Return a trace whose 25 hottest keys are others every three minutes."""
+    """Return a trace whose 25 hottest keys change every three minutes."""
     duration_s = 30 * MINUTE_S
     hot = _hot_periods(deployment, rng, 25, 180.0, duration_s, (0.04, 0.25))
     return _trace("changing_hot_keys", deployment, rng, duration_s=duration_s, hot=hot)
 
 
 def hasty_restart(deployment, rng):
-    """Return a rolling restart that goes on while the last server is still cold."""
+    """Return a rolling restart that continues before restarted servers are warm."""
     return rolling_restart(deployment, rng, period_s=55.0)
 
 
 def rolling_restart(deployment, rng, period_s=150.0):
-    """Return a trace in which each server drains, stops and comes back cold."""
+    """Return a trace in which each server drains, stops and restarts cold."""
     events = []
     for index, node_id in enumerate(deployment.node_ids):
         at_s = 120.0 + index * period_s
--- a/comfreywharf_dev/bench/plain_client.py
+++ b/comfreywharf_dev/bench/plain_client.py
@@ -1,4 +1,4 @@
-"""The library's own HTTP client, with Nagle's algorithm switched off."""
+"""The HTTP client of geventhttpclient, with Nagle's algorithm disabled."""
 
 from geventhttpclient import HTTPClient
 
@@ -8,10 +8,10 @@
 
 
 class PlainClient(HTTPClient):
-    """What the bare chain and the load generator send by.
+    """The HTTP client of the bare chain and of the load generator.
 
-    Kept apart from the product's client, so that a change there doesn't move
-    what it is compared with.
+    It is separate from the product's client, so that a change there doesn't change
+    the baseline.
     """
 
     def __init__(self, host, port, *, concurrency, timeout_s=30.0):
--- a/comfreywharf_dev/bench/plain_proxy.py
+++ b/comfreywharf_dev/bench/plain_proxy.py
@@ -1,7 +1,7 @@
-"""The bare chain that a routed request is compared with: a server and a client.
+"""The proxy of the bare chain, the baseline for routed requests.
 
-gevent's WSGI server takes a request and geventhttpclient sends it on; nothing is
-decided, parsed or remembered in between.
+gevent's WSGI server receives a request and geventhttpclient forwards it, without
+any routing, parsing or stored state in between.
 """
 
 from cyclopts import App
@@ -14,13 +14,13 @@
 
 
 class PlainProxy:
-    """A WSGI application that passes each request to one backend server."""
+    """A WSGI application that forwards each request to one backend server."""
 
     def __init__(self, host, port, connections):
         self._client = PlainClient(host, port, concurrency=connections)
 
     def __call__(self, environ, start_response):
-        """Pass one request on and its answer back."""
+        """Forward one request and return its answer."""
         body = environ["wsgi.input"].read()
         headers = {
             name[5:].replace("_", "-").title(): value
@@ -40,7 +40,7 @@
 
 @app.default
 def serve(*, port: int, to_port: int, connections: int = 110):
-    """Serve until the process is ended."""
+    """Serve until the process is stopped."""
     pywsgi.WSGIServer(
         ("127.0.0.1", port),
         PlainProxy("127.0.0.1", to_port, connections),
--- a/comfreywharf_dev/bench/plain_server.py
+++ b/comfreywharf_dev/bench/plain_server.py
@@ -1,7 +1,7 @@
-"""A backend server that does nothing but answer, for measuring what lies before it.
+"""A backend server that only answers, for measuring the path in front of it.
 
-It announces itself to the nodes that it is told of, and takes whatever the node
-asks of a backend server.
+It announces itself to the nodes given on its command line, and accepts every
+request that a node makes to a backend server.
 """
 
 from cyclopts import App
@@ -17,9 +17,10 @@
 
 
 class PlainHandler(pywsgi.WSGIHandler):
-    """The library's handler with Nagle's algorithm switched off.
+    """gevent's WSGI handler with Nagle's algorithm disabled.
 
-    Kept apart from the product's handler, as the client is.
+    It is separate from the product's handler, so that a change there doesn't change
+    the baseline.
     """
 
     def __init__(self, sock, address, server, rfile=None):
@@ -28,7 +29,7 @@
 
 
 def answer(environ, start_response):
-    """Read the body and answer a few bytes."""
+    """Read the body and return a short answer."""
     environ["wsgi.input"].read()
     control = environ["PATH_INFO"] in _CONTROL_PATHS
     body = CONTROL_ANSWER if control else ANSWER
@@ -50,12 +51,12 @@
     slots: int = 64,
     connections: int = 110,
 ):
-    """Serve until the process is ended.
+    """Serve until the process is stopped.
 
     Parameters
     ----------
     node_ports
-        The ports of the nodes that it announces itself to, with commas between.
+        The ports of the nodes to which it announces itself, separated by commas.
     """
     for text in filter(None, node_ports.split(",")):
         profile = Profile(
--- a/comfreywharf_dev/bench/planned_stop.py
+++ b/comfreywharf_dev/bench/planned_stop.py
@@ -1,8 +1,8 @@
-"""What callers notice of planned stops: nothing cut, nothing refused, short gaps.
+"""Effect of planned stops on callers: requests cut or refused, and gaps in service.
 
 Each round stops one node gracefully while callers book its keys through the other
-nodes, one caller a key. The gap of a key is how much longer than its usual
-interval a caller waited between two answers, around the stop.
+nodes, one caller per key. The gap of a key is its longest interval between two
+answers around the stop, minus its median interval before.
 """
 
 import statistics
@@ -32,7 +32,7 @@
 
 
 def run():
-    """Return refusals, cuts, late work, and the 99th percentile of the gaps."""
+    """Return refusals, cuts, late work, the p99 of the gaps, and violations."""
     gaps_ms, lost, late, told = [], 0, 0, []
     with tempfile.TemporaryDirectory(prefix="comfreywharf-stop-") as folder:
         plans = riga_plans(booking=NODES, files=0)
@@ -71,7 +71,10 @@
 
 
 def _stop_one(cluster, stopped):
-    """Stop a node under load; return what callers of its keys were told, and when."""
+    """Stop a node under load.
+
+    Return the outcomes that callers of its keys received, and when the stop began.
+    """
     survivors = [one for one in cluster.plans if one != stopped]
     _wait_served(cluster, survivors)
     keys = [k for k in KEYS if cluster.owner_of(survivors[0], "booking", k) == stopped]
@@ -89,7 +92,7 @@
 
 
 def _gaps_ms(lines, stopped_s):
-    """Return each key's longest interval around the stop, less its usual one."""
+    """Return the gap of each key, in milliseconds."""
     by_key = {}
     for one in lines:
         if one.accepted:
--- a/comfreywharf_dev/bench/processes.py
+++ b/comfreywharf_dev/bench/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a benchmark: start, measure, end; each by its own id."""
+"""Start, measure and stop the processes of a benchmark, each by its process id."""
 
 import os
 import random
@@ -27,7 +27,7 @@
 
 GENERATOR_GRACE_S = 60.0
 OUTPUT = Path("run/bench/processes.log")
-"""Where the output of the processes goes."""
+"""The file that collects the output of the processes."""
 
 LOW_PORTS = (12_000, 32_000)
 BIND_TRIES = 200
@@ -44,9 +44,11 @@
 def bind_low_port():
     """Return a socket bound to a port below those of outgoing connections.
 
-    A port that the system picks may be taken again, for someone's outgoing
-    connection, between its release here and its use by a new process. The new
-    process then dies at its start, the more often the more processes there are.
+    A port chosen by the system may be reused for an outgoing connection of any
+    process, between its release here and its use by a new process. The new process
+    then fails at its start; the more processes, the more often.
+
+    Raises `OSError` if no port was free in `BIND_TRIES` tries.
     """
     for _ in range(BIND_TRIES):
         sock = socket.socket()
@@ -59,13 +61,13 @@
 
 
 def free_port():
-    """Return a port on loopback that was free a moment ago."""
+    """Return a port on loopback that was free when checked."""
     with bind_low_port() as sock:
         return sock.getsockname()[1]
 
 
 class Processes:
-    """Python modules as processes, ended together."""
+    """Python modules run as processes, which are killed together on exit."""
 
     def __init__(self):
         self._started = []
@@ -92,10 +94,10 @@
 
 
 def generate(load, processes=1):
-    """Run a load from one or several generator processes; return their documents.
+    """Run a load with one or several generator processes; return their documents.
 
-    Several share the load: each gets its part of rate and concurrency, and a
-    seed of its own.
+    The processes share the load: each has its part of the rate and of the
+    concurrency, and its own seed.
     """
     command = [sys.executable, "-m", "comfreywharf_dev.bench.generator"]
     running = [
@@ -129,7 +131,7 @@
 
 
 class PlainCluster(Cluster):
-    """A cluster whose backend servers only answer."""
+    """A cluster whose backend servers only answer and do no work."""
 
     def start_server(self, node_id):
         """Start the plain server beside a node."""
@@ -147,7 +149,7 @@
 
 
 class AuditedCluster(PlainCluster):
-    """A cluster whose nodes write down their TCP connections when asked."""
+    """A cluster whose nodes list their TCP connections on request."""
 
     def _spawn(self, name, module, *arguments):
         if module != "comfreywharf.daemon.main":
--- a/comfreywharf_dev/bench/report.py
+++ b/comfreywharf_dev/bench/report.py
@@ -1,7 +1,7 @@
-"""Write one self-contained page of what the benchmarks measured.
+"""Write a self-contained page with the results of the benchmarks.
 
-``python -m comfreywharf_dev.bench.report`` reads run/bench/*.json and compares with
-the last committed figures; ``--commit`` makes them the committed ones.
+``python -m comfreywharf_dev.bench.report`` reads run/bench/*.json and compares them
+with the last committed figures; ``--commit`` replaces the committed figures.
 """
 
 import re
@@ -29,7 +29,7 @@
 
 @attrs.frozen(kw_only=True)
 class Row:
-    """One figure of a run beside its bound and the last committed value."""
+    """One figure of a run with its bound and the last committed value."""
 
     benchmark: str
     name: str
@@ -104,7 +104,7 @@
 
 
 def _sections(rows):
-    """Yield a section of plots for each subject that was measured."""
+    """Yield a section of plots for each subject that has figures."""
     subjects = (
         ("Imbalance, churn and unavailable time", _placement_plots),
         ("Hand-over and takeover", _takeover_plots),
@@ -265,7 +265,7 @@
 
 
 def values_of(records, committed):
-    """Return the committed values with those of successful runs put in."""
+    """Return the committed values updated with those of successful runs."""
     values = {name: dict(some) for name, some in committed.items()}
     for record in records:
         if not record["error"]:
--- a/comfreywharf_dev/bench/report_plots.py
+++ b/comfreywharf_dev/bench/report_plots.py
@@ -12,8 +12,8 @@
 LIMIT_COLOUR = "#b00020"
 BAR_SHARE = 0.8
 
-# Text stays text, so that it can be searched and read aloud, and ids don't change
-# from run to run.
+# Keep text as text, so that it can be searched and read by screen readers, and keep
+# ids the same in every run.
 matplotlib.rcParams["svg.fonttype"] = "none"
 matplotlib.rcParams["svg.hashsalt"] = "comfreywharf"
 matplotlib.rcParams["font.size"] = 9
@@ -22,7 +22,7 @@
 def bars(title, unit, categories, series):
     """Return grouped bars: ``series`` maps a name to a value for each category.
 
-    A value of ``None`` leaves its place empty.
+    A value of ``None`` leaves a gap.
     """
     canvas, axes = _canvas(title, unit)
     width = BAR_SHARE / max(1, len(series))
--- a/comfreywharf_dev/bench/routes_in_force.py
+++ b/comfreywharf_dev/bench/routes_in_force.py
@@ -1,7 +1,7 @@
-"""How long a change of the routes takes to be in force at the last node.
+"""Time until a change of the routes is in force on all nodes.
 
-The nodes are processes as on the platform, at rest, beside stand-ins of the store and
-of their backend servers. A figure is the part that is used of what a change may take.
+The nodes are idle processes as on the platform, with stand-ins for the store and
+for their backend servers. A figure is the time taken as a fraction of `APPLY_S`.
 """
 
 import os
@@ -29,7 +29,7 @@
 CHANGES = 10
 ZONES = 3
 APPLY_S = 2.0
-"""What `boot_text` says that a change may take."""
+"""The time limit for a change, in seconds, as in the settings from `boot_text`."""
 
 START_WITHIN_S = 120.0
 CHANGE_WITHIN_S = 30.0
@@ -40,7 +40,7 @@
 
 
 class NodeProcess:
-    """A node, its backend server, and when which version of the routes was in force."""
+    """A node, its backend server, and the time of each version of its routes."""
 
     def __init__(self, name, folder, store_port):
         self.ports = free_ports()
@@ -53,15 +53,15 @@
 
     @property
     def peer_address(self):
-        """Return the address under which peers ask this node."""
+        """Return the address at which peers query this node."""
         return f"127.0.0.1:{self.ports[4]}"
 
     def freeze(self):
-        """Let the process answer no more; its connections stay open."""
+        """Suspend the process; its connections stay open."""
         self._process.send_signal(signal.SIGSTOP)
 
     def kill(self):
-        """End the process."""
+        """Kill the process and stop its backend server."""
         self._process.kill()
         self._process.wait()
         self._reader.join()
@@ -88,7 +88,7 @@
 
 
 class Fleet:
-    """Nodes that hear of the routes from one store."""
+    """Nodes that get the routes from one store."""
 
     def __init__(self, folder):
         self._folder = folder
@@ -107,7 +107,7 @@
         self._store.stop()
 
     def grow(self, size):
-        """Start nodes until there are so many, and wait until they know the routes."""
+        """Start nodes up to ``size``, and wait until new routes are in force on all."""
         while len(self.nodes) < size:
             name = f"n{len(self.nodes)}"
             self.nodes.append(NodeProcess(name, self._folder, self._store.port))
@@ -115,14 +115,14 @@
         gevent.sleep(SETTLE_S)
 
     def change_s(self):
-        """Change the routes; return how long the last node took to have them."""
+        """Change the routes; return the time until the last node applies them, in s."""
         began_s = boottime_s()
         version = self._put()
         self._wait_in_force(version, CHANGE_WITHIN_S)
         return max(node.in_force_s[version] for node in self.nodes) - began_s
 
     def freeze_relay(self):
-        """Freeze the node from which most others heard of the routes last."""
+        """Freeze the node from which most others received their last routes."""
         sources = Counter(node.source for node in self.nodes)
         relays = [node for node in self.nodes if node.peer_address in sources]
         frozen = max(relays, key=lambda node: sources[node.peer_address])
@@ -142,7 +142,7 @@
 
 
 def run(sizes=SIZES):
-    """Measure at each size, then once more behind a relay that froze."""
+    """Measure at each size, and then once more after a relay is frozen."""
     figures = []
     (ROOT / "run").mkdir(exist_ok=True)
     with tempfile.TemporaryDirectory(dir=ROOT / "run") as folder:
--- a/comfreywharf_dev/bench/runner.py
+++ b/comfreywharf_dev/bench/runner.py
@@ -1,4 +1,4 @@
-"""Find the benchmarks, run them one after another, and keep what they measured."""
+"""Find the benchmarks, run them sequentially, and store their results."""
 
 import importlib
 import os
@@ -27,9 +27,9 @@
     """One run of one benchmark.
 
     ``load_before`` and ``load_after`` are the machine's load averages over one
-    minute, ``stolen_fraction`` is the processor time that the host of a virtual
-    machine withheld: a figure that was measured beside other work has to be read
-    so.
+    minute. ``stolen_fraction`` is the fraction of processor time that the host of a
+    virtual machine withheld. They show whether other work may have influenced the
+    figures.
     """
 
     benchmark: str
@@ -43,7 +43,7 @@
 
     @property
     def passed(self):
-        """Return whether every bound held and nothing went wrong."""
+        """Return whether the run had no error and every bound holds."""
         return not self.error and all(one.passed for one in self.judged)
 
     def write(self, folder=OUTPUT_FOLDER):
@@ -66,8 +66,8 @@
 def find():
     """Return the benchmarks by name, as functions without arguments.
 
-    A module that can't be imported is a benchmark that fails; the others still
-    run.
+    A module that can't be imported becomes a benchmark that fails, so that the
+    others still run.
     """
     found = {}
     for module_info in pkgutil.iter_modules(comfreywharf_dev.bench.__path__):
@@ -90,7 +90,7 @@
 
 
 def run_one(name, run, bounds_folder=BOUNDS_FOLDER):
-    """Run a benchmark and return its `Record`; an exception becomes its error."""
+    """Run a benchmark and return its `Record`; an exception is stored as its error."""
     bounds = read_bounds(bounds_folder, name)
     load_before = os.getloadavg()[0]
     times_before = psutil.cpu_times()
--- a/comfreywharf_dev/bench/server_loop.py
+++ b/comfreywharf_dev/bench/server_loop.py
@@ -1,9 +1,9 @@
-"""Trials: what the parts of a request's path cost, and what cheaper ones would.
+"""Cost of the parts of a request's path, and of cheaper experimental replacements.
 
 ``pywsgi_us`` is a request that the WSGI server reads and answers; ``lean_headers_us``
-the same without the e-mail parser of the standard library; ``stream_us`` the floor,
-one receive and one send on a gevent socket. ``forward_us`` is a call between nodes,
-both ends together; ``forward_batch_us`` the same where calls travel 16 at a time.
+the same without the e-mail parser of the standard library; ``stream_us`` the lower
+limit, one receive and one send on a gevent socket. ``forward_us`` is a call between
+nodes, client and server together; ``forward_batch_us`` the same in batches of 16 calls.
 """
 
 import time
@@ -34,7 +34,7 @@
 
 
 def run():
-    """Measure in turns and return the figures."""
+    """Measure the variants alternately and return the figures."""
     with Processes() as processes:
         ends = {
             kind: _start(processes, kind)
@@ -106,7 +106,7 @@
 
 
 class _CorkedSocket:
-    """Keep what is sent until it is let go in one piece."""
+    """Buffer what is sent until ``uncork()`` sends it at once."""
 
     def __init__(self, sock):
         self._sock = sock
--- a/comfreywharf_dev/bench/server_loop_ends.py
+++ b/comfreywharf_dev/bench/server_loop_ends.py
@@ -1,4 +1,4 @@
-"""Servers that answer a few bytes by ever cheaper loops, for `server_loop`."""
+"""Servers with short answers and increasingly cheap loops, for `server_loop`."""
 
 from cyclopts import App
 from gevent import pywsgi
@@ -16,7 +16,7 @@
 
 
 class LeanHeaders:
-    """Headers in a plain dictionary, instead of an e-mail message."""
+    """Request headers in a dictionary instead of an e-mail message."""
 
     def __init__(self, rfile):
         self.headers = []
@@ -30,14 +30,14 @@
         self.typeheader = self._values.get("content-type")
 
     def get(self, name, default=None):
-        """Return a header's value."""
+        """Return a header's value, or the default if the header is missing."""
         return self._values.get(name.lower(), default)
 
     getheader = get
 
 
 class LeanHandler(PlainHandler):
-    """A WSGI handler that spares the e-mail parser, as a trial."""
+    """An experimental WSGI handler that doesn't use the e-mail parser."""
 
     @staticmethod
     def MessageClass(rfile, seekable):  # noqa: N802 - pywsgi's name
@@ -46,14 +46,14 @@
 
 
 class CorkedTransport(sockets.SocketTransport):
-    """Answers leave together when nothing more is there to be read, as a trial."""
+    """An experimental transport that sends buffered answers before it waits to read."""
 
     def __init__(self, sock):
         super().__init__(sock)
         self._unsent = []
 
     def write(self, data):
-        """Keep bytes until the next read that has to wait."""
+        """Buffer bytes until the next read that has to wait."""
         self._unsent.append(data)
 
     def _receive(self):
@@ -64,10 +64,10 @@
 
 
 class EchoHandler:
-    """Answer ``forward`` at once."""
+    """A handler that answers ``forward`` immediately."""
 
     def forward(self, request):
-        """Return a whole answer."""
+        """Return a complete answer."""
         return ForwardReply(
             outcome=Outcome.ANSWERED,
             status=200,
@@ -93,7 +93,7 @@
 
 @app.default
 def serve(kind: str, *, port: int):
-    """Serve until the process is ended; ``kind`` is wsgi, lean, stream or thrift."""
+    """Serve until the process is stopped; ``kind`` is wsgi, lean, stream or thrift."""
     address = ("127.0.0.1", port)
     if kind == "thrift":
         sockets.SocketTransport = CorkedTransport
--- a/comfreywharf_dev/bench/slopes.py
+++ b/comfreywharf_dev/bench/slopes.py
@@ -7,14 +7,14 @@
 
 @attrs.frozen(kw_only=True)
 class Line:
-    """``value = base + slope * x``; ``residual`` is the largest distance from it."""
+    """``value = base + slope * x``; ``residual`` is the largest absolute residual."""
 
     base: float
     slope: float
     residual: float
 
     def at(self, x):
-        """Return the line's value at a place.
+        """Return the line's value at ``x``.
 
         >>> Line(base=1.0, slope=2.0, residual=0.0).at(3)
         7.0
@@ -43,10 +43,10 @@
 
 
 def extrapolate(points, x):
-    """Return the value at a far place: the line's, or the largest measured one.
+    """Return the larger of the line's value at ``x`` and the largest measured value.
 
-    A cost that falls with size is the measuring machine's doing (more processes
-    than cores), and a falling line would promise next to nothing far out.
+    A cost that falls with size is an artefact of the measuring machine (more
+    processes than cores), and a falling line would give far too low values far out.
 
     >>> extrapolate([(1, 3.0), (2, 5.0)], 10)
     21.0
--- a/comfreywharf_dev/bench/snapshots.py
+++ b/comfreywharf_dev/bench/snapshots.py
@@ -1,4 +1,4 @@
-"""What a snapshot costs at the size to design for: 640 nodes, 64 slices each."""
+"""Cost of a snapshot at the size to design for: 640 nodes with 64 slices each."""
 
 import random
 import time
@@ -35,7 +35,7 @@
 
 
 def run():
-    """Encode and load the state of a whole fleet, and fold records into it."""
+    """Encode and load the state of all nodes, and fold records into it."""
     state = _make_state()
     began_s = time.perf_counter()
     copied = state.copy()
--- a/comfreywharf_dev/bench/socket_audit.py
+++ b/comfreywharf_dev/bench/socket_audit.py
@@ -1,4 +1,4 @@
-"""Run a module, and on SIGUSR1 write down what its TCP connections are and carried.
+"""Run a module, and on SIGUSR1 write a list of its TCP connections with counters.
 
 ``python -m comfreywharf_dev.bench.socket_audit OUTPUT MODULE [ARGUMENTS]``
 """
@@ -19,7 +19,7 @@
 
 TCP_INFO_BYTES = 256
 CARRIED_OFFSET = 120
-"""Where ``tcpi_bytes_acked`` stands in Linux's ``struct tcp_info``."""
+"""Offset in bytes of ``tcpi_bytes_acked`` in Linux's ``struct tcp_info``."""
 
 _CARRIED = struct.Struct("=QQII")
 
@@ -28,8 +28,8 @@
 class Connection:
     """One end of an established TCP connection.
 
-    Bytes are those of the stream, without headers; segments are counted by the
-    kernel in both directions, acknowledgements included.
+    Bytes are payload without headers. Segments are counted by the kernel in both
+    directions, including acknowledgements.
     """
 
     local: str
@@ -56,7 +56,7 @@
         nodelay = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
     except OSError:
-        # A listener, or a connection that has just been closed.
+        # A listening socket, or a connection that has just been closed.
         return None
     sent_bytes, received_bytes, *segments = _CARRIED.unpack_from(info, CARRIED_OFFSET)
     return Connection(
@@ -70,7 +70,7 @@
 
 
 def write_audit(path):
-    """Write the connections as JSON; the file appears whole or not at all."""
+    """Write the connections as JSON, atomically."""
     document = [attrs.asdict(connection) for connection in connections_here()]
     with open(f"{path}.part", "wb") as file:
         file.write(orjson.dumps(document))
@@ -78,7 +78,7 @@
 
 
 def main():
-    """Run the module that the command line names."""
+    """Run the module given on the command line."""
     _, path, module, *arguments = sys.argv
     gevent.signal_handler(signal.SIGUSR1, write_audit, path)
     sys.argv = [module, *arguments]
--- a/comfreywharf_dev/bench/start_cost.py
+++ b/comfreywharf_dev/bench/start_cost.py
@@ -1,8 +1,9 @@
 """Processor time and memory of a node's process from its start until it is ready.
 
-The node starts as on the platform, without docstrings, beside stand-ins of the store
-and of a backend server. What the same interpreter needs to import nothing but the
-libraries is measured in the same run: the machine's speed falls out of the ratio.
+The node starts as on the platform, without docstrings, with stand-ins for the store
+and for a backend server. The time in which the same interpreter imports only the
+libraries is measured in the same run, so that the ratio doesn't depend on the
+machine's speed.
 """
 
 import os
@@ -51,7 +52,7 @@
 
 
 def _start_node(folder, store, index):
-    """Return ``(processor_s, rss_mib)`` of a node that has just become ready."""
+    """Start a node; return ``(processor_s, rss_mib)`` when it becomes ready."""
     ports = free_ports()
     name = f"n{index}"
     path = Path(folder) / f"{name}.conf"
@@ -89,7 +90,7 @@
 
 
 def run():
-    """Measure, and return the figures; the smallest of several starts counts."""
+    """Measure and return the figures, each the smallest of several starts."""
     store = PlatformStore()
     store.start()
     store.put("keyed.op", "config", configuration())
--- a/comfreywharf_dev/bench/state_size.py
+++ b/comfreywharf_dev/bench/state_size.py
@@ -1,7 +1,7 @@
 """Memory and time of a node's state: per slice, member, record and connection.
 
-Sizes are tracemalloc's, of objects built by decoding and folding records as a node
-does; connections are measured as resident memory of a running node.
+Sizes are measured with tracemalloc, for objects built by decoding and folding records
+as a node does. Connections are measured as resident memory of a running node.
 """
 
 import gc
@@ -55,13 +55,13 @@
 
 
 class Log:
-    """Encoded records, folded one after another as a node does."""
+    """A log that encodes, decodes and folds each record, as a node does."""
 
     def __init__(self):
         self.state = ClusterState()
 
     def append(self, record):
-        """Fold a record from its bytes; raises `ValueError` if it is refused."""
+        """Encode, decode and fold a record; raises `ValueError` if it is refused."""
         decoded = decode_record(encode_record(record)).unwrap()
         result = fold(self.state, self.state.next_offset, decoded)
         if not result.accepted:
@@ -69,7 +69,7 @@
 
 
 def announced(index, incarnation=1):
-    """Return the announcement of one node of many."""
+    """Return the announcement of the node with an index."""
     return NodeAnnounced(
         record_id=f"{index:032x}-{incarnation}",
         node_id=f"node-{index:03d}",
@@ -88,7 +88,7 @@
 
 
 def build_state(members, slices):
-    """Return the state after nodes joined and all slices were assigned."""
+    """Return the state after all nodes have joined and all slices are assigned."""
     log = Log()
     service = ServiceConfig(name=SERVICE, slices=slices)
     log.append(
@@ -112,7 +112,7 @@
 
 
 def _dealt_out(state):
-    """Return a move for each slice, so that all members own as many."""
+    """Return a move for each slice that together spread them evenly over members."""
     members = sorted(state.members)
     return [
         SliceMove(
@@ -127,7 +127,7 @@
 
 
 def build_memory(count):
-    """Return the memory of some requests that were answered."""
+    """Return the memory of ``count`` answered requests."""
     memory = AnswerMemory(MemoryLimits(entries=count, total_bytes=1 << 40))
     for index in range(count):
         key = RequestKey(SERVICE, key_hash(b"%d" % index), f"{index:032x}")
@@ -146,10 +146,10 @@
 
 
 def allocated_bytes(build):
-    """Return what the object that ``build()`` makes takes.
+    """Return the memory that the result of ``build()`` takes, in bytes.
 
-    It is made once before, so that what libraries keep after their first use
-    isn't counted.
+    ``build()`` is called once before, so that memory which libraries allocate at
+    their first use isn't counted.
     """
     build()
     gc.collect()
@@ -221,7 +221,7 @@
 
 
 def _planner_times(state):
-    """Yield what the planner spends at 640 nodes and 10,000 slices."""
+    """Yield the planner's processor times at 640 nodes and 10,000 slices."""
     planned = PlanningState.begin(0.0)
     reports = _reports(state)
 
--- a/comfreywharf_dev/bench/takeover.py
+++ b/comfreywharf_dev/bench/takeover.py
@@ -1,8 +1,8 @@
-"""How long a lost owner's keys stay dark, with the log up and with it down.
+"""Unavailable time of a lost owner's keys, with the log up and with it down.
 
-Each round kills the VM of an owner with requests going on and measures, for each
-key that it owned, the time until a booking that was sent after the kill is
-answered. A new node then takes the lost one's place.
+Each round kills the VM of an owner under load and measures, for each key that it
+owned, the time until a booking that was sent after the kill is answered. Then a new
+node replaces the lost one.
 """
 
 import tempfile
@@ -29,7 +29,7 @@
 
 @attrs.define(kw_only=True)
 class _Measured:
-    """The dark times of all keys over the kills, and what went wrong."""
+    """The unavailable times of keys over all kills, their outcomes, and violations."""
 
     dark_s: list = attrs.Factory(list)
     told: list = attrs.Factory(list)
@@ -37,7 +37,7 @@
 
 
 def run():
-    """Return the worst and the 99th percentile of the dark times, and violations."""
+    """Return the worst and p99 unavailable times, and the number of violations."""
     figures = []
     for name, log_down in (("log_up", False), ("log_down", True)):
         measured = _measure(log_down, KILLS // 2)
@@ -86,8 +86,8 @@
     keys = [k for k in KEYS if cluster.owner_of(survivors[0], "booking", k) == lost]
     if log_down:
         cluster.switch_log(down=True)
-    # One caller for each key: a caller that waits for one key says nothing of
-    # how soon another one is served.
+    # One caller for each key: a caller that waits for an answer on one key can't
+    # measure when another key is served again.
     callers = [
         Callers(cluster, [key], count=1, node_ids=survivors, timeout_ms=800)
         for key in keys
@@ -108,7 +108,10 @@
 
 
 def _dark_s(callers, killed_s):
-    """Return when the first booking sent after the kill was answered."""
+    """Return the time from the kill to the first answer to a booking sent after it.
+
+    The time is in seconds; it is `NEVER_S` if there is no answer in `LIMIT_S`.
+    """
     try:
         wait_until(lambda: callers.served_since(killed_s), LIMIT_S)
     except TimeoutError:
@@ -126,7 +129,7 @@
 
 
 def _wait_spread(cluster, seen_by, node_id):
-    """Wait, for a while, until a returned node owns something again."""
+    """Wait until a restarted node owns a slice, or for a third of `LIMIT_S`."""
 
     def owns():
         pieces = cluster.state(seen_by)["slices"]["booking"]["slices"]
--- a/comfreywharf_dev/bench/tests/builders.py
+++ b/comfreywharf_dev/bench/tests/builders.py
@@ -1,4 +1,4 @@
-"""Records of runs for the tests of the report."""
+"""Builders of run records for the tests of the report."""
 
 import orjson
 
@@ -8,7 +8,7 @@
 
 
 def record_of(benchmark, judged):
-    """Return a record as it is read back from its file."""
+    """Return a record of a run as it is read from its file."""
     record = Record(
         benchmark=benchmark,
         judged=tuple(judged),
--- a/comfreywharf_dev/bench/tests/test_capacity.py
+++ b/comfreywharf_dev/bench/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: worked out from the kept slopes, and never by hand."""
+"""Tests that the capacity page is computed from the stored slopes."""
 
 import orjson
 import pytest
@@ -17,27 +17,27 @@
 
 
 def test_the_page_is_what_the_slopes_give(measured, template):
-    """The committed page and the committed slopes agree."""
+    """The committed page matches the committed slopes."""
     page = capacity.render(measured, template)
     assert capacity.PAGE.read_text(encoding="utf-8") == page
 
 
 def test_another_slope_gives_another_page(measured, template):
-    """A page that ignored a slope would agree with anything."""
+    """The page depends on the slopes; otherwise it would match any slopes."""
     page = capacity.render(measured, template)
     measured["path_cost"]["figures"]["owner_us"]["value"] *= 2
     assert capacity.render(measured, template) != page
 
 
 def test_a_missing_slope_is_an_error(measured, template):
-    """A figure that is no longer measured isn't passed over."""
+    """A figure that is no longer measured raises `KeyError`."""
     del measured["state_size"]["figures"]["slice_bytes"]
     with pytest.raises(KeyError, match="slice_bytes"):
         capacity.render(measured, template)
 
 
 def test_a_failed_run_replaces_nothing(tmp_path, measured):
-    """The figures of a run that ended in an error aren't kept."""
+    """A run that ended in an error doesn't replace the stored figures."""
     failed = {"error": "OSError", "judged": []}
     (tmp_path / "path_cost.json").write_bytes(orjson.dumps(failed))
     assert (
--- a/comfreywharf_dev/bench/tests/test_figures.py
+++ b/comfreywharf_dev/bench/tests/test_figures.py
@@ -1,4 +1,4 @@
-"""Bounds: what keeps them, what breaks them, what is no bound at all."""
+"""Tests of bounds, of the comparison of figures with them, and of failed runs."""
 
 import importlib
 import math
@@ -24,7 +24,7 @@
 @settings(derandomize=True, deadline=None)
 @given(value=numbers, limit=numbers)
 def test_a_bound_holds_on_its_own_side_only(value, limit):
-    """At most and at least hold together only where value and limit are equal."""
+    """Both comparisons hold only if value and limit are equal; one always holds."""
     at_most = Bound(limit=limit, comparison=Comparison.AT_MOST).holds(value)
     at_least = Bound(limit=limit, comparison=Comparison.AT_LEAST).holds(value)
     assert at_most or at_least
@@ -32,7 +32,7 @@
 
 
 def test_a_bound_without_a_figure_is_broken():
-    """A benchmark that no longer measures a bounded figure fails."""
+    """A benchmark fails if it no longer measures a figure that has a bound."""
     bounds = {"cost": Bound(limit=1.0, comparison=Comparison.AT_MOST)}
     (judged,) = judge("path", [], bounds)
     assert not judged.passed
@@ -40,21 +40,21 @@
 
 
 def test_a_figure_without_a_bound_passes():
-    """What is only reported breaks nothing."""
+    """A figure without a bound passes at any value."""
     (judged,) = judge("path", [Figure(name="cost", value=9e9, unit="us")], {})
     assert judged.passed
 
 
 @pytest.mark.parametrize("text", ["cost = 1", "[cost]\nbelow = 1", "[cost]"])
 def test_a_bound_of_unknown_kind_is_an_error(tmp_path, text):
-    """A misspelt comparison is reported with its place, not passed over."""
+    """An invalid comparison raises an error that names the entry."""
     (tmp_path / "path.toml").write_text(text)
     with pytest.raises(BoundError, match="cost"):
         read_bounds(tmp_path, "path")
 
 
 def test_a_benchmark_that_raises_has_failed(tmp_path):
-    """An exception ends one benchmark, is kept, and counts as a failure."""
+    """An exception in a benchmark is stored in its record and fails it."""
 
     def run():
         raise OSError("no such port")
@@ -69,5 +69,5 @@
     "name", [module.name for module in pkgutil.iter_modules(bench.__path__)]
 )
 def test_every_benchmark_can_be_imported(name):
-    """A name that the product no longer has breaks a benchmark here, not later."""
+    """Importing every module detects names that the product no longer has."""
     importlib.import_module(f"{bench.__name__}.{name}")
--- a/comfreywharf_dev/bench/tests/test_nodelay.py
+++ b/comfreywharf_dev/bench/tests/test_nodelay.py
@@ -1,4 +1,4 @@
-"""Every TCP connection of every hop sends at once, at both of its ends."""
+"""Tests that both ends of every TCP connection have TCP_NODELAY set."""
 
 from contextlib import closing
 
@@ -34,11 +34,11 @@
 
 
 def test_no_hop_waits_for_acknowledgements(tmp_path):
-    """No node has a connection with Nagle's algorithm switched on.
+    """No node has a connection with Nagle's algorithm enabled.
 
-    Symptom: small requests take 40 ms where one takes 2 ms. Sequence: one end
-    sends a second small segment while the first is unacknowledged, the other end
-    delays its acknowledgement. Cause: a socket without TCP_NODELAY.
+    Without TCP_NODELAY, a small request takes 40 ms instead of 2 ms: one end holds
+    back its second small segment while the first is unacknowledged, and the other
+    end delays its acknowledgement.
     """
     with AuditedCluster(tmp_path, riga_plans(booking=4, files=0)) as cluster:
         cluster.submit({"booking": ServiceConfig(name="booking", slices=8)})
@@ -65,7 +65,7 @@
 
 
 def test_the_audit_sees_a_socket_without_the_option():
-    """A connection with Nagle's algorithm on is reported as such."""
+    """A connection with Nagle's algorithm enabled is reported without nodelay."""
     with closing(socket.create_server(("127.0.0.1", 0))) as server:
         with closing(socket.create_connection(server.getsockname())) as client:
             name = "{}:{}".format(*client.getsockname())
--- a/comfreywharf_dev/bench/tests/test_placement.py
+++ b/comfreywharf_dev/bench/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement's figures in CI: they are deterministic, so their bounds are checked."""
+"""Tests of placement's bounds; the figures are deterministic."""
 
 import attrs
 import pytest
@@ -27,7 +27,7 @@
     ("deployment", "build"), [(RIGA, rolling_restart), (AHMEDABAD, domain_loss)]
 )
 def test_imbalance_and_churn_stay_within_their_bounds(deployment, build):
-    """Imbalance is at most 1.25, at no more than half the churn of moving at once."""
+    """Imbalance is at most 1.25, with at most half the churn of immediate moves."""
     name = f"{deployment.name}_{build.__name__}"
     figures = {f.name: f.value for f in compare(deployment, build, seeds=1)}
     for key in (f"{name}_imbalance", f"{name}_churn_ratio"):
@@ -70,7 +70,7 @@
 def test_each_mechanism_keeps_a_bound_that_breaks_without_it(
     name, field, deployment, build, off
 ):
-    """The same replay keeps its bound with a mechanism and breaks it without."""
+    """A replay is within its bound with a mechanism and breaks it without."""
     trace = attrs.evolve(make_trace(deployment, build), duration_s=CUT_S)
     bound = BOUNDS[f"{name}_on_{field}"]
     assert bound.holds(getattr(Replay(trace).run(), field))
--- a/comfreywharf_dev/bench/tests/test_report.py
+++ b/comfreywharf_dev/bench/tests/test_report.py
@@ -1,4 +1,4 @@
-"""The report: one page that says what broke, what changed and what is missing."""
+"""Tests of the report: broken bounds, changes, markup, plots and failed runs."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 
 def test_a_broken_bound_stands_at_the_top(template):
-    """A figure over its bound is named before all tables, one within isn't."""
+    """Only a figure that breaks its bound is named before the first section."""
     broken, _, _ = report.render([path_cost(2.0)], {}, template).partition("<h2>")
     well, _, _ = report.render([path_cost(1.5)], {}, template).partition("<h2>")
     assert "path_cost.cost_ratio" in broken
@@ -28,13 +28,13 @@
 
 
 def test_a_change_is_against_the_committed_figure(template):
-    """Twice the committed value shows as 100% more."""
+    """Twice the committed value is shown as a change of +100%."""
     committed = {"path_cost": {"cost_ratio": 0.75}}
     assert "+100%" in report.render([path_cost(1.5)], committed, template)
 
 
 def test_text_of_a_benchmark_is_no_markup(template):
-    """Notes are escaped."""
+    """Notes of figures are escaped in the page."""
     page = report.render([path_cost(1.5)], {}, template)
     assert "&lt;of&gt;" in page
     assert "<of>" not in page
@@ -56,7 +56,7 @@
 
 
 def test_a_failed_run_keeps_the_committed_figures():
-    """A benchmark that ended in an error doesn't wipe what is committed."""
+    """A benchmark that ended in an error doesn't replace committed figures."""
     failed = {**path_cost(1.5), "error": "OSError", "judged": []}
     committed = {"path_cost": {"cost_ratio": 1.4}}
     assert report.values_of([failed], committed) == committed
