--- a/comfreywharf_dev/demo/caller.py
+++ b/comfreywharf_dev/demo/caller.py
@@ -9,15 +9,15 @@
 
 __all__ = ["Answer", "Caller"]
 
-PATIENCE_S = 12.0
-REFUSED_WAIT_S = 0.1
+RETRY_LIMIT_S = 12.0
+DEFAULT_RETRY_WAIT_S = 0.1
 
 
 @attrs.frozen(kw_only=True)
 class Answer:
     """The result of one request after all of its attempts.
 
-    ``told`` holds the reason of each attempt's answer, or its outcome if it gave no
+    ``reasons`` holds the reason of each attempt's answer, or its outcome if it gave no
     reason.
     """
 
@@ -27,8 +27,8 @@
     status: int
     outcome: str
     document: object
-    sendings: int
-    told: tuple[str, ...]
+    attempts: int
+    reasons: tuple[str, ...]
     elapsed_s: float
 
     @property
@@ -38,12 +38,12 @@
         return self.document.get("server", "") if answered else ""
 
     @property
-    def right(self):
+    def correct(self):
         """Return whether this is a complete answer to this request and its key."""
         if self.status != 200 or self.outcome != "answered":
             return False
-        its_own = (self.request_id, self.key or "")
-        return (self.document["request_id"], self.document["key"]) == its_own
+        expected = (self.request_id, self.key or "")
+        return (self.document["request_id"], self.document["key"]) == expected
 
 
 class Caller:
@@ -58,51 +58,53 @@
 
     def __init__(self, cluster):
         self._cluster = cluster
-        self._alive = list(cluster.plans)
+        self._node_ids = list(cluster.plans)
         self._turn = 0
         self.answers = []
 
-    def forget(self, node_id):
+    def remove_node(self, node_id):
         """Stop sending to a node that has stopped."""
-        self._alive.remove(node_id)
+        self._node_ids.remove(node_id)
 
-    def remember(self, node_id):
+    def add_node(self, node_id):
         """Send to a node that is running again."""
-        self._alive.append(node_id)
+        self._node_ids.append(node_id)
 
     def book(self, key):
         """Book in a calendar through the next node."""
         return self._request("/booking/book", key, "POST")
 
-    def look(self):
+    def read_files(self):
         """Read from the files service, which any of its servers may answer."""
         return self._request("/files/look", None, "GET")
 
     def _request(self, path, key, method):
         request_id = uuid.uuid4().hex
         started_s = boottime_s()
-        sendings, told = 0, []
+        attempts, reasons = 0, []
         first_sent_s = None
         while True:
-            sendings += 1
-            ingress = self._next()
+            attempts += 1
+            ingress = self._next_node()
             sent_s = boottime_s()
             first_sent_s = first_sent_s or sent_s
             ago_ms = int((sent_s - first_sent_s) * 1000)
-            named = {
+            request_headers = {
                 "Comfreywharf_Request_Id": request_id,
                 "Comfreywharf_First_Sent_Ago_Ms": str(ago_ms),
             }
-            status, headers, document = self._send(ingress, path, key, method, named)
+            status, headers, document = self._send(
+                ingress, path, key, method, request_headers
+            )
             outcome = headers.get("Comfreywharf-Outcome", "no answer")
-            told.append(headers.get("Comfreywharf-Reason", outcome))
+            reasons.append(headers.get("Comfreywharf-Reason", outcome))
             elapsed_s = boottime_s() - started_s
-            if outcome == "answered" or elapsed_s > PATIENCE_S:
+            if outcome == "answered" or elapsed_s > RETRY_LIMIT_S:
                 break
             if outcome == "not-run" and sent_s == first_sent_s:
                 # No attempt has run, so the next one counts as the first again.
                 first_sent_s = None
-            time.sleep(float(headers.get("Retry-After", REFUSED_WAIT_S)))
+            time.sleep(float(headers.get("Retry-After", DEFAULT_RETRY_WAIT_S)))
         answer = Answer(
             request_id=request_id,
             key=key,
@@ -110,19 +112,21 @@
             status=status,
             outcome=outcome,
             document=document,
-            sendings=sendings,
-            told=tuple(told),
+            attempts=attempts,
+            reasons=tuple(reasons),
             elapsed_s=elapsed_s,
         )
         self.answers.append(answer)
         return answer
 
-    def _send(self, ingress, path, key, method, named):
+    def _send(self, ingress, path, key, method, request_headers):
         try:
-            return self._cluster.call(ingress, path, key=key, method=method, **named)
+            return self._cluster.call(
+                ingress, path, key=key, method=method, **request_headers
+            )
         except OSError as error:
             return 0, {}, str(error)
 
-    def _next(self):
+    def _next_node(self):
         self._turn += 1
-        return self._alive[self._turn % len(self._alive)]
+        return self._node_ids[self._turn % len(self._node_ids)]
--- a/comfreywharf_dev/demo/main.py
+++ b/comfreywharf_dev/demo/main.py
@@ -29,7 +29,7 @@
 WAIT_S = 20.0
 TIMELINE_PAGE = Path("run") / "demo-timeline.html"
 
-_TOLD = frozenset(
+PRINTED_KINDS = frozenset(
     {
         "backend_lost",
         "config_in_force",
@@ -50,7 +50,7 @@
         self._cluster = cluster
         self._printer = printer
         self._caller = Caller(cluster)
-        self._rings = []
+        self._ring_buffers = []
         self._servers = {}
         self._lost = ""
 
@@ -64,9 +64,9 @@
             self._drain_a_server()
         except (TimeoutError, OSError) as error:
             self._printer.check(False, f"the step was broken off: {error}")
-        self._compare_with_the_ledger()
-        self._search_the_logs()
-        self._show_the_time_line()
+        self._check_ledger()
+        self._check_logs()
+        self._print_time_line()
 
     def _configure(self):
         printer, cluster = self._printer, self._cluster
@@ -93,9 +93,9 @@
         first = [self._caller.book(key) for key in keys]
         again = [self._caller.book(key) for key in keys]
         self._servers = {answer.key: answer.server for answer in first}
-        self._check_right(first + again, "bookings")
-        looks = [self._caller.look() for _ in range(6)]
-        self._check_right(looks, "looks at files, which need no owner,")
+        self._check_answers(first + again, "bookings")
+        reads = [self._caller.read_files() for _ in range(6)]
+        self._check_answers(reads, "looks at files, which need no owner,")
 
     def _kill_an_owner(self):
         printer = self._printer
@@ -104,16 +104,18 @@
         node_id = server.removeprefix("server-")
         domain = self._cluster.plans[node_id].failure_domain
         printer.step(f"The machine of {node_id} in {domain} is lost without a word")
-        self._fetch_rings()
+        self._fetch_ring_buffers()
         self._kill(node_id)
         self._lost = node_id
-        keys = [key for key, its in self._servers.items() if its == server]
+        keys = [
+            key for key, key_server in self._servers.items() if key_server == server
+        ]
         printer.print_line(
             f"its {owned} calendars are booked again at once, and new ones"
         )
         answers = [self._caller.book(key) for key in keys]
         answers += [self._caller.book(f"new-{number}") for number in range(CALENDARS)]
-        self._check_right(answers, "bookings")
+        self._check_answers(answers, "bookings")
         moved = all(answer.server != server for answer in answers)
         printer.check(moved, "the lost server's calendars have new owners")
         slowest_s = max(answer.elapsed_s for answer in answers)
@@ -127,33 +129,37 @@
         cluster.start_server(self._lost)
         wait_until(lambda: cluster.status(self._lost)["lease"] == "held", WAIT_S)
         cluster.wait_owned("booking")
-        self._caller.remember(self._lost)
+        self._caller.add_node(self._lost)
         again = [self._caller.book(key) for key in self._servers]
-        self._check_right(again, "bookings")
+        self._check_answers(again, "bookings")
         self._servers = {answer.key: answer.server for answer in again}
 
     def _drain_a_server(self):
         printer = self._printer
         owners = Counter(self._servers.values())
-        server = next(its for its in owners if its != f"server-{self._lost}")
+        server = next(
+            key_server for key_server in owners if key_server != f"server-{self._lost}"
+        )
         node_id = server.removeprefix("server-")
         printer.step(f"{node_id} is stopped as planned, while callers go on")
         plan = self._cluster.plans[node_id]
         plan.node_process.terminate()
-        self._caller.forget(node_id)
-        keys = [key for key, its in self._servers.items() if its == server]
+        self._caller.remove_node(node_id)
+        keys = [
+            key for key, key_server in self._servers.items() if key_server == server
+        ]
         answers = []
         while plan.node_process.poll() is None:
             answers += [self._caller.book(key) for key in keys]
-            self._fetch_rings()
+            self._fetch_ring_buffers()
             time.sleep(PAUSE_S)
         answers += [self._caller.book(key) for key in keys]
         plan.server_process.terminate()
-        self._check_right(answers, "bookings while it hands its calendars over")
-        once = all(answer.sendings == 1 for answer in answers)
+        self._check_answers(answers, "bookings while it hands its calendars over")
+        once = all(answer.attempts == 1 for answer in answers)
         printer.check(once, "no caller was refused or had to ask twice")
 
-    def _compare_with_the_ledger(self):
+    def _check_ledger(self):
         printer = self._printer
         printer.step(
             "The backend servers' ledger is compared with what callers were told"
@@ -173,26 +179,26 @@
             "no calendar had two owners: each other server came with a higher fence",
         )
 
-    def _search_the_logs(self):
+    def _check_logs(self):
         """Check that the logs hold no personal data; here, no calendar's name."""
         keys = [a.key.encode() for a in self._caller.answers if a.key is not None]
         nodes = [self._cluster.folder / f"{name}.log" for name in self._cluster.plans]
         found = [path for path in nodes for key in keys if key in path.read_bytes()]
         self._printer.check(not found, "no node's log has the name of a calendar in it")
 
-    def _show_the_time_line(self):
+    def _print_time_line(self):
         printer = self._printer
         printer.step("What happened, over all processes")
-        self._fetch_rings()
-        events = merge([*self._rings, *self._consoles()])
+        self._fetch_ring_buffers()
+        events = merge([*self._ring_buffers, *self._console_events()])
         gaps = {event.node_id for event in events if event.name == MISSING}
-        whole = not gaps.intersection(self._nodes)
-        printer.check(whole, f"{len(events)} events; no running node's are missing")
+        complete = not gaps.intersection(self._nodes)
+        printer.check(complete, f"{len(events)} events; no running node's are missing")
         takers = [event for event in events if event.name == "takeover"]
         shown = {event.fields["owner"] for event in takers} >= {self._lost}
         printer.check(shown, f"it shows who took over from {self._lost}")
-        told = [event for event in events if event.name in _TOLD]
-        for line in render_text(told).splitlines():
+        printed = [event for event in events if event.name in PRINTED_KINDS]
+        for line in render_text(printed).splitlines():
             printer.print_line(line)
         TIMELINE_PAGE.parent.mkdir(exist_ok=True)
         page = render_html(events, title="The demonstration of comfreywharf")
@@ -204,17 +210,17 @@
         plans = self._cluster.plans.values()
         return [plan.node_id for plan in plans if plan.node_process.poll() is None]
 
-    def _check_right(self, answers, what):
-        right = sum(answer.right for answer in answers)
-        resent = sum(answer.sendings > 1 for answer in answers)
+    def _check_answers(self, answers, what):
+        correct = sum(answer.correct for answer in answers)
+        resent = sum(answer.attempts > 1 for answer in answers)
         note = f" ({resent} sent more than once)" if resent else ""
         self._printer.check(
-            right == len(answers),
-            f"{right} of {len(answers)} {what} got their own whole answer{note}",
+            correct == len(answers),
+            f"{correct} of {len(answers)} {what} got their own whole answer{note}",
         )
         for answer in answers:
-            if not answer.right:
-                reasons = " ".join(dict.fromkeys(answer.told))
+            if not answer.correct:
+                reasons = " ".join(dict.fromkeys(answer.reasons))
                 self._printer.print_line(f"     via {answer.ingress}: told {reasons}")
 
     def _kill(self, node_id):
@@ -222,19 +228,21 @@
         plan.node_process.kill()
         plan.server_process.kill()
         plan.node_process.wait()
-        self._caller.forget(node_id)
+        self._caller.remove_node(node_id)
 
-    def _fetch_rings(self):
+    def _fetch_ring_buffers(self):
         """Fetch the events that the running nodes have in memory."""
         for node_id in self._nodes:
             port = self._cluster.plans[node_id].operator_port
             try:
-                self._rings.append(from_json(http_json(port, "GET", "/events")[2]))
+                self._ring_buffers.append(
+                    from_json(http_json(port, "GET", "/events")[2])
+                )
             except OSError:
                 # The node has stopped; its last events are in its console log.
                 continue
 
-    def _consoles(self):
+    def _console_events(self):
         """Yield, for each node, the events that it wrote to its console log."""
         for node_id in self._cluster.plans:
             text = (self._cluster.folder / f"{node_id}.log").read_text("utf-8")
@@ -250,11 +258,11 @@
     """
     latest = {}
     for effect in sorted(ledger, key=lambda effect: effect["at_s"]):
-        now = (effect["fence"], effect["server"])
-        fence, server = latest.get(effect["key_hash"], now)
-        if now[0] < fence or (now[0] == fence and now[1] != server):
+        current = (effect["fence"], effect["server"])
+        fence, server = latest.get(effect["key_hash"], current)
+        if current[0] < fence or (current[0] == fence and current[1] != server):
             return False
-        latest[effect["key_hash"]] = now
+        latest[effect["key_hash"]] = current
     return True
 
 
