--- a/comfreywharf_dev/bench/control_cost.py
+++ b/comfreywharf_dev/bench/control_cost.py
@@ -124,7 +124,7 @@
             try:
                 samples.append(_grow_and_measure(cluster, size))
             except TimeoutError as error:
-                logging.error("%d nodes: %s", size, error)
+                logging.error("not started with %d nodes: %s", size, error)
                 break
     yield from _figures(samples)
 
--- a/comfreywharf_dev/bench/figures.py
+++ b/comfreywharf_dev/bench/figures.py
@@ -103,7 +103,7 @@
 def _bound(path, name, entry):
     words = [comparison.value for comparison in Comparison]
     if not isinstance(entry, dict) or len(entry) != 1 or next(iter(entry)) not in words:
-        raise BoundError(f"{path}: [{name}] has {entry!r}; expected one of {words}")
+        raise BoundError(f"{path}: [{name}] is {entry!r}; expected one of {words}")
     word, limit = next(iter(entry.items()))
     return Bound(limit=float(limit), comparison=Comparison(word))
 
--- a/comfreywharf_dev/bench/generator.py
+++ b/comfreywharf_dev/bench/generator.py
@@ -152,7 +152,7 @@
     fields = orjson.loads(load_json)
     load = Load(**{**fields, "keys": tuple(fields["keys"])})
     if load.seconds > MAX_SECONDS:
-        sys.exit(f"{load.seconds} s; expected <= {MAX_SECONDS}")
+        sys.exit(f"{load.seconds} s of load; expected <= {MAX_SECONDS}")
     document = run_open(load) if load.rate_per_s else run_closed(load)
     sys.stdout.buffer.write(orjson.dumps(document))
 
--- a/comfreywharf_dev/bench/path_cost.py
+++ b/comfreywharf_dev/bench/path_cost.py
@@ -155,7 +155,10 @@
 def _warm_up(measured):
     (document,) = measured.generate(seconds=0.5, rate_per_s=200.0)
     if not document["statuses"].get("200"):
-        raise ValueError(f"port {measured.chain.port}: {document['statuses']}")
+        raise ValueError(
+            f"no status 200 from port {measured.chain.port} in the warm-up: "
+            f"{document['statuses']}"
+        )
 
 
 def _measure_rates(measured):
--- a/comfreywharf_dev/bench/placement_cost.py
+++ b/comfreywharf_dev/bench/placement_cost.py
@@ -114,7 +114,7 @@
         record = kind(record_id=str(cluster.next_offset), **fields)
         result = fold(cluster, cluster.next_offset, record)
         if not result.accepted:
-            raise ValueError(f"{record}: {result.refusal}")
+            raise ValueError(f"{record} refused: {result.refusal}")
 
     service = ServiceConfig(name=SERVICE, slices=slices)
     append(ConfigPatched, base_version=0, services={SERVICE: service}, author="bench")
--- a/comfreywharf_dev/bench/slopes.py
+++ b/comfreywharf_dev/bench/slopes.py
@@ -32,7 +32,7 @@
     """
     count = len(points)
     if len({x for x, _ in points}) < 2:
-        raise ValueError(f"points {points!r}; expected two distinct x at least")
+        raise ValueError(f"points {points!r}; expected at least two distinct x")
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
     spread = sum((x - mean_x) ** 2 for x, _ in points)
--- a/comfreywharf_dev/bench/snapshots.py
+++ b/comfreywharf_dev/bench/snapshots.py
@@ -57,7 +57,7 @@
         assembler.add(part)
     loaded_s = time.perf_counter() - began_s
     if assembler.newest != state:
-        raise ValueError("the loaded state isn't the one that was written")
+        raise ValueError("the loaded state differs from the state that was written")
     return [
         Figure(name="encode", value=1000 * encoded_s, unit="ms"),
         Figure(name="longest_step", value=1000 * max(steps_s), unit="ms"),
--- a/comfreywharf_dev/bench/start_cost.py
+++ b/comfreywharf_dev/bench/start_cost.py
@@ -47,7 +47,9 @@
     with gevent.Timeout(READY_WITHIN_S):
         while not _is_ready(port):
             if process.poll() is not None:
-                raise RuntimeError(f"the node ended with status {process.returncode}")
+                raise RuntimeError(
+                    f"the node exited before it was ready, status {process.returncode}"
+                )
             gevent.sleep(POLL_S)
 
 
--- a/comfreywharf_dev/bench/state_size.py
+++ b/comfreywharf_dev/bench/state_size.py
@@ -65,7 +65,7 @@
         decoded = decode_record(encode_record(record)).unwrap()
         result = fold(self.state, self.state.next_offset, decoded)
         if not result.accepted:
-            raise ValueError(f"{type(record).__name__}: {result.refusal}")
+            raise ValueError(f"{type(record).__name__} refused: {result.refusal}")
 
 
 def announced(index, incarnation=1):
--- a/comfreywharf_dev/demo/main.py
+++ b/comfreywharf_dev/demo/main.py
@@ -63,7 +63,7 @@
             self._replace_the_machine()
             self._drain_a_server()
         except (TimeoutError, OSError) as error:
-            self._printer.check(False, f"the step was broken off: {error}")
+            self._printer.check(False, f"the step failed: {error}")
         self._check_ledger()
         self._check_logs()
         self._print_time_line()
@@ -95,7 +95,7 @@
         self._servers = {answer.key: answer.server for answer in first}
         self._check_answers(first + again, "bookings")
         reads = [self._caller.read_files() for _ in range(6)]
-        self._check_answers(reads, "looks at files, which need no owner,")
+        self._check_answers(reads, "reads of files, which need no owner,")
 
     def _kill_an_owner(self):
         printer = self._printer
@@ -103,7 +103,7 @@
         server, owned = owners.most_common(1)[0]
         node_id = server.removeprefix("server-")
         domain = self._cluster.plans[node_id].failure_domain
-        printer.step(f"The machine of {node_id} in {domain} is lost without a word")
+        printer.step(f"The machine of {node_id} in {domain} crashes")
         self._fetch_ring_buffers()
         self._kill(node_id)
         self._lost = node_id
@@ -111,7 +111,7 @@
             key for key, key_server in self._servers.items() if key_server == server
         ]
         printer.print_line(
-            f"its {owned} calendars are booked again at once, and new ones"
+            f"its {owned} calendars are booked again at once, and so are new ones"
         )
         answers = [self._caller.book(key) for key in keys]
         answers += [self._caller.book(f"new-{number}") for number in range(CALENDARS)]
@@ -157,12 +157,12 @@
         plan.server_process.terminate()
         self._check_answers(answers, "bookings while it hands its calendars over")
         once = all(answer.attempts == 1 for answer in answers)
-        printer.check(once, "no caller was refused or had to ask twice")
+        printer.check(once, "no caller was refused or had to send twice")
 
     def _check_ledger(self):
         printer = self._printer
         printer.step(
-            "The backend servers' ledger is compared with what callers were told"
+            "The backend servers' ledger is compared with the callers' answers"
         )
         ledger = self._cluster.effects()
         effects = Counter(effect["request_id"] for effect in ledger)
@@ -171,12 +171,12 @@
         printer.check(
             applied == len(booked) and len(effects) == len(booked),
             f"{applied} of {len(booked)} bookings were applied, each once; "
-            f"{sum(effects.values()) - applied} beside them",
+            f"{sum(effects.values()) - applied} other effects",
         )
 
         printer.check(
             has_sole_owners(ledger),
-            "no calendar had two owners: each other server came with a higher fence",
+            "no calendar had two owners: each new owner had a higher fence",
         )
 
     def _check_logs(self):
@@ -184,11 +184,11 @@
         keys = [a.key.encode() for a in self._caller.answers if a.key is not None]
         nodes = [self._cluster.folder / f"{name}.log" for name in self._cluster.plans]
         found = [path for path in nodes for key in keys if key in path.read_bytes()]
-        self._printer.check(not found, "no node's log has the name of a calendar in it")
+        self._printer.check(not found, "no node's log holds the name of a calendar")
 
     def _print_time_line(self):
         printer = self._printer
-        printer.step("What happened, over all processes")
+        printer.step("The events of all processes")
         self._fetch_ring_buffers()
         events = merge([*self._ring_buffers, *self._console_events()])
         gaps = {event.node_id for event in events if event.name == MISSING}
@@ -203,7 +203,7 @@
         TIMELINE_PAGE.parent.mkdir(exist_ok=True)
         page = render_html(events, title="The demonstration of comfreywharf")
         TIMELINE_PAGE.write_text(page, encoding="utf-8")
-        printer.print_line(f"The picture: {TIMELINE_PAGE}")
+        printer.print_line(f"The time line as a page: {TIMELINE_PAGE}")
 
     @property
     def _nodes(self):
@@ -216,12 +216,14 @@
         note = f" ({resent} sent more than once)" if resent else ""
         self._printer.check(
             correct == len(answers),
-            f"{correct} of {len(answers)} {what} got their own whole answer{note}",
+            f"{correct} of {len(answers)} {what} got a complete answer{note}",
         )
         for answer in answers:
             if not answer.correct:
                 reasons = " ".join(dict.fromkeys(answer.reasons))
-                self._printer.print_line(f"     via {answer.ingress}: told {reasons}")
+                self._printer.print_line(
+                    f"     via {answer.ingress}: answered {reasons}"
+                )
 
     def _kill(self, node_id):
         plan = self._cluster.plans[node_id]
--- a/comfreywharf_dev/demo/step_printer.py
+++ b/comfreywharf_dev/demo/step_printer.py
@@ -44,7 +44,7 @@
         elapsed_s = boottime_s() - self._started_s
         held = self.checks - self.failed
         self._print("")
-        self._print(f"{held} of {self.checks} checks held, in {elapsed_s:.0f} s.")
+        self._print(f"{held} of {self.checks} checks passed, in {elapsed_s:.0f} s.")
         return 0 if self.checks and not self.failed else 1
 
     def _paint(self, colour, text):
--- a/comfreywharf_dev/events/check.py
+++ b/comfreywharf_dev/events/check.py
@@ -74,7 +74,7 @@
     for call in calls:
         kind = catalogue.get(call.name)
         if call.name is None:
-            findings.append(f"{call.place}: the event's name isn't a plain string")
+            findings.append(f"{call.place}: the event's name isn't a literal string")
         elif kind is None:
             findings.append(f"{call.place}: {call.name} isn't in the catalogue")
         elif call.open_fields:
@@ -86,7 +86,7 @@
             )
     used = {call.name for call in calls}
     unused = [name for name in catalogue if name not in used]
-    return findings + [f"catalogue: {name} is reported nowhere" for name in unused]
+    return findings + [f"catalogue: {name} is never reported" for name in unused]
 
 
 def catalogue_findings(kinds):
@@ -94,16 +94,18 @@
     findings = []
     for what in ("number", "name"):
         counts = Counter(getattr(kind, what) for kind in kinds)
-        findings += [f"{what} {v} stands twice" for v, n in counts.items() if n > 1]
+        findings += [f"{what} {v} is used twice" for v, n in counts.items() if n > 1]
     for kind in kinds:
         if kind.number // 100 not in GROUPS:
-            findings.append(f"{kind.name}: {kind.number} is in no group")
+            findings.append(f"{kind.name}: {kind.number} is outside all groups")
         for field in sorted(LINE_FIELDS.intersection(kind.fields)):
-            findings.append(f"{kind.name}: each line has a field {field} already")
+            findings.append(f"{kind.name}: field {field} is reserved for each line")
         for field in sorted(PRIVATE_FIELDS.intersection(kind.fields)):
-            findings.append(f"{kind.name}: {field} may hold people's records")
+            findings.append(f"{kind.name}: field {field} may hold personal data")
         if kind.severity.value != "info" and not kind.action:
-            findings.append(f"{kind.name}: a {kind.severity.value} names no action")
+            findings.append(
+                f"{kind.name}: severity {kind.severity.value} needs an action"
+            )
     return findings
 
 
@@ -119,7 +121,7 @@
     page = root / EVENTS_PAGE
     if not page.exists() or page.read_text("utf-8") != events_page(CATALOGUE.values()):
         findings.append(
-            f"{EVENTS_PAGE} isn't what the catalogue gives; "
+            f"{EVENTS_PAGE} doesn't match the catalogue; "
             "write it with python -m comfreywharf_dev.events.page"
         )
     return findings
--- a/comfreywharf_dev/events/tests/test_check.py
+++ b/comfreywharf_dev/events/tests/test_check.py
@@ -35,8 +35,8 @@
         ('report("log_unreachable")', "has []; expected ['error']"),
         ('report("log_unreachable", error=e, port=1)', "has ['error', 'port']"),
         ('report("log_unreachable", **fields)', "fields aren't plain keywords"),
-        ("report(name, error=e)", "name isn't a plain string"),
-        ("reported(1)", "log_unreachable is reported nowhere"),
+        ("report(name, error=e)", "name isn't a literal string"),
+        ("reported(1)", "log_unreachable is never reported"),
     ],
 )
 def test_calls_are_compared_with_the_catalogue(source, found):
@@ -49,11 +49,11 @@
 @pytest.mark.parametrize(
     ("changes", "found"),
     [
-        ({}, "number 203 stands twice"),
-        ({"number": 703}, "703 is in no group"),
-        ({"fields": ("key",)}, "key may hold people's records"),
-        ({"fields": ("clock",)}, "each line has a field clock already"),
-        ({"action": ""}, "a warning names no action"),
+        ({}, "number 203 is used twice"),
+        ({"number": 703}, "703 is outside all groups"),
+        ({"fields": ("key",)}, "field key may hold personal data"),
+        ({"fields": ("clock",)}, "field clock is reserved for each line"),
+        ({"action": ""}, "severity warning needs an action"),
     ],
 )
 def test_the_catalogue_itself_is_checked(changes, found):
--- a/comfreywharf_dev/playground/tests/test_pages.py
+++ b/comfreywharf_dev/playground/tests/test_pages.py
@@ -27,7 +27,7 @@
 def test_commands_run_as_shown(page, tmp_path):
     """Each marked command gives the output and exit code that the page shows."""
     shown = shown_commands((ROOT / page).read_text(encoding="utf-8"))
-    assert shown, f"{page} marks no command"
+    assert shown, f"{page} has no block marked with <!-- run -->"
     work = tmp_path / "work"
     shutil.copytree(ROOT / "examples", work / "examples")
     with Cluster(tmp_path / "cluster", riga_plans(booking=3, files=1)) as cluster:
