--- a/comfreywharf_dev/playground/blocks.py
+++ b/comfreywharf_dev/playground/blocks.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-__all__ = ["Shown", "matches", "shown_commands"]
+__all__ = ["ShownCommand", "matches", "shown_commands"]
 
 _BLOCK = re.compile(r"^<!-- run -->\n```console\n(.*?)^```$", re.MULTILINE | re.DOTALL)
 _EXIT_CODE = re.compile(r"# exits with ([0-9]+)$")
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Shown:
+class ShownCommand:
     """A command in a page, with the output and exit code that the page shows."""
 
     command: str
@@ -33,7 +33,7 @@
             command, _, output = part.partition("\n")
             code = _EXIT_CODE.search(command)
             found.append(
-                Shown(
+                ShownCommand(
                     command=command,
                     output=output,
                     exit_code=int(code[1]) if code else 0,
--- a/comfreywharf_dev/playground/main.py
+++ b/comfreywharf_dev/playground/main.py
@@ -12,7 +12,7 @@
 
 __all__ = ["app", "environment", "main"]
 
-ASKED_NODE = "booking-1"
+QUERIED_NODE = "booking-1"
 
 app = App(
     name="comfreywharf-playground",
@@ -22,7 +22,7 @@
 
 def environment(cluster):
     """Return the environment variables with which the tool reaches a cluster."""
-    plan = cluster.plans[ASKED_NODE]
+    plan = cluster.plans[QUERIED_NODE]
     return {
         "COMFREYWHARF_NODE": f"127.0.0.1:{plan.operator_port}",
         "CALLERS": f"http://127.0.0.1:{plan.caller_port}",
--- a/comfreywharf_dev/playground/tests/test_pages.py
+++ b/comfreywharf_dev/playground/tests/test_pages.py
@@ -28,31 +28,31 @@
     """Each marked command gives the output and exit code that the page shows."""
     shown = shown_commands((ROOT / page).read_text(encoding="utf-8"))
     assert shown, f"{page} has no block marked with <!-- run -->"
-    work = tmp_path / "work"
-    shutil.copytree(ROOT / "examples", work / "examples")
+    working_folder = tmp_path / "work"
+    shutil.copytree(ROOT / "examples", working_folder / "examples")
     with Cluster(tmp_path / "cluster", riga_plans(booking=3, files=1)) as cluster:
-        words = {
+        environment_variables = {
             **os.environ,
             **environment(cluster),
             "PATH": f"{Path(sys.executable).parent}:{os.environ['PATH']}",
             "COLUMNS": "80",
-            "HOME": str(work),
+            "HOME": str(working_folder),
         }
         for command in shown:
-            done = subprocess.run(
+            result = subprocess.run(
                 ["bash", "-c", command.command],
-                cwd=work,
-                env=words,
+                cwd=working_folder,
+                env=environment_variables,
                 stdout=subprocess.PIPE,
                 stderr=subprocess.STDOUT,
                 text=True,
                 timeout=LIMIT_S,
             )
-            assert matches(command, done.stdout), f"{command}\ngave:\n{done.stdout}"
-            assert done.returncode == command.exit_code, command
+            assert matches(command, result.stdout), f"{command}\ngave:\n{result.stdout}"
+            assert result.returncode == command.exit_code, command
 
 
-def test_a_wrong_page_is_noticed():
+def test_wrong_output_does_not_match_the_page():
     """Output that differs from the shown output doesn't match; exit codes are read."""
     page = "<!-- run -->\n```console\n$ one # exits with 1\na ... z\n$ two\n```\n"
     one, two = shown_commands(page)
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.processes
-def test_playground_runs_until_it_is_interrupted():
+def test_playground_runs_until_interrupted():
     """The playground prints where to connect, and stops with status 0 on SIGINT."""
     process = subprocess.Popen(
         [sys.executable, "-m", "comfreywharf_dev.playground.main"],
@@ -83,7 +83,7 @@
     process.stdout.close()
 
 
-def test_links_lead_somewhere():
+def test_relative_links_point_to_existing_files():
     """Every relative link in the docs points to an existing file."""
     missing = [
         f"{page.relative_to(ROOT)}: {target}"
--- a/comfreywharf_dev/playground/tests/test_tool.py
+++ b/comfreywharf_dev/playground/tests/test_tool.py
@@ -52,14 +52,14 @@
     return cluster.status("booking-1")["config_version"]
 
 
-def test_operators_race(cluster):
+def test_one_of_two_concurrent_submissions_is_accepted(cluster):
     """Only one of two concurrent submissions with the same base is accepted.
 
     Two operators submit at once through two nodes. Only the log orders the two, so
     a node that doesn't wait for the log's decision would report success to both.
     """
     base = version(cluster)
-    racers = [
+    submissions = [
         start(
             cluster,
             *("config", "submit", declare(cluster, slices), "--base", str(base)),
@@ -67,14 +67,14 @@
         )
         for slices, node_id in ((8, "booking-1"), (16, "booking-2"))
     ]
-    codes, outputs = zip(*[finish(racer) for racer in racers], strict=True)
+    codes, outputs = zip(*[finish(process) for process in submissions], strict=True)
     assert sorted(codes) == [0, 1], outputs
-    loser = outputs[codes.index(1)]
-    assert f"refused: built on version {base}" in loser
+    refused_output = outputs[codes.index(1)]
+    assert f"refused: built on version {base}" in refused_output
     assert version(cluster) == base + 1
 
 
-def test_answers_lost_on_the_way(cluster):
+def test_submission_is_applied_once_if_answers_are_lost(cluster):
     """A submission is applied once and succeeds when the log's answers are lost.
 
     The log writes the record, but its answer is lost several times. A lost answer
@@ -89,8 +89,8 @@
     assert f"accepted: version {base + 1}" in output
 
 
-def test_playground_environment_names_the_asked_node(cluster):
+def test_environment_points_to_a_node_of_the_cluster(cluster):
     """The variables that the docs use point to a node of the cluster."""
-    words = environment(cluster)
-    port = int(words["COMFREYWHARF_NODE"].rpartition(":")[2])
+    variables = environment(cluster)
+    port = int(variables["COMFREYWHARF_NODE"].rpartition(":")[2])
     assert http_json(port, "GET", "/status")[2]["node_id"] == "booking-1"
