--- a/comfreywharf_dev/events/check.py
+++ b/comfreywharf_dev/events/check.py
@@ -92,9 +92,11 @@
 def catalogue_findings(kinds):
     """Return findings on numbers, names, fields and actions in the catalogue."""
     findings = []
-    for what in ("number", "name"):
-        counts = Counter(getattr(kind, what) for kind in kinds)
-        findings += [f"{what} {v} is used twice" for v, n in counts.items() if n > 1]
+    for attribute in ("number", "name"):
+        counts = Counter(getattr(kind, attribute) for kind in kinds)
+        findings += [
+            f"{attribute} {v} is used twice" for v, n in counts.items() if n > 1
+        ]
     for kind in kinds:
         if kind.number // 100 not in GROUPS:
             findings.append(f"{kind.name}: {kind.number} is outside all groups")
--- a/comfreywharf_dev/events/tests/test_check.py
+++ b/comfreywharf_dev/events/tests/test_check.py
@@ -39,7 +39,7 @@
         ("reported(1)", "log_unreachable is never reported"),
     ],
 )
-def test_calls_are_compared_with_the_catalogue(source, found):
+def test_calls_that_differ_from_the_catalogue_are_findings(source, found):
     """Each kind of difference between a call and the catalogue is a finding."""
     findings = check_calls(list(calls_in(source, "m.py")), {KIND.name: KIND})
     assert bool(findings) == bool(found)
@@ -56,7 +56,7 @@
         ({"action": ""}, "severity warning needs an action"),
     ],
 )
-def test_the_catalogue_itself_is_checked(changes, found):
+def test_invalid_entries_of_the_catalogue_are_findings(changes, found):
     """Numbers and names are unique, numbers in range, and fields allowed in a log."""
     findings = catalogue_findings([KIND, attrs.evolve(KIND, **changes)])
     assert any(found in finding for finding in findings)
--- a/conftest.py
+++ b/conftest.py
@@ -10,7 +10,7 @@
 import pytest
 
 PATH = Path(__file__).parent / "KNOWN-RED.txt"
-MOST_LINES = 3
+MAX_LINES = 3
 
 
 @attrs.frozen
@@ -27,8 +27,8 @@
     if not PATH.exists():
         return []
     lines = [line for line in PATH.read_text().splitlines() if line.strip()]
-    if len(lines) > MOST_LINES:
-        raise pytest.UsageError(f"{PATH}: {len(lines)} lines; expected <= {MOST_LINES}")
+    if len(lines) > MAX_LINES:
+        raise pytest.UsageError(f"{PATH}: {len(lines)} lines; expected <= {MAX_LINES}")
     fields = [[word.strip() for word in line.split("|")] for line in lines]
     for line, words in zip(lines, fields, strict=True):
         if len(words) != 3 or not all(words):
