--- a/comfreywharf_dev/bench/__init__.py
+++ b/comfreywharf_dev/bench/__init__.py
@@ -4,6 +4,6 @@
 ``run()`` returns `Figure` objects; ``bounds/NAME.toml`` holds the limits of figures.
 """
 
-from comfreywharf_dev.bench.figures import Figure, Judged
+from comfreywharf_dev.bench.figures import CheckedFigure, Figure
 
-__all__ = ["Figure", "Judged"]
+__all__ = ["CheckedFigure", "Figure"]
--- a/comfreywharf_dev/bench/figures.py
+++ b/comfreywharf_dev/bench/figures.py
@@ -12,8 +12,8 @@
     "BoundError",
     "Comparison",
     "Figure",
-    "Judged",
-    "judge",
+    "CheckedFigure",
+    "check_figures",
     "read_bounds",
 ]
 
@@ -68,7 +68,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Judged:
+class CheckedFigure:
     """A figure with its bound; ``passed`` is true if it has no bound."""
 
     benchmark: str
@@ -108,21 +108,21 @@
     return Bound(limit=float(limit), comparison=Comparison(word))
 
 
-def judge(benchmark, figures, bounds):
-    """Return a `Judged` for each figure.
+def check_figures(benchmark, figures, bounds):
+    """Return a `CheckedFigure` for each figure.
 
     A bound whose figure is missing counts as broken: otherwise a benchmark that no
     longer measures a figure would always pass.
     """
-    judged = [_judge_one(benchmark, figure, bounds) for figure in figures]
+    judged = [_check_figure(benchmark, figure, bounds) for figure in figures]
     measured = {figure.name for figure in figures}
     for name in sorted(set(bounds) - measured):
         missing = Figure(name=name, value=math.nan, unit="", note="not measured")
-        judged.append(_judge_one(benchmark, missing, bounds))
+        judged.append(_check_figure(benchmark, missing, bounds))
     return judged
 
 
-def _judge_one(benchmark, figure, bounds):
+def _check_figure(benchmark, figure, bounds):
     bound = bounds.get(figure.name)
     passed = bound is None or bound.holds(figure.value)
-    return Judged(benchmark=benchmark, figure=figure, bound=bound, passed=passed)
+    return CheckedFigure(benchmark=benchmark, figure=figure, bound=bound, passed=passed)
--- a/comfreywharf_dev/bench/runner.py
+++ b/comfreywharf_dev/bench/runner.py
@@ -14,7 +14,7 @@
 
 import comfreywharf_dev.bench
 from comfreywharf.clock import boottime_s
-from comfreywharf_dev.bench.figures import Judged, judge, read_bounds
+from comfreywharf_dev.bench.figures import CheckedFigure, check_figures, read_bounds
 
 __all__ = ["BOUNDS_FOLDER", "OUTPUT_FOLDER", "Record", "find", "run_one"]
 
@@ -33,7 +33,7 @@
     """
 
     benchmark: str
-    judged: tuple[Judged, ...]
+    judged: tuple[CheckedFigure, ...]
     duration_s: float
     load_before: float
     load_after: float
@@ -102,7 +102,7 @@
         error = traceback.format_exc()
     return Record(
         benchmark=name,
-        judged=tuple(judge(name, figures, bounds)),
+        judged=tuple(check_figures(name, figures, bounds)),
         duration_s=boottime_s() - start_s,
         load_before=load_before,
         load_after=os.getloadavg()[0],
--- a/comfreywharf_dev/bench/tests/test_figures.py
+++ b/comfreywharf_dev/bench/tests/test_figures.py
@@ -13,7 +13,7 @@
     BoundError,
     Comparison,
     Figure,
-    judge,
+    check_figures,
     read_bounds,
 )
 from comfreywharf_dev.bench.runner import run_one
@@ -34,14 +34,14 @@
 def test_a_bound_without_a_figure_is_broken():
     """A benchmark fails if it no longer measures a figure that has a bound."""
     bounds = {"cost": Bound(limit=1.0, comparison=Comparison.AT_MOST)}
-    (judged,) = judge("path", [], bounds)
+    (judged,) = check_figures("path", [], bounds)
     assert not judged.passed
     assert math.isnan(judged.figure.value)
 
 
 def test_a_figure_without_a_bound_passes():
     """A figure without a bound passes at any value."""
-    (judged,) = judge("path", [Figure(name="cost", value=9e9, unit="us")], {})
+    (judged,) = check_figures("path", [Figure(name="cost", value=9e9, unit="us")], {})
     assert judged.passed
 
 
--- a/comfreywharf_dev/bench/tests/test_report.py
+++ b/comfreywharf_dev/bench/tests/test_report.py
@@ -3,7 +3,7 @@
 import pytest
 
 from comfreywharf_dev.bench import report
-from comfreywharf_dev.bench.figures import Bound, Comparison, Figure, judge
+from comfreywharf_dev.bench.figures import Bound, Comparison, Figure, check_figures
 from comfreywharf_dev.bench.tests.builders import record_of
 
 BOUND = {"cost_ratio": Bound(limit=1.6, comparison=Comparison.AT_MOST)}
@@ -16,7 +16,7 @@
 
 def path_cost(value):
     figures = [Figure(name="cost_ratio", value=value, unit="ratio", note="<of> two")]
-    return record_of("path_cost", judge("path_cost", figures, BOUND))
+    return record_of("path_cost", check_figures("path_cost", figures, BOUND))
 
 
 def test_a_broken_bound_stands_at_the_top(template):
@@ -49,7 +49,7 @@
         for measure in ("imbalance", "churn")
     ]
     figures = [Figure(name=name, value=1.2, unit="ratio") for name in names]
-    record = record_of("placement", judge("placement", figures, {}))
+    record = record_of("placement", check_figures("placement", figures, {}))
     page = report.render([record], {}, template)
     assert page.count("<svg") == 4
     assert page.count("consistent hashing") == 4
