--- a/comfreywharf_dev/bench/generator.py
+++ b/comfreywharf_dev/bench/generator.py
@@ -129,10 +129,10 @@
             sender.send(due_s)
 
     callers = [gevent.spawn(call) for _ in range(load.concurrency)]
-    chance = random.Random(load.seed)
+    rng = random.Random(load.seed)
     due_s = start_s
     for _ in range(MAX_REQUESTS):
-        due_s += chance.expovariate(load.rate_per_s)
+        due_s += rng.expovariate(load.rate_per_s)
         if due_s > start_s + load.seconds:
             break
         gevent.sleep(max(0.0, due_s - boottime_s()))
--- a/comfreywharf_dev/bench/load_choice.py
+++ b/comfreywharf_dev/bench/load_choice.py
@@ -19,16 +19,16 @@
 SECONDS = 10.0
 WARM_UP_S = 1.0
 SLOW_FACTOR = 10.0
-PATIENCE_S = 0.8
+TIMEOUT_S = 0.8
 CHOOSERS = (RoundRobin, LeastInFlight, TwoChoices)
 
 
 class _Ingress:
     """An ingress node that chooses servers by its own measurements only."""
 
-    def __init__(self, clock, chance, servers, chooser, ejects):
+    def __init__(self, clock, rng, servers, chooser, ejects):
         self._clock = clock
-        self._chance = chance
+        self._rng = rng
         self._servers = servers
         self._members = [MemberLoad(f"m{index}") for index in range(len(servers))]
         self._chooser = chooser()
@@ -41,18 +41,20 @@
         usable = self._members
         if self._ejects:
             usable = self._ejector.usable(self._members, now_s)
-        member = self._chooser.choose(usable, self._chance)
+        member = self._chooser.choose(usable, self._rng)
         probe = self._ejector.is_out(member.node_id)
         member.begin()
         self._ejector.begun(member, now_s)
         server = self._servers[self._members.index(member)]
-        server.send(None, PATIENCE_S, lambda o: self._told(member, probe, now_s, o))
+        server.send(
+            None, TIMEOUT_S, lambda o: self._on_outcome(member, probe, now_s, o)
+        )
 
-    def _told(self, member, probe, sent_s, outcome):
+    def _on_outcome(self, member, probe, sent_s, outcome):
         now_s = self._clock.now_s
         latency_s = now_s - sent_s
         if sent_s >= WARM_UP_S:
-            self.latencies_s.append(latency_s if outcome.good else PATIENCE_S)
+            self.latencies_s.append(latency_s if outcome.good else TIMEOUT_S)
         if outcome.refused:
             member.drop()
             self._ejector.dropped(member, probe)
@@ -66,16 +68,16 @@
 
 
 def _p99_s(chooser, ejects, slow):
-    clock, chance = Clock(), random.Random(3)
-    servers = [ModelServer(clock, chance) for _ in range(SERVERS)]
+    clock, rng = Clock(), random.Random(3)
+    servers = [ModelServer(clock, rng) for _ in range(SERVERS)]
     if slow:
         servers[0].slow_factor = SLOW_FACTOR
     rate = LOAD * SERVERS * servers[0].capacity_per_s / INGRESS_NODES
     nodes = []
     for _ in range(INGRESS_NODES):
-        node = _Ingress(clock, chance, servers, chooser, ejects)
+        node = _Ingress(clock, rng, servers, chooser, ejects)
         nodes.append(node)
-        arrivals(clock, chance, rate, 0.0, SECONDS, node.send)
+        arrivals(clock, rng, rate, 0.0, SECONDS, node.send)
     clock.run(SECONDS + 5.0)
     return percentile([s for node in nodes for s in node.latencies_s], 0.99)
 
@@ -85,15 +87,15 @@
     figures = []
     for chooser in CHOOSERS:
         for ejects in (True, False):
-            well_s = _p99_s(chooser, ejects, slow=False)
+            healthy_s = _p99_s(chooser, ejects, slow=False)
             slow_s = _p99_s(chooser, ejects, slow=True)
             name = "" if ejects else "_no_ejection"
             figures.append(
                 Figure(
                     name=f"p99_ratio_{chooser.__name__.lower()}{name}",
-                    value=slow_s / well_s,
+                    value=slow_s / healthy_s,
                     unit="ratio",
-                    note=f"{slow_s * 1000:.1f} ms over {well_s * 1000:.1f} ms",
+                    note=f"{slow_s * 1000:.1f} ms over {healthy_s * 1000:.1f} ms",
                 )
             )
     return figures
--- a/comfreywharf_dev/bench/load_cost.py
+++ b/comfreywharf_dev/bench/load_cost.py
@@ -54,17 +54,17 @@
 
 
 def _hot_keys():
-    keys, chance = HotKeys(0.0), random.Random(0)
-    values = [int(chance.paretovariate(1.0)) % KEYS for _ in range(REQUESTS)]
+    keys, rng = HotKeys(0.0), random.Random(0)
+    values = [int(rng.paretovariate(1.0)) % KEYS for _ in range(REQUESTS)]
     return lambda number: keys.count("booking", values[number], number / 10_000)
 
 
 def _choice():
     members = [MemberLoad(f"m{index}") for index in range(MEMBERS)]
-    ejector, chooser, chance = Ejector(), TwoChoices(), random.Random(0)
+    ejector, chooser, rng = Ejector(), TwoChoices(), random.Random(0)
 
     def call(number):
-        chosen = chooser.choose(ejector.usable(members, number), chance)
+        chosen = chooser.choose(ejector.usable(members, number), rng)
         chosen.begin()
         ejector.begun(chosen, number)
         chosen.finish(0.01, False)
--- a/comfreywharf_dev/bench/load_fairness.py
+++ b/comfreywharf_dev/bench/load_fairness.py
@@ -13,40 +13,40 @@
 __all__ = ["run"]
 
 SHARE = 0.4
-HOT_TIMES_SHARE = 10.0
+HOT_LOAD_FACTOR = 10.0
 NEIGHBOURS = 20
 SECONDS = 10.0
 WARM_UP_S = 1.0
-PATIENCE_S = 0.8
+TIMEOUT_S = 0.8
 
 
 def _neighbours(hot, fair):
     """Return the p99 latency in seconds and the refused fraction of the neighbours."""
-    clock, chance = Clock(), random.Random(4)
-    server = ModelServer(clock, chance)
+    clock, rng = Clock(), random.Random(4)
+    server = ModelServer(clock, rng)
     server.state.fair = fair
     latencies_s, refused = [], []
 
     def send_neighbour():
         sent_s = clock.now_s
 
-        def told(outcome):
+        def on_outcome(outcome):
             if sent_s >= WARM_UP_S:
-                latencies_s.append(outcome.latency_s if outcome.good else PATIENCE_S)
+                latencies_s.append(outcome.latency_s if outcome.good else TIMEOUT_S)
                 refused.append(not outcome.good)
 
-        server.send(chance.randrange(NEIGHBOURS), PATIENCE_S, told)
+        server.send(rng.randrange(NEIGHBOURS), TIMEOUT_S, on_outcome)
 
     rate = SHARE * server.capacity_per_s
-    arrivals(clock, chance, rate, 0.0, SECONDS, send_neighbour)
+    arrivals(clock, rng, rate, 0.0, SECONDS, send_neighbour)
     if hot:
         arrivals(
             clock,
-            chance,
-            HOT_TIMES_SHARE * rate,
+            rng,
+            HOT_LOAD_FACTOR * rate,
             0.0,
             SECONDS,
-            lambda: server.send("hot", PATIENCE_S, lambda outcome: None),
+            lambda: server.send("hot", TIMEOUT_S, lambda outcome: None),
         )
     clock.run(SECONDS + 5.0)
     return percentile(latencies_s, 0.99), sum(refused) / len(refused)
@@ -57,13 +57,13 @@
     figures = []
     for fair, name in ((True, ""), (False, "_without")):
         alone_s, _ = _neighbours(hot=False, fair=fair)
-        beside_s, refused = _neighbours(hot=True, fair=fair)
+        with_hot_key_s, refused = _neighbours(hot=True, fair=fair)
         figures.append(
             Figure(
                 name=f"neighbours_p99_ratio{name}",
-                value=beside_s / alone_s,
+                value=with_hot_key_s / alone_s,
                 unit="ratio",
-                note=f"{beside_s * 1000:.1f} ms over {alone_s * 1000:.1f} ms",
+                note=f"{with_hot_key_s * 1000:.1f} ms over {alone_s * 1000:.1f} ms",
             )
         )
         figures.append(
--- a/comfreywharf_dev/bench/load_goodput.py
+++ b/comfreywharf_dev/bench/load_goodput.py
@@ -15,7 +15,7 @@
 __all__ = ["run"]
 
 SECONDS = 10.0
-PATIENCE_S = 0.8
+TIMEOUT_S = 0.8
 KEYS = 200
 UNBOUNDED = 10**9
 
@@ -24,12 +24,12 @@
 RECOVERY_END_S = 40.0
 BASE_LOAD = 0.7
 MAX_TRIES = 3
-HASTY_PAUSE_S = 0.1
-RECOVERED_PART = 0.9
+HASTY_RETRY_PAUSE_S = 0.1
+RECOVERED_FRACTION = 0.9
 
 
-def _server(clock, chance, admission):
-    server = ModelServer(clock, chance)
+def _server(clock, rng, admission):
+    server = ModelServer(clock, rng)
     if not admission:
         server.state.by_deadline = False
         server.state.fair = False
@@ -39,14 +39,14 @@
 
 def _goodput(load, admission):
     """Return the good answers per second at a load in multiples of the capacity."""
-    clock, chance = Clock(), random.Random(1)
-    server = _server(clock, chance, admission)
+    clock, rng = Clock(), random.Random(1)
+    server = _server(clock, rng, admission)
     good = []
 
     def send():
-        server.send(chance.randrange(KEYS), PATIENCE_S, lambda o: good.append(o.good))
+        server.send(rng.randrange(KEYS), TIMEOUT_S, lambda o: good.append(o.good))
 
-    arrivals(clock, chance, load * server.capacity_per_s, 0.0, SECONDS, send)
+    arrivals(clock, rng, load * server.capacity_per_s, 0.0, SECONDS, send)
     clock.run(SECONDS)
     return sum(good) / SECONDS
 
@@ -64,32 +64,32 @@
 
     def send(self):
         self.tries += 1
-        self.server.send(self.key, PATIENCE_S, self.told)
+        self.server.send(self.key, TIMEOUT_S, self.on_outcome)
 
-    def told(self, outcome):
+    def on_outcome(self, outcome):
         if outcome.good or self.tries >= MAX_TRIES:
             self.done(outcome.good)
             return
-        pause_s = HASTY_PAUSE_S if self.hasty else max(outcome.retry_after_s, 0.1)
+        pause_s = HASTY_RETRY_PAUSE_S if self.hasty else max(outcome.retry_after_s, 0.1)
         self.clock.at(self.clock.now_s + pause_s, self.send)
 
 
 def _recovery_s(admission, hasty):
     """Return two recovery times after a spike, in seconds.
 
-    Each is the time after which no second falls below `RECOVERED_PART`. The first is
-    for the good answers, divided by the mean number of new callers; the second for
+    Each is the time after which no second falls below `RECOVERED_FRACTION`. The first
+    is for the good answers, divided by the mean number of new callers; the second for
     the new callers with a good answer to their first try, divided by all new callers.
     """
-    clock, chance = Clock(), random.Random(2)
-    server = _server(clock, chance, admission)
+    clock, rng = Clock(), random.Random(2)
+    server = _server(clock, rng, admission)
     seconds = int(RECOVERY_END_S)
     asked, well, good_answers = [0] * seconds, [0] * seconds, [0] * seconds
 
-    def come():
+    def send_new_caller():
         second = int(clock.now_s)
         asked[second] += 1
-        caller = _Caller(clock, server, chance.randrange(KEYS), hasty, None)
+        caller = _Caller(clock, server, rng.randrange(KEYS), hasty, None)
 
         def done(good):
             good_answers[int(clock.now_s)] += good
@@ -99,9 +99,9 @@
         caller.send()
 
     base = BASE_LOAD * server.capacity_per_s
-    arrivals(clock, chance, base, 0.0, RECOVERY_END_S - 2, come)
+    arrivals(clock, rng, base, 0.0, RECOVERY_END_S - 2, send_new_caller)
     spike = (3.0 - BASE_LOAD) * server.capacity_per_s
-    arrivals(clock, chance, spike, SPIKE_START_S, SPIKE_END_S, come)
+    arrivals(clock, rng, spike, SPIKE_START_S, SPIKE_END_S, send_new_caller)
     clock.run(RECOVERY_END_S)
     base_count = [base] * seconds
     return _since_spike(good_answers, base_count), _since_spike(well, asked)
@@ -110,7 +110,9 @@
 def _since_spike(reached, wanted):
     last = len(wanted) - 3
     second = last
-    while second >= SPIKE_END_S and reached[second] >= RECOVERED_PART * wanted[second]:
+    while (
+        second >= SPIKE_END_S and reached[second] >= RECOVERED_FRACTION * wanted[second]
+    ):
         second -= 1
     return second + 1 - SPIKE_END_S
 
--- a/comfreywharf_dev/bench/load_model.py
+++ b/comfreywharf_dev/bench/load_model.py
@@ -67,17 +67,17 @@
     answers, each other request in flight adds the fraction ``crowding`` to them.
     """
 
-    def __init__(self, clock, chance, *, slots=12, mean_s=0.01, queue_length=256):
+    def __init__(self, clock, rng, *, slots=12, mean_s=0.01, queue_length=256):
         self.state = AdmissionState(
-            ConcurrencyLimit(slots), queue_length, random.Random(chance.random())
+            ConcurrencyLimit(slots), queue_length, random.Random(rng.random())
         )
         self.slow_factor = 1.0
         self.crowding = 0.0
         self.cold_answers = 0
         self._clock = clock
-        self._chance = chance
+        self._rng = rng
         self._mean_s = mean_s
-        self._callers = {}
+        self._callbacks = {}
         self._ticking = False
 
     @property
@@ -85,33 +85,33 @@
         """Return the number of requests per second that the slots can serve."""
         return self.state.limit.slots / self._mean_s
 
-    def send(self, flow, patience_s, tell):
-        """Send a request; ``tell(Outcome)`` is called when its outcome is known."""
+    def send(self, flow, timeout_s, on_outcome):
+        """Send a request; call ``on_outcome(Outcome)`` when its outcome is known."""
         now_s = self._clock.now_s
-        ticket = Ticket(flow=flow, deadline_s=now_s + patience_s, arrived_s=now_s)
-        self._callers[ticket] = tell
-        self._carry_out(decide(self.state, Arrived(ticket), now_s))
+        ticket = Ticket(flow=flow, deadline_s=now_s + timeout_s, arrived_s=now_s)
+        self._callbacks[ticket] = on_outcome
+        self._execute(decide(self.state, Arrived(ticket), now_s))
         if self.state.waiting and not self._ticking:
             self._ticking = True
             self._clock.at(now_s + TICK_S, self._tick)
 
     def _tick(self):
-        self._carry_out(decide(self.state, TimePassed(), self._clock.now_s))
+        self._execute(decide(self.state, TimePassed(), self._clock.now_s))
         self._ticking = bool(self.state.waiting)
         if self._ticking:
             self._clock.at(self._clock.now_s + TICK_S, self._tick)
 
-    def _carry_out(self, actions):
+    def _execute(self, actions):
         for action in actions:
             if isinstance(action, Begin):
                 self._begin(action.ticket)
                 continue
             waited_s = self._clock.now_s - action.ticket.arrived_s
             outcome = Outcome(False, True, waited_s, action.retry_after_s)
-            self._callers.pop(action.ticket)(outcome)
+            self._callbacks.pop(action.ticket)(outcome)
 
     def _begin(self, ticket):
-        work_s = self._chance.expovariate(1 / self._mean_s) * self.slow_factor
+        work_s = self._rng.expovariate(1 / self._mean_s) * self.slow_factor
         if self.cold_answers > 0:
             work_s *= 1 + self.crowding * (len(self.state.in_flight) - 1)
         end_s = self._clock.now_s + work_s
@@ -121,22 +121,22 @@
     def _finish(self, ticket, good):
         self.cold_answers -= good
         latency_s = self._clock.now_s - ticket.arrived_s
-        self._callers.pop(ticket)(Outcome(good, False, latency_s))
+        self._callbacks.pop(ticket)(Outcome(good, False, latency_s))
         result = Result.ANSWERED if good else Result.FAILED
-        self._carry_out(decide(self.state, Finished(ticket, result), self._clock.now_s))
+        self._execute(decide(self.state, Finished(ticket, result), self._clock.now_s))
 
 
-def arrivals(clock, chance, rate_per_s, start_s, end_s, send):
+def arrivals(clock, rng, rate_per_s, start_s, end_s, send):
     """Call ``send()`` at exponentially distributed intervals with a mean rate."""
 
     def next_one():
         if clock.now_s >= start_s:
             send()
-        again_s = max(clock.now_s, start_s) + chance.expovariate(rate_per_s)
+        again_s = max(clock.now_s, start_s) + rng.expovariate(rate_per_s)
         if again_s < end_s:
             clock.at(again_s, next_one)
 
-    clock.at(start_s + chance.expovariate(rate_per_s), next_one)
+    clock.at(start_s + rng.expovariate(rate_per_s), next_one)
 
 
 def percentile(values, fraction):
--- a/comfreywharf_dev/bench/load_ramp.py
+++ b/comfreywharf_dev/bench/load_ramp.py
@@ -14,14 +14,14 @@
 
 LOAD = 0.6
 SECONDS = 5.0
-PATIENCE_S = 0.2
+TIMEOUT_S = 0.2
 COLD_ANSWERS = 400
 CROWDING = 1.0
 
 
 def _good_answers(ramp):
-    clock, chance = Clock(), random.Random(5)
-    server = ModelServer(clock, chance)
+    clock, rng = Clock(), random.Random(5)
+    server = ModelServer(clock, rng)
     server.cold_answers = COLD_ANSWERS
     server.crowding = CROWDING
     if not ramp:
@@ -30,9 +30,9 @@
     good = []
 
     def send():
-        server.send(chance.randrange(50), PATIENCE_S, lambda o: good.append(o.good))
+        server.send(rng.randrange(50), TIMEOUT_S, lambda o: good.append(o.good))
 
-    arrivals(clock, chance, LOAD * server.capacity_per_s, 0.0, SECONDS, send)
+    arrivals(clock, rng, LOAD * server.capacity_per_s, 0.0, SECONDS, send)
     clock.run(SECONDS + 1.0)
     return sum(good)
 
--- a/comfreywharf_dev/bench/processes.py
+++ b/comfreywharf_dev/bench/processes.py
@@ -32,7 +32,7 @@
 LOW_PORTS = (12_000, 32_000)
 BIND_TRIES = 200
 
-_chance = random.Random(os.getpid())
+_rng = random.Random(os.getpid())
 
 
 def processor_s(pid):
@@ -53,7 +53,7 @@
     for _ in range(BIND_TRIES):
         sock = socket.socket()
         try:
-            sock.bind(("127.0.0.1", _chance.randrange(*LOW_PORTS)))
+            sock.bind(("127.0.0.1", _rng.randrange(*LOW_PORTS)))
             return sock
         except OSError:
             sock.close()
