--- a/comfreywharf_dev/bench/capacity.py
+++ b/comfreywharf_dev/bench/capacity.py
@@ -66,7 +66,7 @@
 
     Runs that ended in an error are left out. A note adds an entry to the history.
     """
-    kept = {**measured}
+    stored = {**measured}
     for name in BENCHMARKS:
         path = folder / f"{name}.json"
         if not path.exists():
@@ -74,39 +74,41 @@
         record = orjson.loads(path.read_bytes())
         if record["error"]:
             continue
-        kept[name] = {
+        stored[name] = {
             "conditions": {
                 field: round(record[field], 3)
                 for field in ("load_before", "load_after", "stolen_fraction", "cores")
             },
             "figures": {
-                one["figure"]["name"]: _kept_figure(one["figure"])
+                one["figure"]["name"]: _stored_figure(one["figure"])
                 for one in record["judged"]
                 if one["figure"]["value"] is not None
             },
         }
-    control = kept.get("control_cost")
+    control = stored.get("control_cost")
     if control and note:
         names = ("core_at_640", "rss_mib_at_640", "wire_bytes_per_s_at_640")
         entry = {"after": note, **control["conditions"]}
         entry |= {name: control["figures"][name]["value"] for name in names}
-        kept["history"] = [*kept.get("history", []), entry]
-    return kept
+        stored["history"] = [*stored.get("history", []), entry]
+    return stored
 
 
-def _kept_figure(figure):
+def _stored_figure(figure):
     return {
-        "value": _short(figure["value"]),
+        "value": _rounded(figure["value"]),
         "unit": figure["unit"],
-        "points": [[_short(number) for number in point] for point in figure["points"]],
+        "points": [
+            [_rounded(number) for number in point] for point in figure["points"]
+        ],
     }
 
 
-def _short(number):
+def _rounded(number):
     return float(f"{number:.5g}")
 
 
-class Sheet:
+class PageNumbers:
     """The numbers of the page, computed from the stored figures."""
 
     def __init__(self, measured, deployment):
@@ -129,7 +131,7 @@
         for name, value in numbers.items():
             self.numbers[name] = value if isinstance(value, str) else show(value)
 
-    def fill(self):
+    def compute(self):
         """Compute all numbers and return them by name."""
         for name, value in attrs.asdict(self._deployment).items():
             self.put(**{name: value})
@@ -339,7 +341,7 @@
 
 def render(measured, template):
     """Return the page for stored figures; raises `KeyError` if one is missing."""
-    numbers = Sheet(measured, Deployment()).fill()
+    numbers = PageNumbers(measured, Deployment()).compute()
     return Template(template).substitute(numbers)
 
 
@@ -353,9 +355,9 @@
 @app.command(name="take")
 def take_command(*, note: str = ""):
     """Store the figures of the last runs; a note adds them to the history."""
-    kept = take(_read_measured(), OUTPUT_FOLDER, note)
+    stored = take(_read_measured(), OUTPUT_FOLDER, note)
     options = orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS
-    MEASURED.write_bytes(orjson.dumps(kept, option=options) + b"\n")
+    MEASURED.write_bytes(orjson.dumps(stored, option=options) + b"\n")
 
 
 @app.command
--- a/comfreywharf_dev/bench/control_cost.py
+++ b/comfreywharf_dev/bench/control_cost.py
@@ -139,16 +139,20 @@
     """Return the `Sample` of a cluster over ``window_s`` seconds."""
     audited = list(cluster.plans)[:: max(1, len(cluster.plans) // 8)]
     pids = [plan.node_process.pid for plan in cluster.plans.values()]
-    carried_before = {node_id: _carried(cluster, node_id) for node_id in audited}
+    traffic_before = {
+        node_id: _connection_traffic(cluster, node_id) for node_id in audited
+    }
     log_before_s = processor_s(cluster.log_process.pid)
     before_s = [processor_s(pid) for pid in pids]
     start_s = boottime_s()
     time.sleep(window_s)
-    used_s = [processor_s(pid) - was for pid, was in zip(pids, before_s, strict=True)]
+    used_s = [
+        processor_s(pid) - earlier for pid, earlier in zip(pids, before_s, strict=True)
+    ]
     elapsed_s = boottime_s() - start_s
     log_used_s = processor_s(cluster.log_process.pid) - log_before_s
-    carried = [
-        _difference(carried_before[node_id], _carried(cluster, node_id))
+    traffic = [
+        _difference(traffic_before[node_id], _connection_traffic(cluster, node_id))
         for node_id in audited
     ]
     return Sample(
@@ -156,8 +160,8 @@
         core=statistics.fmean(used_s) / elapsed_s,
         worst_core=max(used_s) / elapsed_s,
         rss_mib=statistics.fmean(_rss_mib(pid) for pid in pids),
-        payload_bytes_per_s=statistics.fmean(p for p, _ in carried) / elapsed_s,
-        wire_bytes_per_s=statistics.fmean(w for _, w in carried) / elapsed_s,
+        payload_bytes_per_s=statistics.fmean(p for p, _ in traffic) / elapsed_s,
+        wire_bytes_per_s=statistics.fmean(w for _, w in traffic) / elapsed_s,
         log_core=log_used_s / elapsed_s,
     )
 
@@ -166,7 +170,7 @@
     return psutil.Process(pid).memory_info().rss / MEBIBYTE
 
 
-def _carried(cluster, node_id):
+def _connection_traffic(cluster, node_id):
     """Return the traffic so far of a node's connections to other nodes and the log."""
     plan = cluster.plans[node_id]
     own = {plan.backend_port, plan.server_port, plan.operator_port}
@@ -184,10 +188,10 @@
 def _difference(before, after):
     payload, segments = 0, 0
     for name, one in after.items():
-        was = before.get(name, {})
+        earlier = before.get(name, {})
         for field in ("sent_bytes", "received_bytes"):
-            payload += one[field] - was.get(field, 0)
-        segments += one["segments"] - was.get("segments", 0)
+            payload += one[field] - earlier.get(field, 0)
+        segments += one["segments"] - earlier.get("segments", 0)
     return payload, payload + segments * SEGMENT_HEADER_BYTES
 
 
--- a/comfreywharf_dev/bench/gossip.py
+++ b/comfreywharf_dev/bench/gossip.py
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Way:
+class Variant:
     """One variant of how records spread."""
 
     name: str
@@ -47,16 +47,16 @@
     cut: bool = False
 
 
-WAYS = (
-    Way(name="polling", gossip=False),
-    Way(name="both"),
-    Way(name="few_readers", sparse=True),
-    Way(name="cut_off", cut=True),
+VARIANTS = (
+    Variant(name="polling", gossip=False),
+    Variant(name="both"),
+    Variant(name="few_readers", sparse=True),
+    Variant(name="cut_off", cut=True),
 )
 
 
 @attrs.define
-class Counted:
+class ByteCounter:
     """Number of bytes that nodes wrote to each other."""
 
     sent_bytes: int = 0
@@ -78,21 +78,21 @@
         self.follower.subscribe(lambda record, result: self.gossip.tell())
         answer = self.gossip.answer
 
-        def answer_and_ask(request, now_s):
+        def answer_and_query(request, now_s):
             if request.next_offset > self.state.next_offset:
                 client = self.peers.client(request.node_id)
                 if client is not None:
                     gevent.spawn(self.gossip._exchange_with_first, [client])
             return answer(request, now_s)
 
-        self.gossip.answer = answer_and_ask
+        self.gossip.answer = answer_and_query
 
 
 def run():
     """Measure each variant and return the figures."""
     figures = []
-    for way in WAYS:
-        figures += _measure(way)
+    for variant in VARIANTS:
+        figures += _measure(variant)
     by_name = {figure.name: figure.value for figure in figures}
     figures.append(
         Figure(
@@ -106,12 +106,12 @@
     return figures
 
 
-def _measure(way):
-    counted = Counted()
+def _measure(variant):
+    byte_counter = ByteCounter()
     write = SocketTransport.write
 
     def counting_write(transport, data):
-        counted.sent_bytes += len(data)
+        byte_counter.sent_bytes += len(data)
         return write(transport, data)
 
     SocketTransport.write = counting_write
@@ -119,55 +119,59 @@
         with Processes() as processes:
             port = free_port()
             log_pid = processes.start(LOG_MODULE, "--port", str(port), port=port)
-            return _measure_nodes(way, port, log_pid, counted)
+            return _measure_nodes(variant, port, log_pid, byte_counter)
     finally:
         SocketTransport.write = write
 
 
-def _measure_nodes(way, port, log_pid, counted):
-    nodes = _start(way, port)
+def _measure_nodes(variant, port, log_pid, byte_counter):
+    nodes = _start_nodes(variant, port)
     try:
-        idle = _cost(nodes, port, log_pid, counted, lambda: gevent.sleep(IDLE_S))
+        idle = _cost(nodes, port, log_pid, byte_counter, lambda: gevent.sleep(IDLE_S))
         delays_s = []
         busy = _cost(
-            nodes, port, log_pid, counted, lambda: delays_s.extend(_change(nodes))
+            nodes,
+            port,
+            log_pid,
+            byte_counter,
+            lambda: delays_s.extend(_change_repeatedly(nodes)),
         )
     finally:
         for node in nodes:
             node.stop()
     delays_s.sort()
     return [
-        *_figures(way, "idle", idle),
-        *_figures(way, "busy", busy),
+        *_figures(variant, "idle", idle),
+        *_figures(variant, "busy", busy),
         Figure(
-            name=f"{way.name}_reach_median",
+            name=f"{variant.name}_reach_median",
             value=1000 * delays_s[len(delays_s) // 2],
             unit="ms",
             note=f"a change is in force at {len(nodes)} nodes; {CHANGES} changes",
         ),
-        Figure(name=f"{way.name}_reach_max", value=1000 * delays_s[-1], unit="ms"),
+        Figure(name=f"{variant.name}_reach_max", value=1000 * delays_s[-1], unit="ms"),
     ]
 
 
-def _start(way, port):
-    kind = SparseNode if way.sparse else FleetNode
+def _start_nodes(variant, port):
+    kind = SparseNode if variant.sparse else FleetNode
     nodes = [kind(f"n{number}", port) for number in range(NODES)]
     for node in nodes:
-        node.start(gossip=way.gossip, snapshots=False)
+        node.start(gossip=variant.gossip, snapshots=False)
     for node in nodes:
         wait_for(node.follower.caught_up.is_set)
         node.announce()
     wait_for(lambda: all(len(node.state.members) == NODES for node in nodes), 60)
-    for node in nodes[CUT_READERS if way.cut else READERS :]:
-        if way.sparse:
+    for node in nodes[CUT_READERS if variant.cut else READERS :]:
+        if variant.sparse:
             node.follower.__class__ = SparseFollower
-        if way.cut:
+        if variant.cut:
             node.follower._client.__init__("127.0.0.1", CLOSED_PORT)
     gevent.sleep(6.0)
     return nodes
 
 
-def _change(nodes):
+def _change_repeatedly(nodes):
     for version in range(CHANGES):
         began_s = boottime_s()
         nodes[0].follower.append(make_patch(version, queue_length=version))
@@ -178,15 +182,15 @@
         gevent.sleep(CHANGE_INTERVAL_S)
 
 
-def _cost(nodes, port, log_pid, counted, work):
+def _cost(nodes, port, log_pid, byte_counter, work):
     """Return the cost per second of a mean node and of the log while ``work`` runs."""
-    before = _read_counters(port, log_pid, counted)
+    before = _read_counters(port, log_pid, byte_counter)
     began_s = boottime_s()
     work()
     took_s = boottime_s() - began_s
-    after = _read_counters(port, log_pid, counted)
-    spent = [(b - a) / took_s for a, b in zip(before, after, strict=True)]
-    processor, log_processor, reads, sent = spent
+    after = _read_counters(port, log_pid, byte_counter)
+    rates = [(b - a) / took_s for a, b in zip(before, after, strict=True)]
+    processor, log_processor, reads, sent = rates
     return {
         "processor": 100 * processor / len(nodes),
         "log_processor": 100 * log_processor,
@@ -195,10 +199,10 @@
     }
 
 
-def _read_counters(port, log_pid, counted):
+def _read_counters(port, log_pid, byte_counter):
     stats = http_json(port, "GET", "/stats")[2]
     own_s = time.process_time()
-    return own_s, processor_s(log_pid), stats["reads"], counted.sent_bytes
+    return own_s, processor_s(log_pid), stats["reads"], byte_counter.sent_bytes
 
 
 _UNITS = {
@@ -209,8 +213,8 @@
 }
 
 
-def _figures(way, when, cost):
+def _figures(variant, activity, cost):
     return [
-        Figure(name=f"{way.name}_{when}_{name}", value=value, unit=_UNITS[name])
+        Figure(name=f"{variant.name}_{activity}_{name}", value=value, unit=_UNITS[name])
         for name, value in cost.items()
     ]
--- a/comfreywharf_dev/bench/list_cost.py
+++ b/comfreywharf_dev/bench/list_cost.py
@@ -59,9 +59,9 @@
     for number in range(HEARTBEATS):
         now_s = number * INTERVAL_S
         body = orjson.dumps({**HEARTBEAT, "holds": held})
-        said = read_heartbeat("i-1", body)
+        heartbeat = read_heartbeat("i-1", body)
         report = HoldReport(
-            service="booking", connection="c", arrived_s=now_s, held=said.held
+            service="booking", connection="c", arrived_s=now_s, held=heartbeat.held
         )
         lists.hear(report, now_s)
         serving = _serving(size, fences, now_s + LEASE_S)
--- a/comfreywharf_dev/bench/state_size.py
+++ b/comfreywharf_dev/bench/state_size.py
@@ -99,7 +99,7 @@
     for index in range(members):
         log.append(announced(index))
     log.append(PlannerTermStarted(record_id="term", node_id="node-000", base_term=0))
-    moves = _dealt_out(log.state)
+    moves = _even_moves(log.state)
     for first in range(0, len(moves), MOVES_PER_RECORD):
         log.append(
             SlicesMoved(
@@ -111,7 +111,7 @@
     return log.state
 
 
-def _dealt_out(state):
+def _even_moves(state):
     """Return a move for each slice that together spread them evenly over members."""
     members = sorted(state.members)
     return [
@@ -202,7 +202,9 @@
     keys = [f"key-{index}".encode() for index in range(LOOKUPS)]
     yield Figure(
         name="owner_lookup_us",
-        value=_each_us(lambda: [state.owner_of(SERVICE, key_hash(k)) for k in keys])
+        value=_processor_us(
+            lambda: [state.owner_of(SERVICE, key_hash(k)) for k in keys]
+        )
         / LOOKUPS,
         unit="us",
         note="of processor time, 10,000 slices",
@@ -225,13 +227,13 @@
     planned = PlanningState.begin(0.0)
     reports = _reports(state)
 
-    def take_reports():
+    def apply_reports():
         for report in reports:
             planning.decide(planned, LoadReported(report=report), 1.0)
 
     yield Figure(
         name="load_report_us",
-        value=_each_us(take_reports) / len(reports),
+        value=_processor_us(apply_reports) / len(reports),
         unit="us",
         note="for the planner to take one, all of a node's slices in it",
     )
@@ -239,7 +241,7 @@
     planning.decide(planned, due, 1.5)
     yield Figure(
         name="plan_round_ms",
-        value=_each_us(lambda: planning.decide(planned, due, 2.0)) / 1000,
+        value=_processor_us(lambda: planning.decide(planned, due, 2.0)) / 1000,
         unit="ms",
         note="of the planner at 640 nodes and 10,000 slices",
     )
@@ -256,7 +258,7 @@
     ]
 
 
-def _each_us(function):
+def _processor_us(function):
     start_s = time.process_time()
     function()
     return (time.process_time() - start_s) * 1e6
@@ -269,7 +271,7 @@
         for data in encoded:
             fold(state, state.next_offset, decode_record(data).unwrap())
 
-    return _each_us(replay)
+    return _processor_us(replay)
 
 
 def _connections():
