--- a/comfreywharf_dev/bench/path_cost.py
+++ b/comfreywharf_dev/bench/path_cost.py
@@ -88,7 +88,7 @@
         cluster.submit(riga_services(slices=24))
         cluster.wait_owned("booking")
         owner, ingress = cluster.plans[OWNER], cluster.plans[INGRESS]
-        past = {
+        direct_pids = {
             "owner": owner.node_process.pid,
             "server": owner.server_process.pid,
         }
@@ -96,16 +96,16 @@
             port=ingress.caller_port,
             path="/booking/book",
             keys=tuple(f"key-{index}" for index in range(KEYS)),
-            pids={"ingress": ingress.node_process.pid, **past},
+            pids={"ingress": ingress.node_process.pid, **direct_pids},
         )
-        yield routed, attrs.evolve(routed, port=owner.caller_port, pids=past)
+        yield routed, attrs.evolve(routed, port=owner.caller_port, pids=direct_pids)
 
 
 def run():
     """Measure the chains alternately and return the figures."""
-    with bare_chain() as bare_ends, routed_chain() as (routed_ends, direct_ends):
-        bare, routed = Measured(bare_ends), Measured(routed_ends)
-        direct = Measured(direct_ends)
+    with bare_chain() as bare_entry, routed_chain() as (routed_entry, direct_entry):
+        bare, routed = ChainMeasurements(bare_entry), ChainMeasurements(routed_entry)
+        direct = ChainMeasurements(direct_entry)
         for step in (_warm_up, _measure_rates, _measure_single, _measure_peak):
             for _ in range(ROUNDS):
                 step(bare)
@@ -118,7 +118,7 @@
     yield from _time_figures(bare, routed)
 
 
-class Measured:
+class ChainMeasurements:
     """The measurements of one chain so far."""
 
     def __init__(self, chain):
--- a/comfreywharf_dev/bench/planned_stop.py
+++ b/comfreywharf_dev/bench/planned_stop.py
@@ -26,14 +26,14 @@
 NODES = 4
 SLICES = 16
 KEYS = tuple(f"calendar-{number}" for number in range(16))
-LIMIT_S = 30.0
-NO_NEW_WORK_S = 2.0
-WATCHED_S = 3.0
+TIMEOUT_S = 30.0
+NO_NEW_WORK_AFTER_S = 2.0
+OBSERVED_S = 3.0
 
 
 def run():
     """Return refusals, cuts, late work, the p99 of the gaps, and violations."""
-    gaps_ms, lost, late, told = [], 0, 0, []
+    gaps_ms, lost, late, booking_outcomes = [], 0, 0, []
     with tempfile.TemporaryDirectory(prefix="comfreywharf-stop-") as folder:
         plans = riga_plans(booking=NODES, files=0)
         with Cluster(folder, plans) as cluster:
@@ -42,13 +42,15 @@
             for number in range(STOPS):
                 stopped = f"booking-{1 + number % NODES}"
                 lines, stopped_s = _stop_one(cluster, stopped)
-                told += lines
+                booking_outcomes += lines
                 gaps_ms += _gaps_ms(lines, stopped_s)
                 late += _late_effects(cluster, stopped, stopped_s)
                 _restart(cluster, stopped)
             effects = [Effect(**fields) for fields in cluster.effects()]
-    lost = sum(1 for one in told if one.outcome is not ToldOutcome.ANSWERED)
-    return _figures(sorted(gaps_ms), lost, late, find_violations(effects, told))
+    lost = sum(1 for one in booking_outcomes if one.outcome is not ToldOutcome.ANSWERED)
+    return _figures(
+        sorted(gaps_ms), lost, late, find_violations(effects, booking_outcomes)
+    )
 
 
 def _figures(gaps_ms, lost, late, violations):
@@ -84,8 +86,8 @@
     time.sleep(0.5)
     stopped_s = boottime_s()
     cluster.terminate_node(stopped)
-    cluster.plans[stopped].node_process.wait(LIMIT_S)
-    time.sleep(max(0.0, stopped_s + WATCHED_S - boottime_s()))
+    cluster.plans[stopped].node_process.wait(TIMEOUT_S)
+    time.sleep(max(0.0, stopped_s + OBSERVED_S - boottime_s()))
     for one in callers:
         one.end()
     return [line for one in callers for line in one.told], stopped_s
@@ -108,7 +110,7 @@
 
 def _late_effects(cluster, stopped, stopped_s):
     name = cluster.plans[stopped].server_name
-    limit_s = stopped_s + NO_NEW_WORK_S
+    limit_s = stopped_s + NO_NEW_WORK_AFTER_S
     return sum(
         1
         for one in cluster.effects()
@@ -120,14 +122,14 @@
     cluster.kill_server(node_id)
     cluster.start_node(node_id)
     cluster.start_server(node_id)
-    seen_by = next(one for one in cluster.plans if one != node_id)
+    observer = next(one for one in cluster.plans if one != node_id)
 
     def owns():
-        pieces = cluster.state(seen_by)["slices"]["booking"]["slices"]
+        pieces = cluster.state(observer)["slices"]["booking"]["slices"]
         return any(piece["owner"] == node_id for piece in pieces)
 
     try:
-        wait_until(owns, LIMIT_S / 3)
+        wait_until(owns, TIMEOUT_S / 3)
     except TimeoutError:
         return
 
@@ -137,7 +139,7 @@
         lambda: all(
             book(cluster, one, key).accepted for one in node_ids for key in KEYS
         ),
-        LIMIT_S,
+        TIMEOUT_S,
     )
 
 
--- a/comfreywharf_dev/bench/routes_in_force.py
+++ b/comfreywharf_dev/bench/routes_in_force.py
@@ -31,8 +31,8 @@
 APPLY_S = 2.0
 """The time limit for a change, in seconds, as in the settings from `boot_text`."""
 
-START_WITHIN_S = 120.0
-CHANGE_WITHIN_S = 30.0
+START_TIMEOUT_S = 120.0
+CHANGE_TIMEOUT_S = 30.0
 SETTLE_S = 3.0
 POLL_S = 0.005
 
@@ -106,19 +106,19 @@
             node.kill()
         self._store.stop()
 
-    def grow(self, size):
+    def start_nodes(self, size):
         """Start nodes up to ``size``, and wait until new routes are in force on all."""
         while len(self.nodes) < size:
             name = f"n{len(self.nodes)}"
             self.nodes.append(NodeProcess(name, self._folder, self._store.port))
-        self._wait_in_force(self._put(), START_WITHIN_S)
+        self._wait_in_force(self._put_configuration(), START_TIMEOUT_S)
         gevent.sleep(SETTLE_S)
 
-    def change_s(self):
+    def measure_change_s(self):
         """Change the routes; return the time until the last node applies them, in s."""
         began_s = boottime_s()
-        version = self._put()
-        self._wait_in_force(version, CHANGE_WITHIN_S)
+        version = self._put_configuration()
+        self._wait_in_force(version, CHANGE_TIMEOUT_S)
         return max(node.in_force_s[version] for node in self.nodes) - began_s
 
     def freeze_relay(self):
@@ -130,7 +130,7 @@
         self._frozen.append(frozen)
         frozen.freeze()
 
-    def _put(self):
+    def _put_configuration(self):
         self._version += 1
         self._store.put("keyed.op", "config", configuration(self._version))
         return self._version
@@ -148,11 +148,13 @@
     with tempfile.TemporaryDirectory(dir=ROOT / "run") as folder:
         with Fleet(folder) as fleet:
             for size in sizes:
-                fleet.grow(size)
-                taken_s = [fleet.change_s() for _ in range(CHANGES)]
+                fleet.start_nodes(size)
+                taken_s = [fleet.measure_change_s() for _ in range(CHANGES)]
                 figures += _figures(size, taken_s)
                 fleet.freeze_relay()
-                figures.append(_figure(f"relay_frozen_{size}", fleet.change_s()))
+                figures.append(
+                    _figure(f"relay_frozen_{size}", fleet.measure_change_s())
+                )
     return figures
 
 
--- a/comfreywharf_dev/bench/socket_audit.py
+++ b/comfreywharf_dev/bench/socket_audit.py
@@ -18,10 +18,10 @@
 __all__ = ["Connection", "connections_here", "write_audit"]
 
 TCP_INFO_BYTES = 256
-CARRIED_OFFSET = 120
+COUNTERS_OFFSET = 120
 """Offset in bytes of ``tcpi_bytes_acked`` in Linux's ``struct tcp_info``."""
 
-_CARRIED = struct.Struct("=QQII")
+_COUNTERS = struct.Struct("=QQII")
 
 
 @attrs.frozen(kw_only=True)
@@ -42,12 +42,14 @@
 
 def connections_here():
     """Return the established TCP connections of this process."""
-    found = (_describe(thing) for thing in gc.get_objects() if _is_socket(thing))
+    found = (
+        _describe(candidate) for candidate in gc.get_objects() if _is_socket(candidate)
+    )
     return [connection for connection in found if connection is not None]
 
 
-def _is_socket(thing):
-    return type(thing) is socket.socket
+def _is_socket(candidate):
+    return type(candidate) is socket.socket
 
 
 def _describe(sock):
@@ -58,7 +60,7 @@
     except OSError:
         # A listening socket, or a connection that has just been closed.
         return None
-    sent_bytes, received_bytes, *segments = _CARRIED.unpack_from(info, CARRIED_OFFSET)
+    sent_bytes, received_bytes, *segments = _COUNTERS.unpack_from(info, COUNTERS_OFFSET)
     return Connection(
         local=f"{local[0]}:{local[1]}",
         peer=f"{peer[0]}:{peer[1]}",
--- a/comfreywharf_dev/bench/start_cost.py
+++ b/comfreywharf_dev/bench/start_cost.py
@@ -27,7 +27,7 @@
 ROOT = Path(__file__).parents[2]
 STARTS = 5
 POLL_S = 0.005
-READY_WITHIN_S = 30.0
+READY_TIMEOUT_S = 30.0
 
 LIBRARIES = "gevent geventhttpclient httptools thrift.Thrift absl.logging attrs cattrs "
 LIBRARIES += "orjson returns.result aioprometheus xxhash transitions"
@@ -44,7 +44,7 @@
 
 
 def _wait_ready(process, port):
-    with gevent.Timeout(READY_WITHIN_S):
+    with gevent.Timeout(READY_TIMEOUT_S):
         while not _is_ready(port):
             if process.poll() is not None:
                 raise RuntimeError(
@@ -87,8 +87,8 @@
     """Return the processor time in which an interpreter imports the libraries."""
     code = f"{IMPORT}\nimport time\nprint(time.process_time())"
     command = [sys.executable, "-OO", "-c", code]
-    done = subprocess.run(command, capture_output=True, check=True, text=True)
-    return float(done.stdout)
+    result = subprocess.run(command, capture_output=True, check=True, text=True)
+    return float(result.stdout)
 
 
 def run():
--- a/comfreywharf_dev/bench/takeover.py
+++ b/comfreywharf_dev/bench/takeover.py
@@ -23,7 +23,7 @@
 NODES = 5
 SLICES = 15
 KEYS = tuple(f"calendar-{number}" for number in range(24))
-LIMIT_S = 30.0
+TIMEOUT_S = 30.0
 NEVER_S = float("inf")
 
 
@@ -31,8 +31,8 @@
 class _Measured:
     """The unavailable times of keys over all kills, their outcomes, and violations."""
 
-    dark_s: list = attrs.Factory(list)
-    told: list = attrs.Factory(list)
+    unavailable_s: list = attrs.Factory(list)
+    booking_outcomes: list = attrs.Factory(list)
     violations: int = 0
 
 
@@ -46,7 +46,7 @@
 
 
 def _figures(name, measured):
-    ordered = sorted(measured.dark_s)
+    ordered = sorted(measured.unavailable_s)
     note = f"{len(ordered)} keys over {KILLS // 2} kills of their owners"
     p99 = ordered[min(len(ordered) - 1, int(0.99 * len(ordered)))]
     points = tuple(
@@ -74,7 +74,9 @@
             for number in range(kills):
                 _kill_one(cluster, number, log_down, measured)
             effects = [Effect(**fields) for fields in cluster.effects()]
-            measured.violations = len(find_violations(effects, measured.told))
+            measured.violations = len(
+                find_violations(effects, measured.booking_outcomes)
+            )
     return measured
 
 
@@ -97,23 +99,23 @@
     time.sleep(0.2)
     killed_s = boottime_s()
     cluster.kill_vm(lost)
-    measured.dark_s += [_dark_s(one, killed_s) for one in callers]
+    measured.unavailable_s += [_unavailable_s(one, killed_s) for one in callers]
     for one in callers:
         one.end()
-    measured.told += [line for one in callers for line in one.told]
+    measured.booking_outcomes += [line for one in callers for line in one.told]
     cluster.switch_log(down=False)
     cluster.start_node(lost)
     cluster.start_server(lost)
-    _wait_spread(cluster, survivors[0], lost)
+    _wait_owns_again(cluster, survivors[0], lost)
 
 
-def _dark_s(callers, killed_s):
+def _unavailable_s(callers, killed_s):
     """Return the time from the kill to the first answer to a booking sent after it.
 
-    The time is in seconds; it is `NEVER_S` if there is no answer in `LIMIT_S`.
+    The time is in seconds; it is `NEVER_S` if there is no answer in `TIMEOUT_S`.
     """
     try:
-        wait_until(lambda: callers.served_since(killed_s), LIMIT_S)
+        wait_until(lambda: callers.served_since(killed_s), TIMEOUT_S)
     except TimeoutError:
         return NEVER_S
     return min(one.done_s for one in callers.since(killed_s) if one.accepted) - killed_s
@@ -124,19 +126,19 @@
         lambda: all(
             book(cluster, one, key).accepted for one in node_ids for key in KEYS
         ),
-        LIMIT_S,
+        TIMEOUT_S,
     )
 
 
-def _wait_spread(cluster, seen_by, node_id):
-    """Wait until a restarted node owns a slice, or for a third of `LIMIT_S`."""
+def _wait_owns_again(cluster, observer, node_id):
+    """Wait until a restarted node owns a slice, or for a third of `TIMEOUT_S`."""
 
     def owns():
-        pieces = cluster.state(seen_by)["slices"]["booking"]["slices"]
+        pieces = cluster.state(observer)["slices"]["booking"]["slices"]
         return any(piece["owner"] == node_id for piece in pieces)
 
     try:
-        wait_until(owns, LIMIT_S / 3)
+        wait_until(owns, TIMEOUT_S / 3)
     except TimeoutError:
         return
 
