--- a/comfreywharf_dev/bench/placement.py
+++ b/comfreywharf_dev/bench/placement.py
@@ -12,7 +12,7 @@
 from comfreywharf.placement import Switches, policy_for
 from comfreywharf_dev.bench.figures import Figure
 from comfreywharf_dev.bench.placement_baselines import at_once, replay_hash_ring
-from comfreywharf_dev.bench.placement_replay import Measured, Replay
+from comfreywharf_dev.bench.placement_replay import Replay, ReplayResult
 from comfreywharf_dev.bench.placement_traces import (
     AHMEDABAD,
     LARGE,
@@ -24,7 +24,7 @@
     wedding_season,
 )
 
-__all__ = ["compare", "make_trace", "mechanisms", "never_policy", "run"]
+__all__ = ["compare", "make_trace", "mechanisms", "no_moves_policy", "run"]
 
 LARGE_DURATION_S = 720.0
 LARGE_STEP_S = 5.0
@@ -41,7 +41,7 @@
         trace = attrs.evolve(make_trace(LARGE, build), duration_s=LARGE_DURATION_S)
         measured = Replay(trace, step_s=LARGE_STEP_S).run()
         figures += _figures(f"large_{build.__name__}", measured)
-    return [*figures, _noticed_takeovers(), *mechanisms()]
+    return [*figures, _takeovers_without_notice(), *mechanisms()]
 
 
 def make_trace(deployment, build, number=0):
@@ -57,28 +57,28 @@
     """
     traces = [make_trace(deployment, build, number) for number in range(seeds)]
     name = f"{deployment.name}_{build.__name__}"
-    ours = _mean([Replay(trace).run() for trace in traces])
-    prompt = _mean([Replay(trace, make_policy=at_once).run() for trace in traces])
+    product = _mean([Replay(trace).run() for trace in traces])
+    immediate = _mean([Replay(trace, make_policy=at_once).run() for trace in traces])
     ring = _mean([replay_hash_ring(trace) for trace in traces])
     return [
-        *_figures(name, ours),
+        *_figures(name, product),
         Figure(
             name=f"{name}_churn_ratio",
-            value=ours.churn / prompt.churn,
+            value=product.churn / immediate.churn,
             unit="ratio",
-            note=f"churn {ours.churn:.2f} against {prompt.churn:.2f} at once",
+            note=f"churn {product.churn:.2f} against {immediate.churn:.2f} at once",
         ),
-        *_figures(f"{name}_at_once", prompt),
+        *_figures(f"{name}_at_once", immediate),
         *_figures(f"{name}_hash_ring", ring),
     ]
 
 
 def _mean(results):
     columns = zip(*(attrs.astuple(result) for result in results), strict=True)
-    return Measured(
+    return ReplayResult(
         **{
             field.name: sum(column) / len(column)
-            for field, column in zip(attrs.fields(Measured), columns, strict=True)
+            for field, column in zip(attrs.fields(ReplayResult), columns, strict=True)
         }
     )
 
@@ -112,7 +112,7 @@
             "rebalancing",
             make_trace(RIGA, wedding_season),
             "imbalance_mean",
-            make_policy=never_policy,
+            make_policy=no_moves_policy,
         ),
         *_with_and_without(
             "spread_standbys",
@@ -129,7 +129,7 @@
     ]
 
 
-def _noticed_takeovers():
+def _takeovers_without_notice():
     trace = attrs.evolve(make_trace(LARGE, domain_loss), duration_s=400.0)
     off = Replay(
         trace, step_s=LARGE_STEP_S, switches=Switches(notice_takeovers=False)
@@ -141,7 +141,7 @@
     )
 
 
-def never_policy(service):
+def no_moves_policy(service):
     """Return a policy that never moves slices for balance."""
     return attrs.evolve(policy_for(service), trigger=float("inf"))
 
--- a/comfreywharf_dev/bench/placement_baselines.py
+++ b/comfreywharf_dev/bench/placement_baselines.py
@@ -54,7 +54,7 @@
 
 
 def replay_hash_ring(trace, step_s=2.0):
-    """Replay a trace with keys placed by a hash ring; return what was `Measured`."""
+    """Replay a trace with keys placed by a hash ring; return the `ReplayResult`."""
     tally = Tally(trace)
     serving = set(trace.deployment.node_ids)
     started_s = dict.fromkeys(serving, float("-inf"))
--- a/comfreywharf_dev/bench/placement_cost.py
+++ b/comfreywharf_dev/bench/placement_cost.py
@@ -63,8 +63,8 @@
     """Measure and return the figures."""
     points = []
     for slices in SLICE_COUNTS:
-        cluster, first_s = _planned_cluster(MEMBERS, slices)
-        state = _loaded(cluster)
+        cluster, first_s = _cluster_after_first_round(MEMBERS, slices)
+        state = _state_with_rates(cluster)
         points.append((slices, 1e6 * _round_s(state, cluster)))
     yield Figure(name="first_round_ms", value=1e3 * first_s, unit="ms")
     yield Figure(
@@ -82,7 +82,9 @@
     )
     yield Figure(name="loss_round_ms", value=1e3 * _loss_s(cluster), unit="ms")
     yield Figure(
-        name="state_mib", value=_allocated(lambda: _loaded(cluster)), unit="MiB"
+        name="state_mib",
+        value=_allocated(lambda: _state_with_rates(cluster)),
+        unit="MiB",
     )
     rates = rates_per_report(MEMBERS)
     usual, full = _encoded(_report(rates)), _encoded(_report(SLICES // MEMBERS))
@@ -106,7 +108,7 @@
     yield Figure(name="make_report_us", value=1e6 * _make_report_s(cluster), unit="us")
 
 
-def _planned_cluster(members, slices):
+def _cluster_after_first_round(members, slices):
     """Return a cluster after its first planning round, and the round's time in s."""
     cluster = ClusterState()
 
@@ -150,7 +152,7 @@
     return cluster, first_s
 
 
-def _loaded(cluster):
+def _state_with_rates(cluster):
     """Return a planner's state that has a reported rate for each slice."""
     state = PlanningState.begin(0.0)
     owned = {}
@@ -184,7 +186,7 @@
 
     This round replaces the standbys in the lost domain.
     """
-    state = _loaded(cluster)
+    state = _state_with_rates(cluster)
     for member in cluster.members.values():
         if member.failure_domain == "domain-0":
             event = planning.TakeoverFolded(owner_id=member.node_id)
--- a/comfreywharf_dev/bench/placement_replay.py
+++ b/comfreywharf_dev/bench/placement_replay.py
@@ -32,7 +32,7 @@
     fold,
 )
 
-__all__ = ["Measured", "Replay", "Tally"]
+__all__ = ["Replay", "ReplayResult", "Tally"]
 
 PLANNER_ID = "planner"
 TAKEOVER_S = 1.5
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Measured:
+class ReplayResult:
     """The results of a replay.
 
     Imbalance is the highest load of a server divided by the mean over all servers
@@ -70,7 +70,7 @@
     moves: int
     takeovers: int
     unavailable_s: float
-    most_slices: int
+    max_slices: int
 
 
 class Tally:
@@ -84,7 +84,7 @@
         self.moves = 0
         self.takeovers = 0
         self.unavailable_s = 0.0
-        self.most_slices = 0
+        self.max_slices = 0
 
     def step(self, now_s, step_s, loads, cold):
         """Add a step; ``loads`` are by serving node, ``cold`` are the cold nodes."""
@@ -108,8 +108,8 @@
         self.unavailable_s += seconds * share
 
     def result(self):
-        """Return what was `Measured`."""
-        return Measured(
+        """Return the `ReplayResult`."""
+        return ReplayResult(
             imbalance_mean=float(np.mean(self._imbalances)),
             imbalance_p95=float(np.percentile(self._imbalances, 95)),
             imbalance_max=float(max(self._imbalances)),
@@ -117,7 +117,7 @@
             moves=self.moves,
             takeovers=self.takeovers,
             unavailable_s=self.unavailable_s,
-            most_slices=self.most_slices,
+            max_slices=self.max_slices,
         )
 
 
@@ -145,7 +145,7 @@
         self._set_up()
 
     def run(self):
-        """Replay the whole trace and return what was `Measured`."""
+        """Replay the whole trace and return the `ReplayResult`."""
         while self._now_s < self.trace.duration_s:
             self.step()
         return self._tally.result()
@@ -367,4 +367,4 @@
                 loads[piece.owner] += rates[piece.start]
         cold = {n for n in loads if self._now_s - self._started_s[n] < COLD_S}
         self._tally.step(self._now_s, self._step_s, loads, cold)
-        self._tally.most_slices = max(self._tally.most_slices, len(self._pieces))
+        self._tally.max_slices = max(self._tally.max_slices, len(self._pieces))
--- a/comfreywharf_dev/bench/tests/test_placement.py
+++ b/comfreywharf_dev/bench/tests/test_placement.py
@@ -5,7 +5,7 @@
 
 from comfreywharf.placement import Switches
 from comfreywharf_dev.bench.figures import read_bounds
-from comfreywharf_dev.bench.placement import compare, make_trace, never_policy
+from comfreywharf_dev.bench.placement import compare, make_trace, no_moves_policy
 from comfreywharf_dev.bench.placement_replay import Replay
 from comfreywharf_dev.bench.placement_traces import (
     AHMEDABAD,
@@ -49,7 +49,7 @@
             "imbalance_mean",
             RIGA,
             wedding_season,
-            {"make_policy": never_policy},
+            {"make_policy": no_moves_policy},
         ),
         (
             "spread_standbys",
