--- a/comfreywharf_dev/bench/server_loop.py
+++ b/comfreywharf_dev/bench/server_loop.py
@@ -36,7 +36,7 @@
 def run():
     """Measure the variants alternately and return the figures."""
     with Processes() as processes:
-        ends = {
+        servers = {
             kind: _start(processes, kind)
             for kind in ("wsgi", "lean", "stream", "thrift")
         }
@@ -45,9 +45,11 @@
         costs |= {"forward_us": [], "forward_batch_us": []}
         for _ in range(ROUNDS):
             for kind, name in names.items():
-                costs[name].append(_http_us(*ends[kind]))
-            costs["forward_us"].append(_forward_us(*ends["thrift"], batch=1))
-            costs["forward_batch_us"].append(_forward_us(*ends["thrift"], batch=BATCH))
+                costs[name].append(_http_us(*servers[kind]))
+            costs["forward_us"].append(_forward_us(*servers["thrift"], batch=1))
+            costs["forward_batch_us"].append(
+                _forward_us(*servers["thrift"], batch=BATCH)
+            )
     for name, values in costs.items():
         yield Figure(
             name=name,
@@ -60,7 +62,7 @@
 
 def _start(processes, kind):
     port = free_port()
-    module = "comfreywharf_dev.bench.server_loop_ends"
+    module = "comfreywharf_dev.bench.server_loop_servers"
     return port, processes.start(module, kind, "--port", str(port), port=port)
 
 
@@ -94,19 +96,19 @@
 
 
 def _call_in_batches(port, batch):
-    sock = _CorkedSocket(socket.create_connection(("127.0.0.1", port)))
+    sock = _BatchingSocket(socket.create_connection(("127.0.0.1", port)))
     client = Node.Client(protocol_over(sock))
     for _ in range(CALLS // batch):
         for _ in range(batch):
             client.send_forward(_request())
-        sock.uncork()
+        sock.send_batch()
         for _ in range(batch):
             client.recv_forward()
     sock.close()
 
 
-class _CorkedSocket:
-    """Buffer what is sent until ``uncork()`` sends it at once."""
+class _BatchingSocket:
+    """Buffer what is sent until ``send_batch()`` sends it at once."""
 
     def __init__(self, sock):
         self._sock = sock
@@ -118,7 +120,7 @@
     def sendall(self, data):
         self._unsent.append(data)
 
-    def uncork(self):
+    def send_batch(self):
         data, self._unsent = b"".join(self._unsent), []
         self._sock.sendall(data)
 
--- a/comfreywharf_dev/bench/server_loop_ends.py
+++ b/comfreywharf_dev/bench/server_loop_servers.py
@@ -10,12 +10,12 @@
 from comfreywharf.transport.gen.ttypes import ForwardReply
 from comfreywharf_dev.bench.plain_server import ANSWER, PlainHandler, answer
 
-__all__ = ["CorkedTransport", "LeanHandler", "serve"]
+__all__ = ["BatchingTransport", "DictHeadersHandler", "serve"]
 
 RECEIVE_BYTES = 64 * 1024
 
 
-class LeanHeaders:
+class DictHeaders:
     """Request headers in a dictionary instead of an e-mail message."""
 
     def __init__(self, rfile):
@@ -36,16 +36,16 @@
     getheader = get
 
 
-class LeanHandler(PlainHandler):
+class DictHeadersHandler(PlainHandler):
     """An experimental WSGI handler that doesn't use the e-mail parser."""
 
     @staticmethod
     def MessageClass(rfile, seekable):  # noqa: N802 - pywsgi's name
         """Return the headers of a request."""
-        return LeanHeaders(rfile)
+        return DictHeaders(rfile)
 
 
-class CorkedTransport(sockets.SocketTransport):
+class BatchingTransport(sockets.SocketTransport):
     """An experimental transport that sends buffered answers before it waits to read."""
 
     def __init__(self, sock):
@@ -96,14 +96,14 @@
     """Serve until the process is stopped; ``kind`` is wsgi, lean, stream or thrift."""
     address = ("127.0.0.1", port)
     if kind == "thrift":
-        sockets.SocketTransport = CorkedTransport
+        sockets.SocketTransport = BatchingTransport
         server = PeerServer(*address, EchoHandler(), lambda address, error: None)
         server.start()
         Event().wait()
     elif kind == "stream":
         StreamServer(address, _answer_bytes).serve_forever()
     else:
-        handler = LeanHandler if kind == "lean" else PlainHandler
+        handler = DictHeadersHandler if kind == "lean" else PlainHandler
         pywsgi.WSGIServer(
             address, answer, log=None, handler_class=handler
         ).serve_forever()
