--- a/comfreywharf_dev/bench/processes.py
+++ b/comfreywharf_dev/bench/processes.py
@@ -105,7 +105,7 @@
             [*command, orjson.dumps(attrs.asdict(part)).decode()],
             stdout=subprocess.PIPE,
         )
-        for part in _shares(load, processes)
+        for part in _split_load(load, processes)
     ]
     documents = []
     for process in running:
@@ -118,7 +118,7 @@
     return documents
 
 
-def _shares(load, processes) -> list[Load]:
+def _split_load(load, processes) -> list[Load]:
     return [
         attrs.evolve(
             load,
--- a/comfreywharf_dev/bench/report.py
+++ b/comfreywharf_dev/bench/report.py
@@ -75,30 +75,30 @@
 def render(records, committed, template):
     """Return the page for the records of a run."""
     rows = {one["benchmark"]: rows_of(one, committed) for one in records}
-    every = [row for some in rows.values() for row in some]
-    bounded = [row for row in every if row.limit is not None]
+    all_rows = [row for some in rows.values() for row in some]
+    bounded = [row for row in all_rows if row.limit is not None]
     broken = [row for row in bounded if not row.passed]
     failed = [one["benchmark"] for one in records if one["error"]]
     summary = (
-        f"{len(records)} benchmarks, {len(every)} figures, {len(bounded)} bounds, "
+        f"{len(records)} benchmarks, {len(all_rows)} figures, {len(bounded)} bounds, "
         f"{len(broken)} broken, {len(failed)} benchmarks failed."
     )
     return Template(template).substitute(
         summary=escape(summary),
-        broken=_broken(broken, failed),
+        broken=_broken_list(broken, failed),
         sections="\n".join(_sections(rows)),
-        tables="\n".join(_table(record, rows) for record in records),
+        tables="\n".join(_benchmark_table(record, rows) for record in records),
     )
 
 
-def _broken(rows, failed):
-    lines_of = [f"{row.benchmark}.{row.name}: {_bound(row)}" for row in rows]
-    lines_of += [f"{name}: failed, not measured" for name in failed]
-    items = "".join(f"<li class=broken>{escape(text)}</li>" for text in lines_of)
+def _broken_list(rows, failed):
+    texts = [f"{row.benchmark}.{row.name}: {_describe_bound(row)}" for row in rows]
+    texts += [f"{name}: failed, not measured" for name in failed]
+    items = "".join(f"<li class=broken>{escape(text)}</li>" for text in texts)
     return f"<ul>{items}</ul>" if items else ""
 
 
-def _bound(row):
+def _describe_bound(row):
     value = "not measured" if row.value is None else f"{show(row.value)} {row.unit}"
     return f"{value}, bound {row.comparison.replace('_', ' ')} {show(row.limit)}"
 
@@ -140,10 +140,10 @@
     for (deployment, measure), plot in found.items():
         traces = list(dict.fromkeys(trace for _, trace in plot))
         series = {
-            title: [_plotted(plot.get((policy, trace))) for trace in traces]
+            title: [_value_of(plot.get((policy, trace))) for trace in traces]
             for policy, title in POLICY_TITLES.items()
         }
-        last = [_last(plot.get((None, trace))) for trace in traces]
+        last = [_last_value(plot.get((None, trace))) for trace in traces]
         if any(value is not None for value in last):
             series["last committed"] = last
         unit = next(iter(plot.values())).unit
@@ -151,11 +151,11 @@
         yield bars(f"{deployment.title()}: {measure}", unit, labels, series)
 
 
-def _plotted(row):
+def _value_of(row):
     return None if row is None else row.value
 
 
-def _last(row):
+def _last_value(row):
     return None if row is None else row.last
 
 
@@ -174,7 +174,7 @@
     names = ("ingress", "owner", "proxy", "server")
     chains = {"routed": "", "entered at the owner": "direct_", "bare chain": "bare_"}
     series = {
-        chain: [_value(by_name, f"{prefix}{name}_us") for name in names]
+        chain: [_value_or_none(by_name, f"{prefix}{name}_us") for name in names]
         for chain, prefix in chains.items()
     }
     yield bars("Processor time of one request", "µs", names, series)
@@ -185,7 +185,7 @@
     yield lines("Processor time over rate", "requests/s", "% of a core", points)
 
 
-def _value(by_name, name):
+def _value_or_none(by_name, name):
     return by_name[name].value if name in by_name else None
 
 
@@ -212,7 +212,7 @@
             yield lines(title, "nodes", points[0].unit, series, limit)
 
 
-def _table(record, rows):
+def _benchmark_table(record, rows):
     conditions = (
         f"load {record['load_before']:.1f} to {record['load_after']:.1f} on "
         f"{record['cores']} cores, {record['stolen_fraction']:.0%} of processor time "
