--- a/comfreywharf_dev/bench/tests/test_figures.py
+++ b/comfreywharf_dev/bench/tests/test_figures.py
@@ -23,7 +23,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(value=numbers, limit=numbers)
-def test_a_bound_holds_on_its_own_side_only(value, limit):
+def test_both_comparisons_hold_only_for_equal_values(value, limit):
     """Both comparisons hold only if value and limit are equal; one always holds."""
     at_most = Bound(limit=limit, comparison=Comparison.AT_MOST).holds(value)
     at_least = Bound(limit=limit, comparison=Comparison.AT_LEAST).holds(value)
@@ -31,7 +31,7 @@
     assert (at_most and at_least) == (value == limit)
 
 
-def test_a_bound_without_a_figure_is_broken():
+def test_a_bound_without_its_figure_fails():
     """A benchmark fails if it no longer measures a figure that has a bound."""
     bounds = {"cost": Bound(limit=1.0, comparison=Comparison.AT_MOST)}
     (judged,) = check_figures("path", [], bounds)
@@ -46,14 +46,14 @@
 
 
 @pytest.mark.parametrize("text", ["cost = 1", "[cost]\nbelow = 1", "[cost]"])
-def test_a_bound_of_unknown_kind_is_an_error(tmp_path, text):
+def test_an_invalid_comparison_raises_bound_error(tmp_path, text):
     """An invalid comparison raises an error that names the entry."""
     (tmp_path / "path.toml").write_text(text)
     with pytest.raises(BoundError, match="cost"):
         read_bounds(tmp_path, "path")
 
 
-def test_a_benchmark_that_raises_has_failed(tmp_path):
+def test_an_exception_is_stored_and_fails_the_benchmark(tmp_path):
     """An exception in a benchmark is stored in its record and fails it."""
 
     def run():
--- a/comfreywharf_dev/bench/tests/test_nodelay.py
+++ b/comfreywharf_dev/bench/tests/test_nodelay.py
@@ -19,7 +19,7 @@
     return int(address.rpartition(":")[2])
 
 
-def hops_of(cluster, connections):
+def hop_kinds(cluster, connections):
     """Return the kinds of hop that connections belong to, at either end."""
     kinds = {cluster.log_port: "log"}
     for plan in cluster.plans.values():
@@ -33,7 +33,7 @@
     }
 
 
-def test_no_hop_waits_for_acknowledgements(tmp_path):
+def test_all_connections_have_nodelay_set(tmp_path):
     """No node has a connection with Nagle's algorithm enabled.
 
     Without TCP_NODELAY, a small request takes 40 ms instead of 2 ms: one end holds
@@ -52,7 +52,7 @@
         connections = [one for node in cluster.plans for one in cluster.audit(node)]
         for caller in callers:
             caller.close()
-        hops = hops_of(cluster, connections)
+        hops = hop_kinds(cluster, connections)
     assert {
         ("caller", "local"),
         ("peer", "local"),
@@ -64,7 +64,7 @@
     assert [one for one in connections if not one["nodelay"]] == []
 
 
-def test_the_audit_sees_a_socket_without_the_option():
+def test_the_audit_reports_a_connection_without_nodelay():
     """A connection with Nagle's algorithm enabled is reported without nodelay."""
     with closing(socket.create_server(("127.0.0.1", 0))) as server:
         with closing(socket.create_connection(server.getsockname())) as client:
--- a/comfreywharf_dev/bench/tests/test_placement.py
+++ b/comfreywharf_dev/bench/tests/test_placement.py
@@ -67,7 +67,7 @@
         ),
     ],
 )
-def test_each_mechanism_keeps_a_bound_that_breaks_without_it(
+def test_bounds_hold_with_each_mechanism_and_break_without_it(
     name, field, deployment, build, off
 ):
     """A replay is within its bound with a mechanism and breaks it without."""
--- a/comfreywharf_dev/bench/tests/test_report.py
+++ b/comfreywharf_dev/bench/tests/test_report.py
@@ -19,7 +19,7 @@
     return record_of("path_cost", check_figures("path_cost", figures, BOUND))
 
 
-def test_a_broken_bound_stands_at_the_top(template):
+def test_broken_bounds_are_listed_before_the_first_section(template):
     """Only a figure that breaks its bound is named before the first section."""
     broken, _, _ = report.render([path_cost(2.0)], {}, template).partition("<h2>")
     well, _, _ = report.render([path_cost(1.5)], {}, template).partition("<h2>")
@@ -27,13 +27,13 @@
     assert "path_cost.cost_ratio" not in well
 
 
-def test_a_change_is_against_the_committed_figure(template):
+def test_changes_are_relative_to_the_committed_figures(template):
     """Twice the committed value is shown as a change of +100%."""
     committed = {"path_cost": {"cost_ratio": 0.75}}
     assert "+100%" in report.render([path_cost(1.5)], committed, template)
 
 
-def test_text_of_a_benchmark_is_no_markup(template):
+def test_notes_are_escaped(template):
     """Notes of figures are escaped in the page."""
     page = report.render([path_cost(1.5)], {}, template)
     assert "&lt;of&gt;" in page
@@ -55,7 +55,7 @@
     assert page.count("consistent hashing") == 4
 
 
-def test_a_failed_run_keeps_the_committed_figures():
+def test_a_failed_run_does_not_replace_committed_figures():
     """A benchmark that ended in an error doesn't replace committed figures."""
     failed = {**path_cost(1.5), "error": "OSError", "judged": []}
     committed = {"path_cost": {"cost_ratio": 1.4}}
