--- a/comfreywharf_dev/bench/capacity.py
+++ b/comfreywharf_dev/bench/capacity.py
@@ -1,8 +1,8 @@
-"""Work out docs/CAPACITY.md from measured slopes.
+"""Compute docs/CAPACITY.md from measured slopes.
 
-``python -m comfreywharf_dev.bench.capacity take --note "..."`` keeps the figures of
-the last runs; ``write`` works out the page; ``check`` fails where they disagree.
-The prose stands in ``capacity_page.md``, with a name for each number.
+``python -m comfreywharf_dev.bench.capacity take --note "..."`` stores the figures of
+the last runs; ``write`` writes the page; ``check`` fails if the page is outdated.
+``capacity_page.md`` is the template of the page, with a placeholder for each number.
 """
 
 import sys
@@ -33,7 +33,7 @@
 
 @attrs.frozen(kw_only=True)
 class Deployment:
-    """The size to design for, and the assumptions that the letter leaves open."""
+    """The size to design for, and assumptions where the requirements give no value."""
 
     nodes: int = 640
     keys: int = 470_000_000
@@ -52,18 +52,21 @@
 
     @property
     def node_requests_per_s(self):
-        """Return the requests that each node takes from callers, in the mean."""
+        """Return the mean rate of requests that a node receives from callers."""
         return self.requests_per_s / self.nodes
 
     @property
     def slices(self):
-        """Return the slices of all services."""
+        """Return the number of slices of all services."""
         return self.nodes * self.slices_per_node
 
 
 def take(measured, folder, note):
-    """Return the kept figures with those of the last runs put in, and the history."""
-    kept = {**measured}
+    """Return the stored figures updated with those of the last runs.
+
+    Runs that ended in an error are left out. A note adds an entry to the history.
+    """
+    stored = {**measured}
     for name in BENCHMARKS:
         path = folder / f"{name}.json"
         if not path.exists():
@@ -71,40 +74,42 @@
         record = orjson.loads(path.read_bytes())
         if record["error"]:
             continue
-        kept[name] = {
+        stored[name] = {
             "conditions": {
                 field: round(record[field], 3)
                 for field in ("load_before", "load_after", "stolen_fraction", "cores")
             },
             "figures": {
-                one["figure"]["name"]: _kept_figure(one["figure"])
+                one["figure"]["name"]: _stored_figure(one["figure"])
                 for one in record["judged"]
                 if one["figure"]["value"] is not None
             },
         }
-    control = kept.get("control_cost")
+    control = stored.get("control_cost")
     if control and note:
         names = ("core_at_640", "rss_mib_at_640", "wire_bytes_per_s_at_640")
         entry = {"after": note, **control["conditions"]}
         entry |= {name: control["figures"][name]["value"] for name in names}
-        kept["history"] = [*kept.get("history", []), entry]
-    return kept
+        stored["history"] = [*stored.get("history", []), entry]
+    return stored
 
 
-def _kept_figure(figure):
+def _stored_figure(figure):
     return {
-        "value": _short(figure["value"]),
+        "value": _rounded(figure["value"]),
         "unit": figure["unit"],
-        "points": [[_short(number) for number in point] for point in figure["points"]],
+        "points": [
+            [_rounded(number) for number in point] for point in figure["points"]
+        ],
     }
 
 
-def _short(number):
+def _rounded(number):
     return float(f"{number:.5g}")
 
 
-class Sheet:
-    """The numbers of the page, worked out from what was measured."""
+class PageNumbers:
+    """The numbers of the page, computed from the stored figures."""
 
     def __init__(self, measured, deployment):
         self._measured = measured
@@ -112,22 +117,22 @@
         self.numbers = {}
 
     def figure(self, name):
-        """Return a kept figure by ``benchmark.figure``."""
+        """Return a stored figure, given as ``benchmark.figure``."""
         benchmark, _, figure = name.partition(".")
         return self._measured[benchmark]["figures"][figure]["value"]
 
     def points(self, name):
-        """Return the points behind a kept figure."""
+        """Return the measured points of a stored figure."""
         benchmark, _, figure = name.partition(".")
         return self._measured[benchmark]["figures"][figure]["points"]
 
     def put(self, **numbers):
-        """Name numbers or texts of the page."""
+        """Set numbers or texts of the page by name."""
         for name, value in numbers.items():
             self.numbers[name] = value if isinstance(value, str) else show(value)
 
-    def fill(self):
-        """Work out every number and return them by name."""
+    def compute(self):
+        """Compute all numbers and return them by name."""
         for name, value in attrs.asdict(self._deployment).items():
             self.put(**{name: value})
         self._requests()
@@ -280,9 +285,9 @@
         size = self._deployment
         record_bytes = self.figure("state_size.announcement_bytes")
         fold_us = self.figure("state_size.announcement_fold_us")
-        # A restart writes an announcement and a lease; its slices move away
-        # before and come back after, in one record each, and each slice that
-        # was moved is reported as released once a way.
+        # A restart writes an announcement and a lease. Its slices move away
+        # before it and back after it, with one record for each direction, and
+        # each moved slice is reported as released once in each direction.
         restart_records = 4 + 2 * size.slices_per_node
         loss_records = 2 + 2 * size.slices_per_node
         records = size.patches_per_day
@@ -335,8 +340,8 @@
 
 
 def render(measured, template):
-    """Return the page for kept figures; raises `KeyError` where one is missing."""
-    numbers = Sheet(measured, Deployment()).fill()
+    """Return the page for stored figures; raises `KeyError` if one is missing."""
+    numbers = PageNumbers(measured, Deployment()).compute()
     return Template(template).substitute(numbers)
 
 
@@ -349,10 +354,10 @@
 
 @app.command(name="take")
 def take_command(*, note: str = ""):
-    """Keep the figures of the last runs; a note adds them to the history."""
-    kept = take(_read_measured(), OUTPUT_FOLDER, note)
+    """Store the figures of the last runs; a note adds them to the history."""
+    stored = take(_read_measured(), OUTPUT_FOLDER, note)
     options = orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS
-    MEASURED.write_bytes(orjson.dumps(kept, option=options) + b"\n")
+    MEASURED.write_bytes(orjson.dumps(stored, option=options) + b"\n")
 
 
 @app.command
@@ -364,7 +369,7 @@
 
 @app.command
 def check():
-    """Exit with 1 if the page isn't the one that the kept figures give."""
+    """Exit with 1 if the page doesn't match the stored figures."""
     page = render(_read_measured(), TEMPLATE.read_text(encoding="utf-8"))
     if page != PAGE.read_text(encoding="utf-8"):
         sys.exit(
--- a/comfreywharf_dev/bench/control_cost.py
+++ b/comfreywharf_dev/bench/control_cost.py
@@ -1,8 +1,8 @@
-"""What control costs a node: processor time, memory and bytes, by number of nodes.
+"""Cost of the control plane per node: processor time, memory and network bytes.
 
 Nodes are added in groups to one running cluster, each group with a service of its
-own, so that every node owns as many slices at every size. No request is sent while
-it is measured. One process plays the backend servers of a whole group.
+own, so that a node owns the same number of slices at every size. No requests are
+sent during the measurement. One process acts as the backend servers of a whole group.
 """
 
 import statistics
@@ -29,7 +29,7 @@
 DOMAINS = 6
 TARGET_NODES = 640
 SEGMENT_HEADER_BYTES = 52
-"""Of IPv4 and TCP with timestamps."""
+"""Headers of IPv4 and of TCP with timestamps."""
 
 START_TIMEOUT_S = 40.0
 MEBIBYTE = 1 << 20
@@ -37,7 +37,7 @@
 
 @attrs.frozen(kw_only=True)
 class Sample:
-    """The mean node at one size; ``worst_core`` is the busiest node's."""
+    """Means over the nodes at one size; ``worst_core`` is that of the busiest node."""
 
     nodes: int
     core: float
@@ -49,14 +49,14 @@
 
 
 class GrowingCluster(AuditedCluster):
-    """A cluster that gets more nodes while it runs."""
+    """A cluster to which nodes are added while it runs."""
 
     def __init__(self, folder):
         super().__init__(folder, [])
         self.group_processes = []
 
     def grow(self, count):
-        """Add a group of nodes with a service of its own; return the service."""
+        """Add a group of nodes with a service of its own; return the service's name."""
         service = f"group-{len(self.group_processes)}"
         first = len(self.plans)
         plans = [
@@ -102,10 +102,10 @@
         return sock.getsockname()[1]
 
     def start_server(self, node_id):
-        """Do nothing: a group's server stands beside all of its nodes."""
+        """Do nothing: a group has one server for all of its nodes."""
 
     def stop(self):
-        """End every process that this object started."""
+        """Stop every process that this object started."""
         for process in self.group_processes:
             process.kill()
             process.wait()
@@ -115,8 +115,8 @@
 def run(sizes=SIZES):
     """Measure at each size and return the figures.
 
-    A machine that can't start the largest size in time still gives the figures
-    of the smaller ones; ``largest_size`` then breaks its bound.
+    If a size can't be started in time, the figures of the smaller sizes are still
+    returned; ``largest_size`` then breaks its bound.
     """
     samples = []
     with tempfile.TemporaryDirectory() as folder, GrowingCluster(folder) as cluster:
@@ -124,7 +124,7 @@
             try:
                 samples.append(_grow_and_measure(cluster, size))
             except TimeoutError as error:
-                logging.error("%d nodes: %s", size, error)
+                logging.error("not started with %d nodes: %s", size, error)
                 break
     yield from _figures(samples)
 
@@ -136,19 +136,23 @@
 
 
 def measure(cluster, window_s=WINDOW_S):
-    """Return the `Sample` of a cluster over some seconds."""
+    """Return the `Sample` of a cluster over ``window_s`` seconds."""
     audited = list(cluster.plans)[:: max(1, len(cluster.plans) // 8)]
     pids = [plan.node_process.pid for plan in cluster.plans.values()]
-    carried_before = {node_id: _carried(cluster, node_id) for node_id in audited}
+    traffic_before = {
+        node_id: _connection_traffic(cluster, node_id) for node_id in audited
+    }
     log_before_s = processor_s(cluster.log_process.pid)
     before_s = [processor_s(pid) for pid in pids]
     start_s = boottime_s()
     time.sleep(window_s)
-    used_s = [processor_s(pid) - was for pid, was in zip(pids, before_s, strict=True)]
+    used_s = [
+        processor_s(pid) - earlier for pid, earlier in zip(pids, before_s, strict=True)
+    ]
     elapsed_s = boottime_s() - start_s
     log_used_s = processor_s(cluster.log_process.pid) - log_before_s
-    carried = [
-        _difference(carried_before[node_id], _carried(cluster, node_id))
+    traffic = [
+        _difference(traffic_before[node_id], _connection_traffic(cluster, node_id))
         for node_id in audited
     ]
     return Sample(
@@ -156,8 +160,8 @@
         core=statistics.fmean(used_s) / elapsed_s,
         worst_core=max(used_s) / elapsed_s,
         rss_mib=statistics.fmean(_rss_mib(pid) for pid in pids),
-        payload_bytes_per_s=statistics.fmean(p for p, _ in carried) / elapsed_s,
-        wire_bytes_per_s=statistics.fmean(w for _, w in carried) / elapsed_s,
+        payload_bytes_per_s=statistics.fmean(p for p, _ in traffic) / elapsed_s,
+        wire_bytes_per_s=statistics.fmean(w for _, w in traffic) / elapsed_s,
         log_core=log_used_s / elapsed_s,
     )
 
@@ -166,8 +170,8 @@
     return psutil.Process(pid).memory_info().rss / MEBIBYTE
 
 
-def _carried(cluster, node_id):
-    """Return what each of a node's connections to other machines carried so far."""
+def _connection_traffic(cluster, node_id):
+    """Return the traffic so far of a node's connections to other nodes and the log."""
     plan = cluster.plans[node_id]
     own = {plan.backend_port, plan.server_port, plan.operator_port}
     return {
@@ -184,10 +188,10 @@
 def _difference(before, after):
     payload, segments = 0, 0
     for name, one in after.items():
-        was = before.get(name, {})
+        earlier = before.get(name, {})
         for field in ("sent_bytes", "received_bytes"):
-            payload += one[field] - was.get(field, 0)
-        segments += one["segments"] - was.get("segments", 0)
+            payload += one[field] - earlier.get(field, 0)
+        segments += one["segments"] - earlier.get("segments", 0)
     return payload, payload + segments * SEGMENT_HEADER_BYTES
 
 
--- a/comfreywharf_dev/bench/load_model.py
+++ b/comfreywharf_dev/bench/load_model.py
@@ -1,8 +1,8 @@
-"""A backend server and its callers in simulated time, around the admission code.
+"""A simulation of a backend server with admission control and of its callers.
 
-The decisions are the product's own (`comfreywharf.load`); only service times,
-arrivals and callers are modelled, from a seeded generator, so that each run gives
-the same figures.
+The decisions are made by the product's code (`comfreywharf.load`). Only service
+times, arrivals and callers are modelled, with a seeded random generator, so that
+every run gives the same figures.
 """
 
 import heapq
@@ -29,7 +29,7 @@
 
 
 class Clock:
-    """Simulated time: calls that are due later."""
+    """Simulated time with a queue of scheduled calls."""
 
     def __init__(self):
         self.now_s = 0.0
@@ -37,11 +37,11 @@
         self._order = itertools.count()
 
     def at(self, time_s, call):
-        """Have ``call()`` made at a time."""
+        """Schedule ``call()`` for a simulated time."""
         heapq.heappush(self._due, (time_s, next(self._order), call))
 
     def run(self, until_s):
-        """Make the calls that are due until a time."""
+        """Make the calls that are due up to a time, and advance to that time."""
         while self._due and self._due[0][0] <= until_s:
             self.now_s, _, call = heapq.heappop(self._due)
             call()
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class Outcome:
-    """What became of one request; ``retry_after_s`` comes with a refusal."""
+    """The outcome of one request; ``retry_after_s`` is set for refused requests."""
 
     good: bool
     refused: bool
@@ -59,59 +59,59 @@
 
 
 class ModelServer:
-    """Slots with random service times, behind the product's admission.
+    """A server whose slots have random service times, with the product's admission.
 
-    Work that was begun keeps its slot to the end, also when its deadline has
-    passed, as in the stand-in backend server. ``slow_factor`` stretches the service
-    times; ``crowding`` adds that fraction for each other request in flight
-    while the server is cold, that is, until it gave ``cold_answers``.
+    A started request keeps its slot until it is done, even if its deadline passes, as
+    in the stand-in backend server. Service times are multiplied by ``slow_factor``.
+    While the server is cold, that is, until it has given ``cold_answers`` good
+    answers, each other request in flight adds the fraction ``crowding`` to them.
     """
 
-    def __init__(self, clock, chance, *, slots=12, mean_s=0.01, queue_length=256):
+    def __init__(self, clock, rng, *, slots=12, mean_s=0.01, queue_length=256):
         self.state = AdmissionState(
-            ConcurrencyLimit(slots), queue_length, random.Random(chance.random())
+            ConcurrencyLimit(slots), queue_length, random.Random(rng.random())
         )
         self.slow_factor = 1.0
         self.crowding = 0.0
         self.cold_answers = 0
         self._clock = clock
-        self._chance = chance
+        self._rng = rng
         self._mean_s = mean_s
-        self._callers = {}
+        self._callbacks = {}
         self._ticking = False
 
     @property
     def capacity_per_s(self):
-        """Return how many requests a second the slots can do."""
+        """Return the number of requests per second that the slots can serve."""
         return self.state.limit.slots / self._mean_s
 
-    def send(self, flow, patience_s, tell):
-        """Send a request; ``tell(Outcome)`` is called when it has an outcome."""
+    def send(self, flow, timeout_s, on_outcome):
+        """Send a request; call ``on_outcome(Outcome)`` when its outcome is known."""
         now_s = self._clock.now_s
-        ticket = Ticket(flow=flow, deadline_s=now_s + patience_s, arrived_s=now_s)
-        self._callers[ticket] = tell
-        self._carry_out(decide(self.state, Arrived(ticket), now_s))
+        ticket = Ticket(flow=flow, deadline_s=now_s + timeout_s, arrived_s=now_s)
+        self._callbacks[ticket] = on_outcome
+        self._execute(decide(self.state, Arrived(ticket), now_s))
         if self.state.waiting and not self._ticking:
             self._ticking = True
             self._clock.at(now_s + TICK_S, self._tick)
 
     def _tick(self):
-        self._carry_out(decide(self.state, TimePassed(), self._clock.now_s))
+        self._execute(decide(self.state, TimePassed(), self._clock.now_s))
         self._ticking = bool(self.state.waiting)
         if self._ticking:
             self._clock.at(self._clock.now_s + TICK_S, self._tick)
 
-    def _carry_out(self, actions):
+    def _execute(self, actions):
         for action in actions:
             if isinstance(action, Begin):
                 self._begin(action.ticket)
                 continue
             waited_s = self._clock.now_s - action.ticket.arrived_s
             outcome = Outcome(False, True, waited_s, action.retry_after_s)
-            self._callers.pop(action.ticket)(outcome)
+            self._callbacks.pop(action.ticket)(outcome)
 
     def _begin(self, ticket):
-        work_s = self._chance.expovariate(1 / self._mean_s) * self.slow_factor
+        work_s = self._rng.expovariate(1 / self._mean_s) * self.slow_factor
         if self.cold_answers > 0:
             work_s *= 1 + self.crowding * (len(self.state.in_flight) - 1)
         end_s = self._clock.now_s + work_s
@@ -121,25 +121,25 @@
     def _finish(self, ticket, good):
         self.cold_answers -= good
         latency_s = self._clock.now_s - ticket.arrived_s
-        self._callers.pop(ticket)(Outcome(good, False, latency_s))
+        self._callbacks.pop(ticket)(Outcome(good, False, latency_s))
         result = Result.ANSWERED if good else Result.FAILED
-        self._carry_out(decide(self.state, Finished(ticket, result), self._clock.now_s))
+        self._execute(decide(self.state, Finished(ticket, result), self._clock.now_s))
 
 
-def arrivals(clock, chance, rate_per_s, start_s, end_s, send):
-    """Call ``send()`` at random times, at a mean rate."""
+def arrivals(clock, rng, rate_per_s, start_s, end_s, send):
+    """Call ``send()`` at exponentially distributed intervals with a mean rate."""
 
     def next_one():
         if clock.now_s >= start_s:
             send()
-        again_s = max(clock.now_s, start_s) + chance.expovariate(rate_per_s)
+        again_s = max(clock.now_s, start_s) + rng.expovariate(rate_per_s)
         if again_s < end_s:
             clock.at(again_s, next_one)
 
-    clock.at(start_s + chance.expovariate(rate_per_s), next_one)
+    clock.at(start_s + rng.expovariate(rate_per_s), next_one)
 
 
 def percentile(values, fraction):
-    """Return the value below which a fraction of them lies."""
+    """Return the value below which a fraction of the values lies."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(len(ordered) * fraction))]
--- a/comfreywharf_dev/bench/path_cost.py
+++ b/comfreywharf_dev/bench/path_cost.py
@@ -1,9 +1,9 @@
-"""What one routed request costs, against the bare chain with the same body.
+"""Cost of one routed request, compared with the bare chain.
 
 Routed: caller, ingress node, owner's node, backend server. Bare: caller, WSGI
-server with geventhttpclient, backend server. Caller, body and backend server are
-the same programs in both. The cost of a request is the slope of processor time over
-several rates.
+server with geventhttpclient, backend server. Both use the same caller, body and
+backend server. The cost of a request is the slope of processor time over several
+request rates.
 """
 
 import tempfile
@@ -40,7 +40,7 @@
 
 @attrs.frozen(kw_only=True)
 class Chain:
-    """A running chain: where to send, and by role the process whose time counts."""
+    """A running chain: its entry, and the ids of the measured processes by role."""
 
     port: int
     path: str
@@ -72,13 +72,13 @@
 
 @contextmanager
 def routed_chain():
-    """Run four nodes; yield the chains through an ingress node, and past it.
+    """Run four nodes; yield the chain through an ingress node and the direct chain.
 
-    One node owns every key: a planner moves load away from one of several while
-    it is measured, and three owners at a third of the rate wake up more often
-    than the one server of the bare chain. The others, one of them the ingress
-    node, serve another service. Past the ingress node is what a caller gets who
-    knows the owner and goes there at once.
+    One node owns every key. With several owners, the planner would move load during
+    the measurement, and three owners at a third of the rate would wake up more often
+    than the one server of the bare chain. The other nodes, one of them the ingress
+    node, serve another service. The direct chain is that of a caller who sends to the
+    owner's node, without the ingress node.
     """
     plans = riga_plans(booking=1, files=3, slots=64)
     with (
@@ -88,7 +88,7 @@
         cluster.submit(riga_services(slices=24))
         cluster.wait_owned("booking")
         owner, ingress = cluster.plans[OWNER], cluster.plans[INGRESS]
-        past = {
+        direct_pids = {
             "owner": owner.node_process.pid,
             "server": owner.server_process.pid,
         }
@@ -96,16 +96,16 @@
             port=ingress.caller_port,
             path="/booking/book",
             keys=tuple(f"key-{index}" for index in range(KEYS)),
-            pids={"ingress": ingress.node_process.pid, **past},
+            pids={"ingress": ingress.node_process.pid, **direct_pids},
         )
-        yield routed, attrs.evolve(routed, port=owner.caller_port, pids=past)
+        yield routed, attrs.evolve(routed, port=owner.caller_port, pids=direct_pids)
 
 
 def run():
-    """Measure the chains in turns and return the figures."""
-    with bare_chain() as bare_ends, routed_chain() as (routed_ends, direct_ends):
-        bare, routed = Measured(bare_ends), Measured(routed_ends)
-        direct = Measured(direct_ends)
+    """Measure the chains alternately and return the figures."""
+    with bare_chain() as bare_entry, routed_chain() as (routed_entry, direct_entry):
+        bare, routed = ChainMeasurements(bare_entry), ChainMeasurements(routed_entry)
+        direct = ChainMeasurements(direct_entry)
         for step in (_warm_up, _measure_rates, _measure_single, _measure_peak):
             for _ in range(ROUNDS):
                 step(bare)
@@ -118,8 +118,8 @@
     yield from _time_figures(bare, routed)
 
 
-class Measured:
-    """What was measured of one chain so far."""
+class ChainMeasurements:
+    """The measurements of one chain so far."""
 
     def __init__(self, chain):
         self.chain = chain
@@ -131,31 +131,34 @@
         self.not_answered = 0
 
     def generate(self, processes=1, **fields):
-        """Run a load on the chain and return the documents."""
+        """Run a load on the chain and return the result documents."""
         documents = generate(attrs.evolve(self.load, **fields), processes)
         self.not_answered += sum(_not_answered(document) for document in documents)
         return documents
 
     @property
     def request_us(self):
-        """Return the processor time of one request by process."""
+        """Return the processor time of one request by role of the process, in us."""
         return {name: fit_line(points).slope for name, points in self.points.items()}
 
     @property
     def total_us(self):
-        """Return the processor time of one request over all processes."""
+        """Return the processor time of one request over all processes, in us."""
         return sum(self.request_us.values())
 
     @property
     def peak_per_s(self):
-        """Return the highest rate that a round reached."""
+        """Return the highest rate over all rounds, in requests per second."""
         return max(self.peaks_per_s)
 
 
 def _warm_up(measured):
     (document,) = measured.generate(seconds=0.5, rate_per_s=200.0)
     if not document["statuses"].get("200"):
-        raise ValueError(f"port {measured.chain.port}: {document['statuses']}")
+        raise ValueError(
+            f"no status 200 from port {measured.chain.port} in the warm-up: "
+            f"{document['statuses']}"
+        )
 
 
 def _measure_rates(measured):
--- a/comfreywharf_dev/bench/placement.py
+++ b/comfreywharf_dev/bench/placement.py
@@ -1,7 +1,7 @@
-"""Imbalance, churn and unavailable time of placement, replayed from load traces.
+"""Imbalance, churn and unavailable time of placement in replays of load traces.
 
-Nothing here reads a clock, so the figures are the same in every run; a part of
-them is checked in CI. docs/design/placement.md explains them.
+Nothing here reads a clock, so the figures are the same in every run. Some of them
+are checked in CI. docs/design/placement.md explains them.
 """
 
 import zlib
@@ -12,7 +12,7 @@
 from comfreywharf.placement import Switches, policy_for
 from comfreywharf_dev.bench.figures import Figure
 from comfreywharf_dev.bench.placement_baselines import at_once, replay_hash_ring
-from comfreywharf_dev.bench.placement_replay import Measured, Replay
+from comfreywharf_dev.bench.placement_replay import Replay, ReplayResult
 from comfreywharf_dev.bench.placement_traces import (
     AHMEDABAD,
     LARGE,
@@ -24,7 +24,7 @@
     wedding_season,
 )
 
-__all__ = ["compare", "make_trace", "mechanisms", "never_policy", "run"]
+__all__ = ["compare", "make_trace", "mechanisms", "no_moves_policy", "run"]
 
 LARGE_DURATION_S = 720.0
 LARGE_STEP_S = 5.0
@@ -32,7 +32,7 @@
 
 
 def run():
-    """Replay every trace for both deployments, and two for 640 nodes."""
+    """Replay every trace for both deployments, and two traces for 640 nodes."""
     figures = []
     for deployment in (RIGA, AHMEDABAD):
         for build in TRACES:
@@ -41,11 +41,11 @@
         trace = attrs.evolve(make_trace(LARGE, build), duration_s=LARGE_DURATION_S)
         measured = Replay(trace, step_s=LARGE_STEP_S).run()
         figures += _figures(f"large_{build.__name__}", measured)
-    return [*figures, _noticed_takeovers(), *mechanisms()]
+    return [*figures, _takeovers_without_notice(), *mechanisms()]
 
 
 def make_trace(deployment, build, number=0):
-    """Return a trace whose seed depends on its name and number alone."""
+    """Return a trace whose seed depends only on deployment, builder and number."""
     seed = zlib.crc32(f"{deployment.name} {build.__name__} {number}".encode())
     return build(deployment, np.random.default_rng(seed))
 
@@ -53,32 +53,32 @@
 def compare(deployment, build, seeds=SEEDS):
     """Return figures of the product's policy and of both baselines.
 
-    Each is the mean over traces from different seeds.
+    Each figure is the mean over traces with different seeds.
     """
     traces = [make_trace(deployment, build, number) for number in range(seeds)]
     name = f"{deployment.name}_{build.__name__}"
-    ours = _mean([Replay(trace).run() for trace in traces])
-    prompt = _mean([Replay(trace, make_policy=at_once).run() for trace in traces])
+    product = _mean([Replay(trace).run() for trace in traces])
+    immediate = _mean([Replay(trace, make_policy=at_once).run() for trace in traces])
     ring = _mean([replay_hash_ring(trace) for trace in traces])
     return [
-        *_figures(name, ours),
+        *_figures(name, product),
         Figure(
             name=f"{name}_churn_ratio",
-            value=ours.churn / prompt.churn,
+            value=product.churn / immediate.churn,
             unit="ratio",
-            note=f"churn {ours.churn:.2f} against {prompt.churn:.2f} at once",
+            note=f"churn {product.churn:.2f} against {immediate.churn:.2f} at once",
         ),
-        *_figures(f"{name}_at_once", prompt),
+        *_figures(f"{name}_at_once", immediate),
         *_figures(f"{name}_hash_ring", ring),
     ]
 
 
 def _mean(results):
     columns = zip(*(attrs.astuple(result) for result in results), strict=True)
-    return Measured(
+    return ReplayResult(
         **{
             field.name: sum(column) / len(column)
-            for field, column in zip(attrs.fields(Measured), columns, strict=True)
+            for field, column in zip(attrs.fields(ReplayResult), columns, strict=True)
         }
     )
 
@@ -99,7 +99,7 @@
 
 
 def mechanisms():
-    """Return what single mechanisms are worth: each figure with and without."""
+    """Return a figure with and without each of several mechanisms."""
     coarse = attrs.evolve(RIGA, service=attrs.evolve(RIGA.service, slices=16))
     return [
         *_with_and_without(
@@ -112,7 +112,7 @@
             "rebalancing",
             make_trace(RIGA, wedding_season),
             "imbalance_mean",
-            make_policy=never_policy,
+            make_policy=no_moves_policy,
         ),
         *_with_and_without(
             "spread_standbys",
@@ -129,7 +129,7 @@
     ]
 
 
-def _noticed_takeovers():
+def _takeovers_without_notice():
     trace = attrs.evolve(make_trace(LARGE, domain_loss), duration_s=400.0)
     off = Replay(
         trace, step_s=LARGE_STEP_S, switches=Switches(notice_takeovers=False)
@@ -141,8 +141,8 @@
     )
 
 
-def never_policy(service):
-    """Return a policy that moves nothing for balance."""
+def no_moves_policy(service):
+    """Return a policy that never moves slices for balance."""
     return attrs.evolve(policy_for(service), trigger=float("inf"))
 
 
--- a/comfreywharf_dev/bench/placement_cost.py
+++ b/comfreywharf_dev/bench/placement_cost.py
@@ -1,7 +1,7 @@
-"""What planning costs: processor time of rounds and reports, bytes, memory.
+"""Cost of planning: processor time of rounds and reports, message sizes, memory.
 
-Processor time is this process's own, so that other work on the machine counts
-little; bytes are a message's own, without headers of the network.
+Processor time is that of this process, so that other work on the machine has little
+influence. Message sizes exclude network headers.
 """
 
 import gc
@@ -51,7 +51,7 @@
 
 
 def begin_planning(cluster, now_s=0.0):
-    """Return the state of a planner that heard once of every member."""
+    """Return the state of a planner that has received one report from every member."""
     state = PlanningState.begin(now_s)
     for member in cluster.members.values():
         report = NodeReport(node_id=member.node_id, incarnation=member.incarnation)
@@ -63,8 +63,8 @@
     """Measure and return the figures."""
     points = []
     for slices in SLICE_COUNTS:
-        cluster, first_s = _planned_cluster(MEMBERS, slices)
-        state = _loaded(cluster)
+        cluster, first_s = _cluster_after_first_round(MEMBERS, slices)
+        state = _state_with_rates(cluster)
         points.append((slices, 1e6 * _round_s(state, cluster)))
     yield Figure(name="first_round_ms", value=1e3 * first_s, unit="ms")
     yield Figure(
@@ -82,7 +82,9 @@
     )
     yield Figure(name="loss_round_ms", value=1e3 * _loss_s(cluster), unit="ms")
     yield Figure(
-        name="state_mib", value=_allocated(lambda: _loaded(cluster)), unit="MiB"
+        name="state_mib",
+        value=_allocated(lambda: _state_with_rates(cluster)),
+        unit="MiB",
     )
     rates = rates_per_report(MEMBERS)
     usual, full = _encoded(_report(rates)), _encoded(_report(SLICES // MEMBERS))
@@ -106,15 +108,15 @@
     yield Figure(name="make_report_us", value=1e6 * _make_report_s(cluster), unit="us")
 
 
-def _planned_cluster(members, slices):
-    """Return a cluster after its first round of planning, and that round's time."""
+def _cluster_after_first_round(members, slices):
+    """Return a cluster after its first planning round, and the round's time in s."""
     cluster = ClusterState()
 
     def append(kind, **fields):
         record = kind(record_id=str(cluster.next_offset), **fields)
         result = fold(cluster, cluster.next_offset, record)
         if not result.accepted:
-            raise ValueError(f"{record}: {result.refusal}")
+            raise ValueError(f"{record} refused: {result.refusal}")
 
     service = ServiceConfig(name=SERVICE, slices=slices)
     append(ConfigPatched, base_version=0, services={SERVICE: service}, author="bench")
@@ -150,8 +152,8 @@
     return cluster, first_s
 
 
-def _loaded(cluster):
-    """Return a planner's state that knows a rate for each slice."""
+def _state_with_rates(cluster):
+    """Return a planner's state that has a reported rate for each slice."""
     state = PlanningState.begin(0.0)
     owned = {}
     for _, piece in _pieces(cluster):
@@ -180,8 +182,11 @@
 
 
 def _loss_s(cluster):
-    """Return the time of the round that replaces a lost domain's standbys."""
-    state = _loaded(cluster)
+    """Return the processor time of the round after the loss of a domain, in seconds.
+
+    This round replaces the standbys in the lost domain.
+    """
+    state = _state_with_rates(cluster)
     for member in cluster.members.values():
         if member.failure_domain == "domain-0":
             event = planning.TakeoverFolded(owner_id=member.node_id)
@@ -220,7 +225,7 @@
 
 
 def _reports_s(state, data):
-    """Return the processor time to read and take one report, in seconds."""
+    """Return the processor time to decode and apply one report, in seconds."""
     start_s = time.process_time()
     for _ in range(REPORTS):
         message = LoadReport()
@@ -230,7 +235,7 @@
 
 
 def _make_report_s(cluster):
-    """Return the processor time in which a node makes its report, in seconds."""
+    """Return the processor time a node needs to make its report, in seconds."""
     meter = SliceMeter()
     start_s = time.process_time()
     for number in range(ROUNDS):
--- a/comfreywharf_dev/bench/placement_replay.py
+++ b/comfreywharf_dev/bench/placement_replay.py
@@ -1,4 +1,4 @@
-"""Drive the planner's own decisions with a load trace, through the real fold."""
+"""Replay a load trace through the product's planner and its fold of records."""
 
 from collections import defaultdict
 
@@ -32,34 +32,35 @@
     fold,
 )
 
-__all__ = ["Measured", "Replay", "Tally"]
+__all__ = ["Replay", "ReplayResult", "Tally"]
 
 PLANNER_ID = "planner"
 TAKEOVER_S = 1.5
-"""How long a lost owner's keys are without service until a standby serves."""
+"""Time in seconds in which a lost owner's keys are unavailable, until the takeover."""
 
 HAND_OVER_S = 0.05
-"""How long a key that moves between live nodes is without service."""
+"""Time in seconds in which a key is unavailable while it moves between live nodes."""
 
 CAPACITY = 1.5
-"""What a warm server can serve, in fair shares of the trace's peak."""
+"""The load that a warm server can serve, in fair shares of the trace's peak."""
 
 COLD_S = 30.0
 COLD_CAPACITY = 0.2
 WARM_UP_S = 60.0
-"""The start of a replay that isn't measured: the first loads aren't known yet."""
+"""The first seconds of a replay, before loads are known, aren't measured."""
 
 HOT_KEYS = 25
 
 
 @attrs.frozen(kw_only=True)
-class Measured:
-    """What a replay showed.
-
-    Imbalance is the highest load of a server by the mean over all servers that
-    run and don't drain. ``churn`` is the sum of the load shares that changed
-    owner by plan, ``moves`` their number; ``takeovers`` are counted apart.
-    ``unavailable_s`` weighs each second by the share of the load without service.
+class ReplayResult:
+    """The results of a replay.
+
+    Imbalance is the highest load of a server divided by the mean over all servers
+    that run and aren't draining. ``churn`` is the sum of the load shares in planned
+    moves, ``moves`` the number of planned moves; ``takeovers`` are counted
+    separately. ``unavailable_s`` weights each second by the share of the load that is
+    unavailable.
     """
 
     imbalance_mean: float
@@ -69,11 +70,11 @@
     moves: int
     takeovers: int
     unavailable_s: float
-    most_slices: int
+    max_slices: int
 
 
 class Tally:
-    """Add up a replay's steps."""
+    """Accumulate the results of a replay's steps."""
 
     def __init__(self, trace):
         self._trace = trace
@@ -83,10 +84,10 @@
         self.moves = 0
         self.takeovers = 0
         self.unavailable_s = 0.0
-        self.most_slices = 0
+        self.max_slices = 0
 
     def step(self, now_s, step_s, loads, cold):
-        """Count a step; ``loads`` are by serving node, ``cold`` those not yet warm."""
+        """Add a step; ``loads`` are by serving node, ``cold`` are the cold nodes."""
         total = sum(loads.values())
         if now_s < WARM_UP_S or total <= 0:
             return
@@ -96,19 +97,19 @@
             self.unavailable_s += step_s * max(0.0, load - limit) / total
 
     def moved(self, now_s, share):
-        """Count a planned move of a share of the load."""
+        """Add a planned move of a share of the load."""
         if now_s >= WARM_UP_S:
             self.churn += share
             self.moves += 1
             self.unavailable_s += HAND_OVER_S * share
 
     def lost(self, seconds, share):
-        """Count a share of the load that nobody served for some seconds."""
+        """Add a share of the load that was unavailable for some seconds."""
         self.unavailable_s += seconds * share
 
     def result(self):
-        """Return what was `Measured`."""
-        return Measured(
+        """Return the `ReplayResult`."""
+        return ReplayResult(
             imbalance_mean=float(np.mean(self._imbalances)),
             imbalance_p95=float(np.percentile(self._imbalances, 95)),
             imbalance_max=float(max(self._imbalances)),
@@ -116,14 +117,14 @@
             moves=self.moves,
             takeovers=self.takeovers,
             unavailable_s=self.unavailable_s,
-            most_slices=self.most_slices,
+            max_slices=self.max_slices,
         )
 
 
 class Replay:
-    """One trace, one planner, one simulated time; nothing reads a clock.
+    """A replay of one trace with one planner in simulated time.
 
-    ``step_s`` is the time between two rounds of planning.
+    ``step_s`` is the time between two planning rounds, in seconds.
     """
 
     def __init__(self, trace, seed=1, step_s=2.0, **planning_fields):
@@ -144,7 +145,7 @@
         self._set_up()
 
     def run(self):
-        """Replay the whole trace and return what was `Measured`."""
+        """Replay the whole trace and return the `ReplayResult`."""
         while self._now_s < self.trace.duration_s:
             self.step()
         return self._tally.result()
@@ -161,7 +162,7 @@
         self._plan()
         self._measure()
 
-    # The cluster.
+    # State of the cluster.
 
     def _append(self, record):
         return fold(self.cluster, self.cluster.next_offset, record)
@@ -286,10 +287,10 @@
                     )
                 )
 
-    # Load.
+    # Load and reports.
 
     def _slice_rates(self):
-        """Return the requests a second by slice start."""
+        """Return the requests per second of each slice, by its start."""
         starts = np.array([piece.start for piece in self._pieces], dtype=np.int64)
         places = np.searchsorted(starts, self.trace.positions, side="right") - 1
         sums = np.bincount(places, weights=self._key_rates, minlength=len(starts))
@@ -325,7 +326,7 @@
         planning.decide(self._planning, LoadReported(report=report), self._now_s)
 
     def _hot_keys(self):
-        """Return the hottest keys by owner, as a sketch would estimate them."""
+        """Return the hottest keys by owner, with the estimation error of a sketch."""
         service = self.trace.deployment.service.name
         hottest = np.argpartition(self._key_rates, -HOT_KEYS)[-HOT_KEYS:]
         found = defaultdict(list)
@@ -366,4 +367,4 @@
                 loads[piece.owner] += rates[piece.start]
         cold = {n for n in loads if self._now_s - self._started_s[n] < COLD_S}
         self._tally.step(self._now_s, self._step_s, loads, cold)
-        self._tally.most_slices = max(self._tally.most_slices, len(self._pieces))
+        self._tally.max_slices = max(self._tally.max_slices, len(self._pieces))
--- a/comfreywharf_dev/bench/planned_stop.py
+++ b/comfreywharf_dev/bench/planned_stop.py
@@ -1,8 +1,8 @@
-"""What callers notice of planned stops: nothing cut, nothing refused, short gaps.
+"""Effect of planned stops on callers: requests cut or refused, and gaps in service.
 
 Each round stops one node gracefully while callers book its keys through the other
-nodes, one caller a key. The gap of a key is how much longer than its usual
-interval a caller waited between two answers, around the stop.
+nodes, one caller per key. The gap of a key is its longest interval between two
+answers around the stop, minus its median interval before.
 """
 
 import statistics
@@ -26,14 +26,14 @@
 NODES = 4
 SLICES = 16
 KEYS = tuple(f"calendar-{number}" for number in range(16))
-LIMIT_S = 30.0
-NO_NEW_WORK_S = 2.0
-WATCHED_S = 3.0
+TIMEOUT_S = 30.0
+NO_NEW_WORK_AFTER_S = 2.0
+OBSERVED_S = 3.0
 
 
 def run():
-    """Return refusals, cuts, late work, and the 99th percentile of the gaps."""
-    gaps_ms, lost, late, told = [], 0, 0, []
+    """Return refusals, cuts, late work, the p99 of the gaps, and violations."""
+    gaps_ms, lost, late, booking_outcomes = [], 0, 0, []
     with tempfile.TemporaryDirectory(prefix="comfreywharf-stop-") as folder:
         plans = riga_plans(booking=NODES, files=0)
         with Cluster(folder, plans) as cluster:
@@ -42,13 +42,15 @@
             for number in range(STOPS):
                 stopped = f"booking-{1 + number % NODES}"
                 lines, stopped_s = _stop_one(cluster, stopped)
-                told += lines
+                booking_outcomes += lines
                 gaps_ms += _gaps_ms(lines, stopped_s)
                 late += _late_effects(cluster, stopped, stopped_s)
                 _restart(cluster, stopped)
             effects = [Effect(**fields) for fields in cluster.effects()]
-    lost = sum(1 for one in told if one.outcome is not ToldOutcome.ANSWERED)
-    return _figures(sorted(gaps_ms), lost, late, find_violations(effects, told))
+    lost = sum(1 for one in booking_outcomes if one.outcome is not ToldOutcome.ANSWERED)
+    return _figures(
+        sorted(gaps_ms), lost, late, find_violations(effects, booking_outcomes)
+    )
 
 
 def _figures(gaps_ms, lost, late, violations):
@@ -71,7 +73,10 @@
 
 
 def _stop_one(cluster, stopped):
-    """Stop a node under load; return what callers of its keys were told, and when."""
+    """Stop a node under load.
+
+    Return the outcomes that callers of its keys received, and when the stop began.
+    """
     survivors = [one for one in cluster.plans if one != stopped]
     _wait_served(cluster, survivors)
     keys = [k for k in KEYS if cluster.owner_of(survivors[0], "booking", k) == stopped]
@@ -81,15 +86,15 @@
     time.sleep(0.5)
     stopped_s = boottime_s()
     cluster.terminate_node(stopped)
-    cluster.plans[stopped].node_process.wait(LIMIT_S)
-    time.sleep(max(0.0, stopped_s + WATCHED_S - boottime_s()))
+    cluster.plans[stopped].node_process.wait(TIMEOUT_S)
+    time.sleep(max(0.0, stopped_s + OBSERVED_S - boottime_s()))
     for one in callers:
         one.end()
     return [line for one in callers for line in one.told], stopped_s
 
 
 def _gaps_ms(lines, stopped_s):
-    """Return each key's longest interval around the stop, less its usual one."""
+    """Return the gap of each key, in milliseconds."""
     by_key = {}
     for one in lines:
         if one.accepted:
@@ -105,7 +110,7 @@
 
 def _late_effects(cluster, stopped, stopped_s):
     name = cluster.plans[stopped].server_name
-    limit_s = stopped_s + NO_NEW_WORK_S
+    limit_s = stopped_s + NO_NEW_WORK_AFTER_S
     return sum(
         1
         for one in cluster.effects()
@@ -117,14 +122,14 @@
     cluster.kill_server(node_id)
     cluster.start_node(node_id)
     cluster.start_server(node_id)
-    seen_by = next(one for one in cluster.plans if one != node_id)
+    observer = next(one for one in cluster.plans if one != node_id)
 
     def owns():
-        pieces = cluster.state(seen_by)["slices"]["booking"]["slices"]
+        pieces = cluster.state(observer)["slices"]["booking"]["slices"]
         return any(piece["owner"] == node_id for piece in pieces)
 
     try:
-        wait_until(owns, LIMIT_S / 3)
+        wait_until(owns, TIMEOUT_S / 3)
     except TimeoutError:
         return
 
@@ -134,7 +139,7 @@
         lambda: all(
             book(cluster, one, key).accepted for one in node_ids for key in KEYS
         ),
-        LIMIT_S,
+        TIMEOUT_S,
     )
 
 
--- a/comfreywharf_dev/bench/snapshots.py
+++ b/comfreywharf_dev/bench/snapshots.py
@@ -1,4 +1,4 @@
-"""What a snapshot costs at the size to design for: 640 nodes, 64 slices each."""
+"""Cost of a snapshot at the size to design for: 640 nodes with 64 slices each."""
 
 import random
 import time
@@ -35,7 +35,7 @@
 
 
 def run():
-    """Encode and load the state of a whole fleet, and fold records into it."""
+    """Encode and load the state of all nodes, and fold records into it."""
     state = _make_state()
     began_s = time.perf_counter()
     copied = state.copy()
@@ -57,7 +57,7 @@
         assembler.add(part)
     loaded_s = time.perf_counter() - began_s
     if assembler.newest != state:
-        raise ValueError("the loaded state isn't the one that was written")
+        raise ValueError("the loaded state differs from the state that was written")
     return [
         Figure(name="encode", value=1000 * encoded_s, unit="ms"),
         Figure(name="longest_step", value=1000 * max(steps_s), unit="ms"),
--- a/comfreywharf_dev/bench/start_cost.py
+++ b/comfreywharf_dev/bench/start_cost.py
@@ -1,8 +1,9 @@
 """Processor time and memory of a node's process from its start until it is ready.
 
-The node starts as on the platform, without docstrings, beside stand-ins of the store
-and of a backend server. What the same interpreter needs to import nothing but the
-libraries is measured in the same run: the machine's speed falls out of the ratio.
+The node starts as on the platform, without docstrings, with stand-ins for the store
+and for a backend server. The time in which the same interpreter imports only the
+libraries is measured in the same run, so that the ratio doesn't depend on the
+machine's speed.
 """
 
 import os
@@ -26,7 +27,7 @@
 ROOT = Path(__file__).parents[2]
 STARTS = 5
 POLL_S = 0.005
-READY_WITHIN_S = 30.0
+READY_TIMEOUT_S = 30.0
 
 LIBRARIES = "gevent geventhttpclient httptools thrift.Thrift absl.logging attrs cattrs "
 LIBRARIES += "orjson returns.result aioprometheus xxhash transitions"
@@ -43,15 +44,17 @@
 
 
 def _wait_ready(process, port):
-    with gevent.Timeout(READY_WITHIN_S):
+    with gevent.Timeout(READY_TIMEOUT_S):
         while not _is_ready(port):
             if process.poll() is not None:
-                raise RuntimeError(f"the node ended with status {process.returncode}")
+                raise RuntimeError(
+                    f"the node exited before it was ready, status {process.returncode}"
+                )
             gevent.sleep(POLL_S)
 
 
 def _start_node(folder, store, index):
-    """Return ``(processor_s, rss_mib)`` of a node that has just become ready."""
+    """Start a node; return ``(processor_s, rss_mib)`` when it becomes ready."""
     ports = free_ports()
     name = f"n{index}"
     path = Path(folder) / f"{name}.conf"
@@ -84,12 +87,12 @@
     """Return the processor time in which an interpreter imports the libraries."""
     code = f"{IMPORT}\nimport time\nprint(time.process_time())"
     command = [sys.executable, "-OO", "-c", code]
-    done = subprocess.run(command, capture_output=True, check=True, text=True)
-    return float(done.stdout)
+    result = subprocess.run(command, capture_output=True, check=True, text=True)
+    return float(result.stdout)
 
 
 def run():
-    """Measure, and return the figures; the smallest of several starts counts."""
+    """Measure and return the figures, each the smallest of several starts."""
     store = PlatformStore()
     store.start()
     store.put("keyed.op", "config", configuration())
--- a/comfreywharf_dev/bench/state_size.py
+++ b/comfreywharf_dev/bench/state_size.py
@@ -1,7 +1,7 @@
 """Memory and time of a node's state: per slice, member, record and connection.
 
-Sizes are tracemalloc's, of objects built by decoding and folding records as a node
-does; connections are measured as resident memory of a running node.
+Sizes are measured with tracemalloc, for objects built by decoding and folding records
+as a node does. Connections are measured as resident memory of a running node.
 """
 
 import gc
@@ -55,21 +55,21 @@
 
 
 class Log:
-    """Encoded records, folded one after another as a node does."""
+    """A log that encodes, decodes and folds each record, as a node does."""
 
     def __init__(self):
         self.state = ClusterState()
 
     def append(self, record):
-        """Fold a record from its bytes; raises `ValueError` if it is refused."""
+        """Encode, decode and fold a record; raises `ValueError` if it is refused."""
         decoded = decode_record(encode_record(record)).unwrap()
         result = fold(self.state, self.state.next_offset, decoded)
         if not result.accepted:
-            raise ValueError(f"{type(record).__name__}: {result.refusal}")
+            raise ValueError(f"{type(record).__name__} refused: {result.refusal}")
 
 
 def announced(index, incarnation=1):
-    """Return the announcement of one node of many."""
+    """Return the announcement of the node with an index."""
     return NodeAnnounced(
         record_id=f"{index:032x}-{incarnation}",
         node_id=f"node-{index:03d}",
@@ -88,7 +88,7 @@
 
 
 def build_state(members, slices):
-    """Return the state after nodes joined and all slices were assigned."""
+    """Return the state after all nodes have joined and all slices are assigned."""
     log = Log()
     service = ServiceConfig(name=SERVICE, slices=slices)
     log.append(
@@ -99,7 +99,7 @@
     for index in range(members):
         log.append(announced(index))
     log.append(PlannerTermStarted(record_id="term", node_id="node-000", base_term=0))
-    moves = _dealt_out(log.state)
+    moves = _even_moves(log.state)
     for first in range(0, len(moves), MOVES_PER_RECORD):
         log.append(
             SlicesMoved(
@@ -111,8 +111,8 @@
     return log.state
 
 
-def _dealt_out(state):
-    """Return a move for each slice, so that all members own as many."""
+def _even_moves(state):
+    """Return a move for each slice that together spread them evenly over members."""
     members = sorted(state.members)
     return [
         SliceMove(
@@ -127,7 +127,7 @@
 
 
 def build_memory(count):
-    """Return the memory of some requests that were answered."""
+    """Return the memory of ``count`` answered requests."""
     memory = AnswerMemory(MemoryLimits(entries=count, total_bytes=1 << 40))
     for index in range(count):
         key = RequestKey(SERVICE, key_hash(b"%d" % index), f"{index:032x}")
@@ -146,10 +146,10 @@
 
 
 def allocated_bytes(build):
-    """Return what the object that ``build()`` makes takes.
+    """Return the memory that the result of ``build()`` takes, in bytes.
 
-    It is made once before, so that what libraries keep after their first use
-    isn't counted.
+    ``build()`` is called once before, so that memory which libraries allocate at
+    their first use isn't counted.
     """
     build()
     gc.collect()
@@ -202,7 +202,9 @@
     keys = [f"key-{index}".encode() for index in range(LOOKUPS)]
     yield Figure(
         name="owner_lookup_us",
-        value=_each_us(lambda: [state.owner_of(SERVICE, key_hash(k)) for k in keys])
+        value=_processor_us(
+            lambda: [state.owner_of(SERVICE, key_hash(k)) for k in keys]
+        )
         / LOOKUPS,
         unit="us",
         note="of processor time, 10,000 slices",
@@ -221,17 +223,17 @@
 
 
 def _planner_times(state):
-    """Yield what the planner spends at 640 nodes and 10,000 slices."""
+    """Yield the planner's processor times at 640 nodes and 10,000 slices."""
     planned = PlanningState.begin(0.0)
     reports = _reports(state)
 
-    def take_reports():
+    def apply_reports():
         for report in reports:
             planning.decide(planned, LoadReported(report=report), 1.0)
 
     yield Figure(
         name="load_report_us",
-        value=_each_us(take_reports) / len(reports),
+        value=_processor_us(apply_reports) / len(reports),
         unit="us",
         note="for the planner to take one, all of a node's slices in it",
     )
@@ -239,7 +241,7 @@
     planning.decide(planned, due, 1.5)
     yield Figure(
         name="plan_round_ms",
-        value=_each_us(lambda: planning.decide(planned, due, 2.0)) / 1000,
+        value=_processor_us(lambda: planning.decide(planned, due, 2.0)) / 1000,
         unit="ms",
         note="of the planner at 640 nodes and 10,000 slices",
     )
@@ -256,7 +258,7 @@
     ]
 
 
-def _each_us(function):
+def _processor_us(function):
     start_s = time.process_time()
     function()
     return (time.process_time() - start_s) * 1e6
@@ -269,7 +271,7 @@
         for data in encoded:
             fold(state, state.next_offset, decode_record(data).unwrap())
 
-    return _each_us(replay)
+    return _processor_us(replay)
 
 
 def _connections():
--- a/comfreywharf_dev/events/tests/test_check.py
+++ b/comfreywharf_dev/events/tests/test_check.py
@@ -1,4 +1,4 @@
-"""The check of events against the catalogue finds what it is there to find."""
+"""Tests of the check of reported events against the catalogue."""
 
 import attrs
 import pytest
@@ -22,7 +22,7 @@
 
 
 def test_code_catalogue_and_page_agree():
-    """CI fails as long as code, catalogue and docs/events.md differ."""
+    """The code, the catalogue and docs/events.md agree."""
     assert all_findings() == []
 
 
@@ -35,12 +35,12 @@
         ('report("log_unreachable")', "has []; expected ['error']"),
         ('report("log_unreachable", error=e, port=1)', "has ['error', 'port']"),
         ('report("log_unreachable", **fields)', "fields aren't plain keywords"),
-        ("report(name, error=e)", "name isn't a plain string"),
-        ("reported(1)", "log_unreachable is reported nowhere"),
+        ("report(name, error=e)", "name isn't a literal string"),
+        ("reported(1)", "log_unreachable is never reported"),
     ],
 )
-def test_calls_are_compared_with_the_catalogue(source, found):
-    """Each way in which a call can differ from the catalogue is a finding."""
+def test_calls_that_differ_from_the_catalogue_are_findings(source, found):
+    """Each kind of difference between a call and the catalogue is a finding."""
     findings = check_calls(list(calls_in(source, "m.py")), {KIND.name: KIND})
     assert bool(findings) == bool(found)
     assert found in "\n".join(findings)
@@ -49,14 +49,14 @@
 @pytest.mark.parametrize(
     ("changes", "found"),
     [
-        ({}, "number 203 stands twice"),
-        ({"number": 703}, "703 is in no group"),
-        ({"fields": ("key",)}, "key may hold people's records"),
-        ({"fields": ("clock",)}, "each line has a field clock already"),
-        ({"action": ""}, "a warning names no action"),
+        ({}, "number 203 is used twice"),
+        ({"number": 703}, "703 is outside all groups"),
+        ({"fields": ("key",)}, "field key may hold personal data"),
+        ({"fields": ("clock",)}, "field clock is reserved for each line"),
+        ({"action": ""}, "severity warning needs an action"),
     ],
 )
-def test_the_catalogue_itself_is_checked(changes, found):
-    """Numbers are unique and in their range, fields are fit for a log."""
+def test_invalid_entries_of_the_catalogue_are_findings(changes, found):
+    """Numbers and names are unique, numbers in range, and fields allowed in a log."""
     findings = catalogue_findings([KIND, attrs.evolve(KIND, **changes)])
     assert any(found in finding for finding in findings)
--- a/comfreywharf_dev/playground/blocks.py
+++ b/comfreywharf_dev/playground/blocks.py
@@ -1,7 +1,7 @@
-"""The commands that a page of the docs shows, with the output it shows for each.
+"""Parse the commands in a page of the docs, with the output shown for each.
 
-A block is marked for the check by a line ``<!-- run -->`` before its fence. In
-the shown output ``...`` stands for anything, and blanks count as one.
+A line ``<!-- run -->`` before a code block selects it for the check. In the
+shown output ``...`` matches anything, and any run of whitespace matches any other.
 """
 
 import re
@@ -9,7 +9,7 @@
 
 import attrs
 
-__all__ = ["Shown", "matches", "shown_commands"]
+__all__ = ["ShownCommand", "matches", "shown_commands"]
 
 _BLOCK = re.compile(r"^<!-- run -->\n```console\n(.*?)^```$", re.MULTILINE | re.DOTALL)
 _EXIT_CODE = re.compile(r"# exits with ([0-9]+)$")
@@ -17,8 +17,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class Shown:
-    """A command as shown, with its output and exit code."""
+class ShownCommand:
+    """A command in a page, with the output and exit code that the page shows."""
 
     command: str
     output: str
@@ -33,7 +33,7 @@
             command, _, output = part.partition("\n")
             code = _EXIT_CODE.search(command)
             found.append(
-                Shown(
+                ShownCommand(
                     command=command,
                     output=output,
                     exit_code=int(code[1]) if code else 0,
@@ -43,6 +43,6 @@
 
 
 def matches(shown, output):
-    """Return whether a command's output is the shown one."""
+    """Return whether a command's output matches the shown one."""
     options = ELLIPSIS | NORMALIZE_WHITESPACE
     return OutputChecker().check_output(shown.output, output, options)
--- a/comfreywharf_dev/playground/tests/test_tool.py
+++ b/comfreywharf_dev/playground/tests/test_tool.py
@@ -1,4 +1,4 @@
-"""The tool against real processes: operators who race, answers that are lost."""
+"""Tests of the tool with real processes: concurrent operators and lost answers."""
 
 import os
 import subprocess
@@ -52,14 +52,14 @@
     return cluster.status("booking-1")["config_version"]
 
 
-def test_operators_race(cluster):
-    """Symptom: both operators are told that theirs is in force, and one's is not.
+def test_one_of_two_concurrent_submissions_is_accepted(cluster):
+    """Only one of two concurrent submissions with the same base is accepted.
 
-    Sequence: both submit against one version through two nodes at once. Cause:
-    nothing between the nodes orders the two but the log.
+    Two operators submit at once through two nodes. Only the log orders the two, so
+    a node that doesn't wait for the log's decision would report success to both.
     """
     base = version(cluster)
-    racers = [
+    submissions = [
         start(
             cluster,
             *("config", "submit", declare(cluster, slices), "--base", str(base)),
@@ -67,18 +67,19 @@
         )
         for slices, node_id in ((8, "booking-1"), (16, "booking-2"))
     ]
-    codes, outputs = zip(*[finish(racer) for racer in racers], strict=True)
+    codes, outputs = zip(*[finish(process) for process in submissions], strict=True)
     assert sorted(codes) == [0, 1], outputs
-    loser = outputs[codes.index(1)]
-    assert f"refused: built on version {base}" in loser
+    refused_output = outputs[codes.index(1)]
+    assert f"refused: built on version {base}" in refused_output
     assert version(cluster) == base + 1
 
 
-def test_answers_lost_on_the_way(cluster):
-    """Symptom: an operator is told of a failure, submits again, and has two.
+def test_submission_is_applied_once_if_answers_are_lost(cluster):
+    """A submission is applied once and succeeds when the log's answers are lost.
 
-    Sequence: the log takes the record and its answer is lost, several times.
-    Cause: a lost answer says nothing of the write.
+    The log writes the record, but its answer is lost several times. A lost answer
+    doesn't say whether the write happened: treating it as a failure would make the
+    operator submit again and create a second version.
     """
     base = version(cluster)
     http_json(cluster.log_port, "POST", "/switches", {"lose_answers": 3})
@@ -88,8 +89,8 @@
     assert f"accepted: version {base + 1}" in output
 
 
-def test_playground_environment_names_the_asked_node(cluster):
-    """The variables that the docs use lead to a node of the cluster."""
-    words = environment(cluster)
-    port = int(words["COMFREYWHARF_NODE"].rpartition(":")[2])
+def test_environment_points_to_a_node_of_the_cluster(cluster):
+    """The variables that the docs use point to a node of the cluster."""
+    variables = environment(cluster)
+    port = int(variables["COMFREYWHARF_NODE"].rpartition(":")[2])
     assert http_json(port, "GET", "/status")[2]["node_id"] == "booking-1"
--- a/conftest.py
+++ b/conftest.py
@@ -1,7 +1,7 @@
-"""Let the tests that KNOWN-RED.txt names fail, and print them with their cause.
+"""Expect the tests in KNOWN-RED.txt to fail, and print them with their cause.
 
-A line holds a test's id, the cause and the issue, divided by ``|``. A test that is
-named and passes fails the run: its line has to go.
+Each line holds a test's id, the cause and the issue, separated by ``|``. A listed
+test that passes fails the run, so that its line is removed.
 """
 
 from pathlib import Path
@@ -10,12 +10,12 @@
 import pytest
 
 PATH = Path(__file__).parent / "KNOWN-RED.txt"
-MOST_LINES = 3
+MAX_LINES = 3
 
 
 @attrs.frozen
 class KnownRed:
-    """A test that fails for a fault of the product which isn't mended yet."""
+    """A test that fails because of a fault in the product that isn't fixed yet."""
 
     test: str
     cause: str
@@ -23,12 +23,12 @@
 
 
 def read_known_red():
-    """Return what the file names; raises `pytest.UsageError` for a bad file."""
+    """Return the listed tests; raises `pytest.UsageError` for an invalid file."""
     if not PATH.exists():
         return []
     lines = [line for line in PATH.read_text().splitlines() if line.strip()]
-    if len(lines) > MOST_LINES:
-        raise pytest.UsageError(f"{PATH}: {len(lines)} lines; expected <= {MOST_LINES}")
+    if len(lines) > MAX_LINES:
+        raise pytest.UsageError(f"{PATH}: {len(lines)} lines; expected <= {MAX_LINES}")
     fields = [[word.strip() for word in line.split("|")] for line in lines]
     for line, words in zip(lines, fields, strict=True):
         if len(words) != 3 or not all(words):
@@ -37,7 +37,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Expect the named tests to fail."""
+    """Mark the listed tests as expected to fail."""
     known = {red.test: red for red in read_known_red()}
     for item in items:
         red = known.get(item.nodeid)
@@ -46,7 +46,7 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print the list, so that nobody takes the run for a clean one."""
+    """Print the listed tests, so that the run isn't mistaken for a clean one."""
     for red in read_known_red():
         line = f"KNOWN RED {red.test}: {red.cause} ({red.issue})"
         terminalreporter.write_line(line, yellow=True)
