--- a/comfreywharf_dev/standins/__init__.py
+++ b/comfreywharf_dev/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Small stand-ins for the platform: a log service and a backend server.
+"""Stand-ins for the platform: a log service, a store and backend servers.
 
-Each speaks the protocol that docs/interfaces.md describes, over HTTP on
-loopback, with switches for the ways the real one fails.
+Each implements the protocol that docs/interfaces.md describes, over HTTP on
+loopback, with switches that reproduce the failures of the real service.
 """
--- a/comfreywharf_dev/standins/backend.py
+++ b/comfreywharf_dev/standins/backend.py
@@ -1,13 +1,13 @@
 """A stand-in backend server: slots, grants, deadlines, cancellation, a ledger.
 
-What it applies is written to an append-only ledger file, a line an effect, which
-tests read as the truth. Requests name what should happen by their path:
+It writes each effect as a line of an append-only ledger file, which tests use as
+the record of what was applied. The path of a request selects what it does:
 
 ``/book``         apply an effect after ``work_ms`` of work
 ``/look``         the same work without an effect
 ``/upload``       read the body and answer its length and digest
-``/download``     send ``bytes`` bytes; ``cut``: end the connection after so many
-``/crash``        end the process, as one bad request does now and then;
+``/download``     send ``bytes`` bytes; ``cut``: close the connection after so many
+``/crash``        exit the process, as a request that crashes its server does;
                   ``when=after``: only after the effect was applied
 ``/fail``         answer 500
 """
@@ -36,7 +36,7 @@
 
 @attrs.define(kw_only=True)
 class Profile:
-    """What the server is, and what is wrong with it at the moment."""
+    """The properties of the server, and the faults that it has at present."""
 
     name: str
     service: str
@@ -58,7 +58,10 @@
 
 @attrs.frozen(kw_only=True)
 class Grant:
-    """The right to serve a range of hashes under a fence until a time."""
+    """The right to serve the hashes ``start <= hash < end`` under a fence.
+
+    It expires at ``expires_monotonic_ms`` of the machine's monotonic clock.
+    """
 
     start: int
     end: int
@@ -67,7 +70,11 @@
 
 
 class Ledger:
-    """Append-only lines of JSON; one write each, so that lines stay whole."""
+    """Append-only lines of JSON.
+
+    Each line is written by one call, so that processes that share the file don't
+    interleave their lines.
+    """
 
     def __init__(self, path):
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
@@ -142,7 +149,7 @@
         )
 
     def _cancel(self, request):
-        """Let an attempt take no effect from now on; say if it took one before."""
+        """Prevent an attempt's effect; answer whether it had one before."""
         message = orjson.loads(request.read_body())
         attempt = message.get("attempt") or message["request_id"]
         _remember(self._cancelled, attempt, self._clock())
@@ -214,7 +221,7 @@
         return work_ms * factor / 1000
 
     def _refusal(self, request, attempt):
-        """Return why a request may not take effect now, or ``None``."""
+        """Return the refusal of a request that may not take effect, or ``None``."""
         if attempt in self._cancelled:
             return Answer(409, {"error": "cancelled"}, {"Comfreywharf-Not-Run": "1"})
         deadline_ms = int(request.header("Comfreywharf-Deadline-Ms", "0"))
@@ -289,7 +296,7 @@
 
 
 def announce_forever(profile, node_port, instance):
-    """Tell the node beside this server that it is there, again and again."""
+    """Announce this server to the node beside it, periodically."""
     client = HTTPClient("127.0.0.1", node_port, network_timeout=2.0)
     message = orjson.dumps(
         {
@@ -330,7 +337,7 @@
     ledger: str = "",
     grants_ledger: str = "",
 ):
-    """Serve until the process is ended."""
+    """Serve until the process is stopped."""
     profile = Profile(
         name=name,
         service=service,
--- a/comfreywharf_dev/standins/cluster.py
+++ b/comfreywharf_dev/standins/cluster.py
@@ -1,7 +1,7 @@
-"""Start and end the processes of a small deployment on loopback.
+"""Start and stop the processes of a small deployment on loopback.
 
 This is scaffolding for the demo, tests and benchmarks; the product's own
-processes start no other.
+processes start no other processes.
 """
 
 import os
@@ -33,7 +33,7 @@
 PORT_RANGE = (12_000, 32_000)
 PORTS_PER_BLOCK = 100
 LOG = "log"
-"""The log service's name among the links of the fault proxy."""
+"""The name of the log service in the links of the fault proxy."""
 
 
 @attrs.define(kw_only=True)
@@ -62,7 +62,7 @@
 
     @property
     def server_name(self):
-        """Return the name under which the backend server writes its effects."""
+        """Return the name of the backend server in the ledger."""
         return f"server-{self.node_id}"
 
 
@@ -92,8 +92,8 @@
     ...     cluster.wait_owned("booking")
 
     With ``proxied``, traffic between nodes, to the log and to the backend
-    servers passes a fault proxy, and ``faults`` is its `FaultControl`. Its links
-    are named by node ids, `LOG`, and the plans' ``server_name``.
+    servers goes through a fault proxy, and ``faults`` is its `FaultControl`. The
+    ends of its links are named by node ids, `LOG`, and the plans' ``server_name``.
     """
 
     def __init__(self, folder, plans, lease_ms=1000, proxied=False):
@@ -116,8 +116,8 @@
         try:
             self.start()
         except BaseException:
-            # Python doesn't call __exit__ for an __enter__ that failed: the
-            # processes would stay and load the machine unseen.
+            # Python doesn't call __exit__ if __enter__ raises; without this call
+            # the processes would keep running and load the machine.
             self.stop()
             raise
         return self
@@ -146,7 +146,7 @@
             wait_listening(plan.server_port)
 
     def join(self, plan):
-        """Start a node and its backend server beside those that run."""
+        """Add a node and its backend server to the running cluster."""
         for field in ("caller", "peer", "operator", "backend", "server"):
             setattr(plan, f"{field}_port", self._free_port())
         self._release_ports()
@@ -205,7 +205,7 @@
         self.faults = FaultControl(self._proxy_port)
 
     def forget(self, node_id):
-        """Take a node that has ended out of the plans; end its server."""
+        """Wait for a node's process to exit, kill its server, and drop its plan."""
         plan = self.plans.pop(node_id)
         plan.node_process.wait(START_TIMEOUT_S)
         _kill(plan.server_process)
@@ -218,7 +218,7 @@
         wait_listening(self.log_port)
 
     def start_node(self, node_id):
-        """Start a node's process, from freshly written settings."""
+        """Write a node's settings and start its process."""
         plan = self.plans[node_id]
         path = self.folder / f"{node_id}.ini"
         path.write_text(self._settings(plan), encoding="utf-8")
@@ -257,7 +257,7 @@
         )
 
     def stop(self):
-        """End every process that this object started."""
+        """Kill every process that this object started."""
         processes = [self.log_process, self._proxy_process]
         for plan in self.plans.values():
             processes += [plan.node_process, plan.server_process]
@@ -282,7 +282,7 @@
         return self.append(record)
 
     def drain(self, node_id, draining=True, author="operator"):
-        """Ask for a node's drain, or end it."""
+        """Append a record that starts a node's drain, or ends it."""
         return self.append(
             DrainChanged(
                 record_id=new_record_id(),
@@ -293,16 +293,19 @@
         )
 
     def jump_clock(self, node_id, wall_offset_s):
-        """Set a node's wall clock wrong; it must have been started with an offset."""
+        """Set the offset of a node's wall clock, in seconds.
+
+        The node must have been started with an offset other than 0.
+        """
         path = self.folder / f"{node_id}.offset"
         path.write_text(str(wall_offset_s), encoding="ascii")
 
     def switch_log(self, **switches):
-        """Set what is wrong with the log service."""
+        """Set the fault switches of the log service."""
         http_json(self.log_port, "POST", "/switches", switches)
 
     def switch_server(self, node_id, **switches):
-        """Set what is wrong with a backend server."""
+        """Set the fault switches of a backend server."""
         http_json(self.plans[node_id].server_port, "POST", "/switches", switches)
 
     def running(self, node_id):
@@ -310,27 +313,27 @@
         return http_json(self.plans[node_id].server_port, "GET", "/running")[2]
 
     def kill_node(self, node_id):
-        """Kill a node's process; the backend server beside it lives on."""
+        """Kill a node's process; the backend server beside it keeps running."""
         _kill(self.plans[node_id].node_process)
 
     def terminate_node(self, node_id):
-        """Ask a node to stop gracefully, as a planned stop of its VM does."""
+        """Send SIGTERM to a node, as a planned stop of its VM does."""
         self.plans[node_id].node_process.send_signal(signal.SIGTERM)
 
     def freeze_node(self, node_id):
-        """Stop a node's process without its noticing."""
+        """Suspend a node's process with SIGSTOP."""
         self.plans[node_id].node_process.send_signal(signal.SIGSTOP)
 
     def thaw_node(self, node_id):
-        """Let a frozen node go on."""
+        """Resume a frozen node."""
         self.plans[node_id].node_process.send_signal(signal.SIGCONT)
 
     def freeze_server(self, node_id):
-        """Stop the backend server beside a node without its noticing."""
+        """Suspend the backend server beside a node with SIGSTOP."""
         self.plans[node_id].server_process.send_signal(signal.SIGSTOP)
 
     def thaw_server(self, node_id):
-        """Let a frozen backend server go on."""
+        """Resume a frozen backend server."""
         self.plans[node_id].server_process.send_signal(signal.SIGCONT)
 
     def kill_server(self, node_id):
@@ -363,15 +366,18 @@
         return _read_lines(self.ledger)
 
     def grants(self):
-        """Return every grant that a backend server took, in the order taken."""
+        """Return every grant that a backend server accepted, in that order."""
         return _read_lines(self.grants_ledger)
 
     def owner_of(self, seen_by, service, key):
-        """Return the node that owns a key, as another node knows it."""
+        """Return the node that owns a key in the state of the node ``seen_by``."""
         return self.slice_of(seen_by, service, key)["owner"]
 
     def slice_of(self, seen_by, service, key):
-        """Return the slice that holds a key, as a node knows it."""
+        """Return the slice that holds a key in the state of the node ``seen_by``.
+
+        Raises `KeyError` if no slice holds it.
+        """
         value = key_hash(key.encode())
         for piece in self.state(seen_by)["slices"][service]["slices"]:
             if piece["start"] <= value < piece["end"]:
@@ -379,15 +385,15 @@
         raise KeyError(key)
 
     def wait_owned(self, service, timeout_s=START_TIMEOUT_S):
-        """Wait until every node knows an owner for each slice of a service.
+        """Wait until each slice of a service has an owner, and is served.
 
-        Each slice is then also served: its owner holds its lease.
+        Every node then has the owners in its state, and each owner holds its lease.
         """
         wait_until(lambda: self._all_owned(service), timeout_s)
         wait_until(lambda: self._all_served(service), timeout_s)
 
     def wait_members(self, service, count, timeout_s=START_TIMEOUT_S):
-        """Wait until every running node knows so many members of a service."""
+        """Wait until every running node's state has ``count`` members of a service."""
         wait_until(
             lambda: all(
                 self._member_count(node_id, service) >= count
@@ -401,10 +407,10 @@
         return sum(member["service"] == service for member in members.values())
 
     def wait_guarded(self, service, timeout_s=START_TIMEOUT_S):
-        """Wait until a service is owned, and the loss of one owner can be healed.
+        """Wait until a service is owned and each slice has a standby with a lease.
 
-        Slices are given away as soon as some nodes have their leases. A standby that
-        has none can't take over, and gets none while the log is down.
+        Slices are assigned as soon as some nodes have their leases. A standby without
+        a lease can't take over, and gets none while the log is down.
         """
         self.wait_owned(service, timeout_s)
         wait_until(lambda: self._all_guarded(service), timeout_s)
@@ -417,7 +423,7 @@
         )
 
     def _running(self):
-        """Return the ids of the nodes whose processes run."""
+        """Return the ids of the nodes whose processes are running."""
         return [
             plan.node_id
             for plan in self.plans.values()
@@ -466,13 +472,13 @@
             )
 
     def _free_port(self):
-        """Return a port of this cluster's own block that nothing uses.
+        """Return an unused port of this cluster's own block.
 
-        A port that another cluster picks, or that the kernel hands out for an
-        outgoing connection, may be taken between this moment and the process's
-        own bind; the process then ends with "address already in use", and the
-        test waits in vain. Blocks lie outside the ephemeral range, and the first
-        port of each is held while its cluster lives.
+        Without blocks, another cluster, or the kernel for an outgoing connection,
+        could take the port before the process binds it. The process would then exit
+        with "address already in use", and the test would wait until its timeout.
+        Blocks are outside the ephemeral range, and the first port of each stays
+        bound while its cluster exists.
         """
         while True:
             if not self._ports_left:
@@ -520,10 +526,10 @@
 
 
 def wait_until(condition, timeout_s):
-    """Wait until a condition holds; `TimeoutError` if it never does.
+    """Wait until a condition holds.
 
-    The limit only ends a wait that has failed; no verdict hangs on how fast the
-    condition came true.
+    Raises `TimeoutError` after ``timeout_s`` seconds. The limit only stops a wait
+    that has failed: no check depends on how soon the condition holds.
     """
     end_s = boottime_s() + timeout_s
     while boottime_s() < end_s:
--- a/comfreywharf_dev/standins/faultproxy.py
+++ b/comfreywharf_dev/standins/faultproxy.py
@@ -1,10 +1,9 @@
-"""A TCP proxy that injects faults, link by link, driven over HTTP with JSON.
+"""A TCP proxy that injects faults into single links, controlled over HTTP with JSON.
 
-A link is named by the process that connects and the one that it means to reach.
-Each direction of a link has a `Flow` of its own, so that a one-way cut, where one
-side hears the other but isn't heard, is a real one. What can't be had by a proxy:
-a connection attempt across a cut is accepted here and then hears nothing, where a
-network would have left it unanswered.
+A link is named by the connecting process and its target. Each direction of a link
+has a `Flow` of its own, so that one direction can be cut while the other works.
+One limit of a proxy remains: it accepts a connection attempt across a cut and then
+sends nothing, where a network would leave the attempt itself unanswered.
 """
 
 import struct
@@ -36,10 +35,10 @@
 class Mode(StrEnum):
     """What happens to the bytes of one direction.
 
-    ``HOLD`` is a cut of the network: bytes, and the end of a connection, wait
-    and arrive late, as a retransmission brings them once the network is back.
-    ``SWALLOW`` loses them for good; since no stream survives a gap, its
-    connections are reset when the fault is lifted.
+    ``HOLD`` is a network partition: bytes and the end of a connection are held
+    back and arrive late, like retransmissions after the network has recovered.
+    ``SWALLOW`` drops bytes; since a TCP stream can't have gaps, its connections
+    are reset when the fault is lifted.
     """
 
     PASS = "pass"
@@ -48,7 +47,7 @@
 
 
 class Direction(StrEnum):
-    """Which bytes of a link: those that the connecting side sends, or gets."""
+    """The bytes that the connecting side sends, or those that it receives."""
 
     THERE = "there"
     BACK = "back"
@@ -56,10 +55,10 @@
 
 @attrs.frozen(kw_only=True)
 class Listener:
-    """One port of the proxy and where it leads.
+    """One port of the proxy and its target.
 
-    Without ``source`` any process may connect; which one it is gets known from
-    the process that holds the other end of the connection.
+    Without ``source`` any process may connect; the source is then the registered
+    process that holds the other end of the connection.
     """
 
     port: int
@@ -70,10 +69,10 @@
 
 @attrs.define(kw_only=True)
 class Flow:
-    """What is wrong with one direction of a link at the moment.
+    """The present faults of one direction of a link.
 
-    ``lose_answers`` counts the answers that are still to be lost: the request
-    went through, the connection ends before a byte of the answer arrives.
+    ``lose_answers`` counts the answers still to be lost: the request arrives, and
+    the connection is reset before a byte of the answer is delivered.
     """
 
     mode: Mode = Mode.PASS
@@ -86,7 +85,7 @@
         self.opened.set()
 
     def set(self, *, mode, delay_s, bytes_per_s, lose_answers):
-        """Replace what is wrong; held bytes go on when the hold is over."""
+        """Replace the faults; held bytes are delivered unless they stay on hold."""
         self.mode = mode
         self.delay_s = delay_s
         self.bytes_per_s = bytes_per_s
@@ -99,7 +98,7 @@
 
 @attrs.frozen(kw_only=True)
 class Fault:
-    """A change of one direction of a link, as the control port takes it."""
+    """A request to the control port to change one direction of a link."""
 
     source: str
     target: str
@@ -121,12 +120,12 @@
         self.target_is_gone = False
 
     def reset(self):
-        """End both sides at once, with a reset in place of an orderly end."""
+        """Close both sides with a TCP reset."""
         for sock in (self.near, self.far):
             _reset(sock)
 
     def forget_target(self):
-        """Leave the near side open with nobody behind it."""
+        """Reset the connection to the target and keep the near side open."""
         self.target_is_gone = True
         _reset(self.far)
 
@@ -228,7 +227,7 @@
         source = listener.source or self._source_of(address[1], listener.port)
         link = (source, listener.target)
         there, back = self._flows_of(link)
-        # The connection to the target is itself a packet that a cut stops.
+        # A cut also delays the packets that open the connection to the target.
         there.opened.wait()
         try:
             far = socket.create_connection(
@@ -260,7 +259,7 @@
 
 
 def _pump(connection, reader, writer, flow):
-    """Carry the bytes of one direction, with what is wrong with it."""
+    """Forward the bytes of one direction and apply its faults."""
     try:
         while data := reader.recv(CHUNK_BYTES):
             flow.opened.wait()
@@ -282,12 +281,12 @@
 
 
 def _pass_on_failure(connection, flow):
-    """Let the other side know of a reset, unless the fault hides it."""
+    """Reset the other side too, after any hold, unless the connection is half open."""
     flow.opened.wait()
     if not connection.target_is_gone:
         connection.reset()
         return
-    # The near side keeps its connection and may still write to nobody.
+    # The near side of a half-open connection may still write: discard its bytes.
     try:
         while connection.near.recv(CHUNK_BYTES):
             pass
@@ -300,17 +299,17 @@
 
 
 class FaultControl:
-    """The control port, as tests and benchmarks use it."""
+    """A client of the control port, for tests and benchmarks."""
 
     def __init__(self, port):
         self._port = port
 
     def cut(self, source, target, mode=Mode.HOLD):
-        """Stop both directions of a link."""
+        """Cut both directions of a link."""
         self.cut_pairs([(source, target)], mode)
 
     def cut_pairs(self, pairs, mode=Mode.HOLD):
-        """Stop both directions of several links at once."""
+        """Cut both directions of several links in one request."""
         self._post_faults(
             [
                 (*pair, direction, {"mode": mode})
@@ -320,25 +319,25 @@
         )
 
     def cut_group(self, group, others, mode=Mode.HOLD):
-        """Stop all links between two groups, whoever connects."""
+        """Cut all links between two groups, whichever side connects."""
         pairs = [(one, other) for one in group for other in others]
         self.cut_pairs(pairs + [(other, one) for one, other in pairs], mode)
 
     def silence(self, source, targets, mode=Mode.HOLD):
-        """Let nobody hear a process that still hears all others.
+        """Cut what a process sends to the targets, but not what it receives.
 
-        Its calls don't arrive, and its answers to others' calls don't either.
+        Neither its requests nor its answers to the targets' requests arrive.
         """
         there = [(source, one, Direction.THERE, {"mode": mode}) for one in targets]
         back = [(one, source, Direction.BACK, {"mode": mode}) for one in targets]
         self._post_faults(there + back)
 
     def change(self, source, target, direction, **what):
-        """Set one direction's fields of a `Flow`; the others become harmless."""
+        """Set fields of one direction's `Flow`; the others get their defaults."""
         self._post_faults([(source, target, direction, what)])
 
     def lose_answers(self, source, target, count):
-        """Lose the next answers of a link after their requests went through."""
+        """Lose the next ``count`` answers of a link after their requests arrived."""
         self.change(source, target, Direction.BACK, lose_answers=count)
 
     def heal(self):
@@ -356,7 +355,7 @@
         return self._post("/half-open", document)["connections"]
 
     def set_sources(self, pids):
-        """Tell which process has which name."""
+        """Register the process ids of named processes."""
         self._post("/sources", pids)
 
     def _post_faults(self, changes):
@@ -383,7 +382,7 @@
 
 @app.default
 def run(*, control_port: int, listeners: Path):
-    """Serve the listeners in a JSON file until the process is ended."""
+    """Serve the listeners in a JSON file until the process is stopped."""
     proxy = FaultProxy()
     for listener in cattrs.structure(
         orjson.loads(listeners.read_bytes()), list[Listener]
--- a/comfreywharf_dev/standins/fleet.py
+++ b/comfreywharf_dev/standins/fleet.py
@@ -1,7 +1,7 @@
-"""Many nodes' followers and gossip in one process, over real sockets.
+"""The followers and gossip of many nodes in one process, over real sockets.
 
-It leaves out everything else of a node, so that tests and benchmarks of the log
-and of gossip can run many of them.
+All other parts of a node are left out, so that tests and benchmarks of the log
+and of gossip can run many nodes.
 """
 
 import random
@@ -30,11 +30,14 @@
 
 STREAM = "comfreywharf"
 CLOSED_PORT = 1
-"""A port on which nobody listens: the log of a node that is cut from it."""
+"""A port without a listener, as the log's address of a node that is cut off."""
 
 
 def wait_for(condition, timeout_s=10.0):
-    """Let greenlets run until a condition holds; `TimeoutError` if it never does."""
+    """Let greenlets run until a condition holds.
+
+    Raises `TimeoutError` after ``timeout_s`` seconds.
+    """
     end_s = boottime_s() + timeout_s
     while not condition():
         if boottime_s() > end_s:
@@ -54,7 +57,7 @@
 
 @attrs.frozen(kw_only=True)
 class FleetSettings:
-    """The part of a node's settings that these parts read."""
+    """The settings of a node that its follower and gossip read."""
 
     node_id: str
     seeds: tuple[Address, ...]
@@ -64,7 +67,7 @@
 
 
 class FleetNode:
-    """The parts of a node that deal with the log and with news."""
+    """The parts of a node that handle the log and gossip."""
 
     def __init__(self, node_id, log_port, seeds=(), port=0):
         self.settings = FleetSettings(node_id=node_id, seeds=tuple(seeds))
@@ -99,11 +102,11 @@
             self.write_snapshots()
 
     def write_snapshots(self):
-        """Start to write snapshots when it is this node's turn."""
+        """Start the greenlet that writes snapshots when it is this node's turn."""
         self._greenlets.append(gevent.spawn(self.snapshots.run))
 
     def stop(self):
-        """End the greenlets and close the port."""
+        """Stop the greenlets and close the port."""
         gevent.killall(self._greenlets)
         self.server.stop()
 
@@ -123,7 +126,7 @@
         return self.follower.append(record)
 
     def reported(self, name):
-        """Return this node's events of a kind."""
+        """Return this node's events of a name."""
         return [event for event in self.reporter.events.since(0) if event.name == name]
 
 
@@ -152,7 +155,7 @@
         return self._server.server_port
 
     def start(self, node_id, *, cut=False, seeds=(), announce=True, **parts):
-        """Start a node; ``cut`` keeps it from the log."""
+        """Start a node; with ``cut`` it can't reach the log."""
         port = CLOSED_PORT if cut else self.log_port
         addresses = [Address("127.0.0.1", node.server.port) for node in seeds]
         node = FleetNode(node_id, port, addresses)
@@ -164,6 +167,6 @@
         return node
 
     def replace(self, node_id):
-        """End a node and start another one of its name that knows nothing."""
+        """Stop a node and start one of the same name with empty state."""
         self.nodes.pop(node_id).stop()
         return self.start(node_id)
--- a/comfreywharf_dev/standins/jumping_clock.py
+++ b/comfreywharf_dev/standins/jumping_clock.py
@@ -1,8 +1,8 @@
-"""Run a node whose wall clock can be set wrong, before its start or while it runs.
+"""Run a node whose wall clock has an offset that can change while it runs.
 
-The product has no seam for this and needs none: the two functions of the standard
-library that read the wall clock are replaced before the node is imported. The
-monotonic clock is left alone, as it is where an operator sets a machine's time.
+The two functions of the standard library that read the wall clock are replaced
+before the node is imported, so that the product needs no hook for this. The
+monotonic clock isn't changed, as when an operator sets a machine's time.
 """
 
 import sys
@@ -13,7 +13,10 @@
 
 
 def shift_wall_clock(path):
-    """Add the seconds that a file holds to the wall clock, at each reading."""
+    """Add the seconds in a file to the wall clock.
+
+    The file is read at each reading of the clock; without it the offset is 0.
+    """
     read_s, read_ns = time.time, time.time_ns
 
     def offset_s():
@@ -27,7 +30,7 @@
 
 
 def main():
-    """Run ``OFFSET-FILE`` and the node's own arguments."""
+    """Run a node; the arguments are ``OFFSET-FILE`` and the node's own."""
     shift_wall_clock(sys.argv.pop(1))
     from comfreywharf.daemon.main import main as run_node
 
--- a/comfreywharf_dev/standins/logservice.py
+++ b/comfreywharf_dev/standins/logservice.py
@@ -1,8 +1,8 @@
 """A stand-in for the platform's log service: append-only streams with offsets.
 
-Kept in memory, bounded, and full of switches: down, slow, a few hundred appends
-a second, short retention, an answer that is lost after the write took effect.
-See docs/interfaces-log-service.md for the protocol.
+The streams are kept in memory and bounded. Switches make the service unavailable or
+slow, limit appends per second, shorten the retention, and lose answers after the
+write took effect. See docs/interfaces-log-service.md for the protocol.
 """
 
 from collections import defaultdict, deque
@@ -27,7 +27,7 @@
 
 @attrs.define(kw_only=True)
 class Switches:
-    """What is wrong with the service at the moment."""
+    """The present faults and limits of the service."""
 
     down: bool = False
     slow_s: float = 0.0
@@ -58,12 +58,12 @@
         return offset
 
     def wake(self):
-        """Let those who wait for a record look again."""
+        """Wake the readers that wait for a record."""
         self.grown.set()
         self.grown.clear()
 
     def trim(self, keep, since_s):
-        """Expire records over a number, and those from before a time."""
+        """Drop the oldest records beyond ``keep``, and those before ``since_s``."""
         while self.records and (len(self.records) > keep or self.times_s[0] < since_s):
             self.records.popleft()
             self.times_s.popleft()
@@ -116,7 +116,7 @@
         return self._streams[name].first
 
     def next(self, name):
-        """Return the offset behind a stream's newest record."""
+        """Return the offset after a stream's newest record."""
         return self._streams[name].next
 
     def append(self, name, record):
@@ -193,7 +193,7 @@
 
 @app.default
 def run(*, host: str = "127.0.0.1", port: int):
-    """Serve until the process is ended."""
+    """Serve until the process is stopped."""
     logging.info("stand-in log service on %s:%d", host, port)
     serve_forever(host, port, LogService())
 
--- a/comfreywharf_dev/standins/platform_server.py
+++ b/comfreywharf_dev/standins/platform_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for a backend server of the platform: grants, holds and its ledger."""
+"""A stand-in for a backend server of the platform: grants, holds and a ledger."""
 
 import contextlib
 
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class Taken:
-    """One grant that a life of a server took."""
+    """One grant that an incarnation of a server accepted."""
 
     life: ServerIncarnation
     first: int
@@ -47,17 +47,19 @@
 
 
 class PlatformServer:
-    """A server that holds keys by grants and writes each run on a shared ledger.
-
-    ``work_s`` is how long a request takes; while ``goes_on`` is cleared, none ends.
-    With ``lose_grants`` the next so many grants are carried out ``late_s`` later and
-    never answered. ``taken`` lists the grants of all its lives, and ``misdirected``
-    counts the requests for keys that it didn't hold. While it is ``mute``, it sends no
-    heartbeats. With ``by_lists`` it takes no orders, but what the answers to its
-    heartbeats list; of these the next ``lose_answers`` never reach it. ``taken_lists``
-    counts those that did. What is left out of a list it holds until nothing is at work,
-    and ``handed_over`` then lists its tokens; ``taken_over`` has those that came with
-    ranges.
+    """A server that holds keys by grants and adds each run to a shared ledger.
+
+    Each request takes ``work_s`` seconds; while ``goes_on`` is cleared, none finishes.
+    The next ``lose_grants`` grant requests take effect ``late_s`` seconds late and are
+    never answered. ``taken`` lists the grants that all its incarnations accepted, and
+    ``misdirected`` counts the requests for keys that it didn't hold. While ``mute`` is
+    set, it sends no heartbeats.
+
+    With ``by_lists`` it refuses grant and release requests and uses the lists of held
+    ranges in the answers to its heartbeats instead. The next ``lose_answers`` of these
+    answers are dropped; ``taken_lists`` counts the others. Ranges that a list leaves
+    out stay held until no request is running; ``handed_over`` then lists their
+    handover tokens. ``taken_over`` lists the tokens that came with granted ranges.
     """
 
     def __init__(self, name, service, ledger, work_s=0.0, by_lists=False):
@@ -99,7 +101,7 @@
         return pywsgi.WSGIServer(address, self._answer, log=None, spawn=Pool())
 
     def start(self, heartbeat_port):
-        """Listen, and send heartbeats to a node's port."""
+        """Start listening, and send heartbeats to a node's port."""
         self._server.start()
         self._beating = gevent.spawn(self._beat, heartbeat_port)
 
@@ -109,12 +111,12 @@
         return self._server.server_port
 
     def stop(self):
-        """End like a process that crashed."""
+        """Stop heartbeats and requests at once, like a process that crashed."""
         gevent.kill(self._beating)
         self._server.stop(timeout=0)
 
     def crash(self):
-        """End at once: connections end, nothing listens, and nothing is kept."""
+        """Close the port and all connections, and discard what the server holds."""
         self._server.stop(timeout=0)
         self.held = []
         self._released = []
@@ -124,20 +126,20 @@
         self._sequence = 0
 
     def close_port(self):
-        """Listen no more, end idle connections, and go on with what is at work."""
+        """Close the port and idle connections; running requests continue."""
         self._server.close()
         for greenlet in list(self._server.pool):
             if greenlet not in self._at_work:
                 greenlet.kill()
 
     def reset_connections(self):
-        """End all connections, as when something between resets them."""
+        """Close all connections, as a device on the network path may do."""
         self._server.pool.kill()
 
     def begin_anew(self, instance):
-        """Go on as another life at the same address, as after a crash.
+        """Restart as another incarnation at the same address, as after a crash.
 
-        It may have the id that it had; its start tells the lives apart.
+        The instance id may stay the same; the start time distinguishes incarnations.
         """
         port = self.port
         self.crash()
@@ -148,21 +150,21 @@
 
     @property
     def life(self):
-        """Return what names its present life."""
+        """Return the present incarnation."""
         return ServerIncarnation(self.instance, self.born_ms)
 
     @property
     def works(self):
-        """Return whether a request is at work."""
+        """Return whether a request is running."""
         return bool(self._at_work)
 
     @property
     def beats(self):
-        """Return how many heartbeats its present life began to send."""
+        """Return how many heartbeats the present incarnation began to send."""
         return self._sequence
 
     def taken_by_this_life(self):
-        """Return the grants that its present life took."""
+        """Return the grants that the present incarnation accepted."""
         return [grant for grant in self.taken if grant.life == self.life]
 
     def holds(self, key):
@@ -171,12 +173,12 @@
         return any(h.first <= key <= h.last and now_s < h.until_s for h in self.held)
 
     def left_s(self, key):
-        """Return for how much longer the server holds a key."""
+        """Return for how many more seconds the server holds a key."""
         ends_s = [h.until_s for h in self.held if h.first <= key <= h.last]
         return max(ends_s, default=0.0) - boottime_s()
 
     def word(self):
-        """Return what its next heartbeat says."""
+        """Return the fields of the next heartbeat."""
         return {
             "service": self.service,
             "address": f"127.0.0.1:{self.port}",
@@ -217,7 +219,7 @@
             gevent.sleep(pause_s)
 
     def _send_heartbeat(self, port, fields):
-        """Send a heartbeat and take its answer; return when to send the next one."""
+        """Send a heartbeat, apply its answer, and return the seconds until the next."""
         sent_s, life = boottime_s(), self.life
         path = f"/-/instances/{self.instance}/heartbeat"
         if not self.by_lists:
@@ -246,7 +248,7 @@
             line.end()
 
     def _take_list(self, answer, sent_s):
-        """Hold what is listed, for a time that counts from when it was asked for."""
+        """Hold the listed ranges; their hold time counts from ``sent_s``."""
         self.taken_lists += 1
         self.hold_s = duration_s(answer["hold_time"])
         until_s = sent_s + self.hold_s
@@ -304,7 +306,7 @@
         return True
 
     def _drop(self, first, last):
-        """Take a range out of what is held, splitting what it cuts through."""
+        """Remove a range from what is held, splitting ranges that overlap it."""
         kept = []
         for held in self.held:
             if held.first < first:
@@ -363,19 +365,22 @@
 
 
 class _Line:
-    """A kept connection to a node, on which one heartbeat follows the other."""
+    """A persistent connection to a node for heartbeats."""
 
     def __init__(self, port):
         self._sock = socket.create_connection(("127.0.0.1", port), 1)
         self._file = self._sock.makefile("rwb")
 
     def end(self):
-        """End the connection, also while another greenlet reads on it."""
+        """Shut the connection down, also while another greenlet reads from it."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
 
     def exchange(self, path, fields):
-        """Post JSON; return the fields of the answer."""
+        """Post JSON and return the fields of the answer.
+
+        Raises `OSError` if the status isn't 200.
+        """
         body = orjson.dumps(fields)
         head = f"POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
         self._file.write(head.encode() + body)
--- a/comfreywharf_dev/standins/platform_store.py
+++ b/comfreywharf_dev/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store: its log calls, and its faults."""
+"""A stand-in for the platform's store: its log calls, with injectable faults."""
 
 import base64
 import struct
@@ -17,7 +17,7 @@
 
 
 class _Topic:
-    """One partition: records from ``first`` on, and the newest of each key."""
+    """One partition: records from offset ``first`` on, and the newest of each key."""
 
     def __init__(self, keyed):
         self.keyed = keyed
@@ -46,7 +46,7 @@
     """Serve the store's calls on a port of loopback.
 
     ``fault`` is ``""``, ``"busy"`` (503), ``"silent"`` (no answer) or ``"lost"``
-    (appends are done and not answered). ``calls`` counts what was asked.
+    (appends are applied but not answered). ``calls`` counts the requests.
     """
 
     def __init__(self):
@@ -56,7 +56,7 @@
         self._server = pywsgi.WSGIServer(("127.0.0.1", 0), self._answer, log=None)
 
     def start(self):
-        """Listen."""
+        """Start listening."""
         self._server.start()
 
     @property
@@ -69,7 +69,7 @@
         self._server.stop(timeout=0)
 
     def topic(self, name):
-        """Return a topic, made on first use."""
+        """Return a topic; create it on first use."""
         if name not in self._topics:
             self._topics[name] = _Topic(name.startswith("keyed."))
         return self._topics[name]
@@ -80,7 +80,7 @@
         self.topic(name).append([bytes([len(key)]) + key.encode() + value])
 
     def forget(self, name):
-        """Drop a topic's records; the newest of each key stays."""
+        """Drop a topic's records, but keep the newest of each key."""
         topic = self.topic(name)
         topic.first, topic.records = topic.end, []
 
--- a/comfreywharf_dev/standins/socket_owner.py
+++ b/comfreywharf_dev/standins/socket_owner.py
@@ -1,9 +1,9 @@
-"""Which process holds the other end of a connection on loopback.
+"""Find the process that holds the other end of a connection on loopback.
 
-Linux tells the inode of a connected socket through the socket diagnostics of
+Linux reports the inode of a connected socket through the socket diagnostics of
 netlink (sock_diag(7)), and the open files of a process name the inodes of its
-sockets. A look through /proc/net/tcp would tell the same, but it takes 65 ms where
-7,000 closed connections linger, and the proxy stands still meanwhile.
+sockets. Reading /proc/net/tcp would give the same result, but takes 65 ms with
+7,000 lingering closed connections and blocks the proxy meanwhile.
 """
 
 import os
--- a/comfreywharf_dev/standins/wsgi.py
+++ b/comfreywharf_dev/standins/wsgi.py
@@ -15,7 +15,7 @@
 class Answer:
     """A status, a body (JSON if it isn't bytes) and headers.
 
-    A status of ``None`` cuts the connection without any answer.
+    A status of ``None`` closes the connection without any answer.
     """
 
     status: int | None
@@ -31,13 +31,16 @@
 
 @attrs.define
 class Streamed:
-    """A body in parts, of a length; fewer bytes than that cut the answer."""
+    """A body in parts, with its announced length.
+
+    The connection is closed early if the parts have fewer bytes than that.
+    """
 
     length: int
     parts: object
 
     def send(self, request):
-        """Yield the parts, and cut the connection if they end too early."""
+        """Yield the parts; close the connection if they are too short."""
         sent = 0
         for part in self.parts:
             sent += len(part)
@@ -65,7 +68,7 @@
         return self.environ["wsgi.input"].read()
 
     def cut(self):
-        """End the connection at once, without an answer."""
+        """Close the connection at once, without an answer."""
         sock = self.environ["standin.socket"]
         sock.shutdown(socket.SHUT_RDWR)
 
@@ -106,5 +109,5 @@
 
 
 def serve_forever(host, port, application):
-    """Serve until the process is ended."""
+    """Serve until the process is stopped."""
     make_server(host, port, application).serve_forever()
