--- a/comfreywharf/platform/tests/test_lists.py
+++ b/comfreywharf/platform/tests/test_lists.py
@@ -74,10 +74,10 @@
     name = deployment.holder(7)
     server = deployment.servers[name]
     before = max(taken.fence for taken in server.taken)
-    server.begin_anew(server.instance)
+    server.restart_as(server.instance)
     assert served(deployment)
     wait_for(deployment.settled)
-    assert all(taken.fence > before for taken in server.taken_by_this_life())
+    assert all(taken.fence > before for taken in server.taken_by_this_incarnation())
 
 
 def test_a_node_that_begins_again_goes_on_beside_its_living_server(deployment):
--- a/comfreywharf/platform/tests/test_lives.py
+++ b/comfreywharf/platform/tests/test_lives.py
@@ -21,11 +21,11 @@
     name = deployment.holder(7)
     server = deployment.servers[name]
     server.mute = True
-    server.begin_anew("i-second")
+    server.restart_as("i-second")
     gevent.sleep(2.0)
     server.mute = False
     wait_for(lambda: deployment.nodes[name].backend is not None)
-    wait_for(lambda: server.taken_by_this_life())
+    wait_for(lambda: server.taken_by_this_incarnation())
     wait_for(deployment.settled)
     assert repeated_fences(server.taken) == []
 
@@ -39,8 +39,8 @@
     name = deployment.holder(7)
     server = deployment.servers[name]
     wait_for(lambda: server.beats > 10)
-    server.begin_anew(server.instance)
-    wait_for(lambda: server.taken_by_this_life())
+    server.restart_as(server.instance)
+    wait_for(lambda: server.taken_by_this_incarnation())
     wait_for(deployment.settled)
     server.state = "draining"
     wait_for(lambda: deployment.nodes[name].closed_to_new_work, timeout_s=4.0)
@@ -56,7 +56,7 @@
     fields = {**server.word(), "born": born, "sequence": 10**6}
     port = deployment.ports[name][3]
     assert post(port, f"/-/instances/{server.instance}/heartbeat", fields) == 400
-    assert deployment.nodes[name].backend.announcement.life == server.life
+    assert deployment.nodes[name].backend.announcement.life == server.incarnation
 
 
 def test_a_late_deregistration_of_an_earlier_life_changes_nothing(deployment):
@@ -164,7 +164,7 @@
         later
         for place, later in enumerate(taken)
         for earlier in taken[:place]
-        if later.life != earlier.life
+        if later.incarnation != earlier.incarnation
         and later.fence <= earlier.fence
         and later.first <= earlier.last
         and earlier.first <= later.last
--- a/comfreywharf/platform/tests/test_losses.py
+++ b/comfreywharf/platform/tests/test_losses.py
@@ -109,7 +109,7 @@
     a loss, and that ended the new one, whose every word was stale from then on."""
     name = deployment.holder(7)
     server = deployment.servers[name]
-    server.begin_anew("i-second")
+    server.restart_as("i-second")
     wait_for(lambda: deployment.nodes[name].backend.announcement.instance == "i-second")
     wait_for(deployment.settled)
     server.state = "draining"
--- a/comfreywharf_dev/standins/platform_server.py
+++ b/comfreywharf_dev/standins/platform_server.py
@@ -13,7 +13,7 @@
 from comfreywharf.membership.incarnations import ServerIncarnation
 from comfreywharf.platform.durations import duration_s
 
-__all__ = ["HEARTBEAT_S", "PlatformServer", "Run", "Taken", "post"]
+__all__ = ["HEARTBEAT_S", "PlatformServer", "Run", "TakenGrant", "post"]
 
 HEARTBEAT_S = 0.2
 
@@ -29,17 +29,17 @@
 
 
 @attrs.frozen
-class Taken:
+class TakenGrant:
     """One grant that an incarnation of a server accepted."""
 
-    life: ServerIncarnation
+    incarnation: ServerIncarnation
     first: int
     last: int
     fence: int
 
 
 @attrs.define
-class _Held:
+class _HeldRange:
     first: int
     last: int
     fence: int
@@ -136,7 +136,7 @@
         """Close all connections, as a device on the network path may do."""
         self._server.pool.kill()
 
-    def begin_anew(self, instance):
+    def restart_as(self, instance):
         """Restart as another incarnation at the same address, as after a crash.
 
         The instance id may stay the same; the start time distinguishes incarnations.
@@ -149,7 +149,7 @@
         self._server.start()
 
     @property
-    def life(self):
+    def incarnation(self):
         """Return the present incarnation."""
         return ServerIncarnation(self.instance, self.born_ms)
 
@@ -163,9 +163,9 @@
         """Return how many heartbeats the present incarnation began to send."""
         return self._sequence
 
-    def taken_by_this_life(self):
+    def taken_by_this_incarnation(self):
         """Return the grants that the present incarnation accepted."""
-        return [grant for grant in self.taken if grant.life == self.life]
+        return [grant for grant in self.taken if grant.incarnation == self.incarnation]
 
     def holds(self, key):
         """Return whether the server holds a key now."""
@@ -220,7 +220,7 @@
 
     def _send_heartbeat(self, port, fields):
         """Send a heartbeat, apply its answer, and return the seconds until the next."""
-        sent_s, life = boottime_s(), self.life
+        sent_s, incarnation = boottime_s(), self.incarnation
         path = f"/-/instances/{self.instance}/heartbeat"
         if not self.by_lists:
             post(port, path, fields)
@@ -231,7 +231,7 @@
         except (OSError, ValueError):
             self._leave_line()
             raise
-        if life != self.life:
+        if incarnation != self.incarnation:
             return HEARTBEAT_S
         if self.lose_answers:
             self.lose_answers -= 1
@@ -258,14 +258,14 @@
                 self.refused_grants += 1
                 continue
             self._highest[first : last + 1] = [fence] * (last - first + 1)
-            listed.append(_Held(first, last, fence, until_s))
+            listed.append(_HeldRange(first, last, fence, until_s))
             self.taken_over.append(handover)
-            self.taken.append(Taken(self.life, first, last, fence))
+            self.taken.append(TakenGrant(self.incarnation, first, last, fence))
         keys = {key for held in listed for key in range(held.first, held.last + 1)}
         for held in self.held:
             gone = [k for k in range(held.first, held.last + 1) if k not in keys]
             if gone and boottime_s() < held.until_s:
-                left = _Held(gone[0], gone[-1], held.fence, held.until_s)
+                left = _HeldRange(gone[0], gone[-1], held.fence, held.until_s)
                 self._leaving.append(left)
         self.held = listed
 
@@ -301,8 +301,8 @@
         self._highest[first : last + 1] = [fence] * (last - first + 1)
         self._drop(first, last)
         until_s = arrived_s + duration_s(fields["hold_time"])
-        self.held.append(_Held(first, last, fence, until_s))
-        self.taken.append(Taken(self.life, first, last, fence))
+        self.held.append(_HeldRange(first, last, fence, until_s))
+        self.taken.append(TakenGrant(self.incarnation, first, last, fence))
         return True
 
     def _drop(self, first, last):
