--- a/comfreywharf/platform/tests/builders.py
+++ b/comfreywharf/platform/tests/builders.py
@@ -231,9 +231,9 @@
         node.start()
         self.nodes[name] = node
         if name not in self.servers:
-            by_lists = self.grants == "heartbeat" and service == "booking"
+            uses_hold_lists = self.grants == "heartbeat" and service == "booking"
             server = PlatformServer(
-                f"i-{name}", service, self.ledger, by_lists=by_lists
+                f"i-{name}", service, self.ledger, uses_hold_lists=uses_hold_lists
             )
             server.start(ports[3])
             self.servers[name] = server
--- a/comfreywharf/platform/tests/test_closing.py
+++ b/comfreywharf/platform/tests/test_closing.py
@@ -23,11 +23,11 @@
     name = deployment.holder(7)
     server = deployment.servers[name]
     server.work_s = 0.8
-    wait_for(lambda: server.left_s(7) > 1.0)
+    wait_for(lambda: server.remaining_hold_s(7) > 1.0)
     deadline = str(LONG_MS)
     elsewhere = deployment.elsewhere(7)
     asking = gevent.spawn(deployment.ask, elsewhere, X_Deadline_Ms=deadline)
-    wait_for(lambda: server.works)
+    wait_for(lambda: server.busy)
     if leaves:
         port = deployment.ports[name][3]
         assert post(port, f"/-/instances/{server.instance}/deregister", {}) == 200
--- a/comfreywharf/platform/tests/test_lists.py
+++ b/comfreywharf/platform/tests/test_lists.py
@@ -40,7 +40,7 @@
     Cause: the node sent orders, and answered heartbeats with nothing."""
     assert deployment.ask("n3").status == 200
     server = deployment.servers[deployment.holder(7)]
-    assert server.taken_lists and not server.misdirected
+    assert server.applied_lists and not server.misdirected
 
 
 def test_a_lost_answer_leaves_a_living_server_its_keys(deployment):
@@ -50,8 +50,8 @@
     server = deployment.servers[deployment.holder(7)]
     server.lose_answers = 1
     wait_for(lambda: not server.lose_answers)
-    taken = server.taken_lists
-    wait_for(lambda: server.taken_lists > taken)
+    taken = server.applied_lists
+    wait_for(lambda: server.applied_lists > taken)
     assert server.hold_s > 2 * HEARTBEAT_S
     assert server.holds(7)
 
@@ -60,7 +60,7 @@
     """Symptom: two servers hold a key, or none for good.
     Sequence: a server crashes and doesn't come back."""
     name = deployment.holder(7)
-    deployment.servers[name].mute = True
+    deployment.servers[name].heartbeats_off = True
     deployment.servers[name].crash()
     one_holder(deployment, 1.0)
     assert served(deployment)
@@ -107,9 +107,9 @@
     """Symptom: keys are dark while the store is away.
     Sequence: the store is away for some seconds; holds rest on witnesses only."""
     deployment.store.stop()
-    servers = [s for s in deployment.servers.values() if s.by_lists]
-    before = {server: server.taken_lists for server in servers}
-    wait_for(lambda: all(s.taken_lists > before[s] + 10 for s in servers))
+    servers = [s for s in deployment.servers.values() if s.uses_hold_lists]
+    before = {server: server.applied_lists for server in servers}
+    wait_for(lambda: all(s.applied_lists > before[s] + 10 for s in servers))
     wait_for(deployment.settled)
 
 
@@ -118,7 +118,7 @@
     Sequence: a service's servers take orders from one version on."""
     deployment.grants = "direct"
     for server in deployment.servers.values():
-        server.by_lists = False
+        server.uses_hold_lists = False
     deployment.configure(2)
     one_holder(deployment, 1.0)
     wait_for(deployment.settled)
@@ -134,16 +134,16 @@
     server = deployment.servers[name]
     server.work_s = 0.6
     asked = gevent.spawn(deployment.ask, "n3", X_Deadline_Ms=str(LONG_MS))
-    wait_for(lambda: server.works)
+    wait_for(lambda: server.busy)
     server.state = "draining"
-    while server.works:
+    while server.busy:
         others = [n for n in deployment.holders(7) if n != name]
         assert others == []
         gevent.sleep(0.01)
     assert asked.get().status == 200
     wait_for(lambda: deployment.holder(7) not in (None, name), 8)
     taker = deployment.servers[deployment.holder(7)]
-    assert set(taker.taken_over) & set(server.handed_over)
+    assert set(taker.received_handovers) & set(server.issued_handovers)
 
 
 def test_a_server_behind_a_cut_loses_its_keys_by_their_time(deployment):
@@ -151,10 +151,10 @@
     Events: a server's heartbeats don't come any more, and it lives.
     Cause: its node counted it as dead, or as alive, for good."""
     name = deployment.holder(7)
-    deployment.servers[name].mute = True
+    deployment.servers[name].heartbeats_off = True
     end_s = boottime_s() + 3.0
     while boottime_s() < end_s:
         assert len(deployment.holders(7)) <= 1
         gevent.sleep(0.01)
-    deployment.servers[name].mute = False
+    deployment.servers[name].heartbeats_off = False
     wait_for(deployment.settled)
--- a/comfreywharf/platform/tests/test_lives.py
+++ b/comfreywharf/platform/tests/test_lives.py
@@ -20,10 +20,10 @@
     nothing but refused connections for the second before it."""
     name = deployment.holder(7)
     server = deployment.servers[name]
-    server.mute = True
+    server.heartbeats_off = True
     server.restart_as("i-second")
     gevent.sleep(2.0)
-    server.mute = False
+    server.heartbeats_off = False
     wait_for(lambda: deployment.nodes[name].backend is not None)
     wait_for(lambda: server.taken_by_this_incarnation())
     wait_for(deployment.settled)
@@ -38,7 +38,7 @@
     heartbeats."""
     name = deployment.holder(7)
     server = deployment.servers[name]
-    wait_for(lambda: server.beats > 10)
+    wait_for(lambda: server.heartbeats_sent > 10)
     server.restart_as(server.instance)
     wait_for(lambda: server.taken_by_this_incarnation())
     wait_for(deployment.settled)
@@ -53,7 +53,7 @@
     Cause: the start was taken as it came."""
     name = deployment.holder(7)
     server = deployment.servers[name]
-    fields = {**server.word(), "born": born, "sequence": 10**6}
+    fields = {**server.heartbeat_fields(), "born": born, "sequence": 10**6}
     port = deployment.ports[name][3]
     assert post(port, f"/-/instances/{server.instance}/heartbeat", fields) == 400
     assert deployment.nodes[name].backend.announcement.life == server.incarnation
--- a/comfreywharf/platform/tests/test_losses.py
+++ b/comfreywharf/platform/tests/test_losses.py
@@ -77,7 +77,7 @@
     servers = deployment.servers.values()
     for server in servers:
         # Were the others to take grants, the keys would soon be served by one of them.
-        server.lose_grants, server.late_s = 10_000, 60.0
+        server.lose_grants, server.grant_delay_s = 10_000, 60.0
     wait_for(lambda: not deployment.holders(7))
     gevent.sleep(0.1)
     before = [server.misdirected for server in servers]
--- a/comfreywharf/platform/tests/test_uploads.py
+++ b/comfreywharf/platform/tests/test_uploads.py
@@ -37,7 +37,7 @@
 
 def begin_long_uploads(deployment, count):
     """Begin uploads that end when their callers leave, or when the server goes on."""
-    deployment.servers["n3"].goes_on.clear()
+    deployment.servers["n3"].may_finish.clear()
     deployment.allow_long_requests()
     begun = spawn_uploads(deployment, count)
     wait_for(lambda: len(deployment.ledger) == count)
@@ -97,7 +97,7 @@
     waiting = spawn_uploads(deployment, 8)
     wait_for(lambda: owner.load.waiting() == len(waiting))
     owner.close_to_new_work()
-    server.goes_on.set()
+    server.may_finish.set()
     gevent.joinall(running + waiting)
     assert len(deployment.ledger) == len(running)
     assert {task.value.status for task in waiting} == {503}
--- a/comfreywharf_dev/standins/platform_server.py
+++ b/comfreywharf_dev/standins/platform_server.py
@@ -49,37 +49,37 @@
 class PlatformServer:
     """A server that holds keys by grants and adds each run to a shared ledger.
 
-    Each request takes ``work_s`` seconds; while ``goes_on`` is cleared, none finishes.
-    The next ``lose_grants`` grant requests take effect ``late_s`` seconds late and are
-    never answered. ``taken`` lists the grants that all its incarnations accepted, and
-    ``misdirected`` counts the requests for keys that it didn't hold. While ``mute`` is
-    set, it sends no heartbeats.
-
-    With ``by_lists`` it refuses grant and release requests and uses the lists of held
-    ranges in the answers to its heartbeats instead. The next ``lose_answers`` of these
-    answers are dropped; ``taken_lists`` counts the others. Ranges that a list leaves
-    out stay held until no request is running; ``handed_over`` then lists their
-    handover tokens. ``taken_over`` lists the tokens that came with granted ranges.
+    Each request takes ``work_s`` seconds; while ``may_finish`` is cleared, none
+    finishes. The next ``lose_grants`` grant requests take effect ``grant_delay_s``
+    seconds late and are never answered. ``taken`` lists the grants that all its
+    incarnations accepted, and ``misdirected`` counts the requests for keys that it
+    didn't hold. While ``heartbeats_off`` is set, it sends no heartbeats.
+
+    With ``uses_hold_lists`` it refuses grant and release requests; the answers to its
+    heartbeats list the ranges that it holds. The next ``lose_answers`` of these
+    answers are dropped; ``applied_lists`` counts the others. Ranges that a list leaves
+    out stay held until no request is running; ``issued_handovers`` then gets their
+    handover tokens. ``received_handovers`` has the tokens that came with ranges.
     """
 
-    def __init__(self, name, service, ledger, work_s=0.0, by_lists=False):
+    def __init__(self, name, service, ledger, work_s=0.0, uses_hold_lists=False):
         self.instance = name
         self.service = service
         self.ledger = ledger
         self.work_s = work_s
-        self.goes_on = Event()
-        self.goes_on.set()
-        self.by_lists = by_lists
+        self.may_finish = Event()
+        self.may_finish.set()
+        self.uses_hold_lists = uses_hold_lists
         self.lose_answers = 0
-        self.taken_lists = 0
+        self.applied_lists = 0
         self.hold_s = 0.0
-        self.handed_over = []
-        self.taken_over = []
+        self.issued_handovers = []
+        self.received_handovers = []
         self._released = []
         self._leaving = []
-        self._line = None
+        self._connection = None
         self.lose_grants = 0
-        self.late_s = 0.2
+        self.grant_delay_s = 0.2
         self.answer_id = None
         self.extra_answers = 0
         self.headers = []
@@ -88,13 +88,13 @@
         self.misdirected = 0
         self.taken = []
         self.state = "ready"
-        self.mute = False
-        self._highest = [-1] * 65536
+        self.heartbeats_off = False
+        self._highest_fences = [-1] * 65536
         self.born_ms = 1_000
         self._sequence = 0
-        self._at_work = set()
+        self._running = set()
         self._server = self._make_server(0)
-        self._beating = None
+        self._heartbeat_greenlet = None
 
     def _make_server(self, port):
         address = ("127.0.0.1", port)
@@ -103,7 +103,7 @@
     def start(self, heartbeat_port):
         """Start listening, and send heartbeats to a node's port."""
         self._server.start()
-        self._beating = gevent.spawn(self._beat, heartbeat_port)
+        self._heartbeat_greenlet = gevent.spawn(self._send_heartbeats, heartbeat_port)
 
     @property
     def port(self):
@@ -112,7 +112,7 @@
 
     def stop(self):
         """Stop heartbeats and requests at once, like a process that crashed."""
-        gevent.kill(self._beating)
+        gevent.kill(self._heartbeat_greenlet)
         self._server.stop(timeout=0)
 
     def crash(self):
@@ -121,15 +121,15 @@
         self.held = []
         self._released = []
         self._leaving = []
-        self._leave_line()
-        self._highest = [-1] * 65536
+        self._close_connection()
+        self._highest_fences = [-1] * 65536
         self._sequence = 0
 
     def close_port(self):
         """Close the port and idle connections; running requests continue."""
         self._server.close()
         for greenlet in list(self._server.pool):
-            if greenlet not in self._at_work:
+            if greenlet not in self._running:
                 greenlet.kill()
 
     def reset_connections(self):
@@ -154,12 +154,12 @@
         return ServerIncarnation(self.instance, self.born_ms)
 
     @property
-    def works(self):
+    def busy(self):
         """Return whether a request is running."""
-        return bool(self._at_work)
+        return bool(self._running)
 
     @property
-    def beats(self):
+    def heartbeats_sent(self):
         """Return how many heartbeats the present incarnation began to send."""
         return self._sequence
 
@@ -172,12 +172,12 @@
         now_s = boottime_s()
         return any(h.first <= key <= h.last and now_s < h.until_s for h in self.held)
 
-    def left_s(self, key):
+    def remaining_hold_s(self, key):
         """Return for how many more seconds the server holds a key."""
         ends_s = [h.until_s for h in self.held if h.first <= key <= h.last]
         return max(ends_s, default=0.0) - boottime_s()
 
-    def word(self):
+    def heartbeat_fields(self):
         """Return the fields of the next heartbeat."""
         return {
             "service": self.service,
@@ -189,13 +189,13 @@
             "coldRemaining": "0ms",
             "sequence": self._sequence,
             "born": self.born_ms,
-            **(self._holds_word() if self.by_lists else {}),
+            **(self._hold_fields() if self.uses_hold_lists else {}),
         }
 
-    def _holds_word(self):
+    def _hold_fields(self):
         now_s = boottime_s()
-        if not self.works:
-            self._released += [self._handed_over(h) for h in self._leaving]
+        if not self.busy:
+            self._released += [self._hand_over(h) for h in self._leaving]
             self._leaving = []
         held = [h for h in self.held if now_s < h.until_s] + self._leaving
         return {
@@ -203,18 +203,18 @@
             "released": list(self._released),
         }
 
-    def _handed_over(self, held):
+    def _hand_over(self, held):
         token = f"{self.instance}-{held.first}"
-        self.handed_over.append(token)
+        self.issued_handovers.append(token)
         return [held.first, held.last, token]
 
-    def _beat(self, port):
+    def _send_heartbeats(self, port):
         while True:
             self._sequence += 1
-            fields = self.word()
+            fields = self.heartbeat_fields()
             pause_s = HEARTBEAT_S
             with contextlib.suppress(OSError, ValueError):
-                if self._server.started and not self.mute:
+                if self._server.started and not self.heartbeats_off:
                     pause_s = self._send_heartbeat(port, fields)
             gevent.sleep(pause_s)
 
@@ -222,44 +222,44 @@
         """Send a heartbeat, apply its answer, and return the seconds until the next."""
         sent_s, incarnation = boottime_s(), self.incarnation
         path = f"/-/instances/{self.instance}/heartbeat"
-        if not self.by_lists:
+        if not self.uses_hold_lists:
             post(port, path, fields)
             return HEARTBEAT_S
         try:
-            self._line = self._line or _Line(port)
-            answer = self._line.exchange(path, fields)
+            self._connection = self._connection or _HeartbeatConnection(port)
+            answer = self._connection.exchange(path, fields)
         except (OSError, ValueError):
-            self._leave_line()
+            self._close_connection()
             raise
         if incarnation != self.incarnation:
             return HEARTBEAT_S
         if self.lose_answers:
             self.lose_answers -= 1
-            self._leave_line()
+            self._close_connection()
             return HEARTBEAT_S
         self._released = []
         if "holds" in answer:
-            self._take_list(answer, sent_s)
+            self._apply_list(answer, sent_s)
         return HEARTBEAT_S / 4 if self._leaving else HEARTBEAT_S
 
-    def _leave_line(self):
-        line, self._line = self._line, None
-        if line is not None:
-            line.end()
+    def _close_connection(self):
+        connection, self._connection = self._connection, None
+        if connection is not None:
+            connection.end()
 
-    def _take_list(self, answer, sent_s):
+    def _apply_list(self, answer, sent_s):
         """Hold the listed ranges; their hold time counts from ``sent_s``."""
-        self.taken_lists += 1
+        self.applied_lists += 1
         self.hold_s = duration_s(answer["hold_time"])
         until_s = sent_s + self.hold_s
         listed = []
         for first, last, fence, handover in answer["holds"]:
-            if max(self._highest[first : last + 1]) > fence:
+            if max(self._highest_fences[first : last + 1]) > fence:
                 self.refused_grants += 1
                 continue
-            self._highest[first : last + 1] = [fence] * (last - first + 1)
+            self._highest_fences[first : last + 1] = [fence] * (last - first + 1)
             listed.append(_HeldRange(first, last, fence, until_s))
-            self.taken_over.append(handover)
+            self.received_handovers.append(handover)
             self.taken.append(TakenGrant(self.incarnation, first, last, fence))
         keys = {key for held in listed for key in range(held.first, held.last + 1)}
         for held in self.held:
@@ -272,7 +272,7 @@
     def _answer(self, environ, start_response):
         path = environ["PATH_INFO"]
         body = environ["wsgi.input"].read()
-        if self.by_lists and path in ("/-/grant", "/-/release"):
+        if self.uses_hold_lists and path in ("/-/grant", "/-/release"):
             return _respond(start_response, 404)
         if path == "/-/grant":
             return self._grant(orjson.loads(body), start_response)
@@ -287,18 +287,20 @@
         if self.lose_grants:
             self.lose_grants -= 1
             arrived_s = boottime_s()
-            gevent.spawn_later(self.late_s, self._take, fields, arrived_s)
+            gevent.spawn_later(
+                self.grant_delay_s, self._accept_grant, fields, arrived_s
+            )
             gevent.sleep(60)
-        if not self._take(fields, boottime_s()):
+        if not self._accept_grant(fields, boottime_s()):
             self.refused_grants += 1
             return _respond(start_response, 409)
         return _respond(start_response, 200)
 
-    def _take(self, fields, arrived_s):
+    def _accept_grant(self, fields, arrived_s):
         first, last, fence = fields["from"], fields["to"], fields["fence"]
-        if max(self._highest[first : last + 1]) > fence:
+        if max(self._highest_fences[first : last + 1]) > fence:
             return False
-        self._highest[first : last + 1] = [fence] * (last - first + 1)
+        self._highest_fences[first : last + 1] = [fence] * (last - first + 1)
         self._drop(first, last)
         until_s = arrived_s + duration_s(fields["hold_time"])
         self.held.append(_HeldRange(first, last, fence, until_s))
@@ -317,7 +319,7 @@
 
     def _release(self, fields, start_response):
         self._drop(fields["from"], fields["to"])
-        while self._at_work:
+        while self._running:
             gevent.sleep(0.005)
         token = f"{self.instance}-{fields['from']}"
         return _respond(start_response, 200, [("X-Handover", token)])
@@ -335,12 +337,12 @@
         self.headers.append({k: v for k, v in environ.items() if k.startswith("HTTP_")})
         run = Run(request_id, int(text or -1), self.instance, boottime_s())
         self.ledger.append(run)
-        self._at_work.add(gevent.getcurrent())
+        self._running.add(gevent.getcurrent())
         try:
             gevent.sleep(self.work_s)
-            self.goes_on.wait()
+            self.may_finish.wait()
         finally:
-            self._at_work.discard(gevent.getcurrent())
+            self._running.discard(gevent.getcurrent())
         headers.append(("X-Attempt-Id", self.answer_id or request_id))
         headers.append(("X-Response-Stamp", f"stamp-{request_id}"))
         return _respond(start_response, 200, headers, body or b"done")
@@ -364,7 +366,7 @@
         return int(sock.recv(4096).split()[1])
 
 
-class _Line:
+class _HeartbeatConnection:
     """A persistent connection to a node for heartbeats."""
 
     def __init__(self, port):
