--- a/comfreywharf/platform/tests/test_losses.py
+++ b/comfreywharf/platform/tests/test_losses.py
@@ -90,7 +90,7 @@
     """Symptom: after the loss of all processes nothing is served, or old routes.
     Sequence: a configuration is acknowledged, and all nodes are killed.
     Cause: state that only processes knew."""
-    deployment.store.forget("comfreywharf")
+    deployment.store.expire_records("comfreywharf")
     deployment.store.put("keyed.op", "config", configuration(version=8))
     for node in deployment.nodes.values():
         node.kill()
--- a/comfreywharf_dev/standins/platform_store.py
+++ b/comfreywharf_dev/standins/platform_store.py
@@ -13,7 +13,7 @@
 
 _LENGTH = struct.Struct(">I")
 _BOUNDS = struct.Struct(">QQ")
-SILENCE_S = 60.0
+UNANSWERED_S = 60.0
 
 
 class _Topic:
@@ -79,7 +79,7 @@
         value = orjson.dumps(document)
         self.topic(name).append([bytes([len(key)]) + key.encode() + value])
 
-    def forget(self, name):
+    def expire_records(self, name):
         """Drop a topic's records, but keep the newest of each key."""
         topic = self.topic(name)
         topic.first, topic.records = topic.end, []
@@ -89,7 +89,7 @@
         if self.fault == "busy":
             return _respond(start_response, 503, b"")
         if self.fault == "silent":
-            gevent.sleep(SILENCE_S)
+            gevent.sleep(UNANSWERED_S)
         query = {k: v[0] for k, v in parse_qs(environ["QUERY_STRING"]).items()}
         topic = self.topic(query["topic"])
         call = environ["PATH_INFO"]
@@ -107,7 +107,7 @@
     def _append(self, topic, body, start_response):
         offset = topic.append(_records(body))
         if self.fault == "lost":
-            gevent.sleep(SILENCE_S)
+            gevent.sleep(UNANSWERED_S)
         fields = {"offset": offset, "endPosition": topic.end}
         return _respond(start_response, 200, orjson.dumps(fields))
 
