--- a/comfreywharf_dev/bench/takeover.py
+++ b/comfreywharf_dev/bench/takeover.py
@@ -85,7 +85,7 @@
     _wait_served(cluster, survivors)
     keys = [k for k in KEYS if cluster.owner_of(survivors[0], "booking", k) == lost]
     if log_down:
-        cluster.switch_log(down=True)
+        cluster.set_log_switches(down=True)
     # One caller for each key: a caller that waits for one key says nothing of
     # how soon another one is served.
     callers = [
@@ -101,7 +101,7 @@
     for one in callers:
         one.end()
     measured.told += [line for one in callers for line in one.told]
-    cluster.switch_log(down=False)
+    cluster.set_log_switches(down=False)
     cluster.start_node(lost)
     cluster.start_server(lost)
     _wait_spread(cluster, survivors[0], lost)
--- a/comfreywharf_dev/failures/tests/test_log_faults.py
+++ b/comfreywharf_dev/failures/tests/test_log_faults.py
@@ -38,11 +38,11 @@
         owner, _, survivors = pick_owner(cluster)
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
-            cluster.switch_log(**LOG_FAULTS[fault])
+            cluster.set_log_switches(**LOG_FAULTS[fault])
             callers.wait_served()
             cluster.kill_vm(owner)
             callers.wait_served()
-            cluster.switch_log(down=False, slow_s=0.0, lose_answers=0)
+            cluster.set_log_switches(down=False, slow_s=0.0, lose_answers=0)
             wait_until(lambda: not owns(cluster, survivors[0], owner), 20)
             callers.wait_served()
         assert violations(cluster, callers.told) == []
@@ -76,7 +76,7 @@
     """
     with running_cluster(tmp_path) as cluster:
         patches = [patch(name) for name in ("anna", "boris")]
-        cluster.switch_log(lose_answers=1)
+        cluster.set_log_switches(lose_answers=1)
         for later in [Later(submit, cluster, one) for one in patches]:
             later.get()
         wait_until(lambda: len(versions(cluster, "next_offset")) == 1, 20)
--- a/comfreywharf_dev/failures/tests/test_replacements.py
+++ b/comfreywharf_dev/failures/tests/test_replacements.py
@@ -56,13 +56,13 @@
         owner, key, survivors = pick_owner(cluster)
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
-            cluster.switch_log(down=True)
+            cluster.set_log_switches(down=True)
             long = start_long(cluster, survivors[0], key)
             cluster.terminate_node(owner)
             told = long.get()
             cluster.plans[owner].node_process.wait(30)
             callers.wait_served()
-            cluster.switch_log(down=False)
+            cluster.set_log_switches(down=False)
             callers.wait_served()
         assert told.outcome is ToldOutcome.ANSWERED
         assert violations(cluster, [*callers.told, told]) == []
@@ -116,7 +116,7 @@
             survivors = others_than(cluster, node_id)
             with Callers(cluster, KEYS, node_ids=survivors) as callers:
                 cluster.terminate_node(node_id)
-                cluster.forget(node_id)
+                cluster.remove_stopped(node_id)
                 callers.wait_served()
             told += callers.told
         for node_id in cluster.plans:
--- a/comfreywharf_dev/soak/faults.py
+++ b/comfreywharf_dev/soak/faults.py
@@ -222,8 +222,8 @@
 
     def begin(self, cluster):
         """Set the switches."""
-        cluster.switch_log(**dict(self.switches))
+        cluster.set_log_switches(**dict(self.switches))
 
     def end(self, cluster):
         """Set them back."""
-        cluster.switch_log(**dict(self.healthy))
+        cluster.set_log_switches(**dict(self.healthy))
--- a/comfreywharf_dev/standins/cluster.py
+++ b/comfreywharf_dev/standins/cluster.py
@@ -109,7 +109,7 @@
         self._proxy_port = 0
         self._proxy_process = None
         self._reserved = []
-        self._claimed = []
+        self._block_sockets = []
         self._ports_left = []
 
     def __enter__(self):
@@ -204,7 +204,7 @@
         wait_listening(self._proxy_port)
         self.faults = FaultControl(self._proxy_port)
 
-    def forget(self, node_id):
+    def remove_stopped(self, node_id):
         """Wait for a node's process to exit, kill its server, and drop its plan."""
         plan = self.plans.pop(node_id)
         plan.node_process.wait(START_TIMEOUT_S)
@@ -235,7 +235,7 @@
     def start_server(self, node_id):
         """Start the backend server beside a node."""
         plan = self.plans[node_id]
-        words = {
+        flags = {
             "name": plan.server_name,
             "service": plan.service,
             "port": plan.server_port,
@@ -248,7 +248,7 @@
             "grants-ledger": self.grants_ledger,
         }
         arguments = [
-            word for key, value in words.items() for word in (f"--{key}", str(value))
+            text for key, value in flags.items() for text in (f"--{key}", str(value))
         ]
         if plan.checks_fences:
             arguments.append("--checks-fences")
@@ -268,8 +268,8 @@
         for process in processes:
             if process is not None:
                 process.wait()
-        while self._claimed:
-            self._claimed.pop().close()
+        while self._block_sockets:
+            self._block_sockets.pop().close()
 
     def submit(self, services, base_version=0, author="operator"):
         """Append a configuration patch, as an operator's tool would."""
@@ -300,11 +300,11 @@
         path = self.folder / f"{node_id}.offset"
         path.write_text(str(wall_offset_s), encoding="ascii")
 
-    def switch_log(self, **switches):
+    def set_log_switches(self, **switches):
         """Set the fault switches of the log service."""
         http_json(self.log_port, "POST", "/switches", switches)
 
-    def switch_server(self, node_id, **switches):
+    def set_server_switches(self, node_id, **switches):
         """Set the fault switches of a backend server."""
         http_json(self.plans[node_id].server_port, "POST", "/switches", switches)
 
@@ -355,11 +355,11 @@
 
     def call(self, node_id, path, key=None, method="POST", **headers):
         """Send a caller's request to a node."""
-        words = {name.replace("_", "-"): value for name, value in headers.items()}
+        fields = {name.replace("_", "-"): value for name, value in headers.items()}
         if key is not None:
-            words["Comfreywharf-Key"] = key
+            fields["Comfreywharf-Key"] = key
         port = self.plans[node_id].caller_port
-        return http_json(port, method, path, headers=words)
+        return http_json(port, method, path, headers=fields)
 
     def effects(self):
         """Return the ledger: every effect that a backend server applied."""
@@ -406,16 +406,16 @@
         members = self.state(node_id)["members"]
         return sum(member["service"] == service for member in members.values())
 
-    def wait_guarded(self, service, timeout_s=START_TIMEOUT_S):
+    def wait_standbys_ready(self, service, timeout_s=START_TIMEOUT_S):
         """Wait until a service is owned and each slice has a standby with a lease.
 
         Slices are assigned as soon as some nodes have their leases. A standby without
         a lease can't take over, and gets none while the log is down.
         """
         self.wait_owned(service, timeout_s)
-        wait_until(lambda: self._all_guarded(service), timeout_s)
+        wait_until(lambda: self._all_standbys_ready(service), timeout_s)
 
-    def _all_guarded(self, service):
+    def _all_standbys_ready(self, service):
         running = self._running()
         pieces = self.state(running[0])["slices"][service]["slices"]
         return all(piece["standby"] for piece in pieces) and all(
@@ -482,19 +482,19 @@
         """
         while True:
             if not self._ports_left:
-                self._claim_block()
+                self._reserve_block()
             port = self._ports_left.pop(0)
             sock = _bind(port)
             if sock is not None:
                 self._reserved.append(sock)
                 return port
 
-    def _claim_block(self):
+    def _reserve_block(self):
         while True:
             first = random.randrange(*PORT_RANGE, PORTS_PER_BLOCK)
             sock = _bind(first)
             if sock is not None:
-                self._claimed.append(sock)
+                self._block_sockets.append(sock)
                 self._ports_left = list(range(first + 1, first + PORTS_PER_BLOCK))
                 return
 
--- a/comfreywharf_dev/standins/tests/test_takeover.py
+++ b/comfreywharf_dev/standins/tests/test_takeover.py
@@ -21,7 +21,7 @@
     """
     with Cluster(tmp_path, riga_plans(booking=3, files=1)) as cluster:
         cluster.submit(riga_services())
-        cluster.wait_guarded("booking")
+        cluster.wait_standbys_ready("booking")
         _, _, answer = cluster.call("files-1", "/booking/book", key=KEY)
         owner = answer["server"].removeprefix("server-")
         if log_down:
