--- a/comfreywharf_dev/failures/tests/test_partitions.py
+++ b/comfreywharf_dev/failures/tests/test_partitions.py
@@ -61,7 +61,7 @@
             Callers(cluster, KEYS, node_ids=[owner], count=1) as inside,
         ):
             callers.wait_served()
-            cluster.faults.silence(owner, [*survivors, LOG])
+            cluster.faults.cut_outgoing(owner, [*survivors, LOG])
             callers.wait_served()
             cluster.faults.heal()
             callers.wait_served()
--- a/comfreywharf_dev/soak/faults.py
+++ b/comfreywharf_dev/soak/faults.py
@@ -183,7 +183,7 @@
     def begin(self, cluster):
         """Hold back what the node sends."""
         others = others_than(cluster, self.node_id)
-        cluster.faults.silence(self.node_id, [*others, LOG])
+        cluster.faults.cut_outgoing(self.node_id, [*others, LOG])
 
 
 @attrs.frozen
--- a/comfreywharf_dev/standins/faultproxy.py
+++ b/comfreywharf_dev/standins/faultproxy.py
@@ -116,17 +116,17 @@
         self.near = near
         self.far = far
         self.link = link
-        self.damaged = False
-        self.target_is_gone = False
+        self.bytes_lost = False
+        self.target_closed = False
 
     def reset(self):
         """Close both sides with a TCP reset."""
         for sock in (self.near, self.far):
             _reset(sock)
 
-    def forget_target(self):
+    def close_target(self):
         """Reset the connection to the target and keep the near side open."""
-        self.target_is_gone = True
+        self.target_closed = True
         _reset(self.far)
 
 
@@ -190,7 +190,7 @@
         if fault.mode is Mode.SWALLOW:
             return
         for connection in list(self._connections):
-            if connection.damaged and flow in self._flows_of(connection.link):
+            if connection.bytes_lost and flow in self._flows_of(connection.link):
                 connection.reset()
 
     def _heal(self, _document):
@@ -200,18 +200,18 @@
         return {"healed": True}
 
     def _reset_link(self, document):
-        chosen = self._chosen(document)
+        chosen = self._connections_of(document)
         for connection in chosen:
             connection.reset()
         return {"connections": len(chosen)}
 
     def _half_open(self, document):
-        chosen = self._chosen(document)
+        chosen = self._connections_of(document)
         for connection in chosen:
-            connection.forget_target()
+            connection.close_target()
         return {"connections": len(chosen)}
 
-    def _chosen(self, document):
+    def _connections_of(self, document):
         link = (document["source"], document["target"])
         return [one for one in self._connections if one.link == link]
 
@@ -264,7 +264,7 @@
         while data := reader.recv(CHUNK_BYTES):
             flow.opened.wait()
             if flow.mode is Mode.SWALLOW:
-                connection.damaged = True
+                connection.bytes_lost = True
                 continue
             if flow.lose_answers > 0:
                 flow.lose_answers -= 1
@@ -274,16 +274,16 @@
             flow.opened.wait()
             writer.sendall(data)
         flow.opened.wait()
-        if flow.mode is not Mode.SWALLOW and not connection.target_is_gone:
+        if flow.mode is not Mode.SWALLOW and not connection.target_closed:
             writer.shutdown(socket.SHUT_WR)
     except OSError:
-        _pass_on_failure(connection, flow)
+        _propagate_failure(connection, flow)
 
 
-def _pass_on_failure(connection, flow):
+def _propagate_failure(connection, flow):
     """Reset the other side too, after any hold, unless the connection is half open."""
     flow.opened.wait()
-    if not connection.target_is_gone:
+    if not connection.target_closed:
         connection.reset()
         return
     # The near side of a half-open connection may still write: discard its bytes.
@@ -323,7 +323,7 @@
         pairs = [(one, other) for one in group for other in others]
         self.cut_pairs(pairs + [(other, one) for one, other in pairs], mode)
 
-    def silence(self, source, targets, mode=Mode.HOLD):
+    def cut_outgoing(self, source, targets, mode=Mode.HOLD):
         """Cut what a process sends to the targets, but not what it receives.
 
         Neither its requests nor its answers to the targets' requests arrive.
