--- a/comfreywharf_dev/standins/backend.py
+++ b/comfreywharf_dev/standins/backend.py
@@ -31,7 +31,7 @@
 INSTANCE = str(os.getpid())
 ANNOUNCE_INTERVAL_S = 0.25
 CHUNK_BYTES = 64 * 1024
-REMEMBERED_ATTEMPTS = 10_000
+MAX_REMEMBERED_ATTEMPTS = 10_000
 
 
 @attrs.define(kw_only=True)
@@ -109,7 +109,7 @@
             "/health": self._health,
             "/load": self._load,
             "/running": self._list_running,
-            "/grants": self._take_grants,
+            "/grants": self._set_grants,
             "/cancel": self._cancel,
             "/drain": self._drain,
             "/switches": self._set_switches,
@@ -132,14 +132,14 @@
     def _list_running(self, request):
         return Answer(200, list(self._running.values()))
 
-    def _take_grants(self, request):
+    def _set_grants(self, request):
         grants = [Grant(**fields) for fields in orjson.loads(request.read_body())]
         for grant in grants:
-            self._write_if_new(grant)
+            self._record_if_new(grant)
         self._grants = {grant.start: grant for grant in grants}
         return Answer(200, {"grants": len(self._grants)})
 
-    def _write_if_new(self, grant):
+    def _record_if_new(self, grant):
         held = self._grants.get(grant.start)
         if held and (held.end, held.fence) == (grant.end, grant.fence):
             return
@@ -278,10 +278,10 @@
         }
 
 
-def _remember(known, attempt, at_s):
-    known[attempt] = at_s
-    while len(known) > REMEMBERED_ATTEMPTS:
-        del known[next(iter(known))]
+def _remember(attempts, attempt, at_s):
+    attempts[attempt] = at_s
+    while len(attempts) > MAX_REMEMBERED_ATTEMPTS:
+        del attempts[next(iter(attempts))]
 
 
 def _download(request):
--- a/comfreywharf_dev/standins/fleet.py
+++ b/comfreywharf_dev/standins/fleet.py
@@ -125,7 +125,7 @@
         )
         return self.follower.append(record)
 
-    def reported(self, name):
+    def events_named(self, name):
         """Return this node's events of a name."""
         return [event for event in self.reporter.events.since(0) if event.name == name]
 
--- a/comfreywharf_dev/standins/logservice.py
+++ b/comfreywharf_dev/standins/logservice.py
@@ -44,7 +44,7 @@
         self.first = 0
         self.records = deque()
         self.times_s = deque()
-        self.grown = Event()
+        self.record_appended = Event()
 
     @property
     def next(self):
@@ -59,8 +59,8 @@
 
     def wake(self):
         """Wake the readers that wait for a record."""
-        self.grown.set()
-        self.grown.clear()
+        self.record_appended.set()
+        self.record_appended.clear()
 
     def trim(self, keep, since_s):
         """Drop the oldest records beyond ``keep``, and those before ``since_s``."""
@@ -171,7 +171,7 @@
         limit = min(int(request.query.get("limit", "100")), MAX_BATCH)
         wait_s = min(int(request.query.get("wait_ms", "0")), 30_000) / 1000
         if start >= stream.next and wait_s:
-            stream.grown.wait(wait_s)
+            stream.record_appended.wait(wait_s)
             if self.switches.down:
                 return Answer(503, {"error": "log service is down"})
         self._trim(stream)
--- a/comfreywharf_dev/standins/tests/test_log_faults.py
+++ b/comfreywharf_dev/standins/tests/test_log_faults.py
@@ -135,7 +135,7 @@
         writer.follower.append(make_patch(0))
         fill_log(fleet, writer, 2 * SHORT_RETENTION)
         late = fleet.start("b", announce=False, seeds=[], snapshots=False)
-        wait_for(lambda: late.reported("log_gap"))
+        wait_for(lambda: late.events_named("log_gap"))
         assert late.follower.gap and not late.follower.usable
         writer.write_snapshots()
         wait_for(lambda: late.follower.usable)
