--- a/comfreywharf_dev/failures/__init__.py
+++ b/comfreywharf_dev/failures/__init__.py
@@ -1,5 +1,6 @@
-"""Failures provoked on real processes, and the invariants that must survive them.
+"""Failures injected into real processes, and checks of the invariants.
 
-`callers` puts load on a cluster and keeps what each caller was told; `invariants`
-compares that with the backend servers' ledger. The tests provoke one failure each.
+`callers` puts load on a cluster and records the result of each call; `invariants`
+compares the results with the backend servers' ledger. Each test injects one failure
+or a combination of failures.
 """
--- a/comfreywharf_dev/failures/callers.py
+++ b/comfreywharf_dev/failures/callers.py
@@ -1,4 +1,4 @@
-"""Callers that go on through a failure and keep what they were told."""
+"""Callers that keep sending through a failure and record the results."""
 
 import itertools
 import threading
@@ -17,7 +17,7 @@
 PAUSE_S = 0.01
 SENDINGS = 3
 SERVED_LIMIT_S = 20.0
-"""Ends a wait that failed; how fast keys are served again is a benchmark's matter."""
+"""Timeout of a failed wait; benchmarks measure how soon keys are served again."""
 
 
 def book(
@@ -30,10 +30,10 @@
     timeout_ms=2000,
     work_ms=None,
 ):
-    """Send one booking through a node and return what was `Told`.
+    """Send one booking through a node and return the `Told` result.
 
     ``first_sent_s`` is when this request was sent for the first time; ``None``
-    where this sending is the first.
+    means now.
     """
     request_id = request_id or uuid.uuid4().hex
     sent_s = boottime_s()
@@ -79,12 +79,12 @@
 
 
 class Callers:
-    """Threads that book, each through all given nodes in turn.
+    """Threads that send bookings, each through all given nodes in turn.
 
-    A request that was not answered is sent again under its id through the next
-    node, a few times: that is how a real caller finds out whether it was run,
-    and what would apply it twice if nobody remembered it. Counts and pauses
-    bound the load.
+    A request without an answer is sent again under the same id through the next
+    node, a few times, as a real caller does to find out whether it was run. Such
+    resends would be applied twice if no node remembered the request. The number of
+    threads and the pauses between requests bound the load.
 
     >>> with Callers(cluster, keys) as callers:  # doctest: +SKIP
     ...     cluster.kill_node("booking-1")
@@ -112,21 +112,24 @@
         self.end()
 
     def end(self):
-        """Send no more and wait for the answers that are still to come."""
+        """Send no more requests and wait for the outstanding answers."""
         self._ended.set()
         for thread in self._threads:
             thread.join()
 
     def since(self, start_s):
-        """Return what was told of requests sent from a time on."""
+        """Return the results of requests sent at ``start_s`` or later."""
         return [one for one in list(self.told) if one.sent_s >= start_s]
 
     def served_since(self, start_s):
-        """Return the keys with a booking that was sent since then and accepted."""
+        """Return the keys with an accepted booking sent at ``start_s`` or later."""
         return {one.key for one in self.since(start_s) if one.accepted}
 
     def wait_served(self, keys=None, timeout_s=SERVED_LIMIT_S):
-        """Wait until each key had a booking that was sent from now on."""
+        """Wait until each key has an accepted booking that was sent from now on.
+
+        Raises `TimeoutError` with the missing keys and their last results.
+        """
         start_s = boottime_s()
         wanted = set(keys or self._keys)
         try:
--- a/comfreywharf_dev/failures/invariants.py
+++ b/comfreywharf_dev/failures/invariants.py
@@ -1,7 +1,7 @@
-"""The invariants, checked over the ledger, the grants and what callers were told.
+"""Checks of the invariants against the ledger, the grants and callers' results.
 
-All times are of the machine's monotonic clock, which its processes share, so that
-the times of two backend servers compare.
+All times are in seconds of the machine's monotonic clock, which all processes
+share, so that the times of two backend servers are comparable.
 """
 
 from collections import defaultdict
@@ -33,7 +33,7 @@
 
 @attrs.frozen(kw_only=True)
 class Effect:
-    """One line of the ledger; without ``key_hash`` its service has no owners.
+    """One line of the ledger; ``key_hash`` is empty if the service has no owners.
 
     ``arrived_s`` is when its request reached the server, ``at_s`` when it took effect.
     """
@@ -49,7 +49,7 @@
 
 @attrs.frozen(kw_only=True)
 class GrantTaken:
-    """A grant as a backend server took it: hashes ``start <= hash < end``."""
+    """A grant that a backend server accepted, of hashes ``start <= hash < end``."""
 
     at_s: float
     server: str
@@ -60,7 +60,7 @@
 
 
 class ToldOutcome(Enum):
-    """What a caller was told; ``NOTHING`` is a connection without an answer."""
+    """The outcome that a caller received; ``NOTHING`` if there was no answer."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -70,9 +70,9 @@
 
 @attrs.frozen(kw_only=True)
 class Told:
-    """What a caller was told of one sending of a request that applies an effect.
+    """The result of one attempt to send a request that applies an effect.
 
-    ``echoed_key`` and ``echoed_id`` are what the answer says it belongs to;
+    ``echoed_key`` and ``echoed_id`` are the key and the request id in the answer;
     ``accepted`` says whether the backend server answered with success.
     """
 
@@ -91,14 +91,14 @@
 
 @attrs.frozen(kw_only=True)
 class Violation:
-    """A rule that was broken, and by what."""
+    """A broken rule, and the effects, grants or results that broke it."""
 
     rule: Rule
     what: str
 
 
 def find_violations(effects, told=(), grants=()):
-    """Return every `Violation`, in the order of the rules."""
+    """Return every `Violation` found by the checks, check by check."""
     return [
         *_two_owners(effects),
         *_shared_fences(grants),
@@ -109,11 +109,11 @@
 
 
 def _two_owners(effects):
-    """Find an effect under an older owner that came after a newer owner's.
+    """Find effects of an older owner that came after a newer owner's effect.
 
-    Were two servers to own a key at overlapping times, the one with the older
-    fence would apply an effect after the newer one's first, or both would use
-    one fence. The first effect of each owner stands for its time of owning.
+    If two servers own a key at overlapping times, the one with the older fence
+    applies an effect after the first effect of the newer one, or both use the same
+    fence. The first effect of each owner marks the start of its ownership.
     """
     owners_by_key = defaultdict(dict)
     for effect in sorted(effects, key=lambda one: one.at_s):
@@ -131,10 +131,10 @@
 
 
 def _rules_out(first, effect):
-    """Return whether an owner's first effect rules out a later effect.
+    """Return whether a later effect conflicts with an owner's first effect.
 
-    An owner's fence rises while it keeps a key, with a new standby for instance. What
-    has reached its server by then still ends under the fence before.
+    An owner's fence can rise while it keeps a key, for instance with a new standby.
+    Requests that had reached its server before may finish under the earlier fence.
     """
     if first.server != effect.server:
         return effect.fence <= first.fence
--- a/comfreywharf_dev/failures/tests/builders.py
+++ b/comfreywharf_dev/failures/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of ledgers, grants and answers, and the clusters that failures hit."""
+"""Builders of effects, grants and results, and of clusters for failure tests."""
 
 import contextlib
 import threading
@@ -82,7 +82,7 @@
 
 @contextlib.contextmanager
 def running_cluster(folder, *, booking=4, slices=12, proxied=False, **fields):
-    """Run nodes of the booking service, over three domains, with owners."""
+    """Run a booking service in three failure domains, with all slices owned."""
     plans = riga_plans(booking=booking, files=0, **fields)
     with Cluster(folder, plans, proxied=proxied) as cluster:
         cluster.submit(riga_services(slices=slices))
@@ -103,11 +103,12 @@
 
 
 def bearable_losses(cluster, seen_by):
-    """Return the pairs of nodes whose loss leaves each other node's lease a majority.
+    """Return the pairs of nodes whose loss leaves every other node its quorum.
 
-    Which witnesses a node has hangs on the order in which nodes announced themselves,
-    and so on the machine's load. One that loses two of its three has no lease until one
-    of them is back or replaced, which is a known limit and has a test of its own.
+    The witnesses of a node depend on the order in which nodes announced themselves,
+    and so on the machine's load. A node that loses two of its three witnesses has no
+    lease until one of them is back or replaced. That is a known limit, covered by
+    `test_two_witnesses_lost_and_replaced`.
     """
     members = cluster.state(seen_by)["members"]
     groups = {name: set(member["witnesses"]) for name, member in members.items()}
@@ -125,13 +126,13 @@
 
 
 def owns(cluster, seen_by, node_id):
-    """Return whether a node owns any slice, as another one knows it."""
+    """Return whether a node owns any slice in the state of the node ``seen_by``."""
     pieces = cluster.state(seen_by)["slices"]["booking"]["slices"]
     return any(piece["owner"] == node_id for piece in pieces)
 
 
 class Later:
-    """A call on a thread of its own, whose result is awaited later."""
+    """A function call in a background thread."""
 
     def __init__(self, function, *arguments, **named):
         self._result = None
@@ -144,19 +145,20 @@
         self._result = function(*arguments, **named)
 
     def ended(self):
-        """Return whether the call has ended."""
+        """Return whether the call has returned."""
         return not self._thread.is_alive()
 
     def get(self):
-        """Wait for the call's end and return its result."""
+        """Wait for the call and return its result."""
         self._thread.join()
         return self._result
 
 
 def start_long(cluster, node_id, key, *, work_ms=700):
-    """Start a booking that takes long; return once a backend server runs it.
+    """Start a slow booking and return once a backend server runs it.
 
-    One that was refused, since its key was just on the move, is begun anew.
+    A booking may be refused while its key moves to another owner; it is then
+    started again. Raises `TimeoutError` if all `LONG_TRIES` were refused.
     """
     for _ in range(LONG_TRIES):
         request_id = f"long-{uuid.uuid4().hex}"
@@ -174,7 +176,7 @@
 
 
 def violations(cluster, told_of=()):
-    """Return what the cluster did against the invariants."""
+    """Return the violations of the invariants in the cluster's ledgers."""
     effects = [cattrs.structure(line, Effect) for line in cluster.effects()]
     grants = [cattrs.structure(line, GrantTaken) for line in cluster.grants()]
     return find_violations(effects, told_of, grants)
--- a/comfreywharf_dev/failures/tests/test_clocks.py
+++ b/comfreywharf_dev/failures/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""A machine's wall clock is wrong, or is set while the node runs."""
+"""The wall clock of a machine is wrong, or is set while the node runs."""
 
 import pytest
 
@@ -17,11 +17,11 @@
 
 
 def test_wall_clock_jumps_while_the_node_runs(tmp_path):
-    """Leases and deadlines don't follow the wall clock.
+    """Leases and deadlines don't depend on the wall clock.
 
-    Symptom: two owners, or keys that nobody serves. Sequence:
-    an owner's wall clock runs an hour ahead, is set back by two hours, and ahead
-    again, while callers book. Cause: a lease or a deadline is counted by it.
+    Guards against two owners, or keys that no node serves, when a lease or a deadline
+    is measured by the wall clock. An owner's clock starts an hour ahead, and is set
+    back by two hours and forward again, while callers book.
     """
     with running_cluster(tmp_path, wall_offset_s=HOUR_S) as cluster:
         owner, _, _ = pick_owner(cluster)
@@ -34,11 +34,11 @@
 
 
 def test_replaced_node_with_a_clock_behind(tmp_path):
-    """A VM that is replaced by one with a slow clock serves again.
+    """A VM that is replaced by one with a clock behind serves again.
 
-    Symptom: a replaced node never owns anything. Sequence: a node stops; the one
-    that replaces it has a wall clock an hour behind. Cause: it names itself by a
-    time that is older than its predecessor's, and is taken for a stale process.
+    Guards against a replaced node that never owns a slice: if its incarnation comes
+    from a wall clock an hour behind, it is older than its predecessor's, and the new
+    process would be treated as stale.
     """
     with running_cluster(tmp_path) as cluster:
         owner, _, survivors = pick_owner(cluster)
--- a/comfreywharf_dev/failures/tests/test_invariants.py
+++ b/comfreywharf_dev/failures/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The checker itself, on ledgers that were made up to break one rule each."""
+"""The checker of invariants, on ledgers that break one rule each."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -96,7 +96,7 @@
 
 
 def test_what_is_allowed_is_not_reported():
-    """A hand-over, a resend, a fence that rises, a service without owners are fine."""
+    """Handovers, resends, rising fences and services without owners are allowed."""
     effects = [
         effect(4, "a", 10, "r9"),
         effect(5, "a", 8, "r10", arrived_s=3.5),
@@ -124,7 +124,7 @@
     data=st.data(),
 )
 def test_any_effect_after_the_hand_over_is_found(owners, data):
-    """Whichever owner acts again after the next one's first effect is caught."""
+    """An effect of any earlier owner after a newer owner's first effect is found."""
     effects = [
         effect(at_s, server, at_s, f"r{at_s}") for at_s, server in enumerate(owners)
     ]
--- a/comfreywharf_dev/failures/tests/test_log_faults.py
+++ b/comfreywharf_dev/failures/tests/test_log_faults.py
@@ -1,4 +1,4 @@
-"""The platform's log service is down, slow, or loses answers."""
+"""The platform's log service is unavailable, slow, or loses answers."""
 
 import pytest
 from geventhttpclient.response import HTTPParseError
@@ -27,12 +27,12 @@
 
 @pytest.mark.parametrize("fault", LOG_FAULTS)
 def test_owner_killed_while_the_log_fails(tmp_path, fault):
-    """Two faults together: keys are served again without the log's help.
+    """A lost owner's keys are served again while the log fails.
 
-    Symptom: a lost owner's keys stay dark as long as the log does, or are taken
-    over twice once it is back. Sequence: the log fails; work that is assigned
-    goes on; the owner's VM is lost; the log comes back. Cause: the takeover waits
-    for a record, or a takeover whose answer was lost is written again.
+    Guards against a takeover that waits for a record, so that the keys are unavailable
+    for as long as the log, and against one that is written again after its answer was
+    lost, so that keys are taken over twice. The log fails, the owner's VM is lost,
+    and then the log recovers.
     """
     with running_cluster(tmp_path) as cluster:
         owner, _, survivors = pick_owner(cluster)
@@ -49,11 +49,11 @@
 
 
 def test_one_node_loses_the_log_alone(tmp_path):
-    """A node that is cut off from the log alone goes on serving what it owns.
+    """A node that is cut off from the log only keeps serving its keys.
 
-    Symptom: keys of a healthy server go dark. Sequence: the link between one node
-    and the log is cut and stays so for longer than a lease. Cause: the node needs
-    the log to renew its lease, or gives up what it owns without news from it.
+    Guards against a healthy server's keys becoming unavailable because its node needs
+    the log to renew its lease, or releases its slices without new records. The link
+    between one node and the log is cut for longer than a lease.
     """
     with running_cluster(tmp_path, proxied=True) as cluster:
         owner, _, _ = pick_owner(cluster)
@@ -67,12 +67,12 @@
 
 
 def test_operators_racing(tmp_path):
-    """Of two patches against one version exactly one comes into force, everywhere.
+    """Exactly one of two patches against one version takes effect, on every node.
 
-    Symptom: an operator's accepted change is gone, or two nodes follow two
-    configurations. Sequence: two operators read version 1 and submit at once; the
-    answer to the first one is lost, so that he submits the same record again.
-    Cause: patches are merged, or a resend counts as a second patch.
+    Guards against patches that are merged and resends that count as a second patch:
+    an accepted change would be lost, or nodes would have different configurations.
+    Two operators submit patches of version 1 at once. The answer to the first
+    submission is lost, and the same record is submitted again.
     """
     with running_cluster(tmp_path) as cluster:
         patches = [patch(name) for name in ("anna", "boris")]
@@ -100,7 +100,7 @@
 
 
 def submit(cluster, record):
-    """Append until an answer came, as a tool does that writes the same record."""
+    """Append one record until it is answered, as the operator's tool does."""
     for _ in range(3):
         try:
             return cluster.append(record)
--- a/comfreywharf_dev/failures/tests/test_owner_losses.py
+++ b/comfreywharf_dev/failures/tests/test_owner_losses.py
@@ -1,4 +1,4 @@
-"""An owner is lost, or freezes and comes back believing that it still owns."""
+"""An owner is lost, or freezes and resumes after its lease expired."""
 
 import time
 
@@ -22,16 +22,15 @@
 
 LONG_MS = 4000
 PAST_A_LEASE_S = 2.5
-"""Longer than a lease of 1 s; what lapses only then makes no difference here."""
+"""Longer than a lease of 1 s; nothing depends on how much longer."""
 
 
 def test_owner_killed(tmp_path):
     """A lost owner's keys are served by another, and nothing is applied twice.
 
-    Symptom: a calendar can't be booked any more, or one booking stands twice.
-    Sequence: callers book; the owner's VM is lost; callers send again what had
-    no answer. Cause: nobody takes over without the owner's release, or the new
-    owner runs a request again that the lost one had run.
+    Guards against a takeover that needs the owner's release, so that its keys stay
+    unavailable, and against a new owner that runs a request again. The owner's VM is
+    lost while callers book, and they resend the requests without an answer.
     """
     with running_cluster(tmp_path) as cluster:
         owner, _, survivors = pick_owner(cluster)
@@ -43,12 +42,11 @@
 
 
 def test_owner_frozen_then_resumed(tmp_path):
-    """A node that wakes up after its lease applies nothing that it held.
+    """A node that resumes after its lease expired runs no request it had received.
 
-    Symptom: two bookings of one calendar by two servers. Sequence: the owner's
-    node freezes; a request reaches its socket; its lease lapses and the standby
-    serves; the node wakes up and finds the request. Cause: it believes in its
-    lease, since no time seems to have passed.
+    Guards against two servers that book the same calendar. The owner's node freezes, a
+    request reaches its socket, its lease expires and the standby serves. When the
+    node resumes, it must not treat its lease as valid as if no time had passed.
     """
     with running_cluster(tmp_path) as cluster:
         owner, key, survivors = pick_owner(cluster)
@@ -68,11 +66,10 @@
 def test_only_the_backend_server_frozen(tmp_path, checks_fences):
     """A request in a frozen server's socket has no effect after the takeover.
 
-    Symptom: a booking appears in a calendar that another server owns by now.
-    Sequence: the backend server freezes, its node lives; a request lies in the
-    server's socket; another server takes the key; the server thaws and reads the
-    request. Cause: the node released the key while what it had forwarded could
-    still be run, or the request carried a deadline past the release.
+    Guards against a node that releases a key while a forwarded request can still be
+    run, or that forwards a request with a deadline after the release. The backend
+    server freezes with a request in its socket while its node runs; another server
+    takes the key over; the frozen server resumes and reads the request.
     """
     with running_cluster(tmp_path, checks_fences=checks_fences) as cluster:
         owner, key, survivors = pick_owner(cluster)
@@ -89,12 +86,11 @@
 
 
 def test_node_and_backend_server_frozen(tmp_path):
-    """A VM that stood still as a whole wakes up owning nothing.
+    """A VM that resumes after its lease expired owns nothing.
 
-    Symptom: two bookings of one calendar by two servers. Sequence: a request
-    runs at the backend server; the whole VM freezes; the standby serves; the
-    VM wakes up and the request goes on. Cause: neither the node nor the server
-    saw time pass, and the server's work was half done.
+    Guards against two servers that book the same calendar. A request runs at the
+    backend server when the whole VM freezes; the standby serves; the VM resumes and
+    the request continues, though neither the node nor the server saw time pass.
     """
     with running_cluster(tmp_path) as cluster:
         owner, key, survivors = pick_owner(cluster)
@@ -112,11 +108,11 @@
 
 
 def test_witness_killed_during_a_takeover(tmp_path):
-    """A takeover ends though one of those who grant it is lost meanwhile.
+    """A takeover completes though one of the owner's witnesses is lost as well.
 
-    Symptom: the lost owner's keys are never served again. Sequence: the owner's
-    VM is lost; before the standby has its lease, a witness is lost as well.
-    Cause: the standby waits for a witness that doesn't come back.
+    Guards against a standby that waits for a witness that doesn't come back, so that
+    the lost owner's keys are never served again. The witness is killed right after
+    the owner's VM, before the standby has its lease.
     """
     with running_cluster(tmp_path, booking=6) as cluster:
         owner, witness = next(
@@ -138,10 +134,10 @@
 
 
 def test_planner_killed_during_a_takeover(tmp_path):
-    """A takeover ends though the planner is lost meanwhile, and planning goes on.
+    """A takeover completes and planning continues though the planner is lost.
 
-    Symptom: keys without an owner for good. Sequence: the owner's VM is lost, and
-    the planner's with it. Cause: only the planner would name the next owner.
+    Guards against a takeover that needs the planner to name the next owner, so that
+    keys stay without an owner. The owner's VM and the planner's are lost together.
     """
     with running_cluster(tmp_path, booking=6) as cluster:
         planner = cluster.state("booking-1")["planner_id"]
@@ -165,10 +161,10 @@
 def test_two_witnesses_lost_and_replaced(tmp_path):
     """Owners whose witnesses were lost serve again when those are replaced.
 
-    Symptom: keys of healthy owners stay dark for good. Sequence: two VMs of
-    different domains are lost at once; every lease that had both among its
-    witnesses lapses; both are replaced under their names, with empty memory.
-    Cause: a lease waits for grants that nobody remembers.
+    Guards against a lease that waits for grants which no witness has any more, so that
+    keys of healthy owners stay unavailable. Two VMs of different domains are lost at
+    once, every lease with both among its witnesses expires, and both are replaced
+    under the same names with empty memory.
     """
     lost = ("booking-2", "booking-3")
     with running_cluster(tmp_path) as cluster:
@@ -186,12 +182,12 @@
 
 
 def test_owner_frozen_and_its_standby_killed(tmp_path):
-    """Two faults together: the standby of a frozen owner is lost as well.
+    """Keys are served again when the standby of a frozen owner is lost as well.
 
-    Symptom: two owners once the first wakes up, or none for good. Sequence: the
-    owner freezes; its standby is lost before or after it took over; the owner
-    wakes up after its lease. Cause: the owner goes on where it stopped, or the
-    pre-agreed standby was the only way on.
+    Guards against an owner that resumes as if its lease were valid, so that there are
+    two owners, and against a takeover that only the planned standby can do, so that
+    there is none. The owner freezes, its standby is lost before or after it took over,
+    and the owner resumes after its lease expired.
     """
     with running_cluster(tmp_path) as cluster:
         owner, key, others = pick_owner(cluster)
--- a/comfreywharf_dev/failures/tests/test_partitions.py
+++ b/comfreywharf_dev/failures/tests/test_partitions.py
@@ -1,4 +1,4 @@
-"""The network between nodes is cut, both ways or one."""
+"""Network partitions between nodes, in both directions or in one."""
 
 import pytest
 
@@ -17,12 +17,12 @@
 
 
 def test_failure_domain_cut(tmp_path):
-    """A domain that is cut off stops serving; the others take its keys over.
+    """A failure domain that is cut off stops serving; others take its keys over.
 
-    Symptom: one calendar is booked on both sides of the cut. Sequence: a domain
-    loses the others and the log; callers on both sides go on; the cut heals, and
-    what was held back arrives late. Cause: the owner inside goes on after its
-    lease, since it can't hear that it was replaced.
+    Guards against an owner inside that serves after its lease because it can't be
+    notified of its replacement, so that one calendar is booked on both sides. A domain
+    is cut off from the others and the log while callers on both sides book; after the
+    partition, the traffic that was held back arrives late.
     """
     with running_cluster(tmp_path, booking=6, proxied=True) as cluster:
         owner, _, _ = pick_owner(cluster)
@@ -47,12 +47,12 @@
 
 
 def test_one_way_cut_of_an_owner(tmp_path):
-    """An owner that hears everybody but is heard by nobody is replaced.
+    """An owner that receives but can't send is replaced.
 
-    Symptom: two servers book one calendar. Sequence: what the owner sends is
-    lost, what others send arrives; its renewals don't reach the witnesses; others
-    forward requests to it, which it runs. Cause: it counts its lease from an
-    answer, or from hearing others, and not from a renewal that was granted.
+    Guards against an owner that extends its lease on any message it receives rather
+    than on a granted renewal, so that two servers book the same calendar. What the
+    owner sends is held back and its renewals don't reach the witnesses; what others
+    send arrives, and they still forward requests to it.
     """
     with running_cluster(tmp_path, proxied=True) as cluster:
         owner, _, survivors = pick_owner(cluster)
@@ -70,12 +70,12 @@
 
 
 def test_one_way_cut_of_the_renewals_answers(tmp_path):
-    """An owner whose renewals arrive, but not the answers to them, stops in time.
+    """An owner stops in time if its renewals arrive, but not the answers to them.
 
-    Symptom: two servers book one calendar, or nobody for good. Sequence: the
-    witnesses hear the owner, the owner doesn't hear them. Cause: it takes the
-    sending for the grant; or the witnesses go on to hold a lease for a node that
-    can't use it.
+    Guards against an owner that treats a sent renewal as granted, so that two servers
+    book the same calendar, and against witnesses that keep a lease for a node that
+    can't use it, so that no server does. The witnesses receive the owner's renewals;
+    their answers are held back.
     """
     with running_cluster(tmp_path, proxied=True) as cluster:
         owner, key, survivors = pick_owner(cluster)
@@ -91,11 +91,11 @@
 
 
 def test_connections_reset_and_half_open(tmp_path):
-    """Links that break under load cost answers at most, never a second effect.
+    """Connections that break under load lose answers, but cause no second effect.
 
-    Symptom: a booking stands twice, or a caller waits for ever. Sequence: the
-    owner's connections are reset, later left half open, while requests are in
-    flight. Cause: a lost answer is taken for a request that wasn't run.
+    Guards against a lost answer that is treated as a request that wasn't run, so that
+    a booking is applied twice, and against a caller that waits without end. The
+    owner's connections are reset, and later left half open, with requests in flight.
     """
     with running_cluster(tmp_path, proxied=True) as cluster:
         owner, _, (ingress, *_) = pick_owner(cluster)
--- a/comfreywharf_dev/failures/tests/test_replacements.py
+++ b/comfreywharf_dev/failures/tests/test_replacements.py
@@ -1,4 +1,4 @@
-"""Nodes and backend servers leave, return and are replaced, planned or not."""
+"""Nodes and backend servers stop, crash, restart and are replaced."""
 
 import pytest
 
@@ -19,12 +19,12 @@
 
 
 def test_graceful_stop_under_load(tmp_path):
-    """A planned stop cuts and refuses no request, and its keys go on elsewhere.
+    """A planned stop aborts and refuses no request, and its keys stay available.
 
-    Symptom: callers see errors at each deployment. Sequence: callers book; one
-    request takes long; the owner's node is told to stop. Cause: the node closes
-    its ports, or gives its keys up, with requests in progress, or the ingress
-    refuses in the gap.
+    Guards against errors at each deployment: the node must not close its ports or
+    release its keys with requests in progress, and the ingress must not refuse
+    requests during the handover. The owner's node gets SIGTERM while callers book and
+    two long requests run.
     """
     with running_cluster(tmp_path) as cluster:
         owner, key, survivors = pick_owner(cluster)
@@ -45,12 +45,11 @@
 
 
 def test_planned_stop_during_a_log_outage(tmp_path):
-    """A node that is drained while the log is down still cuts nothing.
+    """A node that stops while the log is down aborts no request.
 
-    Symptom: requests in progress are cut, or the keys stay dark until the log is
-    back. Sequence: the log is down; the owner is told to stop; its keys can't be
-    moved by a record. Cause: the node waits for the log for ever, or ends with
-    its lease held.
+    Guards against a node that waits for the log without end, and against one that
+    exits with its lease held, so that its keys stay unavailable. The owner gets
+    SIGTERM while its keys can't be moved by a record.
     """
     with running_cluster(tmp_path) as cluster:
         owner, key, survivors = pick_owner(cluster)
@@ -69,11 +68,10 @@
 
 
 def test_drained_node_gets_no_new_work(tmp_path):
-    """A drained node's keys move, and its server gets no more work.
+    """A drained node's keys move, and its server gets no more requests.
 
-    Symptom: a server that is leaving gets work for good. Sequence: an operator
-    drains a node; callers go on. Cause: nobody moves its keys, or an ingress
-    goes on with an old route.
+    Guards against keys that aren't moved off a drained node, and against an ingress
+    that keeps using an outdated route. An operator drains a node while callers book.
     """
     with running_cluster(tmp_path) as cluster:
         owner, _, survivors = pick_owner(cluster)
@@ -95,11 +93,11 @@
 
 
 def test_all_nodes_replaced_one_after_another(tmp_path):
-    """Once every VM was replaced, the configuration and the keys are still there.
+    """The configuration and the keys' owners survive the replacement of every VM.
 
-    Symptom: a new fleet without configuration, or keys nobody owns. Sequence: for
-    each node, a new one starts, the old one stops and ends; nothing on a VM is
-    kept. Cause: something that must last lived in a node.
+    Guards against durable state that is kept in nodes only, so that a new fleet has no
+    configuration or keys have no owner. For each node a new one starts and the old one
+    stops; nothing on a VM is kept.
     """
     with running_cluster(tmp_path) as cluster:
         config = cluster.state("booking-1")["config"]
@@ -125,12 +123,11 @@
 
 
 def test_backend_server_dies_and_comes_back(tmp_path):
-    """A server's death costs at most what it had in progress.
+    """The crash of a backend server affects only its requests in progress.
 
-    Symptom: keys stay dark though other servers live, or one booking stands
-    twice. Sequence: the server dies with requests in progress; its node lives;
-    later a new server process starts there. Cause: the node keeps its lease for
-    a server that doesn't answer, or runs a request again that had run.
+    Guards against a node that keeps its lease for a server that doesn't answer, so
+    that keys stay unavailable, and against a request that is run twice. The server is
+    killed with requests in progress while its node runs; later it is started again.
     """
     with running_cluster(tmp_path) as cluster:
         owner, key, survivors = pick_owner(cluster)
