--- a/comfreywharf_dev/bench/planned_stop.py
+++ b/comfreywharf_dev/bench/planned_stop.py
@@ -13,8 +13,8 @@
 from comfreywharf_dev.bench.figures import Figure
 from comfreywharf_dev.failures.callers import Callers, book
 from comfreywharf_dev.failures.invariants import (
+    CallOutcome,
     Effect,
-    ToldOutcome,
     find_violations,
 )
 from comfreywharf_dev.standins.cluster import Cluster, wait_until
@@ -47,7 +47,7 @@
                 late += _late_effects(cluster, stopped, stopped_s)
                 _restart(cluster, stopped)
             effects = [Effect(**fields) for fields in cluster.effects()]
-    lost = sum(1 for one in told if one.outcome is not ToldOutcome.ANSWERED)
+    lost = sum(1 for one in told if one.outcome is not CallOutcome.ANSWERED)
     return _figures(sorted(gaps_ms), lost, late, find_violations(effects, told))
 
 
@@ -85,7 +85,7 @@
     time.sleep(max(0.0, stopped_s + WATCHED_S - boottime_s()))
     for one in callers:
         one.end()
-    return [line for one in callers for line in one.told], stopped_s
+    return [line for one in callers for line in one.results], stopped_s
 
 
 def _gaps_ms(lines, stopped_s):
--- a/comfreywharf_dev/bench/takeover.py
+++ b/comfreywharf_dev/bench/takeover.py
@@ -100,7 +100,7 @@
     measured.dark_s += [_dark_s(one, killed_s) for one in callers]
     for one in callers:
         one.end()
-    measured.told += [line for one in callers for line in one.told]
+    measured.told += [line for one in callers for line in one.results]
     cluster.set_log_switches(down=False)
     cluster.start_node(lost)
     cluster.start_server(lost)
--- a/comfreywharf_dev/failures/callers.py
+++ b/comfreywharf_dev/failures/callers.py
@@ -8,7 +8,7 @@
 from geventhttpclient.response import HTTPParseError
 
 from comfreywharf.clock import boottime_s
-from comfreywharf_dev.failures.invariants import Told, ToldOutcome
+from comfreywharf_dev.failures.invariants import CallOutcome, CallResult
 from comfreywharf_dev.standins.cluster import http_json, wait_until
 
 __all__ = ["Callers", "book"]
@@ -30,7 +30,7 @@
     timeout_ms=2000,
     work_ms=None,
 ):
-    """Send one booking through a node and return the `Told` result.
+    """Send one booking through a node and return its `CallResult`.
 
     ``first_sent_s`` is when this request was sent for the first time; ``None``
     means now.
@@ -53,8 +53,8 @@
         )
         fields = _fields(status, answered, document)
     except (OSError, HTTPParseError) as error:
-        fields = {"outcome": ToldOutcome.NOTHING, "reason": repr(error)}
-    return Told(
+        fields = {"outcome": CallOutcome.NO_ANSWER, "reason": repr(error)}
+    return CallResult(
         request_id=request_id,
         key=key,
         node_id=node_id,
@@ -65,8 +65,8 @@
 
 
 def _fields(status, headers, document):
-    outcome = ToldOutcome(headers.get("Comfreywharf-Outcome", "nothing"))
-    accepted = outcome is ToldOutcome.ANSWERED and status == 200
+    outcome = CallOutcome(headers.get("Comfreywharf-Outcome", "nothing"))
+    accepted = outcome is CallOutcome.ANSWERED and status == 200
     echo = document if accepted and isinstance(document, dict) else {}
     return {
         "outcome": outcome,
@@ -92,7 +92,7 @@
     """
 
     def __init__(self, cluster, keys, *, count=4, node_ids=None, timeout_ms=2000):
-        self.told = []
+        self.results = []
         self._cluster = cluster
         self._keys = tuple(keys)
         self._node_ids = tuple(node_ids or cluster.plans)
@@ -119,7 +119,7 @@
 
     def since(self, start_s):
         """Return the results of requests sent at ``start_s`` or later."""
-        return [one for one in list(self.told) if one.sent_s >= start_s]
+        return [one for one in list(self.results) if one.sent_s >= start_s]
 
     def served_since(self, start_s):
         """Return the keys with an accepted booking sent at ``start_s`` or later."""
@@ -152,7 +152,7 @@
         request_id = uuid.uuid4().hex
         first_sent_s = None
         for _ in range(SENDINGS):
-            told = book(
+            result = book(
                 self._cluster,
                 next(nodes),
                 key,
@@ -160,8 +160,8 @@
                 first_sent_s=first_sent_s,
                 timeout_ms=self._timeout_ms,
             )
-            first_sent_s = first_sent_s or told.sent_s
-            self.told.append(told)
-            if told.outcome is ToldOutcome.ANSWERED or self._ended.is_set():
+            first_sent_s = first_sent_s or result.sent_s
+            self.results.append(result)
+            if result.outcome is CallOutcome.ANSWERED or self._ended.is_set():
                 return
             time.sleep(PAUSE_S)
--- a/comfreywharf_dev/failures/invariants.py
+++ b/comfreywharf_dev/failures/invariants.py
@@ -13,8 +13,8 @@
     "Effect",
     "GrantTaken",
     "Rule",
-    "Told",
-    "ToldOutcome",
+    "CallResult",
+    "CallOutcome",
     "Violation",
     "find_violations",
 ]
@@ -59,17 +59,17 @@
     expires_monotonic_ms: int
 
 
-class ToldOutcome(Enum):
-    """The outcome that a caller received; ``NOTHING`` if there was no answer."""
+class CallOutcome(Enum):
+    """The outcome that a caller received; ``NO_ANSWER`` if there was no answer."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
-    NOTHING = "nothing"
+    NO_ANSWER = "nothing"
 
 
 @attrs.frozen(kw_only=True)
-class Told:
+class CallResult:
     """The result of one attempt to send a request that applies an effect.
 
     ``echoed_key`` and ``echoed_id`` are the key and the request id in the answer;
@@ -79,7 +79,7 @@
     request_id: str
     key: str
     node_id: str
-    outcome: ToldOutcome
+    outcome: CallOutcome
     sent_s: float
     done_s: float
     status: int = 0
@@ -97,18 +97,18 @@
     what: str
 
 
-def find_violations(effects, told=(), grants=()):
+def find_violations(effects, results=(), grants=()):
     """Return every `Violation` found by the checks, check by check."""
     return [
-        *_two_owners(effects),
-        *_shared_fences(grants),
-        *_applied_twice(effects),
-        *_wrongly_told(effects, told),
-        *_strange_answers(told),
+        *_find_overlapping_owners(effects),
+        *_find_shared_fences(grants),
+        *_find_repeated_effects(effects),
+        *_find_wrong_outcomes(effects, results),
+        *_find_mismatched_answers(results),
     ]
 
 
-def _two_owners(effects):
+def _find_overlapping_owners(effects):
     """Find effects of an older owner that came after a newer owner's effect.
 
     If two servers own a key at overlapping times, the one with the older fence
@@ -141,7 +141,7 @@
     return effect.fence < first.fence and first.at_s < effect.arrived_s
 
 
-def _shared_fences(grants):
+def _find_shared_fences(grants):
     by_fence = defaultdict(list)
     for grant in grants:
         by_fence[grant.fence].append(grant)
@@ -157,7 +157,7 @@
     return one.start < other.end and other.start < one.end
 
 
-def _applied_twice(effects):
+def _find_repeated_effects(effects):
     first = {}
     for effect in effects:
         earlier = first.setdefault(effect.request_id, effect)
@@ -166,21 +166,21 @@
             yield Violation(rule=Rule.AT_MOST_ONCE, what=what)
 
 
-def _wrongly_told(effects, told):
+def _find_wrong_outcomes(effects, results):
     applied = {effect.request_id for effect in effects}
     sendings = defaultdict(list)
-    for one in told:
+    for one in results:
         sendings[one.request_id].append(one)
     for request_id, ones in sendings.items():
         outcomes = {one.outcome for one in ones}
-        if outcomes == {ToldOutcome.NOT_RUN} and request_id in applied:
+        if outcomes == {CallOutcome.NOT_RUN} and request_id in applied:
             yield Violation(rule=Rule.NOT_RUN_IS_PROVED, what=str(ones))
         if any(one.accepted for one in ones) and request_id not in applied:
             yield Violation(rule=Rule.ANSWERED_IS_DONE, what=str(ones))
 
 
-def _strange_answers(told):
-    for one in told:
+def _find_mismatched_answers(results):
+    for one in results:
         if not one.accepted:
             continue
         if (one.echoed_key, one.echoed_id) != (one.key, one.request_id):
--- a/comfreywharf_dev/failures/tests/builders.py
+++ b/comfreywharf_dev/failures/tests/builders.py
@@ -9,10 +9,10 @@
 
 from comfreywharf_dev.failures.callers import book
 from comfreywharf_dev.failures.invariants import (
+    CallOutcome,
+    CallResult,
     Effect,
     GrantTaken,
-    Told,
-    ToldOutcome,
     find_violations,
 )
 from comfreywharf_dev.standins.cluster import Cluster
@@ -22,6 +22,7 @@
     "KEYS",
     "Later",
     "bearable_losses",
+    "call_result",
     "effect",
     "grant",
     "others_than",
@@ -29,7 +30,6 @@
     "pick_owner",
     "running_cluster",
     "start_long",
-    "told",
     "violations",
 ]
 
@@ -61,15 +61,15 @@
     )
 
 
-def told(request_id, outcome, **fields):
-    accepted = outcome is ToldOutcome.ANSWERED
+def call_result(request_id, outcome, **fields):
+    accepted = outcome is CallOutcome.ANSWERED
     fields = {
         "key": "k",
         "echoed_key": "k" if accepted else "",
         "echoed_id": request_id if accepted else "",
         **fields,
     }
-    return Told(
+    return CallResult(
         request_id=request_id,
         node_id="n",
         outcome=outcome,
@@ -175,8 +175,8 @@
     return any(request_id in cluster.running(one) for one in cluster.plans)
 
 
-def violations(cluster, told_of=()):
+def violations(cluster, results=()):
     """Return the violations of the invariants in the cluster's ledgers."""
     effects = [cattrs.structure(line, Effect) for line in cluster.effects()]
     grants = [cattrs.structure(line, GrantTaken) for line in cluster.grants()]
-    return find_violations(effects, told_of, grants)
+    return find_violations(effects, results, grants)
--- a/comfreywharf_dev/failures/tests/test_clocks.py
+++ b/comfreywharf_dev/failures/tests/test_clocks.py
@@ -30,7 +30,7 @@
             for offset_s in (-HOUR_S, HOUR_S):
                 cluster.jump_clock(owner, offset_s)
                 callers.wait_served()
-        assert violations(cluster, callers.told) == []
+        assert violations(cluster, callers.results) == []
 
 
 def test_replaced_node_with_a_clock_behind(tmp_path):
@@ -52,4 +52,4 @@
             cluster.drain(survivors[0])
             wait_until(lambda: cluster.status(owner)["serving"].get("booking"), 20)
             callers.wait_served()
-        assert violations(cluster, callers.told) == []
+        assert violations(cluster, callers.results) == []
--- a/comfreywharf_dev/failures/tests/test_invariants.py
+++ b/comfreywharf_dev/failures/tests/test_invariants.py
@@ -3,14 +3,14 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from comfreywharf_dev.failures.invariants import Rule, ToldOutcome, find_violations
-from comfreywharf_dev.failures.tests.builders import effect, grant, told
+from comfreywharf_dev.failures.invariants import CallOutcome, Rule, find_violations
+from comfreywharf_dev.failures.tests.builders import call_result, effect, grant
 
-ANSWERED, NOT_RUN, UNKNOWN, NOTHING = (
-    ToldOutcome.ANSWERED,
-    ToldOutcome.NOT_RUN,
-    ToldOutcome.UNKNOWN,
-    ToldOutcome.NOTHING,
+ANSWERED, NOT_RUN, UNKNOWN, NO_ANSWER = (
+    CallOutcome.ANSWERED,
+    CallOutcome.NOT_RUN,
+    CallOutcome.UNKNOWN,
+    CallOutcome.NO_ANSWER,
 )
 
 BROKEN = {
@@ -64,25 +64,25 @@
     "not run, yet in the ledger": (
         Rule.NOT_RUN_IS_PROVED,
         [effect(1, "a", 4, "r1")],
-        [told("r1", NOT_RUN), told("r1", NOT_RUN)],
+        [call_result("r1", NOT_RUN), call_result("r1", NOT_RUN)],
         [],
     ),
     "answered, yet not in the ledger": (
         Rule.ANSWERED_IS_DONE,
         [],
-        [told("r1", UNKNOWN), told("r1", ANSWERED)],
+        [call_result("r1", UNKNOWN), call_result("r1", ANSWERED)],
         [],
     ),
     "another key's answer": (
         Rule.OWN_ANSWER,
         [effect(1, "a", 4, "r1")],
-        [told("r1", ANSWERED, echoed_key="other")],
+        [call_result("r1", ANSWERED, echoed_key="other")],
         [],
     ),
     "another request's answer": (
         Rule.OWN_ANSWER,
         [effect(1, "a", 4, "r1")],
-        [told("r1", ANSWERED, echoed_id="other")],
+        [call_result("r1", ANSWERED, echoed_id="other")],
         [],
     ),
 }
@@ -108,11 +108,11 @@
         effect(2, "d", -1, "r6", key_hash=""),
     ]
     answers = [
-        told("r1", ANSWERED),
-        told("r2", NOTHING),
-        told("r2", NOT_RUN),
-        told("r7", NOT_RUN),
-        told("r8", UNKNOWN),
+        call_result("r1", ANSWERED),
+        call_result("r2", NO_ANSWER),
+        call_result("r2", NOT_RUN),
+        call_result("r7", NOT_RUN),
+        call_result("r8", UNKNOWN),
     ]
     grants = [grant("a", 4), grant("a", 4), grant("b", 6), grant("b", 4, 10, 20)]
     assert find_violations(effects, answers, grants) == []
--- a/comfreywharf_dev/failures/tests/test_log_faults.py
+++ b/comfreywharf_dev/failures/tests/test_log_faults.py
@@ -45,7 +45,7 @@
             cluster.set_log_switches(down=False, slow_s=0.0, lose_answers=0)
             wait_until(lambda: not owns(cluster, survivors[0], owner), 20)
             callers.wait_served()
-        assert violations(cluster, callers.told) == []
+        assert violations(cluster, callers.results) == []
 
 
 def test_one_node_loses_the_log_alone(tmp_path):
@@ -63,7 +63,7 @@
             wait_until(lambda: not cluster.status(owner)["log_reachable"], 20)
             callers.wait_served()
             assert cluster.status(owner)["serving"].get("booking")
-        assert violations(cluster, callers.told) == []
+        assert violations(cluster, callers.results) == []
 
 
 def test_operators_racing(tmp_path):
--- a/comfreywharf_dev/failures/tests/test_owner_losses.py
+++ b/comfreywharf_dev/failures/tests/test_owner_losses.py
@@ -5,7 +5,7 @@
 import pytest
 
 from comfreywharf_dev.failures.callers import Callers, book
-from comfreywharf_dev.failures.invariants import ToldOutcome
+from comfreywharf_dev.failures.invariants import CallOutcome
 from comfreywharf_dev.failures.tests.builders import (
     KEYS,
     Later,
@@ -38,7 +38,7 @@
             callers.wait_served()
             cluster.kill_vm(owner)
             callers.wait_served()
-        assert violations(cluster, callers.told) == []
+        assert violations(cluster, callers.results) == []
 
 
 def test_owner_frozen_then_resumed(tmp_path):
@@ -59,7 +59,7 @@
             late = held.get()
             callers.wait_served()
             wait_until(lambda: book(cluster, owner, key).accepted, 20)
-        assert violations(cluster, [*callers.told, late]) == []
+        assert violations(cluster, [*callers.results, late]) == []
 
 
 @pytest.mark.parametrize("checks_fences", [False, True])
@@ -81,8 +81,8 @@
             callers.wait_served()
             cluster.thaw_server(owner)
             callers.wait_served()
-        assert late.outcome is not ToldOutcome.ANSWERED
-        assert violations(cluster, [*callers.told, late]) == []
+        assert late.outcome is not CallOutcome.ANSWERED
+        assert violations(cluster, [*callers.results, late]) == []
 
 
 def test_node_and_backend_server_frozen(tmp_path):
@@ -104,7 +104,7 @@
             cluster.thaw_node(owner)
             late = held.get()
             callers.wait_served()
-        assert violations(cluster, [*callers.told, late]) == []
+        assert violations(cluster, [*callers.results, late]) == []
 
 
 def test_witness_killed_during_a_takeover(tmp_path):
@@ -126,7 +126,7 @@
             cluster.kill_vm(owner)
             cluster.kill_vm(witness)
             callers.wait_served()
-        assert violations(cluster, callers.told) == []
+        assert violations(cluster, callers.results) == []
 
 
 def witnesses_of(cluster, node_id):
@@ -155,7 +155,7 @@
             wait_until(
                 lambda: cluster.state(survivors[0])["planner_id"] in survivors, 20
             )
-        assert violations(cluster, callers.told) == []
+        assert violations(cluster, callers.results) == []
 
 
 def test_two_witnesses_lost_and_replaced(tmp_path):
@@ -178,7 +178,7 @@
                 cluster.start_node(node_id)
                 cluster.start_server(node_id)
             callers.wait_served()
-        assert violations(cluster, callers.told) == []
+        assert violations(cluster, callers.results) == []
 
 
 def test_owner_frozen_and_its_standby_killed(tmp_path):
@@ -202,4 +202,4 @@
             cluster.thaw_node(owner)
             late = held.get()
             callers.wait_served()
-        assert violations(cluster, [*callers.told, late]) == []
+        assert violations(cluster, [*callers.results, late]) == []
--- a/comfreywharf_dev/failures/tests/test_partitions.py
+++ b/comfreywharf_dev/failures/tests/test_partitions.py
@@ -38,7 +38,7 @@
             cluster.faults.heal()
             callers.wait_served()
             cut_off.wait_served()
-        assert violations(cluster, [*callers.told, *cut_off.told]) == []
+        assert violations(cluster, [*callers.results, *cut_off.results]) == []
 
 
 def in_domain(cluster, failure_domain):
@@ -66,7 +66,7 @@
             cluster.faults.heal()
             callers.wait_served()
             inside.wait_served()
-        assert violations(cluster, [*callers.told, *inside.told]) == []
+        assert violations(cluster, [*callers.results, *inside.results]) == []
 
 
 def test_one_way_cut_of_the_renewals_answers(tmp_path):
@@ -87,7 +87,7 @@
             cluster.faults.heal()
             callers.wait_served()
             wait_until(lambda: book(cluster, owner, key).accepted, 20)
-        assert violations(cluster, callers.told) == []
+        assert violations(cluster, callers.results) == []
 
 
 def test_connections_reset_and_half_open(tmp_path):
@@ -107,4 +107,4 @@
                 callers.wait_served()
             cluster.faults.half_open(ingress, owner)
             callers.wait_served()
-        assert violations(cluster, callers.told) == []
+        assert violations(cluster, callers.results) == []
--- a/comfreywharf_dev/failures/tests/test_replacements.py
+++ b/comfreywharf_dev/failures/tests/test_replacements.py
@@ -3,7 +3,7 @@
 import pytest
 
 from comfreywharf_dev.failures.callers import Callers
-from comfreywharf_dev.failures.invariants import ToldOutcome
+from comfreywharf_dev.failures.invariants import CallOutcome
 from comfreywharf_dev.failures.tests.builders import (
     KEYS,
     others_than,
@@ -34,14 +34,14 @@
                 start_long(cluster, node_id, key) for node_id in (owner, survivors[0])
             ]
             cluster.terminate_node(owner)
-            told = [one.get() for one in long]
+            results = [one.get() for one in long]
             callers.wait_served()
             cluster.plans[owner].node_process.wait(20)
             callers.wait_served()
-        told += callers.told
-        refused = [one for one in told if one.outcome is not ToldOutcome.ANSWERED]
+        results += callers.results
+        refused = [one for one in results if one.outcome is not CallOutcome.ANSWERED]
         assert refused == []
-        assert violations(cluster, told) == []
+        assert violations(cluster, results) == []
 
 
 def test_planned_stop_during_a_log_outage(tmp_path):
@@ -58,13 +58,13 @@
             cluster.set_log_switches(down=True)
             long = start_long(cluster, survivors[0], key)
             cluster.terminate_node(owner)
-            told = long.get()
+            result = long.get()
             cluster.plans[owner].node_process.wait(30)
             callers.wait_served()
             cluster.set_log_switches(down=False)
             callers.wait_served()
-        assert told.outcome is ToldOutcome.ANSWERED
-        assert violations(cluster, [*callers.told, told]) == []
+        assert result.outcome is CallOutcome.ANSWERED
+        assert violations(cluster, [*callers.results, result]) == []
 
 
 def test_drained_node_gets_no_new_work(tmp_path):
@@ -83,7 +83,7 @@
             before = count_of(cluster, owner)
             callers.wait_served()
         assert count_of(cluster, owner) == before
-        assert violations(cluster, callers.told) == []
+        assert violations(cluster, callers.results) == []
 
 
 def count_of(cluster, node_id):
@@ -101,7 +101,7 @@
     """
     with running_cluster(tmp_path) as cluster:
         config = cluster.state("booking-1")["config"]
-        told = []
+        results = []
         for number, node_id in enumerate(list(cluster.plans), start=5):
             domain = cluster.plans[node_id].failure_domain
             cluster.join(
@@ -116,10 +116,10 @@
                 cluster.terminate_node(node_id)
                 cluster.remove_stopped(node_id)
                 callers.wait_served()
-            told += callers.told
+            results += callers.results
         for node_id in cluster.plans:
             assert cluster.state(node_id)["config"] == config
-        assert violations(cluster, told) == []
+        assert violations(cluster, results) == []
 
 
 def test_backend_server_dies_and_comes_back(tmp_path):
@@ -138,6 +138,6 @@
             callers.wait_served()
             cluster.start_server(owner)
             callers.wait_served()
-            told = during.get()
-        assert told.outcome is not ToldOutcome.NOT_RUN
-        assert violations(cluster, [*callers.told, told]) == []
+            result = during.get()
+        assert result.outcome is not CallOutcome.NOT_RUN
+        assert violations(cluster, [*callers.results, result]) == []
--- a/comfreywharf_dev/soak/run.py
+++ b/comfreywharf_dev/soak/run.py
@@ -63,13 +63,13 @@
     ) as cluster:
         node_ids = tuple(cluster.plans)
         timed = draw_faults(seed, node_ids, extent.faults, extent.duration_s)
-        told, found = _play(cluster, timed, extent)
-        found += [str(one) for one in violations(cluster, told)]
+        results, found = _play(cluster, timed, extent)
+        found += [str(one) for one in violations(cluster, results)]
     outcome = Outcome(
         seed=seed,
         timed=tuple(timed),
         found=tuple(found),
-        answered=sum(one.accepted for one in told),
+        answered=sum(one.accepted for one in results),
     )
     if outcome.passed:
         shutil.rmtree(folder)
@@ -77,7 +77,7 @@
 
 
 def _play(cluster, timed, extent):
-    """Inject the faults while callers go on; return what they were told."""
+    """Inject the faults while callers book; return their results and the problems."""
     with Callers(cluster, KEYS, count=extent.callers) as callers:
         began_s = boottime_s()
         for at_s, act in acts_in_order(timed):
@@ -86,8 +86,8 @@
         try:
             callers.wait_served(timeout_s=SERVED_WITHIN_S)
         except TimeoutError as error:
-            return callers.told, [str(error)]
-    return callers.told, []
+            return callers.results, [str(error)]
+    return callers.results, []
 
 
 def acts_in_order(timed):
