--- a/comfreywharf_dev/failures/callers.py
+++ b/comfreywharf_dev/failures/callers.py
@@ -15,8 +15,8 @@
 
 CALL_TIMEOUT_S = 8.0
 PAUSE_S = 0.01
-SENDINGS = 3
-SERVED_LIMIT_S = 20.0
+MAX_ATTEMPTS = 3
+SERVED_TIMEOUT_S = 20.0
 """Timeout of a failed wait; benchmarks measure how soon keys are served again."""
 
 
@@ -97,9 +97,9 @@
         self._keys = tuple(keys)
         self._node_ids = tuple(node_ids or cluster.plans)
         self._timeout_ms = timeout_ms
-        self._ended = threading.Event()
+        self._stopped = threading.Event()
         self._threads = [
-            threading.Thread(target=self._call_on, args=(index,), daemon=True)
+            threading.Thread(target=self._send_bookings, args=(index,), daemon=True)
             for index in range(count)
         ]
 
@@ -113,7 +113,7 @@
 
     def end(self):
         """Send no more requests and wait for the outstanding answers."""
-        self._ended.set()
+        self._stopped.set()
         for thread in self._threads:
             thread.join()
 
@@ -125,7 +125,7 @@
         """Return the keys with an accepted booking sent at ``start_s`` or later."""
         return {one.key for one in self.since(start_s) if one.accepted}
 
-    def wait_served(self, keys=None, timeout_s=SERVED_LIMIT_S):
+    def wait_served(self, keys=None, timeout_s=SERVED_TIMEOUT_S):
         """Wait until each key has an accepted booking that was sent from now on.
 
         Raises `TimeoutError` with the missing keys and their last results.
@@ -139,11 +139,11 @@
             last = [one for one in self.since(start_s) if one.key in missing][-3:]
             raise TimeoutError(f"not served: {missing}; last: {last}") from None
 
-    def _call_on(self, index):
+    def _send_bookings(self, index):
         nodes = itertools.islice(itertools.cycle(self._node_ids), index, None)
         keys = itertools.islice(itertools.cycle(self._keys), index, None)
         for key in keys:
-            if self._ended.is_set():
+            if self._stopped.is_set():
                 return
             self._call_until_answered(key, nodes)
             time.sleep(PAUSE_S)
@@ -151,7 +151,7 @@
     def _call_until_answered(self, key, nodes):
         request_id = uuid.uuid4().hex
         first_sent_s = None
-        for _ in range(SENDINGS):
+        for _ in range(MAX_ATTEMPTS):
             result = book(
                 self._cluster,
                 next(nodes),
@@ -162,6 +162,6 @@
             )
             first_sent_s = first_sent_s or result.sent_s
             self.results.append(result)
-            if result.outcome is CallOutcome.ANSWERED or self._ended.is_set():
+            if result.outcome is CallOutcome.ANSWERED or self._stopped.is_set():
                 return
             time.sleep(PAUSE_S)
--- a/comfreywharf_dev/failures/invariants.py
+++ b/comfreywharf_dev/failures/invariants.py
@@ -94,7 +94,7 @@
     """A broken rule, and the effects, grants or results that broke it."""
 
     rule: Rule
-    what: str
+    evidence: str
 
 
 def find_violations(effects, results=(), grants=()):
@@ -121,16 +121,16 @@
             continue
         owners = owners_by_key[effect.service, effect.key_hash]
         newer = next(
-            (first for first in owners.values() if _rules_out(first, effect)), None
+            (first for first in owners.values() if _conflicts(first, effect)), None
         )
         if newer is None:
             owners.setdefault((effect.server, effect.fence), effect)
         else:
-            what = f"{effect} after {newer}"
-            yield Violation(rule=Rule.ONE_OWNER, what=what)
+            evidence = f"{effect} after {newer}"
+            yield Violation(rule=Rule.ONE_OWNER, evidence=evidence)
 
 
-def _rules_out(first, effect):
+def _conflicts(first, effect):
     """Return whether a later effect conflicts with an owner's first effect.
 
     An owner's fence can rise while it keeps a key, for instance with a new standby.
@@ -149,8 +149,8 @@
         for index, one in enumerate(same):
             for other in same[index + 1 :]:
                 if one.server != other.server and _overlap(one, other):
-                    what = f"{one} and {other}"
-                    yield Violation(rule=Rule.ONE_FENCE_ONE_SERVER, what=what)
+                    evidence = f"{one} and {other}"
+                    yield Violation(rule=Rule.ONE_FENCE_ONE_SERVER, evidence=evidence)
 
 
 def _overlap(one, other):
@@ -162,21 +162,21 @@
     for effect in effects:
         earlier = first.setdefault(effect.request_id, effect)
         if earlier is not effect:
-            what = f"{earlier} and {effect}"
-            yield Violation(rule=Rule.AT_MOST_ONCE, what=what)
+            evidence = f"{earlier} and {effect}"
+            yield Violation(rule=Rule.AT_MOST_ONCE, evidence=evidence)
 
 
 def _find_wrong_outcomes(effects, results):
     applied = {effect.request_id for effect in effects}
-    sendings = defaultdict(list)
+    attempts = defaultdict(list)
     for one in results:
-        sendings[one.request_id].append(one)
-    for request_id, ones in sendings.items():
+        attempts[one.request_id].append(one)
+    for request_id, ones in attempts.items():
         outcomes = {one.outcome for one in ones}
         if outcomes == {CallOutcome.NOT_RUN} and request_id in applied:
-            yield Violation(rule=Rule.NOT_RUN_IS_PROVED, what=str(ones))
+            yield Violation(rule=Rule.NOT_RUN_IS_PROVED, evidence=str(ones))
         if any(one.accepted for one in ones) and request_id not in applied:
-            yield Violation(rule=Rule.ANSWERED_IS_DONE, what=str(ones))
+            yield Violation(rule=Rule.ANSWERED_IS_DONE, evidence=str(ones))
 
 
 def _find_mismatched_answers(results):
@@ -184,4 +184,4 @@
         if not one.accepted:
             continue
         if (one.echoed_key, one.echoed_id) != (one.key, one.request_id):
-            yield Violation(rule=Rule.OWN_ANSWER, what=str(one))
+            yield Violation(rule=Rule.OWN_ANSWER, evidence=str(one))
--- a/comfreywharf_dev/failures/tests/builders.py
+++ b/comfreywharf_dev/failures/tests/builders.py
@@ -20,20 +20,20 @@
 
 __all__ = [
     "KEYS",
-    "Later",
-    "bearable_losses",
+    "BackgroundCall",
     "call_result",
     "effect",
     "grant",
-    "others_than",
-    "owns",
+    "node_ids_except",
+    "owns_any_slice",
+    "pairs_safe_to_lose",
     "pick_owner",
     "running_cluster",
-    "start_long",
+    "start_long_booking",
     "violations",
 ]
 
-LONG_TRIES = 5
+MAX_LONG_BOOKINGS = 5
 POLL_S = 0.02
 KEYS = tuple(f"calendar-{number}" for number in range(12))
 
@@ -90,7 +90,7 @@
         yield cluster
 
 
-def others_than(cluster, *node_ids):
+def node_ids_except(cluster, *node_ids):
     """Return the ids of all other nodes."""
     return [node_id for node_id in cluster.plans if node_id not in node_ids]
 
@@ -99,10 +99,10 @@
     """Return an owner, a key that it owns, and the ids of all other nodes."""
     key = KEYS[0]
     owner = cluster.owner_of(next(iter(cluster.plans)), "booking", key)
-    return owner, key, others_than(cluster, owner)
+    return owner, key, node_ids_except(cluster, owner)
 
 
-def bearable_losses(cluster, seen_by):
+def pairs_safe_to_lose(cluster, seen_by):
     """Return the pairs of nodes whose loss leaves every other node its quorum.
 
     The witnesses of a node depend on the order in which nodes announced themselves,
@@ -125,13 +125,13 @@
     ]
 
 
-def owns(cluster, seen_by, node_id):
+def owns_any_slice(cluster, seen_by, node_id):
     """Return whether a node owns any slice in the state of the node ``seen_by``."""
     pieces = cluster.state(seen_by)["slices"]["booking"]["slices"]
     return any(piece["owner"] == node_id for piece in pieces)
 
 
-class Later:
+class BackgroundCall:
     """A function call in a background thread."""
 
     def __init__(self, function, *arguments, **named):
@@ -144,7 +144,7 @@
     def _run(self, function, arguments, named):
         self._result = function(*arguments, **named)
 
-    def ended(self):
+    def finished(self):
         """Return whether the call has returned."""
         return not self._thread.is_alive()
 
@@ -154,24 +154,24 @@
         return self._result
 
 
-def start_long(cluster, node_id, key, *, work_ms=700):
+def start_long_booking(cluster, node_id, key, *, work_ms=700):
     """Start a slow booking and return once a backend server runs it.
 
     A booking may be refused while its key moves to another owner; it is then
-    started again. Raises `TimeoutError` if all `LONG_TRIES` were refused.
+    started again. Raises `TimeoutError` if all `MAX_LONG_BOOKINGS` were refused.
     """
-    for _ in range(LONG_TRIES):
+    for _ in range(MAX_LONG_BOOKINGS):
         request_id = f"long-{uuid.uuid4().hex}"
         named = {"request_id": request_id, "timeout_ms": 4000, "work_ms": work_ms}
-        later = Later(book, cluster, node_id, key, **named)
-        while not later.ended():
-            if _runs(cluster, request_id):
-                return later
+        call = BackgroundCall(book, cluster, node_id, key, **named)
+        while not call.finished():
+            if _is_running(cluster, request_id):
+                return call
             time.sleep(POLL_S)
-    raise TimeoutError(f"{LONG_TRIES} long requests were refused: {later.get()}")
+    raise TimeoutError(f"{MAX_LONG_BOOKINGS} long requests were refused: {call.get()}")
 
 
-def _runs(cluster, request_id):
+def _is_running(cluster, request_id):
     return any(request_id in cluster.running(one) for one in cluster.plans)
 
 
--- a/comfreywharf_dev/failures/tests/test_log_faults.py
+++ b/comfreywharf_dev/failures/tests/test_log_faults.py
@@ -8,8 +8,8 @@
 from comfreywharf_dev.failures.callers import Callers
 from comfreywharf_dev.failures.tests.builders import (
     KEYS,
-    Later,
-    owns,
+    BackgroundCall,
+    owns_any_slice,
     pick_owner,
     running_cluster,
     violations,
@@ -43,7 +43,7 @@
             cluster.kill_vm(owner)
             callers.wait_served()
             cluster.set_log_switches(down=False, slow_s=0.0, lose_answers=0)
-            wait_until(lambda: not owns(cluster, survivors[0], owner), 20)
+            wait_until(lambda: not owns_any_slice(cluster, survivors[0], owner), 20)
             callers.wait_served()
         assert violations(cluster, callers.results) == []
 
@@ -77,8 +77,8 @@
     with running_cluster(tmp_path) as cluster:
         patches = [patch(name) for name in ("anna", "boris")]
         cluster.set_log_switches(lose_answers=1)
-        for later in [Later(submit, cluster, one) for one in patches]:
-            later.get()
+        for call in [BackgroundCall(submit, cluster, one) for one in patches]:
+            call.get()
         wait_until(lambda: len(versions(cluster, "next_offset")) == 1, 20)
         wait_until(lambda: versions(cluster, "config_version") == {2}, 20)
         winners = {winner(cluster, node_id) for node_id in cluster.plans}
--- a/comfreywharf_dev/failures/tests/test_owner_losses.py
+++ b/comfreywharf_dev/failures/tests/test_owner_losses.py
@@ -8,12 +8,12 @@
 from comfreywharf_dev.failures.invariants import CallOutcome
 from comfreywharf_dev.failures.tests.builders import (
     KEYS,
-    Later,
-    bearable_losses,
-    others_than,
+    BackgroundCall,
+    node_ids_except,
+    pairs_safe_to_lose,
     pick_owner,
     running_cluster,
-    start_long,
+    start_long_booking,
     violations,
 )
 from comfreywharf_dev.standins.cluster import wait_until
@@ -53,7 +53,7 @@
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
             cluster.freeze_node(owner)
-            held = Later(book, cluster, owner, key, timeout_ms=LONG_MS)
+            held = BackgroundCall(book, cluster, owner, key, timeout_ms=LONG_MS)
             callers.wait_served()
             cluster.thaw_node(owner)
             late = held.get()
@@ -76,7 +76,7 @@
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
             cluster.freeze_server(owner)
-            held = Later(book, cluster, owner, key, timeout_ms=1000)
+            held = BackgroundCall(book, cluster, owner, key, timeout_ms=1000)
             late = held.get()
             callers.wait_served()
             cluster.thaw_server(owner)
@@ -96,7 +96,7 @@
         owner, key, survivors = pick_owner(cluster)
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
-            held = start_long(cluster, survivors[0], key)
+            held = start_long_booking(cluster, survivors[0], key)
             cluster.freeze_node(owner)
             cluster.freeze_server(owner)
             callers.wait_served()
@@ -117,10 +117,10 @@
     with running_cluster(tmp_path, booking=6) as cluster:
         owner, witness = next(
             (one, other)
-            for one, other in bearable_losses(cluster, "booking-1")
+            for one, other in pairs_safe_to_lose(cluster, "booking-1")
             if other in witnesses_of(cluster, one)
         )
-        survivors = others_than(cluster, owner, witness)
+        survivors = node_ids_except(cluster, owner, witness)
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
             cluster.kill_vm(owner)
@@ -143,10 +143,10 @@
         planner = cluster.state("booking-1")["planner_id"]
         owner = next(
             one
-            for one, other in bearable_losses(cluster, "booking-1")
+            for one, other in pairs_safe_to_lose(cluster, "booking-1")
             if other == planner
         )
-        survivors = others_than(cluster, owner, planner)
+        survivors = node_ids_except(cluster, owner, planner)
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
             cluster.kill_vm(owner)
@@ -168,7 +168,7 @@
     """
     lost = ("booking-2", "booking-3")
     with running_cluster(tmp_path) as cluster:
-        survivors = others_than(cluster, *lost)
+        survivors = node_ids_except(cluster, *lost)
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
             for node_id in lost:
@@ -192,11 +192,11 @@
     with running_cluster(tmp_path) as cluster:
         owner, key, others = pick_owner(cluster)
         standby = cluster.slice_of(others[0], "booking", key)["standby"]
-        survivors = others_than(cluster, owner, standby)
+        survivors = node_ids_except(cluster, owner, standby)
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
             cluster.freeze_node(owner)
-            held = Later(book, cluster, owner, key, timeout_ms=LONG_MS)
+            held = BackgroundCall(book, cluster, owner, key, timeout_ms=LONG_MS)
             cluster.kill_vm(standby)
             time.sleep(PAST_A_LEASE_S)
             cluster.thaw_node(owner)
--- a/comfreywharf_dev/failures/tests/test_partitions.py
+++ b/comfreywharf_dev/failures/tests/test_partitions.py
@@ -5,7 +5,7 @@
 from comfreywharf_dev.failures.callers import Callers, book
 from comfreywharf_dev.failures.tests.builders import (
     KEYS,
-    others_than,
+    node_ids_except,
     pick_owner,
     running_cluster,
     violations,
@@ -27,7 +27,7 @@
     with running_cluster(tmp_path, booking=6, proxied=True) as cluster:
         owner, _, _ = pick_owner(cluster)
         inside = in_domain(cluster, cluster.plans[owner].failure_domain)
-        outside = others_than(cluster, *inside)
+        outside = node_ids_except(cluster, *inside)
         with (
             Callers(cluster, KEYS, node_ids=outside) as callers,
             Callers(cluster, KEYS, node_ids=inside, count=2) as cut_off,
--- a/comfreywharf_dev/failures/tests/test_replacements.py
+++ b/comfreywharf_dev/failures/tests/test_replacements.py
@@ -6,11 +6,11 @@
 from comfreywharf_dev.failures.invariants import CallOutcome
 from comfreywharf_dev.failures.tests.builders import (
     KEYS,
-    others_than,
-    owns,
+    node_ids_except,
+    owns_any_slice,
     pick_owner,
     running_cluster,
-    start_long,
+    start_long_booking,
     violations,
 )
 from comfreywharf_dev.standins.cluster import NodePlan, wait_until
@@ -31,7 +31,8 @@
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
             long = [
-                start_long(cluster, node_id, key) for node_id in (owner, survivors[0])
+                start_long_booking(cluster, node_id, key)
+                for node_id in (owner, survivors[0])
             ]
             cluster.terminate_node(owner)
             results = [one.get() for one in long]
@@ -56,7 +57,7 @@
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
             cluster.set_log_switches(down=True)
-            long = start_long(cluster, survivors[0], key)
+            long = start_long_booking(cluster, survivors[0], key)
             cluster.terminate_node(owner)
             result = long.get()
             cluster.plans[owner].node_process.wait(30)
@@ -78,15 +79,15 @@
         with Callers(cluster, KEYS) as callers:
             callers.wait_served()
             cluster.drain(owner)
-            wait_until(lambda: not owns(cluster, survivors[0], owner), 20)
+            wait_until(lambda: not owns_any_slice(cluster, survivors[0], owner), 20)
             callers.wait_served()
-            before = count_of(cluster, owner)
+            before = count_effects(cluster, owner)
             callers.wait_served()
-        assert count_of(cluster, owner) == before
+        assert count_effects(cluster, owner) == before
         assert violations(cluster, callers.results) == []
 
 
-def count_of(cluster, node_id):
+def count_effects(cluster, node_id):
     """Return how many effects a node's backend server applied."""
     name = cluster.plans[node_id].server_name
     return sum(1 for one in cluster.effects() if one["server"] == name)
@@ -111,7 +112,7 @@
                     failure_domain=domain,
                 )
             )
-            survivors = others_than(cluster, node_id)
+            survivors = node_ids_except(cluster, node_id)
             with Callers(cluster, KEYS, node_ids=survivors) as callers:
                 cluster.terminate_node(node_id)
                 cluster.remove_stopped(node_id)
@@ -133,7 +134,7 @@
         owner, key, survivors = pick_owner(cluster)
         with Callers(cluster, KEYS) as callers:
             callers.wait_served()
-            during = start_long(cluster, owner, key)
+            during = start_long_booking(cluster, owner, key)
             cluster.kill_server(owner)
             callers.wait_served()
             cluster.start_server(owner)
--- a/comfreywharf_dev/soak/faults.py
+++ b/comfreywharf_dev/soak/faults.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from comfreywharf_dev.failures.tests.builders import others_than
+from comfreywharf_dev.failures.tests.builders import node_ids_except
 from comfreywharf_dev.standins.cluster import LOG
 
 __all__ = [
@@ -170,7 +170,7 @@
         inside = [
             n for n, p in cluster.plans.items() if p.failure_domain == self.domain
         ]
-        outside = others_than(cluster, *inside)
+        outside = node_ids_except(cluster, *inside)
         cluster.faults.cut_group(inside, [*outside, LOG])
 
 
@@ -182,7 +182,7 @@
 
     def begin(self, cluster):
         """Hold back what the node sends."""
-        others = others_than(cluster, self.node_id)
+        others = node_ids_except(cluster, self.node_id)
         cluster.faults.cut_outgoing(self.node_id, [*others, LOG])
 
 
@@ -194,7 +194,7 @@
 
     def begin(self, cluster):
         """Reset them, of each other node."""
-        for name in others_than(cluster, self.node_id):
+        for name in node_ids_except(cluster, self.node_id):
             cluster.faults.reset(name, self.node_id)
 
 
@@ -207,7 +207,7 @@
 
     def begin(self, cluster):
         """Lose the next answers to each other node."""
-        for name in others_than(cluster, self.node_id):
+        for name in node_ids_except(cluster, self.node_id):
             cluster.faults.lose_answers(name, self.node_id, self.count)
 
 
