--- a/comfreywharf_dev/soak/__init__.py
+++ b/comfreywharf_dev/soak/__init__.py
@@ -1,4 +1,4 @@
-"""The randomized soak: real processes, faults from outside, promises checked.
+"""The randomized soak test: real processes, injected faults, checked invariants.
 
-``python -m comfreywharf_dev.soak --seeds 1-50`` plays one run a seed.
+``python -m comfreywharf_dev.soak --seeds 1-50`` does one run for each seed.
 """
--- a/comfreywharf_dev/soak/__main__.py
+++ b/comfreywharf_dev/soak/__main__.py
@@ -16,18 +16,18 @@
 def play(
     *, seeds: str = "1-50", nodes: int = 6, faults: int = 10, folder: Path = FOLDER
 ):
-    """Play the seeds, one run after the other; exit 1 if a promise broke.
+    """Run the seeds one after the other; exit with 1 if an invariant was broken.
 
     Parameters
     ----------
     seeds
         One seed, or the first and the last: ``7`` or ``1-50``.
     nodes
-        Nodes of a run, each with a backend server.
+        Number of nodes of a run, each with a backend server.
     faults
-        Faults of a run.
+        Number of faults of a run.
     folder
-        Where runs keep their files; those of a broken one stay.
+        Where runs keep their files; those of failed runs are kept.
     """
     first, _, last = seeds.partition("-")
     extent = Extent(nodes=nodes, slices=2 * nodes, faults=faults)
--- a/comfreywharf_dev/soak/faults.py
+++ b/comfreywharf_dev/soak/faults.py
@@ -1,4 +1,4 @@
-"""What can be done to a cluster from outside, each fault with its end."""
+"""Faults that can be injected into a cluster, and how each is lifted."""
 
 import abc
 import contextlib
@@ -29,12 +29,12 @@
 
 
 class Fault(abc.ABC):
-    """One fault; it has an effect on a cluster from `begin` to `end`."""
+    """One fault of a cluster, from `begin` to `end`."""
 
     @property
     @abc.abstractmethod
     def touched(self):
-        """Return what no other fault may touch meanwhile."""
+        """Return the name of the resource that no other fault may use meanwhile."""
 
     @abc.abstractmethod
     def begin(self, cluster):
@@ -42,7 +42,7 @@
 
     @abc.abstractmethod
     def end(self, cluster):
-        """Lift it, or start again what it ended."""
+        """Lift the fault, or restart the processes that it stopped."""
 
 
 @attrs.frozen
@@ -53,12 +53,12 @@
 
     @property
     def touched(self):
-        """Return the VM."""
+        """Return the node id, which stands for the VM."""
         return self.node_id
 
 
 class NodeKilled(VmFault):
-    """A node's process is killed; its backend server lives on."""
+    """A node's process is killed; its backend server keeps running."""
 
     def begin(self, cluster):
         """Kill the node."""
@@ -70,14 +70,17 @@
 
 
 class NodeStopped(VmFault):
-    """A node is asked to stop, and started again once it has."""
+    """A node gets SIGTERM, and is started again once it has stopped."""
 
     def begin(self, cluster):
-        """Ask the node to stop."""
+        """Send SIGTERM to the node."""
         cluster.terminate_node(self.node_id)
 
     def end(self, cluster):
-        """Wait until it has stopped, and start its next process."""
+        """Wait until it has stopped, and start its next process.
+
+        The node is killed if it doesn't stop within `STOP_WITHIN_S`.
+        """
         process = cluster.plans[self.node_id].node_process
         with contextlib.suppress(subprocess.TimeoutExpired):
             process.wait(STOP_WITHIN_S)
@@ -87,7 +90,7 @@
 
 
 class NodeFrozen(VmFault):
-    """A node doesn't run for a while and doesn't notice."""
+    """A node's process is suspended."""
 
     def begin(self, cluster):
         """Freeze the node."""
@@ -111,7 +114,7 @@
 
 
 class ServerFrozen(VmFault):
-    """A backend server doesn't run for a while and doesn't notice."""
+    """A backend server's process is suspended."""
 
     def begin(self, cluster):
         """Freeze the server."""
@@ -123,7 +126,7 @@
 
 
 class VmKilled(VmFault):
-    """A VM is lost, with its node and its backend server, and comes back."""
+    """A VM is lost with its node and its backend server, and both restart."""
 
     def begin(self, cluster):
         """Kill both processes."""
@@ -137,7 +140,7 @@
 
 @attrs.frozen
 class ClockJumped(VmFault):
-    """A node's wall clock is set."""
+    """The wall clock of a node is set to another offset."""
 
     offset_s: float
 
@@ -146,11 +149,11 @@
         cluster.jump_clock(self.node_id, self.offset_s)
 
     def end(self, cluster):
-        """Leave it as it is: nobody sets it back."""
+        """Do nothing: the clock isn't set back."""
 
 
 class LinkFault(Fault):
-    """A fault of links; they are healed together, so there is one at a time."""
+    """A fault of links; one at a time, since all links are healed together."""
 
     touched = "links"
 
@@ -161,7 +164,7 @@
 
 @attrs.frozen
 class DomainCut(LinkFault):
-    """A failure domain and all others, with the log, don't hear each other."""
+    """A failure domain is partitioned from the other nodes and the log."""
 
     domain: str
 
@@ -176,7 +179,7 @@
 
 @attrs.frozen
 class NodeSilenced(LinkFault):
-    """Nobody hears a node that hears all others."""
+    """A node receives from all others, but what it sends is held back."""
 
     node_id: str
 
@@ -193,14 +196,14 @@
     node_id: str
 
     def begin(self, cluster):
-        """Reset them, of each other node."""
+        """Reset the connections of each other node."""
         for name in node_ids_except(cluster, self.node_id):
             cluster.faults.reset(name, self.node_id)
 
 
 @attrs.frozen
 class AnswersLost(LinkFault):
-    """Answers of a node are lost after it did what it was asked."""
+    """Answers of a node are lost after it carried out the requests."""
 
     node_id: str
     count: int
@@ -213,7 +216,7 @@
 
 @attrs.frozen
 class LogFault(Fault):
-    """Something is wrong with the log: names and values of its switches."""
+    """A fault of the log service, as names and values of its switches."""
 
     switches: tuple
     healthy: tuple
@@ -221,9 +224,9 @@
     touched = "log"
 
     def begin(self, cluster):
-        """Set the switches."""
+        """Set the switches to ``switches``."""
         cluster.set_log_switches(**dict(self.switches))
 
     def end(self, cluster):
-        """Set them back."""
+        """Set the switches to ``healthy``."""
         cluster.set_log_switches(**dict(self.healthy))
--- a/comfreywharf_dev/soak/plan.py
+++ b/comfreywharf_dev/soak/plan.py
@@ -1,4 +1,4 @@
-"""Which faults a run has, and when: drawn from a seed, without a clock."""
+"""The schedule of a run's faults, drawn from a seed and independent of a clock."""
 
 import random
 
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class Timed:
-    """A fault from ``begin_s`` to ``end_s`` after the run's begin."""
+    """A fault from ``begin_s`` to ``end_s``, in seconds since the run's start."""
 
     begin_s: float
     end_s: float
@@ -40,7 +40,7 @@
 def draw_faults(seed, node_ids, count, duration_s):
     """Return the `Timed` faults of a run, the earliest first.
 
-    They overlap, but no two touch the same VM, the links, or the log at a time.
+    They may overlap, but never two of the same VM, of the links, or of the log.
 
     >>> timed = draw_faults(1, ("a", "b"), count=5, duration_s=10.0)
     >>> timed == draw_faults(1, ("a", "b"), count=5, duration_s=10.0)
--- a/comfreywharf_dev/soak/run.py
+++ b/comfreywharf_dev/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: a cluster, callers that go on, the drawn faults, the promises checked."""
+"""One soak run: a cluster, callers, injected faults, and checks of the invariants."""
 
 import shutil
 import time
@@ -17,15 +17,15 @@
 __all__ = ["Extent", "Outcome", "acts_in_order", "run_seed"]
 
 SERVED_WITHIN_S = 30.0
-"""A run ends with a fault where a key isn't served so long after the last one."""
+"""A run fails if some key isn't served within this time after the last fault."""
 
 WRONG_CLOCK_S = 0.5
-"""Nodes that start with a wrong clock are those whose clock can be set later."""
+"""Offset of each node's wall clock; only a node with one can have it set later."""
 
 
 @attrs.frozen(kw_only=True)
 class Extent:
-    """How large a run is."""
+    """The size of a run."""
 
     nodes: int = 6
     slices: int = 12
@@ -36,7 +36,7 @@
 
 @attrs.frozen(kw_only=True)
 class Outcome:
-    """What a run showed: the faults that it had, and what was wrong."""
+    """The result of a run: its faults, and the problems that were found."""
 
     seed: int
     timed: tuple
@@ -45,12 +45,12 @@
 
     @property
     def passed(self):
-        """Return whether each promise was kept."""
+        """Return whether no problem was found."""
         return not self.found
 
 
 def run_seed(seed, folder, extent=None):
-    """Play one run and return its `Outcome`; the folder stays if a promise broke."""
+    """Do one run and return its `Outcome`; keep the folder if the run failed."""
     extent = extent or Extent()
     shutil.rmtree(folder, ignore_errors=True)
     with running_cluster(
@@ -91,9 +91,10 @@
 
 
 def acts_in_order(timed):
-    """Return ``(at_s, act)`` for each begin and end, in their order.
+    """Return ``(at_s, act)`` for the begin and end of each fault, by time.
 
-    Where a fault begins as another ends, the end comes first: both may be of one VM.
+    If a fault begins when another ends, the end comes first, since both may be faults
+    of the same VM.
     """
     acts = [(one.end_s, one.fault.end) for one in timed]
     acts += [(one.begin_s, one.fault.begin) for one in timed]
--- a/comfreywharf_dev/soak/tests/test_plan.py
+++ b/comfreywharf_dev/soak/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Drawn faults: the same for a seed, and never two at one place at a time."""
+"""Drawn faults are the same for a seed, and never two of one resource overlap."""
 
 from hypothesis import given, settings, strategies as st
 
--- a/comfreywharf_dev/soak/tests/test_run.py
+++ b/comfreywharf_dev/soak/tests/test_run.py
@@ -6,7 +6,7 @@
 
 
 def test_a_fault_ends_before_the_next_one_at_its_vm_begins():
-    """Guards against a process that is started twice and outlives its run."""
+    """Guards against a process that is started twice and keeps running."""
     first = Timed(1.0, 2.0, VmKilled("a"))
     second = Timed(2.0, 3.0, NodeKilled("a"))
     acts = [act for _, act in acts_in_order([first, second])]
