--- a/comfreywharf_dev/losses/__init__.py
+++ b/comfreywharf_dev/losses/__init__.py
@@ -1,1 +1,1 @@
-"""Where requests are lost: a table from the lines that nodes write."""
+"""Tables of refused and unknown requests, from the decision lines of nodes."""
--- a/comfreywharf_dev/losses/__main__.py
+++ b/comfreywharf_dev/losses/__main__.py
@@ -1,4 +1,4 @@
-"""Print where requests are lost: ``python -m comfreywharf_dev.losses FILE...``."""
+"""Print why requests are lost: ``python -m comfreywharf_dev.losses FILE...``."""
 
 import sys
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 
 def main():
-    """Read nodes' lines from files, or from standard input, and print the tables."""
+    """Read decision lines from files or standard input, and print the tables."""
     paths = sys.argv[1:]
     lines = sys.stdin
     if paths:
--- a/comfreywharf_dev/losses/table.py
+++ b/comfreywharf_dev/losses/table.py
@@ -1,7 +1,7 @@
-"""Add up refused and unknown requests by service, reason and moment.
+"""Count refused and unknown requests by service, reason and time window.
 
-Each node writes one line for each request that it refused or whose outcome it doesn't
-know (docs/OPERATIONS.md). A line may begin with anything before its JSON.
+Each node writes one line for each request that it refused or whose outcome is
+unknown (docs/OPERATIONS.md). A line may have any text before its JSON.
 """
 
 from collections import Counter
@@ -16,7 +16,11 @@
 
 @attrs.define
 class Losses:
-    """How many requests were lost, by ``(service, decision, reason)`` and moment."""
+    """Counts of lost requests by ``(service, decision, reason)`` and time window.
+
+    Windows are ``window_s`` seconds long. Resends are counted by the reason of the
+    attempt before, and lines of decisions whose JSON is invalid as unreadable.
+    """
 
     window_s: float = 2.0
     by_reason: Counter = attrs.Factory(Counter)
@@ -25,7 +29,7 @@
     unreadable: int = 0
 
     def add(self, at_s, line):
-        """Take one line's fields; ``at_s`` is its time, or ``None``."""
+        """Count one line's fields; ``at_s`` is its time in seconds, or ``None``."""
         decision = line.get("decision")
         if decision == "sent_again":
             self.asked_again[line.get("after", "")] += 1
@@ -45,7 +49,7 @@
 
 
 def read_losses(lines, window_s=2.0):
-    """Return the `Losses` in lines of text; what isn't a decision is passed over."""
+    """Return the `Losses` in lines of text; lines without a decision are skipped."""
     losses = Losses(window_s=window_s)
     for text in lines:
         place = text.find("{")
