--- a/comfreywharf_dev/soak/__main__.py
+++ b/comfreywharf_dev/soak/__main__.py
@@ -5,7 +5,7 @@
 
 from cyclopts import App
 
-from comfreywharf_dev.soak.run import Extent, run_seed
+from comfreywharf_dev.soak.run import RunSize, run_seed
 
 FOLDER = Path("run/soak")
 
@@ -30,13 +30,13 @@
         Where runs keep their files; those of failed runs are kept.
     """
     first, _, last = seeds.partition("-")
-    extent = Extent(nodes=nodes, slices=2 * nodes, faults=faults)
-    broken = 0
+    size = RunSize(nodes=nodes, slices=2 * nodes, faults=faults)
+    failed_runs = 0
     for seed in range(int(first), int(last or first) + 1):
-        outcome = run_seed(seed, folder / str(seed), extent)
-        broken += not outcome.passed
+        outcome = run_seed(seed, folder / str(seed), size)
+        failed_runs += not outcome.passed
         _print(outcome)
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if failed_runs else 0)
 
 
 def _print(outcome):
@@ -44,7 +44,7 @@
     print(f"seed {outcome.seed}: {verdict}, {outcome.answered} answered", flush=True)
     if outcome.passed:
         return
-    for one in outcome.timed:
+    for one in outcome.schedule:
         print(f"  {one.begin_s:6.2f} to {one.end_s:6.2f} s  {one.fault}")
     for found in outcome.found:
         print(f"  {found}")
--- a/comfreywharf_dev/soak/faults.py
+++ b/comfreywharf_dev/soak/faults.py
@@ -25,7 +25,7 @@
     "VmKilled",
 ]
 
-STOP_WITHIN_S = 15.0
+STOP_TIMEOUT_S = 15.0
 
 
 class Fault(abc.ABC):
@@ -33,7 +33,7 @@
 
     @property
     @abc.abstractmethod
-    def touched(self):
+    def resource(self):
         """Return the name of the resource that no other fault may use meanwhile."""
 
     @abc.abstractmethod
@@ -52,7 +52,7 @@
     node_id: str
 
     @property
-    def touched(self):
+    def resource(self):
         """Return the node id, which stands for the VM."""
         return self.node_id
 
@@ -79,11 +79,11 @@
     def end(self, cluster):
         """Wait until it has stopped, and start its next process.
 
-        The node is killed if it doesn't stop within `STOP_WITHIN_S`.
+        The node is killed if it doesn't stop within `STOP_TIMEOUT_S`.
         """
         process = cluster.plans[self.node_id].node_process
         with contextlib.suppress(subprocess.TimeoutExpired):
-            process.wait(STOP_WITHIN_S)
+            process.wait(STOP_TIMEOUT_S)
         if process.poll() is None:
             cluster.kill_node(self.node_id)
         cluster.start_node(self.node_id)
@@ -155,7 +155,7 @@
 class LinkFault(Fault):
     """A fault of links; one at a time, since all links are healed together."""
 
-    touched = "links"
+    resource = "links"
 
     def end(self, cluster):
         """Lift the faults of all links."""
@@ -221,7 +221,7 @@
     switches: tuple
     healthy: tuple
 
-    touched = "log"
+    resource = "log"
 
     def begin(self, cluster):
         """Set the switches to ``switches``."""
--- a/comfreywharf_dev/soak/plan.py
+++ b/comfreywharf_dev/soak/plan.py
@@ -7,10 +7,10 @@
 from comfreywharf_dev.soak import faults
 from comfreywharf_dev.standins.deployments import RIGA_DOMAINS
 
-__all__ = ["Timed", "draw_faults"]
+__all__ = ["ScheduledFault", "draw_faults"]
 
-SHORTEST_S = 0.2
-LONGEST_S = 3.0
+MIN_FAULT_S = 0.2
+MAX_FAULT_S = 3.0
 VM_FAULTS = (
     faults.NodeFrozen,
     faults.NodeKilled,
@@ -25,11 +25,11 @@
     ((("lose_answers", 3),), (("lose_answers", 0),)),
 )
 CLOCK_OFFSETS_S = (-3600.0, -2.0, 2.0, 3600.0)
-MOST_ANSWERS_LOST = 4
+MAX_ANSWERS_LOST = 4
 
 
 @attrs.frozen
-class Timed:
+class ScheduledFault:
     """A fault from ``begin_s`` to ``end_s``, in seconds since the run's start."""
 
     begin_s: float
@@ -38,24 +38,24 @@
 
 
 def draw_faults(seed, node_ids, count, duration_s):
-    """Return the `Timed` faults of a run, the earliest first.
+    """Return each `ScheduledFault` of a run, the earliest first.
 
     They may overlap, but never two of the same VM, of the links, or of the log.
 
-    >>> timed = draw_faults(1, ("a", "b"), count=5, duration_s=10.0)
-    >>> timed == draw_faults(1, ("a", "b"), count=5, duration_s=10.0)
+    >>> schedule = draw_faults(1, ("a", "b"), count=5, duration_s=10.0)
+    >>> schedule == draw_faults(1, ("a", "b"), count=5, duration_s=10.0)
     True
     """
     rng = random.Random(seed)
-    free_s = {}
-    timed = []
+    available_s = {}
+    schedule = []
     for begin_s in sorted(rng.uniform(0.0, duration_s) for _ in range(count)):
         fault = _draw(rng, node_ids)
-        begin_s = max(begin_s, free_s.get(fault.touched, 0.0))
-        end_s = begin_s + rng.uniform(SHORTEST_S, LONGEST_S)
-        free_s[fault.touched] = end_s
-        timed.append(Timed(begin_s, end_s, fault))
-    return sorted(timed, key=lambda one: one.begin_s)
+        begin_s = max(begin_s, available_s.get(fault.resource, 0.0))
+        end_s = begin_s + rng.uniform(MIN_FAULT_S, MAX_FAULT_S)
+        available_s[fault.resource] = end_s
+        schedule.append(ScheduledFault(begin_s, end_s, fault))
+    return sorted(schedule, key=lambda one: one.begin_s)
 
 
 def _draw(rng, node_ids):
@@ -66,7 +66,7 @@
         lambda: faults.DomainCut(rng.choice(RIGA_DOMAINS)),
         lambda: faults.NodeSilenced(node_id),
         lambda: faults.LinksReset(node_id),
-        lambda: faults.AnswersLost(node_id, rng.randint(1, MOST_ANSWERS_LOST)),
+        lambda: faults.AnswersLost(node_id, rng.randint(1, MAX_ANSWERS_LOST)),
         lambda: faults.LogFault(*rng.choice(LOG_FAULTS)),
     )
     return rng.choice(draws)()
--- a/comfreywharf_dev/soak/run.py
+++ b/comfreywharf_dev/soak/run.py
@@ -14,17 +14,17 @@
 )
 from comfreywharf_dev.soak.plan import draw_faults
 
-__all__ = ["Extent", "Outcome", "acts_in_order", "run_seed"]
+__all__ = ["Outcome", "RunSize", "actions_in_order", "run_seed"]
 
-SERVED_WITHIN_S = 30.0
+ALL_SERVED_TIMEOUT_S = 30.0
 """A run fails if some key isn't served within this time after the last fault."""
 
-WRONG_CLOCK_S = 0.5
+INITIAL_CLOCK_OFFSET_S = 0.5
 """Offset of each node's wall clock; only a node with one can have it set later."""
 
 
 @attrs.frozen(kw_only=True)
-class Extent:
+class RunSize:
     """The size of a run."""
 
     nodes: int = 6
@@ -39,7 +39,7 @@
     """The result of a run: its faults, and the problems that were found."""
 
     seed: int
-    timed: tuple
+    schedule: tuple
     found: tuple = ()
     answered: int = 0
 
@@ -49,25 +49,25 @@
         return not self.found
 
 
-def run_seed(seed, folder, extent=None):
+def run_seed(seed, folder, size=None):
     """Do one run and return its `Outcome`; keep the folder if the run failed."""
-    extent = extent or Extent()
+    size = size or RunSize()
     shutil.rmtree(folder, ignore_errors=True)
     with running_cluster(
         folder,
-        booking=extent.nodes,
-        slices=extent.slices,
+        booking=size.nodes,
+        slices=size.slices,
         proxied=True,
         checks_fences=seed % 2 == 0,
-        wall_offset_s=WRONG_CLOCK_S,
+        wall_offset_s=INITIAL_CLOCK_OFFSET_S,
     ) as cluster:
         node_ids = tuple(cluster.plans)
-        timed = draw_faults(seed, node_ids, extent.faults, extent.duration_s)
-        results, found = _play(cluster, timed, extent)
+        schedule = draw_faults(seed, node_ids, size.faults, size.duration_s)
+        results, found = _run_faults(cluster, schedule, size)
         found += [str(one) for one in violations(cluster, results)]
     outcome = Outcome(
         seed=seed,
-        timed=tuple(timed),
+        schedule=tuple(schedule),
         found=tuple(found),
         answered=sum(one.accepted for one in results),
     )
@@ -76,26 +76,26 @@
     return outcome
 
 
-def _play(cluster, timed, extent):
+def _run_faults(cluster, schedule, size):
     """Inject the faults while callers book; return their results and the problems."""
-    with Callers(cluster, KEYS, count=extent.callers) as callers:
-        began_s = boottime_s()
-        for at_s, act in acts_in_order(timed):
-            time.sleep(max(0.0, began_s + at_s - boottime_s()))
-            act(cluster)
+    with Callers(cluster, KEYS, count=size.callers) as callers:
+        started_s = boottime_s()
+        for at_s, action in actions_in_order(schedule):
+            time.sleep(max(0.0, started_s + at_s - boottime_s()))
+            action(cluster)
         try:
-            callers.wait_served(timeout_s=SERVED_WITHIN_S)
+            callers.wait_served(timeout_s=ALL_SERVED_TIMEOUT_S)
         except TimeoutError as error:
             return callers.results, [str(error)]
     return callers.results, []
 
 
-def acts_in_order(timed):
-    """Return ``(at_s, act)`` for the begin and end of each fault, by time.
+def actions_in_order(schedule):
+    """Return ``(at_s, action)`` for the begin and end of each fault, by time.
 
     If a fault begins when another ends, the end comes first, since both may be faults
     of the same VM.
     """
-    acts = [(one.end_s, one.fault.end) for one in timed]
-    acts += [(one.begin_s, one.fault.begin) for one in timed]
-    return sorted(acts, key=lambda act: act[0])
+    actions = [(one.end_s, one.fault.end) for one in schedule]
+    actions += [(one.begin_s, one.fault.begin) for one in schedule]
+    return sorted(actions, key=lambda action: action[0])
