--- a/comfreywharf_dev/losses/__main__.py
+++ b/comfreywharf_dev/losses/__main__.py
@@ -16,10 +16,10 @@
     print(f"{'service':<12} {'decision':<9} {'reason':<24} {'count':>6} {'part':>6}")
     for service, decision, reason, count, part in losses.rows():
         print(f"{service:<12} {decision:<9} {reason:<24} {count:>6} {part:>6.1%}")
-    print("\nsent again after: " + _counts(losses.asked_again))
-    for moment, counts in sorted(losses.by_moment.items()):
+    print("\nsent again after: " + _counts(losses.resends))
+    for window_start_s, counts in sorted(losses.by_window.items()):
         named = {f"{decision} {reason}": n for (decision, reason), n in counts.items()}
-        print(f"{moment:>8.1f} s  {_counts(named)}")
+        print(f"{window_start_s:>8.1f} s  {_counts(named)}")
     if losses.unreadable:
         print(f"{losses.unreadable} lines of decisions can't be read")
 
--- a/comfreywharf_dev/losses/table.py
+++ b/comfreywharf_dev/losses/table.py
@@ -24,22 +24,22 @@
 
     window_s: float = 2.0
     by_reason: Counter = attrs.Factory(Counter)
-    by_moment: dict = attrs.Factory(dict)
-    asked_again: Counter = attrs.Factory(Counter)
+    by_window: dict = attrs.Factory(dict)
+    resends: Counter = attrs.Factory(Counter)
     unreadable: int = 0
 
     def add(self, at_s, line):
         """Count one line's fields; ``at_s`` is its time in seconds, or ``None``."""
         decision = line.get("decision")
         if decision == "sent_again":
-            self.asked_again[line.get("after", "")] += 1
+            self.resends[line.get("after", "")] += 1
         if decision not in _LOST:
             return
         key = (line.get("service", ""), decision, line.get("reason", ""))
         self.by_reason[key] += 1
         if at_s is not None:
-            moment = int(at_s // self.window_s) * self.window_s
-            self.by_moment.setdefault(moment, Counter())[key[1:]] += 1
+            window_start_s = int(at_s // self.window_s) * self.window_s
+            self.by_window.setdefault(window_start_s, Counter())[key[1:]] += 1
 
     def rows(self):
         """Yield ``(service, decision, reason, count, fraction)``, the largest first."""
