--- a/comfreywharf_dev/standins/tests/test_faultproxy.py
+++ b/comfreywharf_dev/standins/tests/test_faultproxy.py
@@ -1,4 +1,4 @@
-"""The proxy's faults, each seen from both ends of a real connection."""
+"""The faults of the proxy, observed from both ends of a real connection."""
 
 import os
 
@@ -21,7 +21,7 @@
 
 
 class Echo:
-    """A server that answers each message with the same in capitals."""
+    """A server that answers each message with the message in capitals."""
 
     def __init__(self):
         self.heard = []
@@ -84,7 +84,7 @@
 
 
 def test_a_cut_holds_bytes_until_it_is_healed(setup):
-    """What a cut holds back arrives late; a new connection reaches nobody."""
+    """Bytes held back by a cut arrive late, also those of a new connection."""
     echo, control, port = setup
     sock = connect(port)
     ask(sock, b"one")
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("direction", list(Direction))
 def test_a_one_way_cut_stops_one_direction(setup, direction):
-    """Without its way there a request isn't heard; without the way back it is."""
+    """A request arrives if only the way back is cut, and not if the way there is."""
     echo, control, port = setup
     sock = connect(port)
     ask(sock, b"one")
@@ -113,7 +113,7 @@
 
 
 def test_a_link_is_known_by_the_process_that_connects(setup):
-    """A cut between other processes leaves this link alone."""
+    """A cut between other processes doesn't affect this link."""
     _, control, port = setup
     control.cut("c", "b")
     assert ask(connect(port), b"hello") == b"HELLO"
@@ -161,7 +161,7 @@
 
 
 def test_a_slow_link_delivers_late(setup):
-    """The answer of a delayed link comes after one that was asked for later."""
+    """The answer on a delayed link arrives late."""
     _, control, port = setup
     control.change("a", "b", Direction.BACK, delay_s=0.3)
     slow = connect(port)
--- a/comfreywharf_dev/standins/tests/test_fences.py
+++ b/comfreywharf_dev/standins/tests/test_fences.py
@@ -15,10 +15,9 @@
 def test_fence_checking_servers_serve_under_their_grants(tmp_path):
     """A server that checks fences serves its keys, also after a takeover.
 
-    Symptom: every request to such a server is refused by it.
-    Sequence: the server announces that it checks fences; callers book; the
-    owner's node freezes and its keys move to the standby's server.
-    Cause: the node forwards under a fence that it never granted.
+    Guards against a node that forwards under a fence that it never granted, so that
+    the server refuses every request. The owner's node freezes and its keys move to
+    the standby's server while callers book.
     """
     plans = riga_plans(booking=3, files=1, checks_fences=True)
     with Cluster(tmp_path, plans) as cluster:
--- a/comfreywharf_dev/standins/tests/test_log_faults.py
+++ b/comfreywharf_dev/standins/tests/test_log_faults.py
@@ -1,4 +1,4 @@
-"""The log down, slow, busy, truncated or losing answers; nodes cut from it."""
+"""Nodes with a faulty log: slow, busy, truncated, losing answers or cut off."""
 
 import gevent
 
@@ -13,7 +13,7 @@
 
 
 def fill_log(fleet, node, count):
-    """Append records that change nothing but the log's length."""
+    """Append records that change only the length of the log."""
     for number in range(count):
         record = DrainChanged(
             record_id=f"fill-{len(fleet.nodes)}-{node.state.next_offset}-{number}",
@@ -27,13 +27,12 @@
 
 
 def test_racing_operators_are_told_rightly_when_answers_are_lost():
-    """
-    Symptom: the operator whose patch won is told that it failed, or both are
-    told that they won.
-    Sequence: two patches against version 0 are submitted through two nodes; the
-    log loses the answers to both, after the writes took effect.
-    Cause: the answer to the append was taken for the outcome, or a writer that
-    got none wrote again under another id.
+    """Exactly one of two patches is accepted though the answers are lost.
+
+    Guards against using the answer to an append as its outcome, and against appending
+    again under another id: the author of the accepted patch would be told that it
+    failed, or both that they were accepted. Two patches of version 0 are submitted
+    through two nodes; the log loses the answers to both after the writes took effect.
     """
     with LogFleet(lose_answers=4) as fleet:
         nodes = [fleet.start(name, announce=False) for name in ("a", "b")]
@@ -47,10 +46,10 @@
 
 
 def test_busy_log_is_asked_again_when_it_said():
-    """
-    Symptom: 640 nodes keep a log busy by asking again at once.
-    Sequence: the log takes one append a second and answers 429 to the next.
-    Cause: Retry-After was ignored, or a refused append counted as failed.
+    """An append that the log refuses with 429 is repeated after Retry-After.
+
+    Guards against 640 nodes that overload the log with immediate retries, and against
+    a refused append that counts as failed. The log accepts one append per second.
     """
     with LogFleet(appends_per_s=1.0) as fleet:
         node = fleet.start("a", announce=False)
@@ -60,11 +59,11 @@
 
 
 def test_node_cut_from_the_log_hears_from_peers():
-    """
-    Symptom: a node that can't reach the log serves by an old configuration.
-    Sequence: it starts cut off, knowing two seeds; then the configuration
-    changes, and changes again.
-    Cause: records came from the log alone.
+    """A node that is cut off from the log gets new records from its peers.
+
+    Guards against a node that serves with an outdated configuration because it gets
+    records from the log only. The node starts cut off with two seeds, and the
+    configuration changes three times.
     """
     with LogFleet() as fleet:
         peers = [fleet.start(name) for name in ("a", "b")]
@@ -77,11 +76,11 @@
 
 
 def test_node_far_behind_takes_a_peers_snapshot():
-    """
-    Symptom: a node that starts during an outage of the log knows no members.
-    Sequence: its peers came up from a snapshot themselves and don't keep the
-    records before it.
-    Cause: peers handed over records only.
+    """A node that is cut off from the log loads the snapshot of a peer.
+
+    Guards against peers that send records only: a node that starts during an outage of
+    the log has no members if its peers started from a snapshot themselves and don't
+    keep the records before it.
     """
     with LogFleet(retention_records=SHORT_RETENTION) as fleet:
         first = fleet.start("a")
@@ -95,11 +94,12 @@
 
 
 def test_all_nodes_replaced_after_truncation():
-    """
-    Symptom: the configuration is back at version 0 after a rolling restart.
-    Sequence: the log expires its oldest records, with them the configuration;
-    then each node is replaced by one that knows nothing, one after another.
-    Cause: no snapshot was written before the records expired, or it isn't used.
+    """The configuration survives a rolling restart after the log was truncated.
+
+    Guards against records that expire before a snapshot is written, and against a
+    snapshot that isn't used: the configuration would be back at version 0. The log
+    expires its oldest records, including the configuration, and each node is replaced
+    in turn by one with empty state.
     """
     with LogFleet(retention_records=SHORT_RETENTION) as fleet:
         for name in ("a", "b", "c"):
@@ -124,11 +124,11 @@
 
 
 def test_gap_that_cannot_be_bridged_owns_nothing():
-    """
-    Symptom: a node that missed records owns keys that were given to others.
-    Sequence: it is cut off while the log expires what it hasn't read, and no
-    snapshot covers that; a node with the whole state comes later.
-    Cause: the node went on with the state that it had.
+    """A node with a gap in its records is unusable until a snapshot covers the gap.
+
+    Guards against a node that continues with its old state and owns keys that were
+    assigned to others. The log expires records that the node hasn't read before a
+    snapshot covers them; a peer with the whole state writes one later.
     """
     with LogFleet(retention_records=SHORT_RETENTION) as fleet:
         writer = fleet.start("a", snapshots=False)
@@ -151,7 +151,7 @@
 
 
 def test_notice_reaches_every_node():
-    """A notice is pushed on by who hears of it, and each node hears it once."""
+    """Each node that receives a notice forwards it, and each receives it once."""
     with LogFleet() as fleet:
         nodes = [fleet.start(f"n{number}") for number in range(6)]
         wait_for(lambda: all(len(node.state.members) == 6 for node in nodes))
@@ -166,7 +166,7 @@
 
 
 def test_telling_a_peer_that_is_gone_fails_quietly():
-    """Guards against a traceback in the output for each peer that doesn't answer."""
+    """Guards against a traceback in the log for each peer that doesn't answer."""
     with LogFleet() as fleet:
         teller = fleet.start("a")
         gone = fleet.start("b")
--- a/comfreywharf_dev/standins/tests/test_log_outage.py
+++ b/comfreywharf_dev/standins/tests/test_log_outage.py
@@ -1,4 +1,4 @@
-"""Whole nodes as processes, with their log service down or truncated."""
+"""Node processes while their log service is down or truncated."""
 
 import signal
 
@@ -35,11 +35,11 @@
 
 
 def test_assigned_work_goes_on_while_the_log_is_down(cluster):
-    """
-    Symptom: bookings are refused for as long as the log is down.
-    Sequence: the log goes down; callers book through every node for longer
+    """Owned keys are served while the log is down.
+
+    Guards against leases or routes to owners that depend on the log, so that bookings
+    are refused for as long as it is down. Callers book through every node for longer
     than a lease lasts.
-    Cause: leases, or the routes to owners, hung on the log.
     """
     switch(cluster, down=True)
     wait_until(lambda: not cluster.status("booking-1")["log_reachable"], 10)
@@ -51,11 +51,11 @@
 
 
 def test_nodes_replaced_one_after_another_after_truncation(cluster):
-    """
-    Symptom: after a night of restarts services are gone, or keys have no owner.
-    Sequence: the log keeps 40 records; the configuration's record expires; each
-    node is killed and replaced, one after another.
-    Cause: nodes came up from what the log still held.
+    """Services and owners survive a rolling restart after the log was truncated.
+
+    Guards against nodes that start only from the records that the log still has. The
+    log keeps 40 records, so that the record of the configuration expires, and each
+    node is killed and replaced in turn.
     """
     version = cluster.status("booking-1")["config_version"]
     switch(cluster, retention_records=40)
--- a/comfreywharf_dev/standins/tests/test_lying_servers.py
+++ b/comfreywharf_dev/standins/tests/test_lying_servers.py
@@ -1,4 +1,4 @@
-"""Backend servers whose health and load reports mislead."""
+"""Backend servers whose health and load reports are wrong."""
 
 import pytest
 
@@ -20,13 +20,13 @@
 
 
 def switch(cluster, node_id, **switches):
-    """Change what is wrong with a server."""
+    """Set the fault switches of a backend server."""
     port = cluster.plans[node_id].server_port
     assert http_json(port, "POST", "/switches", switches)[0] == 200
 
 
 def served(cluster, via):
-    """Send requests through a node; return the statuses and who answered."""
+    """Send requests through a node; return the statuses and the answering servers."""
     answers = [cluster.call(via, "/files/look", method="GET") for _ in range(REQUESTS)]
     statuses = [status for status, _, _ in answers]
     servers = [answer.get("server") for status, _, answer in answers if status == 200]
@@ -34,11 +34,11 @@
 
 
 def test_server_that_says_well_and_fails_everything_is_left_alone(cluster):
-    """What the node measured counts, not what the server says of its health.
+    """A server that fails requests is avoided though it reports good health.
 
-    Symptom: a third of all requests fail for as long as the server runs.
-    Sequence: a server fails each request, and its health endpoint says that it
-    is well. Cause: the endpoint is believed.
+    Guards against relying on the health endpoint rather than on the node's own
+    measurements: with one of three servers failing each request, a third of all
+    requests would fail for as long as it runs.
     """
     switch(cluster, "files-2", failing=True, health_lies=True)
     port = cluster.plans["files-2"].server_port
@@ -49,11 +49,11 @@
 
 
 def test_slow_server_that_reports_no_load_is_left_alone(cluster):
-    """A load report frozen at zero doesn't draw requests to a slow server.
+    """A load report frozen at zero doesn't attract requests to a slow server.
 
-    Symptom: the slowest server gets most of the requests. Sequence: a server
-    becomes slow and its load endpoint stops at zero. Cause: the report is
-    believed before what the node counts itself.
+    Guards against preferring the load report to the node's own counts, so that the
+    slowest server gets most of the requests. A server becomes slow while its load
+    endpoint keeps reporting zero.
     """
     switch(cluster, "files-3", slow_factor=30.0, load_frozen=0.0)
     port = cluster.plans["files-3"].server_port
--- a/comfreywharf_dev/standins/tests/test_planner.py
+++ b/comfreywharf_dev/standins/tests/test_planner.py
@@ -21,7 +21,7 @@
 
 
 def test_a_node_that_joins_gets_slices_and_a_drained_one_loses_all(tmp_path):
-    """The newcomer takes a part; when the first is drained it takes the rest."""
+    """The new node gets some slices, and the rest when the first node is drained."""
     first, second, *witnesses = riga_plans(booking=2, files=4)
     with Cluster(tmp_path, [first, *witnesses]) as cluster:
         cluster.submit(riga_services())
@@ -41,11 +41,11 @@
 
 
 def test_another_node_plans_after_the_planner_is_killed(tmp_path):
-    """The survivors start a new term, and the new planner's records count.
+    """A survivor starts a new term, and the new planner's records take effect.
 
-    Symptom: after the loss of one node, no slice is ever moved or given a new
-    standby again. Sequence: the node that plans is killed. Cause: nobody takes
-    the planner's role, or a newcomer's term is refused.
+    Guards against a planner that isn't replaced, and against a new planner whose term
+    is refused: after the planner is killed, no slice would be moved or get a new
+    standby.
     """
     with Cluster(tmp_path, riga_plans(booking=3, files=3)) as cluster:
         cluster.submit(riga_services())
@@ -60,6 +60,6 @@
 
 
 def standbys_at(cluster, seen_by, node_id):
-    """Return the slices for which a node stands by."""
+    """Return the slices whose standby is a node."""
     pieces = cluster.state(seen_by)["slices"]["booking"]["slices"]
     return [piece for piece in pieces if piece["standby"] == node_id]
--- a/comfreywharf_dev/standins/tests/test_poison.py
+++ b/comfreywharf_dev/standins/tests/test_poison.py
@@ -1,4 +1,4 @@
-"""A request that crashes backend servers, alone and beside innocents."""
+"""A request that crashes backend servers while harmless ones are in flight."""
 
 import itertools
 from concurrent.futures import ThreadPoolExecutor
@@ -16,7 +16,7 @@
 
 
 def crashed(cluster):
-    """Return the names of the backend servers that died."""
+    """Return the ids of the nodes whose backend servers crashed."""
     return [
         node_id
         for node_id, plan in cluster.plans.items()
@@ -25,19 +25,22 @@
 
 
 def knows_all(cluster, node_id):
-    """Return whether a node knows every member."""
+    """Return whether a node's state has every member."""
     return len(cluster.state(node_id)["members"]) == len(cluster.plans)
 
 
 def send_poison(cluster, service, number):
-    """Send the poisonous request through the next node; return its reason."""
+    """Send the crashing request through the next node.
+
+    Return its status, reason and headers.
+    """
     node_id = list(cluster.plans)[number % len(cluster.plans)]
     status, headers, _ = cluster.call(node_id, f"/{service}/crash", key="poisonous")
     return status, headers.get("Comfreywharf-Reason"), headers
 
 
 def send_innocent(cluster, service, number, work_ms):
-    """Send a request of its own key and path; return its status."""
+    """Send a harmless request with its own key and path; return status and reason."""
     node_id = list(cluster.plans)[-1]
     path = f"/{service}/look?name=innocent-{number}&work_ms={work_ms}"
     status, headers, _ = cluster.call(node_id, path, key=f"innocent-{number}")
@@ -45,18 +48,18 @@
 
 
 def is_given_up(cluster, service, number):
-    """Return whether a node refuses the poisonous request for good."""
+    """Return whether a node quarantines the crashing request."""
     return send_poison(cluster, service, number)[1] == "quarantined"
 
 
 @pytest.mark.parametrize("service", ["files", "booking"])
 def test_poison_beside_innocents_crashes_few_servers(tmp_path, service):
-    """Fifty resends crash at most three servers, and no innocent is refused.
+    """Fifty resends crash at most three servers, and no harmless request is refused.
 
-    Symptom: one request takes down server after server. Sequence: it is sent
-    while others are in flight, crashes their server, and its caller, who got no
-    answer, sends it again through the next node, again and again. Cause: nobody
-    tells the next server, or the innocents are condemned along with it.
+    Guards against one request that crashes server after server because nodes don't
+    share the quarantine, and against harmless requests that are quarantined with it.
+    The crashing request is sent while others are in flight at the same server, and
+    is sent again through the next node each time.
     """
     plans = riga_plans(**{"booking": 0, "files": 0, service: 5})
     with Cluster(tmp_path, plans) as cluster, ThreadPoolExecutor(INNOCENTS) as pool:
--- a/comfreywharf_dev/standins/tests/test_requests.py
+++ b/comfreywharf_dev/standins/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests under faults, with real processes and the ledger as the truth."""
+"""Requests under faults, with real processes and checks of the ledger."""
 
 import os
 import signal
@@ -85,10 +85,10 @@
 
 
 def test_a_resend_gets_the_first_answer_and_runs_nothing(cluster):
-    """Symptom: one bride, two fittings.
+    """A request sent again through another node gets the first answer.
 
-    Sequence: the answer is lost on the way; the caller sends again, by way of
-    another node. Cause: nobody knows that the request ran.
+    Guards against nodes that don't remember that the request ran: a caller whose
+    answer was lost sends it again, and it would take effect twice.
     """
     owner = owner_of(cluster, "vesta")
     first = book(cluster, owner, "vesta", "resend")
@@ -98,7 +98,7 @@
 
 
 def test_an_id_reused_for_another_request_is_refused(cluster):
-    """An id that comes with another path gets no answer to the first."""
+    """A request id with another path is refused, not answered from memory."""
     book(cluster, "files-1", "vesta", "reused")
     again = resend(cluster, "files-1", "vesta", "reused", "/booking/book?other=1")
     assert again[:2] == (409, "request-id-reused")
@@ -106,10 +106,10 @@
 
 @pytest.mark.parametrize("when,effects", [("before", 0), ("after", 1)])
 def test_a_server_that_dies_leaves_the_outcome_unknown(cluster, when, effects):
-    """Symptom: a booking is told as failed, and stands in the calendar.
+    """The outcome is unknown if the server crashes before or after the effect.
 
-    Sequence: the server dies before, or just after, it applied the request.
-    Cause: a lost connection says nothing of what happened before.
+    Guards against reporting a booking as failed that is in the calendar: a lost
+    connection doesn't show whether the request was applied.
     """
     owner = owner_of(cluster, "k")
     path = f"/booking/crash?when={when}"
@@ -123,7 +123,7 @@
 
 
 def test_a_server_that_dies_at_work_leaves_the_outcome_unknown(cluster):
-    """The same where the server is lost while it works on the request."""
+    """The outcome is unknown if the server crashes while it runs the request."""
     owner = owner_of(cluster, "k")
     request = (
         b"POST /booking/book?work_ms=2000 HTTP/1.1\r\nHost: x\r\n"
@@ -143,10 +143,10 @@
 
 
 def test_a_request_given_up_on_is_answered_at_once_and_has_no_later_effect(cluster):
-    """Symptom: a booking appears after its caller was told of a timeout.
+    """A request that takes longer than its timeout has no effect afterwards.
 
-    Sequence: the work takes longer than the caller's timeout. Cause: the
-    server was neither told of the deadline nor of the cancellation.
+    Guards against a server that gets neither the deadline nor the cancellation, so
+    that a booking appears after its caller got a timeout.
     """
     path = "/booking/book?work_ms=400"
     status, reason, _ = book(
@@ -162,10 +162,11 @@
 
 
 def test_a_caller_that_hangs_up_cancels_the_work(cluster):
-    """Symptom: work goes on for callers that are gone, and the queue grows.
+    """A request is cancelled when its caller closes the connection.
 
-    Sequence: the caller closes its connection while its request runs at another
-    node. Cause: nobody looks at the connection until the answer is written.
+    Guards against a node that checks the connection only when it writes the answer, so
+    that servers work for absent callers and queues grow. The caller closes its
+    connection while the request runs at another node.
     """
     owner = owner_of(cluster, "vesta")
     port = cluster.plans[other_than(cluster, owner)].caller_port
@@ -184,7 +185,7 @@
 
 
 def test_two_sends_at_the_same_time_have_one_effect(cluster):
-    """A resend that comes while the first send runs waits for its answer."""
+    """A resend that arrives while the request runs waits for its answer."""
     ports = [plan.caller_port for plan in cluster.plans.values()]
     request = (
         b"POST /booking/book?work_ms=200 HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
@@ -209,10 +210,10 @@
 
 @pytest.mark.parametrize("through_owner", [True, False])
 def test_a_cut_answer_never_looks_whole(cluster, through_owner):
-    """Symptom: half a garment photo is stored as the photo.
+    """A truncated answer can be recognized by the caller.
 
-    Sequence: the server's connection ends in the middle of a long answer.
-    Cause: the end of the stream was passed on as the end of the answer.
+    Guards against forwarding the end of the server's connection, in the middle of a
+    long answer, as the end of the answer: half a file would be stored as the whole.
     """
     node_id = "files-1" if through_owner else "booking-1"
     port = cluster.plans[node_id].caller_port
@@ -289,7 +290,7 @@
 
 @pytest.mark.parametrize("name", BAD_INPUT)
 def test_bad_input_is_refused_at_once_and_the_node_lives(cluster, name):
-    """A clear error for what a new user gets wrong; nothing else is lost."""
+    """Bad input gets a specific error, and the node keeps serving other requests."""
     data, status, reason = BAD_INPUT[name]
     port = cluster.plans["booking-1"].caller_port
     answer = raw(port, data)
@@ -310,24 +311,23 @@
     ids=["absurd length", "other version", "HTTP"],
 )
 def test_a_bad_peer_is_cut_off_and_the_node_lives(cluster, data):
-    """What isn't a call of this version ends its connection only."""
+    """Data that isn't a call of this version closes only its own connection."""
     assert raw(cluster.plans["booking-1"].peer_port, data) == b""
     status, headers, _ = cluster.call("booking-1", "/booking/look", "k", "GET")
     assert (status, headers.get("Comfreywharf-Reason", "")) == (200, "")
 
 
 def test_a_quoted_path_reaches_the_server_as_it_was_sent(cluster):
-    """A quoted line end in a path writes no header, and breaks no request."""
+    """A percent-encoded line end in a path adds no header and breaks no request."""
     path = "/files/look%0d%0aX-A:%20b%20c"
     status, _, answer = cluster.call("booking-1", path, method="GET")
     assert status == 200 and answer["path"].startswith("/look\r\n")
 
 
 def test_a_frozen_owner_leaves_the_outcome_unknown_at_the_deadline(cluster):
-    """Symptom: callers hang on a node that froze.
+    """A caller gets an answer at the deadline though the owner's node is frozen.
 
-    Sequence: the owner's node stops running with requests in flight. Cause: its
-    connections stay open, and nothing ends the wait.
+    Guards against a wait without end: the connections of a frozen node stay open.
     """
     owner = owner_of(cluster, "vesta")
     process = cluster.plans[owner].node_process
@@ -341,11 +341,11 @@
 
 
 def test_a_node_that_dies_with_answers_in_flight(cluster):
-    """Symptom: a booking that ran is run again by the next owner.
+    """A request that ran isn't run again by the next owner.
 
-    Sequence: the owner's node dies while the server works; the caller sends
-    again, to the standby that took the key over. Cause: the memory of request
-    ids died with the node, and the id looks new.
+    The memory of request ids is lost with the owner's node, so that a resend to the
+    standby that took the key over looks new. The node crashes while the server works,
+    and the caller sends the request again.
     """
     owner = owner_of(cluster, "vesta")
     process = cluster.plans[owner].node_process
@@ -379,10 +379,11 @@
 
 
 def test_a_request_waits_for_its_keys_next_owner(tmp_path):
-    """Symptom: callers are refused for as long as a takeover lasts.
+    """A request during a takeover is held until the standby serves.
 
-    Sequence: an owner is lost; the next request for its key comes before the
-    standby may serve. Cause: the first refusal was passed on to the caller.
+    Guards against forwarding the first refusal to the caller, so that callers are
+    refused for as long as a takeover lasts. An owner is lost, and the next request for
+    its key arrives before the standby may serve.
     """
     with Cluster(tmp_path, riga_plans(booking=3, files=1), lease_ms=400) as cluster:
         cluster.submit(riga_services(slices=4))
--- a/comfreywharf_dev/standins/tests/test_streaming.py
+++ b/comfreywharf_dev/standins/tests/test_streaming.py
@@ -1,4 +1,4 @@
-"""Large bodies through two nodes: whole, with bounded memory and backpressure."""
+"""Large bodies through two nodes: complete, with bounded memory and backpressure."""
 
 import hashlib
 import os
@@ -30,7 +30,7 @@
 
 
 class Peak:
-    """How much the nodes' resident memory grew at its highest, in MB."""
+    """The growth of the nodes' peak resident memory, in MB."""
 
     def __init__(self, cluster):
         self._processes = [cluster.plans[name].node_process.pid for name in NODES]
@@ -60,10 +60,10 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_a_large_upload_is_passed_on_in_parts(cluster, chunked):
-    """Symptom: a node grows by each upload that passes it, until it is killed.
+    """An upload of 200 MB doesn't raise the nodes' memory by its size.
 
-    Sequence: a tailor uploads 200 MB. Cause: a hop keeps the whole body, or
-    takes parts faster than the next hop does.
+    Guards against a node that keeps whole bodies, or that accepts parts faster than
+    the next hop does, and so runs out of memory.
     """
     peak = Peak(cluster)
     with start(cluster, "POST /files/upload HTTP/1.1") as sock:
@@ -83,7 +83,7 @@
 
 
 def test_a_large_download_is_passed_on_in_parts(cluster):
-    """The same for an answer, to a caller that reads it in its own time."""
+    """A download of 200 MB doesn't raise the nodes' memory by its size."""
     peak = Peak(cluster)
     received = 0
     head = f"GET /files/download?bytes={SIZE_BYTES} HTTP/1.1"
@@ -96,10 +96,11 @@
 
 
 def test_a_frozen_server_holds_its_caller_back(cluster):
-    """Symptom: nodes swell while one server doesn't read.
+    """A caller can't send on while the server doesn't read.
 
-    Sequence: the server freezes in the middle of an upload, and its caller goes
-    on sending. Cause: a hop takes parts that the next one has no room for.
+    Guards against a node that accepts parts which the next hop can't take, so that its
+    memory grows. The server freezes in the middle of an upload while the caller keeps
+    sending.
     """
     peak = Peak(cluster)
     server = cluster.plans["files-1"].server_process
@@ -119,7 +120,7 @@
 
 
 def send_until_held_back(sock):
-    """Return how many bytes were taken before a send had to wait for long."""
+    """Return how many bytes were sent before a send timed out."""
     sent = 0
     with pytest.raises(TimeoutError):
         while sent < SIZE_BYTES:
--- a/comfreywharf_dev/standins/tests/test_takeover.py
+++ b/comfreywharf_dev/standins/tests/test_takeover.py
@@ -14,10 +14,9 @@
 def test_owner_killed(tmp_path, log_down):
     """A killed owner's keys are served again by its standby.
 
-    Symptom: a calendar stays without an owner after a machine is lost.
-    Sequence: the owner's machine dies, with the log up or down; callers go on.
-    Cause: nobody may take the keys over before the lease lapsed, and afterwards
-    nobody can, if that needed the log.
+    Guards against a takeover that needs the log, so that keys stay without an owner
+    after a VM is lost: no node may take the keys over before the lease has expired.
+    The owner's node and server are killed, with the log up or down.
     """
     with Cluster(tmp_path, riga_plans(booking=3, files=1)) as cluster:
         cluster.submit(riga_services())
--- a/comfreywharf_dev/standins/tests/test_whole_path.py
+++ b/comfreywharf_dev/standins/tests/test_whole_path.py
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("node_id", ["booking-1", "booking-2", "booking-3", "files-1"])
 def test_any_node_serves_any_key(cluster, node_id):
-    """A request reaches the key's one owner through whichever node it enters."""
+    """A request reaches the owner of its key through any ingress node."""
     servers = set()
     for _ in range(3):
         status, headers, answer = cluster.call(node_id, "/booking/book", key="vesta")
@@ -30,7 +30,7 @@
 
 
 def test_effects_stand_in_the_ledger_once(cluster):
-    """A booking that was answered was applied once."""
+    """An answered booking is applied once."""
     _, headers, _ = cluster.call("booking-1", "/booking/book", key="once")
     request_id = headers["Comfreywharf-Request-Id"]
     applied = [e for e in cluster.effects() if e["request_id"] == request_id]
