--- a/comfreywharf_dev/failures/tests/test_log_faults.py
+++ b/comfreywharf_dev/failures/tests/test_log_faults.py
@@ -48,7 +48,7 @@
         assert violations(cluster, callers.results) == []
 
 
-def test_one_node_loses_the_log_alone(tmp_path):
+def test_one_node_is_cut_off_from_the_log(tmp_path):
     """A node that is cut off from the log only keeps serving its keys.
 
     Guards against a healthy server's keys becoming unavailable because its node needs
@@ -66,7 +66,7 @@
         assert violations(cluster, callers.results) == []
 
 
-def test_operators_racing(tmp_path):
+def test_only_one_of_two_conflicting_patches_takes_effect(tmp_path):
     """Exactly one of two patches against one version takes effect, on every node.
 
     Guards against patches that are merged and resends that count as a second patch:
--- a/comfreywharf_dev/failures/tests/test_owner_losses.py
+++ b/comfreywharf_dev/failures/tests/test_owner_losses.py
@@ -25,7 +25,7 @@
 """Longer than a lease of 1 s; nothing depends on how much longer."""
 
 
-def test_owner_killed(tmp_path):
+def test_killed_owners_keys_are_served_again(tmp_path):
     """A lost owner's keys are served by another, and nothing is applied twice.
 
     Guards against a takeover that needs the owner's release, so that its keys stay
--- a/comfreywharf_dev/failures/tests/test_replacements.py
+++ b/comfreywharf_dev/failures/tests/test_replacements.py
@@ -123,7 +123,7 @@
         assert violations(cluster, results) == []
 
 
-def test_backend_server_dies_and_comes_back(tmp_path):
+def test_backend_server_crashes_and_restarts(tmp_path):
     """The crash of a backend server affects only its requests in progress.
 
     Guards against a node that keeps its lease for a server that doesn't answer, so
--- a/comfreywharf_dev/standins/tests/test_faultproxy.py
+++ b/comfreywharf_dev/standins/tests/test_faultproxy.py
@@ -24,14 +24,14 @@
     """A server that answers each message with the message in capitals."""
 
     def __init__(self):
-        self.heard = []
+        self.received = []
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
         self._server.start()
         self.port = self._server.server_port
 
     def _serve(self, sock, address):
         while data := sock.recv(100):
-            self.heard.append(data)
+            self.received.append(data)
             sock.sendall(data.upper())
 
 
@@ -62,12 +62,12 @@
     return sock
 
 
-def ask(sock, data):
+def send_and_receive(sock, data):
     sock.sendall(data)
     return sock.recv(100)
 
 
-def hears_nothing(sock):
+def receives_nothing(sock):
     sock.settimeout(SILENCE_S)
     try:
         sock.recv(100)
@@ -78,23 +78,23 @@
         sock.settimeout(LIMIT_S)
 
 
-def test_bytes_pass_where_nothing_is_wrong(setup):
+def test_bytes_pass_without_a_fault(setup):
     _, _, port = setup
-    assert ask(connect(port), b"hello") == b"HELLO"
+    assert send_and_receive(connect(port), b"hello") == b"HELLO"
 
 
 def test_a_cut_holds_bytes_until_it_is_healed(setup):
     """Bytes held back by a cut arrive late, also those of a new connection."""
     echo, control, port = setup
     sock = connect(port)
-    ask(sock, b"one")
+    send_and_receive(sock, b"one")
     control.cut("a", "b")
     sock.sendall(b"two")
-    assert hears_nothing(sock)
+    assert receives_nothing(sock)
     other = connect(port)
     other.sendall(b"three")
-    assert hears_nothing(other)
-    assert echo.heard == [b"one"]
+    assert receives_nothing(other)
+    assert echo.received == [b"one"]
     control.heal()
     assert sock.recv(100) == b"TWO"
     assert other.recv(100) == b"THREE"
@@ -105,46 +105,46 @@
     """A request arrives if only the way back is cut, and not if the way there is."""
     echo, control, port = setup
     sock = connect(port)
-    ask(sock, b"one")
+    send_and_receive(sock, b"one")
     control.change("a", "b", direction, mode=Mode.HOLD)
     sock.sendall(b"two")
-    assert hears_nothing(sock)
-    assert (b"two" in echo.heard) == (direction is Direction.BACK)
+    assert receives_nothing(sock)
+    assert (b"two" in echo.received) == (direction is Direction.BACK)
 
 
-def test_a_link_is_known_by_the_process_that_connects(setup):
+def test_a_link_is_identified_by_the_connecting_process(setup):
     """A cut between other processes doesn't affect this link."""
     _, control, port = setup
     control.cut("c", "b")
-    assert ask(connect(port), b"hello") == b"HELLO"
+    assert send_and_receive(connect(port), b"hello") == b"HELLO"
 
 
-def test_swallowed_bytes_end_the_connection_when_healed(setup):
+def test_swallowed_bytes_reset_the_connection_when_healed(setup):
     echo, control, port = setup
     sock = connect(port)
-    ask(sock, b"one")
+    send_and_receive(sock, b"one")
     control.cut("a", "b", Mode.SWALLOW)
     sock.sendall(b"two")
-    assert hears_nothing(sock)
+    assert receives_nothing(sock)
     control.heal()
     with pytest.raises(ConnectionResetError):
         sock.recv(100)
-    assert echo.heard == [b"one"]
+    assert echo.received == [b"one"]
 
 
-def test_a_lost_answer_leaves_the_request_done(setup):
+def test_a_lost_answer_does_not_undo_the_request(setup):
     echo, control, port = setup
     control.lose_answers("a", "b", 1)
     with pytest.raises(ConnectionResetError):
-        ask(connect(port), b"one")
-    assert echo.heard == [b"one"]
-    assert ask(connect(port), b"two") == b"TWO"
+        send_and_receive(connect(port), b"one")
+    assert echo.received == [b"one"]
+    assert send_and_receive(connect(port), b"two") == b"TWO"
 
 
-def test_a_reset_ends_open_connections(setup):
+def test_a_reset_closes_open_connections(setup):
     _, control, port = setup
     sock = connect(port)
-    ask(sock, b"one")
+    send_and_receive(sock, b"one")
     assert control.reset("a", "b") == 1
     with pytest.raises(ConnectionResetError):
         sock.recv(100)
@@ -153,19 +153,19 @@
 def test_a_half_open_connection_stays_open_and_silent(setup):
     echo, control, port = setup
     sock = connect(port)
-    ask(sock, b"one")
+    send_and_receive(sock, b"one")
     assert control.half_open("a", "b") == 1
     sock.sendall(b"two")
-    assert hears_nothing(sock)
-    assert echo.heard == [b"one"]
+    assert receives_nothing(sock)
+    assert echo.received == [b"one"]
 
 
-def test_a_slow_link_delivers_late(setup):
+def test_a_delayed_link_delivers_late(setup):
     """The answer on a delayed link arrives late."""
     _, control, port = setup
     control.change("a", "b", Direction.BACK, delay_s=0.3)
     slow = connect(port)
     slow.sendall(b"slow")
     gevent.sleep(0.05)
-    assert hears_nothing(slow)
+    assert receives_nothing(slow)
     assert slow.recv(100) == b"SLOW"
--- a/comfreywharf_dev/standins/tests/test_fences.py
+++ b/comfreywharf_dev/standins/tests/test_fences.py
@@ -12,7 +12,7 @@
 KEY = "vesta"
 
 
-def test_fence_checking_servers_serve_under_their_grants(tmp_path):
+def test_servers_that_check_fences_serve_under_their_grants(tmp_path):
     """A server that checks fences serves its keys, also after a takeover.
 
     Guards against a node that forwards under a fence that it never granted, so that
--- a/comfreywharf_dev/standins/tests/test_log_faults.py
+++ b/comfreywharf_dev/standins/tests/test_log_faults.py
@@ -26,7 +26,7 @@
             wait_for(lambda: node.state.next_offset == fleet.log.next("comfreywharf"))
 
 
-def test_racing_operators_are_told_rightly_when_answers_are_lost():
+def test_only_one_of_two_patches_is_accepted_when_answers_are_lost():
     """Exactly one of two patches is accepted though the answers are lost.
 
     Guards against using the answer to an append as its outcome, and against appending
@@ -45,7 +45,7 @@
         assert nodes[0].state.config.version == 1
 
 
-def test_busy_log_is_asked_again_when_it_said():
+def test_a_refused_append_is_repeated_after_retry_after():
     """An append that the log refuses with 429 is repeated after Retry-After.
 
     Guards against 640 nodes that overload the log with immediate retries, and against
@@ -58,7 +58,7 @@
         assert fleet.log.refused_appends == 1
 
 
-def test_node_cut_from_the_log_hears_from_peers():
+def test_a_node_cut_off_from_the_log_gets_records_from_peers():
     """A node that is cut off from the log gets new records from its peers.
 
     Guards against a node that serves with an outdated configuration because it gets
@@ -75,7 +75,7 @@
         assert not cut.follower.usable
 
 
-def test_node_far_behind_takes_a_peers_snapshot():
+def test_a_node_far_behind_loads_a_peers_snapshot():
     """A node that is cut off from the log loads the snapshot of a peer.
 
     Guards against peers that send records only: a node that starts during an outage of
@@ -93,7 +93,7 @@
         assert cut.state == peer.state and cut.state.config.version == 1
 
 
-def test_all_nodes_replaced_after_truncation():
+def test_configuration_survives_a_rolling_restart_after_truncation():
     """The configuration survives a rolling restart after the log was truncated.
 
     Guards against records that expire before a snapshot is written, and against a
@@ -123,7 +123,7 @@
         assert fleet.nodes["a"].state.config.version == 4
 
 
-def test_gap_that_cannot_be_bridged_owns_nothing():
+def test_a_node_with_a_gap_is_unusable_until_a_snapshot_covers_it():
     """A node with a gap in its records is unusable until a snapshot covers the gap.
 
     Guards against a node that continues with its old state and owns keys that were
@@ -142,7 +142,7 @@
         assert late.state == writer.state
 
 
-def test_listener_that_fails_does_not_stop_the_fold():
+def test_a_failing_listener_does_not_stop_the_fold():
     with LogFleet() as fleet:
         node = fleet.start("a")
         node.follower.subscribe(lambda record, result: 1 / 0)
@@ -150,28 +150,28 @@
         assert node.follower.append(make_patch(1)).accepted
 
 
-def test_notice_reaches_every_node():
+def test_a_notice_reaches_every_node_once():
     """Each node that receives a notice forwards it, and each receives it once."""
     with LogFleet() as fleet:
         nodes = [fleet.start(f"n{number}") for number in range(6)]
         wait_for(lambda: all(len(node.state.members) == 6 for node in nodes))
-        heard = []
+        notices_received = []
         for node in nodes:
-            node.notices.subscribe("suspect", heard.append)
+            node.notices.subscribe("suspect", notices_received.append)
         nodes[0].notices.publish("suspect", "fingerprint", 1.0, ttl_s=30.0)
-        wait_for(lambda: len(heard) == 6)
+        wait_for(lambda: len(notices_received) == 6)
         gevent.sleep(0.2)
-        assert len(heard) == 6
-        assert {notice.subject for notice in heard} == {"fingerprint"}
+        assert len(notices_received) == 6
+        assert {notice.subject for notice in notices_received} == {"fingerprint"}
 
 
-def test_telling_a_peer_that_is_gone_fails_quietly():
+def test_pushing_to_a_stopped_peer_raises_nothing():
     """Guards against a traceback in the log for each peer that doesn't answer."""
     with LogFleet() as fleet:
-        teller = fleet.start("a")
+        sender = fleet.start("a")
         gone = fleet.start("b")
-        wait_for(lambda: "b" in teller.state.members)
+        wait_for(lambda: "b" in sender.state.members)
         gone.stop()
-        tellers = teller.gossip.push_to(["b"])
-        gevent.joinall(tellers)
-        assert [one.exception for one in tellers] == [None]
+        push_greenlets = sender.gossip.push_to(["b"])
+        gevent.joinall(push_greenlets)
+        assert [one.exception for one in push_greenlets] == [None]
--- a/comfreywharf_dev/standins/tests/test_log_outage.py
+++ b/comfreywharf_dev/standins/tests/test_log_outage.py
@@ -34,7 +34,7 @@
     return status, headers["Comfreywharf-Outcome"]
 
 
-def test_assigned_work_goes_on_while_the_log_is_down(cluster):
+def test_owned_keys_are_served_while_the_log_is_down(cluster):
     """Owned keys are served while the log is down.
 
     Guards against leases or routes to owners that depend on the log, so that bookings
@@ -50,7 +50,7 @@
     wait_until(lambda: cluster.status("booking-1")["log_reachable"], 10)
 
 
-def test_nodes_replaced_one_after_another_after_truncation(cluster):
+def test_services_and_owners_survive_a_rolling_restart_after_truncation(cluster):
     """Services and owners survive a rolling restart after the log was truncated.
 
     Guards against nodes that start only from the records that the log still has. The
--- a/comfreywharf_dev/standins/tests/test_lying_servers.py
+++ b/comfreywharf_dev/standins/tests/test_lying_servers.py
@@ -33,7 +33,7 @@
     return statuses, servers
 
 
-def test_server_that_says_well_and_fails_everything_is_left_alone(cluster):
+def test_a_failing_server_with_good_health_reports_is_avoided(cluster):
     """A server that fails requests is avoided though it reports good health.
 
     Guards against relying on the health endpoint rather than on the node's own
@@ -48,7 +48,7 @@
     assert statuses.count(500) < REQUESTS / 6
 
 
-def test_slow_server_that_reports_no_load_is_left_alone(cluster):
+def test_a_slow_server_that_reports_no_load_is_avoided(cluster):
     """A load report frozen at zero doesn't attract requests to a slow server.
 
     Guards against preferring the load report to the node's own counts, so that the
--- a/comfreywharf_dev/standins/tests/test_planner.py
+++ b/comfreywharf_dev/standins/tests/test_planner.py
@@ -20,7 +20,7 @@
     return counts
 
 
-def test_a_node_that_joins_gets_slices_and_a_drained_one_loses_all(tmp_path):
+def test_a_joining_node_gets_slices_and_a_drained_one_loses_all(tmp_path):
     """The new node gets some slices, and the rest when the first node is drained."""
     first, second, *witnesses = riga_plans(booking=2, files=4)
     with Cluster(tmp_path, [first, *witnesses]) as cluster:
@@ -56,10 +56,10 @@
         left = next(node_id for node_id in cluster.plans if node_id != lost)
         wait_until(lambda: cluster.state(left)["planner_id"] != lost, WAIT_S)
         assert cluster.state(left)["planner_term"] > before["planner_term"]
-        wait_until(lambda: not standbys_at(cluster, left, lost), WAIT_S)
+        wait_until(lambda: not slices_with_standby(cluster, left, lost), WAIT_S)
 
 
-def standbys_at(cluster, seen_by, node_id):
+def slices_with_standby(cluster, seen_by, node_id):
     """Return the slices whose standby is a node."""
     pieces = cluster.state(seen_by)["slices"]["booking"]["slices"]
     return [piece for piece in pieces if piece["standby"] == node_id]
--- a/comfreywharf_dev/standins/tests/test_poison.py
+++ b/comfreywharf_dev/standins/tests/test_poison.py
@@ -11,7 +11,7 @@
 pytestmark = pytest.mark.processes
 
 RESENDS = 50
-INNOCENTS = 4
+HARMLESS_REQUESTS = 4
 WAIT_S = 20.0
 
 
@@ -24,12 +24,12 @@
     ]
 
 
-def knows_all(cluster, node_id):
+def has_all_members(cluster, node_id):
     """Return whether a node's state has every member."""
     return len(cluster.state(node_id)["members"]) == len(cluster.plans)
 
 
-def send_poison(cluster, service, number):
+def send_crashing(cluster, service, number):
     """Send the crashing request through the next node.
 
     Return its status, reason and headers.
@@ -39,7 +39,7 @@
     return status, headers.get("Comfreywharf-Reason"), headers
 
 
-def send_innocent(cluster, service, number, work_ms):
+def send_harmless(cluster, service, number, work_ms):
     """Send a harmless request with its own key and path; return status and reason."""
     node_id = list(cluster.plans)[-1]
     path = f"/{service}/look?name=innocent-{number}&work_ms={work_ms}"
@@ -47,13 +47,15 @@
     return status, headers.get("Comfreywharf-Reason")
 
 
-def is_given_up(cluster, service, number):
+def is_quarantined(cluster, service, number):
     """Return whether a node quarantines the crashing request."""
-    return send_poison(cluster, service, number)[1] == "quarantined"
+    return send_crashing(cluster, service, number)[1] == "quarantined"
 
 
 @pytest.mark.parametrize("service", ["files", "booking"])
-def test_poison_beside_innocents_crashes_few_servers(tmp_path, service):
+def test_a_crashing_request_stops_few_servers_and_no_harmless_request(
+    tmp_path, service
+):
     """Fifty resends crash at most three servers, and no harmless request is refused.
 
     Guards against one request that crashes server after server because nodes don't
@@ -62,24 +64,29 @@
     is sent again through the next node each time.
     """
     plans = riga_plans(**{"booking": 0, "files": 0, service: 5})
-    with Cluster(tmp_path, plans) as cluster, ThreadPoolExecutor(INNOCENTS) as pool:
+    with (
+        Cluster(tmp_path, plans) as cluster,
+        ThreadPoolExecutor(HARMLESS_REQUESTS) as pool,
+    ):
         cluster.submit(riga_services())
         for node_id in cluster.plans:
-            wait_until(lambda node_id=node_id: knows_all(cluster, node_id), WAIT_S)
+            wait_until(
+                lambda node_id=node_id: has_all_members(cluster, node_id), WAIT_S
+            )
         if service == "booking":
             cluster.wait_owned(service)
         beside = [
-            pool.submit(send_innocent, cluster, service, number, 300)
-            for number in range(INNOCENTS)
+            pool.submit(send_harmless, cluster, service, number, 300)
+            for number in range(HARMLESS_REQUESTS)
         ]
         resends = itertools.count()
-        wait_until(lambda: is_given_up(cluster, service, next(resends)), WAIT_S)
+        wait_until(lambda: is_quarantined(cluster, service, next(resends)), WAIT_S)
         for number in range(RESENDS):
-            status, reason, headers = send_poison(cluster, service, number)
+            status, reason, headers = send_crashing(cluster, service, number)
             assert (status, reason) == (503, "quarantined")
             assert int(headers["Retry-After"]) > 0
         assert 1 <= len(crashed(cluster)) <= 3
         for number, first in enumerate(beside):
             first.result()
             again = (cluster, service, number, 300)
-            wait_until(lambda again=again: send_innocent(*again)[0] == 200, WAIT_S)
+            wait_until(lambda again=again: send_harmless(*again)[0] == 200, WAIT_S)
--- a/comfreywharf_dev/standins/tests/test_requests.py
+++ b/comfreywharf_dev/standins/tests/test_requests.py
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("when,effects", [("before", 0), ("after", 1)])
-def test_a_server_that_dies_leaves_the_outcome_unknown(cluster, when, effects):
+def test_the_outcome_is_unknown_if_the_server_crashes(cluster, when, effects):
     """The outcome is unknown if the server crashes before or after the effect.
 
     Guards against reporting a booking as failed that is in the calendar: a lost
@@ -122,7 +122,7 @@
     assert cluster.plans[owner].server_process.poll() is None
 
 
-def test_a_server_that_dies_at_work_leaves_the_outcome_unknown(cluster):
+def test_the_outcome_is_unknown_if_the_server_crashes_while_working(cluster):
     """The outcome is unknown if the server crashes while it runs the request."""
     owner = owner_of(cluster, "k")
     request = (
@@ -142,7 +142,7 @@
     assert effects_of(cluster, "at-work") == []
 
 
-def test_a_request_given_up_on_is_answered_at_once_and_has_no_later_effect(cluster):
+def test_a_timed_out_request_has_no_later_effect(cluster):
     """A request that takes longer than its timeout has no effect afterwards.
 
     Guards against a server that gets neither the deadline nor the cancellation, so
@@ -161,7 +161,7 @@
     assert len(effects_of(cluster, "slow")) == 1
 
 
-def test_a_caller_that_hangs_up_cancels_the_work(cluster):
+def test_a_closed_caller_connection_cancels_the_request(cluster):
     """A request is cancelled when its caller closes the connection.
 
     Guards against a node that checks the connection only when it writes the answer, so
@@ -184,7 +184,7 @@
     assert effects_of(cluster, "gone") == []
 
 
-def test_two_sends_at_the_same_time_have_one_effect(cluster):
+def test_two_simultaneous_sends_have_one_effect(cluster):
     """A resend that arrives while the request runs waits for its answer."""
     ports = [plan.caller_port for plan in cluster.plans.values()]
     request = (
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.parametrize("through_owner", [True, False])
-def test_a_cut_answer_never_looks_whole(cluster, through_owner):
+def test_a_truncated_answer_is_recognizable(cluster, through_owner):
     """A truncated answer can be recognized by the caller.
 
     Guards against forwarding the end of the server's connection, in the middle of a
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.parametrize("name", BAD_INPUT)
-def test_bad_input_is_refused_at_once_and_the_node_lives(cluster, name):
+def test_bad_input_is_refused_and_the_node_keeps_serving(cluster, name):
     """Bad input gets a specific error, and the node keeps serving other requests."""
     data, status, reason = BAD_INPUT[name]
     port = cluster.plans["booking-1"].caller_port
@@ -310,7 +310,7 @@
     ],
     ids=["absurd length", "other version", "HTTP"],
 )
-def test_a_bad_peer_is_cut_off_and_the_node_lives(cluster, data):
+def test_a_bad_peer_is_disconnected_and_the_node_keeps_serving(cluster, data):
     """Data that isn't a call of this version closes only its own connection."""
     assert raw(cluster.plans["booking-1"].peer_port, data) == b""
     status, headers, _ = cluster.call("booking-1", "/booking/look", "k", "GET")
@@ -324,7 +324,7 @@
     assert status == 200 and answer["path"].startswith("/look\r\n")
 
 
-def test_a_frozen_owner_leaves_the_outcome_unknown_at_the_deadline(cluster):
+def test_the_outcome_is_unknown_at_the_deadline_if_the_owner_is_frozen(cluster):
     """A caller gets an answer at the deadline though the owner's node is frozen.
 
     Guards against a wait without end: the connections of a frozen node stay open.
@@ -340,7 +340,7 @@
     assert len(effects_of(cluster, "frozen")) <= 1
 
 
-def test_a_node_that_dies_with_answers_in_flight(cluster):
+def test_a_request_is_not_run_again_after_its_owner_node_crashed(cluster):
     """A request that ran isn't run again by the next owner.
 
     The memory of request ids is lost with the owner's node, so that a resend to the
@@ -378,7 +378,7 @@
     assert book(cluster, "files-1", "vesta", "fresh")[0] == 200
 
 
-def test_a_request_waits_for_its_keys_next_owner(tmp_path):
+def test_a_request_during_a_takeover_waits_for_the_next_owner(tmp_path):
     """A request during a takeover is held until the standby serves.
 
     Guards against forwarding the first refusal to the caller, so that callers are
--- a/comfreywharf_dev/standins/tests/test_streaming.py
+++ b/comfreywharf_dev/standins/tests/test_streaming.py
@@ -14,7 +14,7 @@
 
 MB = 1 << 20
 SIZE_BYTES = 200 * MB
-MOST_MB = 8
+MAX_GROWTH_MB = 8
 NODES = ("booking-1", "files-1")
 PART = bytes(range(256)) * 4096
 
@@ -29,7 +29,7 @@
         yield it
 
 
-class Peak:
+class PeakMemory:
     """The growth of the nodes' peak resident memory, in MB."""
 
     def __init__(self, cluster):
@@ -59,13 +59,13 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_large_upload_is_passed_on_in_parts(cluster, chunked):
+def test_a_large_upload_is_forwarded_in_parts(cluster, chunked):
     """An upload of 200 MB doesn't raise the nodes' memory by its size.
 
     Guards against a node that keeps whole bodies, or that accepts parts faster than
     the next hop does, and so runs out of memory.
     """
-    peak = Peak(cluster)
+    peak = PeakMemory(cluster)
     with start(cluster, "POST /files/upload HTTP/1.1") as sock:
         if chunked:
             sock.sendall(b"Transfer-Encoding: chunked\r\n\r\n")
@@ -79,12 +79,12 @@
         answer = sock.makefile("rb").read()
     digest = hashlib.sha256(PART * (SIZE_BYTES // len(PART))).hexdigest()
     assert answer.startswith(b"HTTP/1.1 200") and digest.encode() in answer
-    assert peak.growth_mb() <= MOST_MB
+    assert peak.growth_mb() <= MAX_GROWTH_MB
 
 
-def test_a_large_download_is_passed_on_in_parts(cluster):
+def test_a_large_download_is_forwarded_in_parts(cluster):
     """A download of 200 MB doesn't raise the nodes' memory by its size."""
-    peak = Peak(cluster)
+    peak = PeakMemory(cluster)
     received = 0
     head = f"GET /files/download?bytes={SIZE_BYTES} HTTP/1.1"
     with start(cluster, head) as sock:
@@ -92,34 +92,34 @@
         while part := sock.recv(MB):
             received += len(part)
     assert SIZE_BYTES < received < SIZE_BYTES + 1000
-    assert peak.growth_mb() <= MOST_MB
+    assert peak.growth_mb() <= MAX_GROWTH_MB
 
 
-def test_a_frozen_server_holds_its_caller_back(cluster):
+def test_a_frozen_server_blocks_its_caller(cluster):
     """A caller can't send on while the server doesn't read.
 
     Guards against a node that accepts parts which the next hop can't take, so that its
     memory grows. The server freezes in the middle of an upload while the caller keeps
     sending.
     """
-    peak = Peak(cluster)
+    peak = PeakMemory(cluster)
     server = cluster.plans["files-1"].server_process
     with start(cluster, "POST /files/upload HTTP/1.1") as sock:
         sock.sendall(b"Content-Length: %d\r\n\r\n" % SIZE_BYTES)
         os.kill(server.pid, signal.SIGSTOP)
         sock.settimeout(1.0)
         try:
-            sent = send_until_held_back(sock)
+            sent = send_until_blocked(sock)
         finally:
             os.kill(server.pid, signal.SIGCONT)
         sock.settimeout(60)
         while sent < SIZE_BYTES:
             sent += sock.send(PART[: SIZE_BYTES - sent])
         assert sock.makefile("rb").read().startswith(b"HTTP/1.1 200")
-    assert peak.growth_mb() <= MOST_MB
+    assert peak.growth_mb() <= MAX_GROWTH_MB
 
 
-def send_until_held_back(sock):
+def send_until_blocked(sock):
     """Return how many bytes were sent before a send timed out."""
     sent = 0
     with pytest.raises(TimeoutError):
--- a/comfreywharf_dev/standins/tests/test_takeover.py
+++ b/comfreywharf_dev/standins/tests/test_takeover.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("log_down", [False, True])
-def test_owner_killed(tmp_path, log_down):
+def test_killed_owners_keys_are_served_again(tmp_path, log_down):
     """A killed owner's keys are served again by its standby.
 
     Guards against a takeover that needs the log, so that keys stay without an owner
--- a/comfreywharf_dev/standins/tests/test_whole_path.py
+++ b/comfreywharf_dev/standins/tests/test_whole_path.py
@@ -29,7 +29,7 @@
     assert len(servers) == 1
 
 
-def test_effects_stand_in_the_ledger_once(cluster):
+def test_an_answered_booking_is_applied_once(cluster):
     """An answered booking is applied once."""
     _, headers, _ = cluster.call("booking-1", "/booking/book", key="once")
     request_id = headers["Comfreywharf-Request-Id"]
