--- a/comfreywharf_dev/failures/callers.py
+++ b/comfreywharf_dev/failures/callers.py
@@ -137,7 +137,9 @@
         except TimeoutError:
             missing = sorted(wanted - self.served_since(start_s))
             last = [one for one in self.since(start_s) if one.key in missing][-3:]
-            raise TimeoutError(f"not served: {missing}; last: {last}") from None
+            raise TimeoutError(
+                f"keys not served: {missing}; last results: {last}"
+            ) from None
 
     def _send_bookings(self, index):
         nodes = itertools.islice(itertools.cycle(self._node_ids), index, None)
--- a/comfreywharf_dev/failures/tests/builders.py
+++ b/comfreywharf_dev/failures/tests/builders.py
@@ -168,7 +168,7 @@
             if _is_running(cluster, request_id):
                 return call
             time.sleep(POLL_S)
-    raise TimeoutError(f"{MAX_LONG_BOOKINGS} long requests were refused: {call.get()}")
+    raise TimeoutError(f"{MAX_LONG_BOOKINGS} long bookings refused: {call.get()}")
 
 
 def _is_running(cluster, request_id):
--- a/comfreywharf_dev/standins/backend.py
+++ b/comfreywharf_dev/standins/backend.py
@@ -174,7 +174,7 @@
 
     def _serve(self, request):
         if request.path == "/crash" and request.query.get("when") != "after":
-            logging.error("a request ends this process, as its path says")
+            logging.error("request to /crash: exiting with status 70")
             os._exit(70)
         if self._waiting >= self.profile.queue_length:
             return Answer(503, {"error": "overloaded"}, {"Comfreywharf-Not-Run": "1"})
--- a/comfreywharf_dev/standins/cluster.py
+++ b/comfreywharf_dev/standins/cluster.py
@@ -539,7 +539,7 @@
         except (OSError, TypeError):
             pass
         time.sleep(0.05)
-    raise TimeoutError(f"not within {timeout_s} s")
+    raise TimeoutError(f"condition did not hold within {timeout_s} s")
 
 
 def wait_listening(port, timeout_s=START_TIMEOUT_S):
--- a/comfreywharf_dev/standins/fleet.py
+++ b/comfreywharf_dev/standins/fleet.py
@@ -41,7 +41,7 @@
     end_s = boottime_s() + timeout_s
     while not condition():
         if boottime_s() > end_s:
-            raise TimeoutError(f"not within {timeout_s} s")
+            raise TimeoutError(f"condition did not hold within {timeout_s} s")
         gevent.sleep(0.01)
 
 
--- a/comfreywharf_dev/standins/platform_server.py
+++ b/comfreywharf_dev/standins/platform_server.py
@@ -395,5 +395,5 @@
                 length = int(value)
         answer = self._file.read(length)
         if not status or status[1] != b"200":
-            raise OSError(f"heartbeat answered {status}")
+            raise OSError(f"expected status 200 for heartbeat, got {status}")
         return orjson.loads(answer)
