--- a/comfreywharf_dev/failures/tests/test_owner_losses.py
+++ b/comfreywharf_dev/failures/tests/test_owner_losses.py
@@ -55,7 +55,7 @@
             cluster.freeze_node(owner)
             held = BackgroundCall(book, cluster, owner, key, timeout_ms=LONG_MS)
             callers.wait_served()
-            cluster.thaw_node(owner)
+            cluster.resume_node(owner)
             late = held.get()
             callers.wait_served()
             wait_until(lambda: book(cluster, owner, key).accepted, 20)
@@ -79,7 +79,7 @@
             held = BackgroundCall(book, cluster, owner, key, timeout_ms=1000)
             late = held.get()
             callers.wait_served()
-            cluster.thaw_server(owner)
+            cluster.resume_server(owner)
             callers.wait_served()
         assert late.outcome is not CallOutcome.ANSWERED
         assert violations(cluster, [*callers.results, late]) == []
@@ -100,8 +100,8 @@
             cluster.freeze_node(owner)
             cluster.freeze_server(owner)
             callers.wait_served()
-            cluster.thaw_server(owner)
-            cluster.thaw_node(owner)
+            cluster.resume_server(owner)
+            cluster.resume_node(owner)
             late = held.get()
             callers.wait_served()
         assert violations(cluster, [*callers.results, late]) == []
@@ -199,7 +199,7 @@
             held = BackgroundCall(book, cluster, owner, key, timeout_ms=LONG_MS)
             cluster.kill_vm(standby)
             time.sleep(PAST_A_LEASE_S)
-            cluster.thaw_node(owner)
+            cluster.resume_node(owner)
             late = held.get()
             callers.wait_served()
         assert violations(cluster, [*callers.results, late]) == []
--- a/comfreywharf_dev/soak/faults.py
+++ b/comfreywharf_dev/soak/faults.py
@@ -97,8 +97,8 @@
         cluster.freeze_node(self.node_id)
 
     def end(self, cluster):
-        """Let it go on."""
-        cluster.thaw_node(self.node_id)
+        """Resume the process."""
+        cluster.resume_node(self.node_id)
 
 
 class ServerKilled(VmFault):
@@ -121,8 +121,8 @@
         cluster.freeze_server(self.node_id)
 
     def end(self, cluster):
-        """Let it go on."""
-        cluster.thaw_server(self.node_id)
+        """Resume the process."""
+        cluster.resume_server(self.node_id)
 
 
 class VmKilled(VmFault):
--- a/comfreywharf_dev/standins/cluster.py
+++ b/comfreywharf_dev/standins/cluster.py
@@ -324,7 +324,7 @@
         """Suspend a node's process with SIGSTOP."""
         self.plans[node_id].node_process.send_signal(signal.SIGSTOP)
 
-    def thaw_node(self, node_id):
+    def resume_node(self, node_id):
         """Resume a frozen node."""
         self.plans[node_id].node_process.send_signal(signal.SIGCONT)
 
@@ -332,7 +332,7 @@
         """Suspend the backend server beside a node with SIGSTOP."""
         self.plans[node_id].server_process.send_signal(signal.SIGSTOP)
 
-    def thaw_server(self, node_id):
+    def resume_server(self, node_id):
         """Resume a frozen backend server."""
         self.plans[node_id].server_process.send_signal(signal.SIGCONT)
 
