--- a/comfreywharf/platform/tests/test_incarnations.py
+++ b/comfreywharf/platform/tests/test_incarnations.py
@@ -18,12 +18,12 @@
     """
     name = deployment.holder(7)
     server = deployment.servers[name]
-    server.mute = True
-    server.begin_anew("i-second")
+    server.heartbeats_off = True
+    server.restart_as("i-second")
     gevent.sleep(2.0)
-    server.mute = False
+    server.heartbeats_off = False
     wait_for(lambda: deployment.nodes[name].backend is not None)
-    wait_for(lambda: server.taken_by_this_life())
+    wait_for(lambda: server.taken_by_this_incarnation())
     wait_for(deployment.each_key_has_one_holder)
     assert repeated_fences(server.taken) == []
 
@@ -37,9 +37,9 @@
     """
     name = deployment.holder(7)
     server = deployment.servers[name]
-    wait_for(lambda: server.beats > 10)
-    server.begin_anew(server.instance)
-    wait_for(lambda: server.taken_by_this_life())
+    wait_for(lambda: server.heartbeats_sent > 10)
+    server.restart_as(server.instance)
+    wait_for(lambda: server.taken_by_this_incarnation())
     wait_for(deployment.each_key_has_one_holder)
     server.state = "draining"
     wait_for(lambda: deployment.nodes[name].closed_to_new_work, timeout_s=4.0)
@@ -54,10 +54,10 @@
     """
     name = deployment.holder(7)
     server = deployment.servers[name]
-    fields = {**server.word(), "born": born, "sequence": 10**6}
+    fields = {**server.heartbeat_fields(), "born": born, "sequence": 10**6}
     port = deployment.ports[name][3]
     assert post(port, f"/-/instances/{server.instance}/heartbeat", fields) == 400
-    assert deployment.nodes[name].backend.announcement.incarnation == server.life
+    assert deployment.nodes[name].backend.announcement.incarnation == server.incarnation
 
 
 def test_a_late_deregistration_of_an_earlier_incarnation_changes_nothing(deployment):
@@ -177,7 +177,7 @@
         later
         for place, later in enumerate(taken)
         for earlier in taken[:place]
-        if later.life != earlier.life
+        if later.incarnation != earlier.incarnation
         and later.fence <= earlier.fence
         and later.first <= earlier.last
         and earlier.first <= later.last
--- a/comfreywharf/platform/tests/test_lists.py
+++ b/comfreywharf/platform/tests/test_lists.py
@@ -42,7 +42,7 @@
     """
     assert deployment.send_request("n3").status == 200
     server = deployment.servers[deployment.holder(7)]
-    assert server.taken_lists and not server.misdirected
+    assert server.applied_lists and not server.misdirected
 
 
 def test_a_server_keeps_its_keys_when_an_answer_is_lost(deployment):
@@ -53,8 +53,8 @@
     server = deployment.servers[deployment.holder(7)]
     server.lose_answers = 1
     wait_for(lambda: not server.lose_answers)
-    taken = server.taken_lists
-    wait_for(lambda: server.taken_lists > taken)
+    taken = server.applied_lists
+    wait_for(lambda: server.applied_lists > taken)
     assert server.hold_s > 2 * HEARTBEAT_S
     assert server.holds(7)
 
@@ -65,7 +65,7 @@
     A server crashes and doesn't restart.
     """
     name = deployment.holder(7)
-    deployment.servers[name].mute = True
+    deployment.servers[name].heartbeats_off = True
     deployment.servers[name].crash()
     assert_at_most_one_holder(deployment, 1.0)
     assert is_served(deployment)
@@ -80,10 +80,10 @@
     name = deployment.holder(7)
     server = deployment.servers[name]
     before = max(taken.fence for taken in server.taken)
-    server.begin_anew(server.instance)
+    server.restart_as(server.instance)
     assert is_served(deployment)
     wait_for(deployment.each_key_has_one_holder)
-    assert all(taken.fence > before for taken in server.taken_by_this_life())
+    assert all(taken.fence > before for taken in server.taken_by_this_incarnation())
 
 
 def test_a_restarted_node_continues_beside_its_running_server(deployment):
@@ -119,9 +119,9 @@
     During an outage of some seconds, holds depend on witnesses only.
     """
     deployment.store.stop()
-    servers = [s for s in deployment.servers.values() if s.by_lists]
-    before = {server: server.taken_lists for server in servers}
-    wait_for(lambda: all(s.taken_lists > before[s] + 10 for s in servers))
+    servers = [s for s in deployment.servers.values() if s.uses_hold_lists]
+    before = {server: server.applied_lists for server in servers}
+    wait_for(lambda: all(s.applied_lists > before[s] + 10 for s in servers))
     wait_for(deployment.each_key_has_one_holder)
 
 
@@ -132,7 +132,7 @@
     """
     deployment.grants = "direct"
     for server in deployment.servers.values():
-        server.by_lists = False
+        server.uses_hold_lists = False
     deployment.configure(2)
     assert_at_most_one_holder(deployment, 1.0)
     wait_for(deployment.each_key_has_one_holder)
@@ -150,16 +150,16 @@
     server = deployment.servers[name]
     server.work_s = 0.6
     asked = gevent.spawn(deployment.send_request, "n3", X_Deadline_Ms=str(LONG_MS))
-    wait_for(lambda: server.works)
+    wait_for(lambda: server.busy)
     server.state = "draining"
-    while server.works:
+    while server.busy:
         others = [n for n in deployment.holders(7) if n != name]
         assert others == []
         gevent.sleep(0.01)
     assert asked.get().status == 200
     wait_for(lambda: deployment.holder(7) not in (None, name), 8)
     taker = deployment.servers[deployment.holder(7)]
-    assert set(taker.taken_over) & set(server.handed_over)
+    assert set(taker.received_handovers) & set(server.issued_handovers)
 
 
 def test_a_partitioned_server_loses_its_keys_when_its_hold_expires(deployment):
@@ -169,10 +169,10 @@
     it neither as crashed nor as running for good.
     """
     name = deployment.holder(7)
-    deployment.servers[name].mute = True
+    deployment.servers[name].heartbeats_off = True
     end_s = boottime_s() + 3.0
     while boottime_s() < end_s:
         assert len(deployment.holders(7)) <= 1
         gevent.sleep(0.01)
-    deployment.servers[name].mute = False
+    deployment.servers[name].heartbeats_off = False
     wait_for(deployment.each_key_has_one_holder)
--- a/comfreywharf/platform/tests/test_losses.py
+++ b/comfreywharf/platform/tests/test_losses.py
@@ -90,7 +90,7 @@
     servers = deployment.servers.values()
     for server in servers:
         # If the other servers took grants, one of them would soon serve the keys.
-        server.lose_grants, server.late_s = 10_000, 60.0
+        server.lose_grants, server.grant_delay_s = 10_000, 60.0
     wait_for(lambda: not deployment.holders(7))
     gevent.sleep(0.1)
     before = [server.misdirected for server in servers]
@@ -105,7 +105,7 @@
     A configuration is acknowledged and all nodes are killed, so that no state is left
     that only processes had.
     """
-    deployment.store.forget("comfreywharf")
+    deployment.store.expire_records("comfreywharf")
     deployment.store.put("keyed.op", "config", configuration(version=8))
     for node in deployment.nodes.values():
         node.kill()
@@ -127,7 +127,7 @@
     """
     name = deployment.holder(7)
     server = deployment.servers[name]
-    server.begin_anew("i-second")
+    server.restart_as("i-second")
     wait_for(lambda: deployment.nodes[name].backend.announcement.instance == "i-second")
     wait_for(deployment.each_key_has_one_holder)
     server.state = "draining"
--- a/comfreywharf_dev/bench/takeover.py
+++ b/comfreywharf_dev/bench/takeover.py
@@ -87,7 +87,7 @@
     _wait_served(cluster, survivors)
     keys = [k for k in KEYS if cluster.owner_of(survivors[0], "booking", k) == lost]
     if log_down:
-        cluster.switch_log(down=True)
+        cluster.set_log_switches(down=True)
     # One caller for each key: a caller that waits for an answer on one key can't
     # measure when another key is served again.
     callers = [
@@ -102,8 +102,8 @@
     measured.unavailable_s += [_unavailable_s(one, killed_s) for one in callers]
     for one in callers:
         one.end()
-    measured.booking_outcomes += [line for one in callers for line in one.told]
-    cluster.switch_log(down=False)
+    measured.booking_outcomes += [line for one in callers for line in one.results]
+    cluster.set_log_switches(down=False)
     cluster.start_node(lost)
     cluster.start_server(lost)
     _wait_owns_again(cluster, survivors[0], lost)
--- a/comfreywharf_dev/failures/callers.py
+++ b/comfreywharf_dev/failures/callers.py
@@ -1,4 +1,4 @@
-"""Callers that go on through a failure and keep what they were told."""
+"""Callers that keep sending through a failure and record the results."""
 
 import itertools
 import threading
@@ -8,16 +8,16 @@
 from geventhttpclient.response import HTTPParseError
 
 from comfreywharf.clock import boottime_s
-from comfreywharf_dev.failures.invariants import Told, ToldOutcome
+from comfreywharf_dev.failures.invariants import CallOutcome, CallResult
 from comfreywharf_dev.standins.cluster import http_json, wait_until
 
 __all__ = ["Callers", "book"]
 
 CALL_TIMEOUT_S = 8.0
 PAUSE_S = 0.01
-SENDINGS = 3
-SERVED_LIMIT_S = 20.0
-"""Ends a wait that failed; how fast keys are served again is a benchmark's matter."""
+MAX_ATTEMPTS = 3
+SERVED_TIMEOUT_S = 20.0
+"""Timeout of a failed wait; benchmarks measure how soon keys are served again."""
 
 
 def book(
@@ -30,10 +30,10 @@
     timeout_ms=2000,
     work_ms=None,
 ):
-    """Send one booking through a node and return what was `Told`.
+    """Send one booking through a node and return its `CallResult`.
 
     ``first_sent_s`` is when this request was sent for the first time; ``None``
-    where this sending is the first.
+    means now.
     """
     request_id = request_id or uuid.uuid4().hex
     sent_s = boottime_s()
@@ -53,8 +53,8 @@
         )
         fields = _fields(status, answered, document)
     except (OSError, HTTPParseError) as error:
-        fields = {"outcome": ToldOutcome.NOTHING, "reason": repr(error)}
-    return Told(
+        fields = {"outcome": CallOutcome.NO_ANSWER, "reason": repr(error)}
+    return CallResult(
         request_id=request_id,
         key=key,
         node_id=node_id,
@@ -65,8 +65,8 @@
 
 
 def _fields(status, headers, document):
-    outcome = ToldOutcome(headers.get("Comfreywharf-Outcome", "nothing"))
-    accepted = outcome is ToldOutcome.ANSWERED and status == 200
+    outcome = CallOutcome(headers.get("Comfreywharf-Outcome", "nothing"))
+    accepted = outcome is CallOutcome.ANSWERED and status == 200
     echo = document if accepted and isinstance(document, dict) else {}
     return {
         "outcome": outcome,
@@ -79,12 +79,12 @@
 
 
 class Callers:
-    """Threads that book, each through all given nodes in turn.
+    """Threads that send bookings, each through all given nodes in turn.
 
-    A request that was not answered is sent again under its id through the next
-    node, a few times: that is how a real caller finds out whether it was run,
-    and what would apply it twice if nobody remembered it. Counts and pauses
-    bound the load.
+    A request without an answer is sent again under the same id through the next
+    node, a few times, as a real caller does to find out whether it was run. Such
+    resends would be applied twice if no node remembered the request. The number of
+    threads and the pauses between requests bound the load.
 
     >>> with Callers(cluster, keys) as callers:  # doctest: +SKIP
     ...     cluster.kill_node("booking-1")
@@ -92,14 +92,14 @@
     """
 
     def __init__(self, cluster, keys, *, count=4, node_ids=None, timeout_ms=2000):
-        self.told = []
+        self.results = []
         self._cluster = cluster
         self._keys = tuple(keys)
         self._node_ids = tuple(node_ids or cluster.plans)
         self._timeout_ms = timeout_ms
-        self._ended = threading.Event()
+        self._stopped = threading.Event()
         self._threads = [
-            threading.Thread(target=self._call_on, args=(index,), daemon=True)
+            threading.Thread(target=self._send_bookings, args=(index,), daemon=True)
             for index in range(count)
         ]
 
@@ -112,21 +112,24 @@
         self.end()
 
     def end(self):
-        """Send no more and wait for the answers that are still to come."""
-        self._ended.set()
+        """Send no more requests and wait for the outstanding answers."""
+        self._stopped.set()
         for thread in self._threads:
             thread.join()
 
     def since(self, start_s):
-        """Return what was told of requests sent from a time on."""
-        return [one for one in list(self.told) if one.sent_s >= start_s]
+        """Return the results of requests sent at ``start_s`` or later."""
+        return [one for one in list(self.results) if one.sent_s >= start_s]
 
     def served_since(self, start_s):
-        """Return the keys with a booking that was sent since then and accepted."""
+        """Return the keys with an accepted booking sent at ``start_s`` or later."""
         return {one.key for one in self.since(start_s) if one.accepted}
 
-    def wait_served(self, keys=None, timeout_s=SERVED_LIMIT_S):
-        """Wait until each key had a booking that was sent from now on."""
+    def wait_served(self, keys=None, timeout_s=SERVED_TIMEOUT_S):
+        """Wait until each key has an accepted booking that was sent from now on.
+
+        Raises `TimeoutError` with the missing keys and their last results.
+        """
         start_s = boottime_s()
         wanted = set(keys or self._keys)
         try:
@@ -134,13 +137,15 @@
         except TimeoutError:
             missing = sorted(wanted - self.served_since(start_s))
             last = [one for one in self.since(start_s) if one.key in missing][-3:]
-            raise TimeoutError(f"not served: {missing}; last: {last}") from None
+            raise TimeoutError(
+                f"keys not served: {missing}; last results: {last}"
+            ) from None
 
-    def _call_on(self, index):
+    def _send_bookings(self, index):
         nodes = itertools.islice(itertools.cycle(self._node_ids), index, None)
         keys = itertools.islice(itertools.cycle(self._keys), index, None)
         for key in keys:
-            if self._ended.is_set():
+            if self._stopped.is_set():
                 return
             self._call_until_answered(key, nodes)
             time.sleep(PAUSE_S)
@@ -148,8 +153,8 @@
     def _call_until_answered(self, key, nodes):
         request_id = uuid.uuid4().hex
         first_sent_s = None
-        for _ in range(SENDINGS):
-            told = book(
+        for _ in range(MAX_ATTEMPTS):
+            result = book(
                 self._cluster,
                 next(nodes),
                 key,
@@ -157,8 +162,8 @@
                 first_sent_s=first_sent_s,
                 timeout_ms=self._timeout_ms,
             )
-            first_sent_s = first_sent_s or told.sent_s
-            self.told.append(told)
-            if told.outcome is ToldOutcome.ANSWERED or self._ended.is_set():
+            first_sent_s = first_sent_s or result.sent_s
+            self.results.append(result)
+            if result.outcome is CallOutcome.ANSWERED or self._stopped.is_set():
                 return
             time.sleep(PAUSE_S)
--- a/comfreywharf_dev/failures/invariants.py
+++ b/comfreywharf_dev/failures/invariants.py
@@ -1,7 +1,7 @@
-"""The invariants, checked over the ledger, the grants and what callers were told.
+"""Checks of the invariants against the ledger, the grants and callers' results.
 
-All times are of the machine's monotonic clock, which its processes share, so that
-the times of two backend servers compare.
+All times are in seconds of the machine's monotonic clock, which all processes
+share, so that the times of two backend servers are comparable.
 """
 
 from collections import defaultdict
@@ -13,8 +13,8 @@
     "Effect",
     "GrantTaken",
     "Rule",
-    "Told",
-    "ToldOutcome",
+    "CallResult",
+    "CallOutcome",
     "Violation",
     "find_violations",
 ]
@@ -33,7 +33,7 @@
 
 @attrs.frozen(kw_only=True)
 class Effect:
-    """One line of the ledger; without ``key_hash`` its service has no owners.
+    """One line of the ledger; ``key_hash`` is empty if the service has no owners.
 
     ``arrived_s`` is when its request reached the server, ``at_s`` when it took effect.
     """
@@ -49,7 +49,7 @@
 
 @attrs.frozen(kw_only=True)
 class GrantTaken:
-    """A grant as a backend server took it: hashes ``start <= hash < end``."""
+    """A grant that a backend server accepted, of hashes ``start <= hash < end``."""
 
     at_s: float
     server: str
@@ -59,27 +59,27 @@
     expires_monotonic_ms: int
 
 
-class ToldOutcome(Enum):
-    """What a caller was told; ``NOTHING`` is a connection without an answer."""
+class CallOutcome(Enum):
+    """The outcome that a caller received; ``NO_ANSWER`` if there was no answer."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
-    NOTHING = "nothing"
+    NO_ANSWER = "nothing"
 
 
 @attrs.frozen(kw_only=True)
-class Told:
-    """What a caller was told of one sending of a request that applies an effect.
+class CallResult:
+    """The result of one attempt to send a request that applies an effect.
 
-    ``echoed_key`` and ``echoed_id`` are what the answer says it belongs to;
+    ``echoed_key`` and ``echoed_id`` are the key and the request id in the answer;
     ``accepted`` says whether the backend server answered with success.
     """
 
     request_id: str
     key: str
     node_id: str
-    outcome: ToldOutcome
+    outcome: CallOutcome
     sent_s: float
     done_s: float
     status: int = 0
@@ -91,29 +91,29 @@
 
 @attrs.frozen(kw_only=True)
 class Violation:
-    """A rule that was broken, and by what."""
+    """A broken rule, and the effects, grants or results that broke it."""
 
     rule: Rule
-    what: str
+    evidence: str
 
 
-def find_violations(effects, told=(), grants=()):
-    """Return every `Violation`, in the order of the rules."""
+def find_violations(effects, results=(), grants=()):
+    """Return every `Violation` found by the checks, check by check."""
     return [
-        *_two_owners(effects),
-        *_shared_fences(grants),
-        *_applied_twice(effects),
-        *_wrongly_told(effects, told),
-        *_strange_answers(told),
+        *_find_overlapping_owners(effects),
+        *_find_shared_fences(grants),
+        *_find_repeated_effects(effects),
+        *_find_wrong_outcomes(effects, results),
+        *_find_mismatched_answers(results),
     ]
 
 
-def _two_owners(effects):
-    """Find an effect under an older owner that came after a newer owner's.
+def _find_overlapping_owners(effects):
+    """Find effects of an older owner that came after a newer owner's effect.
 
-    Were two servers to own a key at overlapping times, the one with the older
-    fence would apply an effect after the newer one's first, or both would use
-    one fence. The first effect of each owner stands for its time of owning.
+    If two servers own a key at overlapping times, the one with the older fence
+    applies an effect after the first effect of the newer one, or both use the same
+    fence. The first effect of each owner marks the start of its ownership.
     """
     owners_by_key = defaultdict(dict)
     for effect in sorted(effects, key=lambda one: one.at_s):
@@ -121,27 +121,27 @@
             continue
         owners = owners_by_key[effect.service, effect.key_hash]
         newer = next(
-            (first for first in owners.values() if _rules_out(first, effect)), None
+            (first for first in owners.values() if _conflicts(first, effect)), None
         )
         if newer is None:
             owners.setdefault((effect.server, effect.fence), effect)
         else:
-            what = f"{effect} after {newer}"
-            yield Violation(rule=Rule.ONE_OWNER, what=what)
+            evidence = f"{effect} after {newer}"
+            yield Violation(rule=Rule.ONE_OWNER, evidence=evidence)
 
 
-def _rules_out(first, effect):
-    """Return whether an owner's first effect rules out a later effect.
+def _conflicts(first, effect):
+    """Return whether a later effect conflicts with an owner's first effect.
 
-    An owner's fence rises while it keeps a key, with a new standby for instance. What
-    has reached its server by then still ends under the fence before.
+    An owner's fence can rise while it keeps a key, for instance with a new standby.
+    Requests that had reached its server before may finish under the earlier fence.
     """
     if first.server != effect.server:
         return effect.fence <= first.fence
     return effect.fence < first.fence and first.at_s < effect.arrived_s
 
 
-def _shared_fences(grants):
+def _find_shared_fences(grants):
     by_fence = defaultdict(list)
     for grant in grants:
         by_fence[grant.fence].append(grant)
@@ -149,39 +149,39 @@
         for index, one in enumerate(same):
             for other in same[index + 1 :]:
                 if one.server != other.server and _overlap(one, other):
-                    what = f"{one} and {other}"
-                    yield Violation(rule=Rule.ONE_FENCE_ONE_SERVER, what=what)
+                    evidence = f"{one} and {other}"
+                    yield Violation(rule=Rule.ONE_FENCE_ONE_SERVER, evidence=evidence)
 
 
 def _overlap(one, other):
     return one.start < other.end and other.start < one.end
 
 
-def _applied_twice(effects):
+def _find_repeated_effects(effects):
     first = {}
     for effect in effects:
         earlier = first.setdefault(effect.request_id, effect)
         if earlier is not effect:
-            what = f"{earlier} and {effect}"
-            yield Violation(rule=Rule.AT_MOST_ONCE, what=what)
+            evidence = f"{earlier} and {effect}"
+            yield Violation(rule=Rule.AT_MOST_ONCE, evidence=evidence)
 
 
-def _wrongly_told(effects, told):
+def _find_wrong_outcomes(effects, results):
     applied = {effect.request_id for effect in effects}
-    sendings = defaultdict(list)
-    for one in told:
-        sendings[one.request_id].append(one)
-    for request_id, ones in sendings.items():
+    attempts = defaultdict(list)
+    for one in results:
+        attempts[one.request_id].append(one)
+    for request_id, ones in attempts.items():
         outcomes = {one.outcome for one in ones}
-        if outcomes == {ToldOutcome.NOT_RUN} and request_id in applied:
-            yield Violation(rule=Rule.NOT_RUN_IS_PROVED, what=str(ones))
+        if outcomes == {CallOutcome.NOT_RUN} and request_id in applied:
+            yield Violation(rule=Rule.NOT_RUN_IS_PROVED, evidence=str(ones))
         if any(one.accepted for one in ones) and request_id not in applied:
-            yield Violation(rule=Rule.ANSWERED_IS_DONE, what=str(ones))
+            yield Violation(rule=Rule.ANSWERED_IS_DONE, evidence=str(ones))
 
 
-def _strange_answers(told):
-    for one in told:
+def _find_mismatched_answers(results):
+    for one in results:
         if not one.accepted:
             continue
         if (one.echoed_key, one.echoed_id) != (one.key, one.request_id):
-            yield Violation(rule=Rule.OWN_ANSWER, what=str(one))
+            yield Violation(rule=Rule.OWN_ANSWER, evidence=str(one))
--- a/comfreywharf_dev/failures/tests/builders.py
+++ b/comfreywharf_dev/failures/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of ledgers, grants and answers, and the clusters that failures hit."""
+"""Builders of effects, grants and results, and of clusters for failure tests."""
 
 import contextlib
 import threading
@@ -9,10 +9,10 @@
 
 from comfreywharf_dev.failures.callers import book
 from comfreywharf_dev.failures.invariants import (
+    CallOutcome,
+    CallResult,
     Effect,
     GrantTaken,
-    Told,
-    ToldOutcome,
     find_violations,
 )
 from comfreywharf_dev.standins.cluster import Cluster
@@ -20,20 +20,20 @@
 
 __all__ = [
     "KEYS",
-    "Later",
-    "bearable_losses",
+    "BackgroundCall",
+    "call_result",
     "effect",
     "grant",
-    "others_than",
-    "owns",
+    "node_ids_except",
+    "owns_any_slice",
+    "pairs_safe_to_lose",
     "pick_owner",
     "running_cluster",
-    "start_long",
-    "told",
+    "start_long_booking",
     "violations",
 ]
 
-LONG_TRIES = 5
+MAX_LONG_BOOKINGS = 5
 POLL_S = 0.02
 KEYS = tuple(f"calendar-{number}" for number in range(12))
 
@@ -61,15 +61,15 @@
     )
 
 
-def told(request_id, outcome, **fields):
-    accepted = outcome is ToldOutcome.ANSWERED
+def call_result(request_id, outcome, **fields):
+    accepted = outcome is CallOutcome.ANSWERED
     fields = {
         "key": "k",
         "echoed_key": "k" if accepted else "",
         "echoed_id": request_id if accepted else "",
         **fields,
     }
-    return Told(
+    return CallResult(
         request_id=request_id,
         node_id="n",
         outcome=outcome,
@@ -82,7 +82,7 @@
 
 @contextlib.contextmanager
 def running_cluster(folder, *, booking=4, slices=12, proxied=False, **fields):
-    """Run nodes of the booking service, over three domains, with owners."""
+    """Run a booking service in three failure domains, with all slices owned."""
     plans = riga_plans(booking=booking, files=0, **fields)
     with Cluster(folder, plans, proxied=proxied) as cluster:
         cluster.submit(riga_services(slices=slices))
@@ -90,7 +90,7 @@
         yield cluster
 
 
-def others_than(cluster, *node_ids):
+def node_ids_except(cluster, *node_ids):
     """Return the ids of all other nodes."""
     return [node_id for node_id in cluster.plans if node_id not in node_ids]
 
@@ -99,15 +99,16 @@
     """Return an owner, a key that it owns, and the ids of all other nodes."""
     key = KEYS[0]
     owner = cluster.owner_of(next(iter(cluster.plans)), "booking", key)
-    return owner, key, others_than(cluster, owner)
+    return owner, key, node_ids_except(cluster, owner)
 
 
-def bearable_losses(cluster, seen_by):
-    """Return the pairs of nodes whose loss leaves each other node's lease a majority.
+def pairs_safe_to_lose(cluster, seen_by):
+    """Return the pairs of nodes whose loss leaves every other node its quorum.
 
-    Which witnesses a node has hangs on the order in which nodes announced themselves,
-    and so on the machine's load. One that loses two of its three has no lease until one
-    of them is back or replaced, which is a known limit and has a test of its own.
+    The witnesses of a node depend on the order in which nodes announced themselves,
+    and so on the machine's load. A node that loses two of its three witnesses has no
+    lease until one of them is back or replaced. That is a known limit, covered by
+    `test_two_witnesses_lost_and_replaced`.
     """
     members = cluster.state(seen_by)["members"]
     groups = {name: set(member["witnesses"]) for name, member in members.items()}
@@ -124,14 +125,14 @@
     ]
 
 
-def owns(cluster, seen_by, node_id):
-    """Return whether a node owns any slice, as another one knows it."""
+def owns_any_slice(cluster, seen_by, node_id):
+    """Return whether a node owns any slice in the state of the node ``seen_by``."""
     pieces = cluster.state(seen_by)["slices"]["booking"]["slices"]
     return any(piece["owner"] == node_id for piece in pieces)
 
 
-class Later:
-    """A call on a thread of its own, whose result is awaited later."""
+class BackgroundCall:
+    """A function call in a background thread."""
 
     def __init__(self, function, *arguments, **named):
         self._result = None
@@ -143,38 +144,39 @@
     def _run(self, function, arguments, named):
         self._result = function(*arguments, **named)
 
-    def ended(self):
-        """Return whether the call has ended."""
+    def finished(self):
+        """Return whether the call has returned."""
         return not self._thread.is_alive()
 
     def get(self):
-        """Wait for the call's end and return its result."""
+        """Wait for the call and return its result."""
         self._thread.join()
         return self._result
 
 
-def start_long(cluster, node_id, key, *, work_ms=700):
-    """Start a booking that takes long; return once a backend server runs it.
+def start_long_booking(cluster, node_id, key, *, work_ms=700):
+    """Start a slow booking and return once a backend server runs it.
 
-    One that was refused, since its key was just on the move, is begun anew.
+    A booking may be refused while its key moves to another owner; it is then
+    started again. Raises `TimeoutError` if all `MAX_LONG_BOOKINGS` were refused.
     """
-    for _ in range(LONG_TRIES):
+    for _ in range(MAX_LONG_BOOKINGS):
         request_id = f"long-{uuid.uuid4().hex}"
         named = {"request_id": request_id, "timeout_ms": 4000, "work_ms": work_ms}
-        later = Later(book, cluster, node_id, key, **named)
-        while not later.ended():
-            if _runs(cluster, request_id):
-                return later
+        call = BackgroundCall(book, cluster, node_id, key, **named)
+        while not call.finished():
+            if _is_running(cluster, request_id):
+                return call
             time.sleep(POLL_S)
-    raise TimeoutError(f"{LONG_TRIES} long requests were refused: {later.get()}")
+    raise TimeoutError(f"{MAX_LONG_BOOKINGS} long bookings refused: {call.get()}")
 
 
-def _runs(cluster, request_id):
+def _is_running(cluster, request_id):
     return any(request_id in cluster.running(one) for one in cluster.plans)
 
 
-def violations(cluster, told_of=()):
-    """Return what the cluster did against the invariants."""
+def violations(cluster, results=()):
+    """Return the violations of the invariants in the cluster's ledgers."""
     effects = [cattrs.structure(line, Effect) for line in cluster.effects()]
     grants = [cattrs.structure(line, GrantTaken) for line in cluster.grants()]
-    return find_violations(effects, told_of, grants)
+    return find_violations(effects, results, grants)
--- a/comfreywharf_dev/failures/tests/test_log_faults.py
+++ b/comfreywharf_dev/failures/tests/test_log_faults.py
@@ -1,4 +1,4 @@
-"""The platform's log service is down, slow, or loses answers."""
+"""The platform's log service is unavailable, slow, or loses answers."""
 
 import pytest
 from geventhttpclient.response import HTTPParseError
@@ -8,8 +8,8 @@
 from comfreywharf_dev.failures.callers import Callers
 from comfreywharf_dev.failures.tests.builders import (
     KEYS,
-    Later,
-    owns,
+    BackgroundCall,
+    owns_any_slice,
     pick_owner,
     running_cluster,
     violations,
@@ -27,33 +27,33 @@
 
 @pytest.mark.parametrize("fault", LOG_FAULTS)
 def test_owner_killed_while_the_log_fails(tmp_path, fault):
-    """Two faults together: keys are served again without the log's help.
+    """A lost owner's keys are served again while the log fails.
 
-    Symptom: a lost owner's keys stay dark as long as the log does, or are taken
-    over twice once it is back. Sequence: the log fails; work that is assigned
-    goes on; the owner's VM is lost; the log comes back. Cause: the takeover waits
-    for a record, or a takeover whose answer was lost is written again.
+    Guards against a takeover that waits for a record, so that the keys are unavailable
+    for as long as the log, and against one that is written again after its answer was
+    lost, so that keys are taken over twice. The log fails, the owner's VM is lost,
+    and then the log recovers.
     """
     with running_cluster(tmp_path) as cluster:
         owner, _, survivors = pick_owner(cluster)
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
-            cluster.switch_log(**LOG_FAULTS[fault])
+            cluster.set_log_switches(**LOG_FAULTS[fault])
             callers.wait_served()
             cluster.kill_vm(owner)
             callers.wait_served()
-            cluster.switch_log(down=False, slow_s=0.0, lose_answers=0)
-            wait_until(lambda: not owns(cluster, survivors[0], owner), 20)
+            cluster.set_log_switches(down=False, slow_s=0.0, lose_answers=0)
+            wait_until(lambda: not owns_any_slice(cluster, survivors[0], owner), 20)
             callers.wait_served()
-        assert violations(cluster, callers.told) == []
+        assert violations(cluster, callers.results) == []
 
 
-def test_one_node_loses_the_log_alone(tmp_path):
-    """A node that is cut off from the log alone goes on serving what it owns.
+def test_one_node_is_cut_off_from_the_log(tmp_path):
+    """A node that is cut off from the log only keeps serving its keys.
 
-    Symptom: keys of a healthy server go dark. Sequence: the link between one node
-    and the log is cut and stays so for longer than a lease. Cause: the node needs
-    the log to renew its lease, or gives up what it owns without news from it.
+    Guards against a healthy server's keys becoming unavailable because its node needs
+    the log to renew its lease, or releases its slices without new records. The link
+    between one node and the log is cut for longer than a lease.
     """
     with running_cluster(tmp_path, proxied=True) as cluster:
         owner, _, _ = pick_owner(cluster)
@@ -63,22 +63,22 @@
             wait_until(lambda: not cluster.status(owner)["log_reachable"], 20)
             callers.wait_served()
             assert cluster.status(owner)["serving"].get("booking")
-        assert violations(cluster, callers.told) == []
+        assert violations(cluster, callers.results) == []
 
 
-def test_operators_racing(tmp_path):
-    """Of two patches against one version exactly one comes into force, everywhere.
+def test_only_one_of_two_conflicting_patches_takes_effect(tmp_path):
+    """Exactly one of two patches against one version takes effect, on every node.
 
-    Symptom: an operator's accepted change is gone, or two nodes follow two
-    configurations. Sequence: two operators read version 1 and submit at once; the
-    answer to the first one is lost, so that he submits the same record again.
-    Cause: patches are merged, or a resend counts as a second patch.
+    Guards against patches that are merged and resends that count as a second patch:
+    an accepted change would be lost, or nodes would have different configurations.
+    Two operators submit patches of version 1 at once. The answer to the first
+    submission is lost, and the same record is submitted again.
     """
     with running_cluster(tmp_path) as cluster:
         patches = [patch(name) for name in ("anna", "boris")]
-        cluster.switch_log(lose_answers=1)
-        for later in [Later(submit, cluster, one) for one in patches]:
-            later.get()
+        cluster.set_log_switches(lose_answers=1)
+        for call in [BackgroundCall(submit, cluster, one) for one in patches]:
+            call.get()
         wait_until(lambda: len(versions(cluster, "next_offset")) == 1, 20)
         wait_until(lambda: versions(cluster, "config_version") == {2}, 20)
         winners = {winner(cluster, node_id) for node_id in cluster.plans}
@@ -100,7 +100,7 @@
 
 
 def submit(cluster, record):
-    """Append until an answer came, as a tool does that writes the same record."""
+    """Append one record until it is answered, as the operator's tool does."""
     for _ in range(3):
         try:
             return cluster.append(record)
--- a/comfreywharf_dev/failures/tests/test_replacements.py
+++ b/comfreywharf_dev/failures/tests/test_replacements.py
@@ -1,16 +1,16 @@
-"""Nodes and backend servers leave, return and are replaced, planned or not."""
+"""Nodes and backend servers stop, crash, restart and are replaced."""
 
 import pytest
 
 from comfreywharf_dev.failures.callers import Callers
-from comfreywharf_dev.failures.invariants import ToldOutcome
+from comfreywharf_dev.failures.invariants import CallOutcome
 from comfreywharf_dev.failures.tests.builders import (
     KEYS,
-    others_than,
-    owns,
+    node_ids_except,
+    owns_any_slice,
     pick_owner,
     running_cluster,
-    start_long,
+    start_long_booking,
     violations,
 )
 from comfreywharf_dev.standins.cluster import NodePlan, wait_until
@@ -19,91 +19,90 @@
 
 
 def test_graceful_stop_under_load(tmp_path):
-    """A planned stop cuts and refuses no request, and its keys go on elsewhere.
+    """A planned stop aborts and refuses no request, and its keys stay available.
 
-    Symptom: callers see errors at each deployment. Sequence: callers book; one
-    request takes long; the owner's node is told to stop. Cause: the node closes
-    its ports, or gives its keys up, with requests in progress, or the ingress
-    refuses in the gap.
+    Guards against errors at each deployment: the node must not close its ports or
+    release its keys with requests in progress, and the ingress must not refuse
+    requests during the handover. The owner's node gets SIGTERM while callers book and
+    two long requests run.
     """
     with running_cluster(tmp_path) as cluster:
         owner, key, survivors = pick_owner(cluster)
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
             long = [
-                start_long(cluster, node_id, key) for node_id in (owner, survivors[0])
+                start_long_booking(cluster, node_id, key)
+                for node_id in (owner, survivors[0])
             ]
             cluster.terminate_node(owner)
-            told = [one.get() for one in long]
+            results = [one.get() for one in long]
             callers.wait_served()
             cluster.plans[owner].node_process.wait(20)
             callers.wait_served()
-        told += callers.told
-        refused = [one for one in told if one.outcome is not ToldOutcome.ANSWERED]
+        results += callers.results
+        refused = [one for one in results if one.outcome is not CallOutcome.ANSWERED]
         assert refused == []
-        assert violations(cluster, told) == []
+        assert violations(cluster, results) == []
 
 
 def test_planned_stop_during_a_log_outage(tmp_path):
-    """A node that is drained while the log is down still cuts nothing.
+    """A node that stops while the log is down aborts no request.
 
-    Symptom: requests in progress are cut, or the keys stay dark until the log is
-    back. Sequence: the log is down; the owner is told to stop; its keys can't be
-    moved by a record. Cause: the node waits for the log for ever, or ends with
-    its lease held.
+    Guards against a node that waits for the log without end, and against one that
+    exits with its lease held, so that its keys stay unavailable. The owner gets
+    SIGTERM while its keys can't be moved by a record.
     """
     with running_cluster(tmp_path) as cluster:
         owner, key, survivors = pick_owner(cluster)
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
-            cluster.switch_log(down=True)
-            long = start_long(cluster, survivors[0], key)
+            cluster.set_log_switches(down=True)
+            long = start_long_booking(cluster, survivors[0], key)
             cluster.terminate_node(owner)
-            told = long.get()
+            result = long.get()
             cluster.plans[owner].node_process.wait(30)
             callers.wait_served()
-            cluster.switch_log(down=False)
+            cluster.set_log_switches(down=False)
             callers.wait_served()
-        assert told.outcome is ToldOutcome.ANSWERED
-        assert violations(cluster, [*callers.told, told]) == []
+        assert result.outcome is CallOutcome.ANSWERED
+        assert violations(cluster, [*callers.results, result]) == []
 
 
 def test_drained_node_gets_no_new_work(tmp_path):
-    """A drained node's keys move, and its server gets no more work.
+    """A drained node's keys move, and its server gets no more requests.
 
-    Symptom: a server that is leaving gets work for good. Sequence: an operator
-    drains a node; callers go on. Cause: nobody moves its keys, or an ingress
-    goes on with an old route.
+    Guards against keys that aren't moved off a drained node, and against an ingress
+    that keeps using an outdated route. An operator drains a node while callers book.
     """
     with running_cluster(tmp_path) as cluster:
         owner, _, survivors = pick_owner(cluster)
         with Callers(cluster, KEYS) as callers:
             callers.wait_served()
             cluster.drain(owner)
-            wait_until(lambda: not owns(cluster, survivors[0], owner), 20)
+            wait_until(lambda: not owns_any_slice(cluster, survivors[0], owner), 20)
             callers.wait_served()
-            before = count_of(cluster, owner)
+            before = count_effects(cluster, owner)
             callers.wait_served()
-        assert count_of(cluster, owner) == before
-        assert violations(cluster, callers.told) == []
+        assert count_effects(cluster, owner) == before
+        assert violations(cluster, callers.results) == []
 
 
-def count_of(cluster, node_id):
+def count_effects(cluster, node_id):
     """Return how many effects a node's backend server applied."""
     name = cluster.plans[node_id].server_name
     return sum(1 for one in cluster.effects() if one["server"] == name)
 
 
 def test_all_nodes_replaced_one_after_another(tmp_path):
-    """Once every VM was replaced, the configuration and the keys are still there.
+    """The configuration and the keys' owners survive the replacement of every VM.
 
-    Symptom: a new fleet without configuration, or keys nobody owns. Sequence: for
-    each node, a new one starts, the old one stops and ends; nothing on a VM is
-    kept. Cause: something that must last lived in a node.
+    Guards against durable state that is kept in nodes only, so that a new fleet has no
+    configuration or keys have no owner. For each node a new one starts and the old one
+    stops; nothing on a VM is kept.
     """
     with running_cluster(tmp_path) as cluster:
         config = cluster.state("booking-1")["config"]
-        told = []
+        results = []
         for number, node_id in enumerate(list(cluster.plans), start=5):
             domain = cluster.plans[node_id].failure_domain
             cluster.join(
@@ -113,34 +112,33 @@
                     failure_domain=domain,
                 )
             )
-            survivors = others_than(cluster, node_id)
+            survivors = node_ids_except(cluster, node_id)
             with Callers(cluster, KEYS, node_ids=survivors) as callers:
                 cluster.terminate_node(node_id)
-                cluster.forget(node_id)
+                cluster.remove_stopped(node_id)
                 callers.wait_served()
-            told += callers.told
+            results += callers.results
         for node_id in cluster.plans:
             assert cluster.state(node_id)["config"] == config
-        assert violations(cluster, told) == []
+        assert violations(cluster, results) == []
 
 
-def test_backend_server_dies_and_comes_back(tmp_path):
-    """A server's death costs at most what it had in progress.
+def test_backend_server_crashes_and_restarts(tmp_path):
+    """The crash of a backend server affects only its requests in progress.
 
-    Symptom: keys stay dark though other servers live, or one booking stands
-    twice. Sequence: the server dies with requests in progress; its node lives;
-    later a new server process starts there. Cause: the node keeps its lease for
-    a server that doesn't answer, or runs a request again that had run.
+    Guards against a node that keeps its lease for a server that doesn't answer, so
+    that keys stay unavailable, and against a request that is run twice. The server is
+    killed with requests in progress while its node runs; later it is started again.
     """
     with running_cluster(tmp_path) as cluster:
         owner, key, survivors = pick_owner(cluster)
         with Callers(cluster, KEYS) as callers:
             callers.wait_served()
-            during = start_long(cluster, owner, key)
+            during = start_long_booking(cluster, owner, key)
             cluster.kill_server(owner)
             callers.wait_served()
             cluster.start_server(owner)
             callers.wait_served()
-            told = during.get()
-        assert told.outcome is not ToldOutcome.NOT_RUN
-        assert violations(cluster, [*callers.told, told]) == []
+            result = during.get()
+        assert result.outcome is not CallOutcome.NOT_RUN
+        assert violations(cluster, [*callers.results, result]) == []
--- a/comfreywharf_dev/losses/__main__.py
+++ b/comfreywharf_dev/losses/__main__.py
@@ -1,4 +1,4 @@
-"""Print where requests are lost: ``python -m comfreywharf_dev.losses FILE...``."""
+"""Print why requests are lost: ``python -m comfreywharf_dev.losses FILE...``."""
 
 import sys
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 
 def main():
-    """Read nodes' lines from files, or from standard input, and print the tables."""
+    """Read decision lines from files or standard input, and print the tables."""
     paths = sys.argv[1:]
     lines = sys.stdin
     if paths:
@@ -16,10 +16,10 @@
     print(f"{'service':<12} {'decision':<9} {'reason':<24} {'count':>6} {'part':>6}")
     for service, decision, reason, count, part in losses.rows():
         print(f"{service:<12} {decision:<9} {reason:<24} {count:>6} {part:>6.1%}")
-    print("\nsent again after: " + _counts(losses.asked_again))
-    for moment, counts in sorted(losses.by_moment.items()):
+    print("\nsent again after: " + _counts(losses.resends))
+    for window_start_s, counts in sorted(losses.by_window.items()):
         named = {f"{decision} {reason}": n for (decision, reason), n in counts.items()}
-        print(f"{moment:>8.1f} s  {_counts(named)}")
+        print(f"{window_start_s:>8.1f} s  {_counts(named)}")
     if losses.unreadable:
         print(f"{losses.unreadable} lines of decisions can't be read")
 
--- a/comfreywharf_dev/losses/table.py
+++ b/comfreywharf_dev/losses/table.py
@@ -1,7 +1,7 @@
-"""Add up refused and unknown requests by service, reason and moment.
+"""Count refused and unknown requests by service, reason and time window.
 
-Each node writes one line for each request that it refused or whose outcome it doesn't
-know (docs/OPERATIONS.md). A line may begin with anything before its JSON.
+Each node writes one line for each request that it refused or whose outcome is
+unknown (docs/OPERATIONS.md). A line may have any text before its JSON.
 """
 
 from collections import Counter
@@ -16,26 +16,30 @@
 
 @attrs.define
 class Losses:
-    """How many requests were lost, by ``(service, decision, reason)`` and moment."""
+    """Counts of lost requests by ``(service, decision, reason)`` and time window.
+
+    Windows are ``window_s`` seconds long. Resends are counted by the reason of the
+    attempt before, and lines of decisions whose JSON is invalid as unreadable.
+    """
 
     window_s: float = 2.0
     by_reason: Counter = attrs.Factory(Counter)
-    by_moment: dict = attrs.Factory(dict)
-    asked_again: Counter = attrs.Factory(Counter)
+    by_window: dict = attrs.Factory(dict)
+    resends: Counter = attrs.Factory(Counter)
     unreadable: int = 0
 
     def add(self, at_s, line):
-        """Take one line's fields; ``at_s`` is its time, or ``None``."""
+        """Count one line's fields; ``at_s`` is its time in seconds, or ``None``."""
         decision = line.get("decision")
         if decision == "sent_again":
-            self.asked_again[line.get("after", "")] += 1
+            self.resends[line.get("after", "")] += 1
         if decision not in _LOST:
             return
         key = (line.get("service", ""), decision, line.get("reason", ""))
         self.by_reason[key] += 1
         if at_s is not None:
-            moment = int(at_s // self.window_s) * self.window_s
-            self.by_moment.setdefault(moment, Counter())[key[1:]] += 1
+            window_start_s = int(at_s // self.window_s) * self.window_s
+            self.by_window.setdefault(window_start_s, Counter())[key[1:]] += 1
 
     def rows(self):
         """Yield ``(service, decision, reason, count, fraction)``, the largest first."""
@@ -45,7 +49,7 @@
 
 
 def read_losses(lines, window_s=2.0):
-    """Return the `Losses` in lines of text; what isn't a decision is passed over."""
+    """Return the `Losses` in lines of text; lines without a decision are skipped."""
     losses = Losses(window_s=window_s)
     for text in lines:
         place = text.find("{")
--- a/comfreywharf_dev/standins/backend.py
+++ b/comfreywharf_dev/standins/backend.py
@@ -1,13 +1,13 @@
 """A stand-in backend server: slots, grants, deadlines, cancellation, a ledger.
 
-What it applies is written to an append-only ledger file, a line an effect, which
-tests read as the truth. Requests name what should happen by their path:
+It writes each effect as a line of an append-only ledger file, which tests use as
+the record of what was applied. The path of a request selects what it does:
 
 ``/book``         apply an effect after ``work_ms`` of work
 ``/look``         the same work without an effect
 ``/upload``       read the body and answer its length and digest
-``/download``     send ``bytes`` bytes; ``cut``: end the connection after so many
-``/crash``        end the process, as one bad request does now and then;
+``/download``     send ``bytes`` bytes; ``cut``: close the connection after so many
+``/crash``        exit the process, as a request that crashes its server does;
                   ``when=after``: only after the effect was applied
 ``/fail``         answer 500
 """
@@ -31,12 +31,12 @@
 INSTANCE = str(os.getpid())
 ANNOUNCE_INTERVAL_S = 0.25
 CHUNK_BYTES = 64 * 1024
-REMEMBERED_ATTEMPTS = 10_000
+MAX_REMEMBERED_ATTEMPTS = 10_000
 
 
 @attrs.define(kw_only=True)
 class Profile:
-    """What the server is, and what is wrong with it at the moment."""
+    """The properties of the server, and the faults that it has at present."""
 
     name: str
     service: str
@@ -58,7 +58,10 @@
 
 @attrs.frozen(kw_only=True)
 class Grant:
-    """The right to serve a range of hashes under a fence until a time."""
+    """The right to serve the hashes ``start <= hash < end`` under a fence.
+
+    It expires at ``expires_monotonic_ms`` of the machine's monotonic clock.
+    """
 
     start: int
     end: int
@@ -67,7 +70,11 @@
 
 
 class Ledger:
-    """Append-only lines of JSON; one write each, so that lines stay whole."""
+    """Append-only lines of JSON.
+
+    Each line is written by one call, so that processes that share the file don't
+    interleave their lines.
+    """
 
     def __init__(self, path):
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
@@ -102,7 +109,7 @@
             "/health": self._health,
             "/load": self._load,
             "/running": self._list_running,
-            "/grants": self._take_grants,
+            "/grants": self._set_grants,
             "/cancel": self._cancel,
             "/drain": self._drain,
             "/switches": self._set_switches,
@@ -125,14 +132,14 @@
     def _list_running(self, request):
         return Answer(200, list(self._running.values()))
 
-    def _take_grants(self, request):
+    def _set_grants(self, request):
         grants = [Grant(**fields) for fields in orjson.loads(request.read_body())]
         for grant in grants:
-            self._write_if_new(grant)
+            self._record_if_new(grant)
         self._grants = {grant.start: grant for grant in grants}
         return Answer(200, {"grants": len(self._grants)})
 
-    def _write_if_new(self, grant):
+    def _record_if_new(self, grant):
         held = self._grants.get(grant.start)
         if held and (held.end, held.fence) == (grant.end, grant.fence):
             return
@@ -142,7 +149,7 @@
         )
 
     def _cancel(self, request):
-        """Let an attempt take no effect from now on; say if it took one before."""
+        """Prevent an attempt's effect; answer whether it had one before."""
         message = orjson.loads(request.read_body())
         attempt = message.get("attempt") or message["request_id"]
         _remember(self._cancelled, attempt, self._clock())
@@ -167,7 +174,7 @@
 
     def _serve(self, request):
         if request.path == "/crash" and request.query.get("when") != "after":
-            logging.error("a request ends this process, as its path says")
+            logging.error("request to /crash: exiting with status 70")
             os._exit(70)
         if self._waiting >= self.profile.queue_length:
             return Answer(503, {"error": "overloaded"}, {"Comfreywharf-Not-Run": "1"})
@@ -214,7 +221,7 @@
         return work_ms * factor / 1000
 
     def _refusal(self, request, attempt):
-        """Return why a request may not take effect now, or ``None``."""
+        """Return the refusal of a request that may not take effect, or ``None``."""
         if attempt in self._cancelled:
             return Answer(409, {"error": "cancelled"}, {"Comfreywharf-Not-Run": "1"})
         deadline_ms = int(request.header("Comfreywharf-Deadline-Ms", "0"))
@@ -271,10 +278,10 @@
         }
 
 
-def _remember(known, attempt, at_s):
-    known[attempt] = at_s
-    while len(known) > REMEMBERED_ATTEMPTS:
-        del known[next(iter(known))]
+def _remember(attempts, attempt, at_s):
+    attempts[attempt] = at_s
+    while len(attempts) > MAX_REMEMBERED_ATTEMPTS:
+        del attempts[next(iter(attempts))]
 
 
 def _download(request):
@@ -289,7 +296,7 @@
 
 
 def announce_forever(profile, node_port, instance):
-    """Tell the node beside this server that it is there, again and again."""
+    """Announce this server to the node beside it, periodically."""
     client = HTTPClient("127.0.0.1", node_port, network_timeout=2.0)
     message = orjson.dumps(
         {
@@ -330,7 +337,7 @@
     ledger: str = "",
     grants_ledger: str = "",
 ):
-    """Serve until the process is ended."""
+    """Serve until the process is stopped."""
     profile = Profile(
         name=name,
         service=service,
--- a/comfreywharf_dev/standins/platform_store.py
+++ b/comfreywharf_dev/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store: its log calls, and its faults."""
+"""A stand-in for the platform's store: its log calls, with injectable faults."""
 
 import base64
 import struct
@@ -13,11 +13,11 @@
 
 _LENGTH = struct.Struct(">I")
 _BOUNDS = struct.Struct(">QQ")
-SILENCE_S = 60.0
+UNANSWERED_S = 60.0
 
 
 class _Topic:
-    """One partition: records from ``first`` on, and the newest of each key."""
+    """One partition: records from offset ``first`` on, and the newest of each key."""
 
     def __init__(self, keyed):
         self.keyed = keyed
@@ -46,7 +46,7 @@
     """Serve the store's calls on a port of loopback.
 
     ``fault`` is ``""``, ``"busy"`` (503), ``"silent"`` (no answer) or ``"lost"``
-    (appends are done and not answered). ``calls`` counts what was asked.
+    (appends are applied but not answered). ``calls`` counts the requests.
     """
 
     def __init__(self):
@@ -56,7 +56,7 @@
         self._server = pywsgi.WSGIServer(("127.0.0.1", 0), self._answer, log=None)
 
     def start(self):
-        """Listen."""
+        """Start listening."""
         self._server.start()
 
     @property
@@ -69,7 +69,7 @@
         self._server.stop(timeout=0)
 
     def topic(self, name):
-        """Return a topic, made on first use."""
+        """Return a topic; create it on first use."""
         if name not in self._topics:
             self._topics[name] = _Topic(name.startswith("keyed."))
         return self._topics[name]
@@ -79,8 +79,8 @@
         value = orjson.dumps(document)
         self.topic(name).append([bytes([len(key)]) + key.encode() + value])
 
-    def forget(self, name):
-        """Drop a topic's records; the newest of each key stays."""
+    def expire_records(self, name):
+        """Drop a topic's records, but keep the newest of each key."""
         topic = self.topic(name)
         topic.first, topic.records = topic.end, []
 
@@ -89,7 +89,7 @@
         if self.fault == "busy":
             return _respond(start_response, 503, b"")
         if self.fault == "silent":
-            gevent.sleep(SILENCE_S)
+            gevent.sleep(UNANSWERED_S)
         query = {k: v[0] for k, v in parse_qs(environ["QUERY_STRING"]).items()}
         topic = self.topic(query["topic"])
         call = environ["PATH_INFO"]
@@ -107,7 +107,7 @@
     def _append(self, topic, body, start_response):
         offset = topic.append(_records(body))
         if self.fault == "lost":
-            gevent.sleep(SILENCE_S)
+            gevent.sleep(UNANSWERED_S)
         fields = {"offset": offset, "endPosition": topic.end}
         return _respond(start_response, 200, orjson.dumps(fields))
 
