--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -78,7 +78,7 @@
             settings.log_stream,
             self.report,
             settings.node_id,
-            read_options=self.ports.read_pace,
+            read_options=self.ports.read_options,
         )
         self.follower.subscribe(self._on_folded)
         self.follower.subscribe_loaded(self._report_config)
@@ -88,8 +88,8 @@
         self.peers = Peers(self.follower, self.reporter)
         self.notices = Notices()
         self.gossip = Gossip(self)
-        if self.ports.read_pace.relayed:
-            self.follower.relay = RelayClient(self, self.ports.read_pace.wait_s)
+        if self.ports.read_options.relayed:
+            self.follower.relay = RelayClient(self, self.ports.read_options.wait_s)
         self.leases = Leases(self)
         self.grants = self.ports.make_grants(self)
         self.witnessing = Witnessing(self, self.leases.terms)
--- a/comfreywharf/daemon/ports.py
+++ b/comfreywharf/daemon/ports.py
@@ -51,7 +51,7 @@
     lost_after_s = 1.0
     placement = PlacementTuning()
     route_limits = RouteLimits()
-    read_pace = ReadOptions()
+    read_options = ReadOptions()
     retry_after = RetryAfter()
     removes_lost_nodes = False
     retry_fraction = DEFAULT_RETRY_FRACTION
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -95,7 +95,7 @@
     )
     retry_after = RetryAfter(least_s=0.3, most_s=0.6)
     refused_retry_after_ms = REFUSED_RETRY_AFTER_MS
-    read_pace = ReadOptions(wait_s=1.0, pause_s=0.1, relayed=True)
+    read_options = ReadOptions(wait_s=1.0, pause_s=0.1, relayed=True)
 
     def __init__(self, settings):
         self._settings = settings
