--- a/comfreywharf/daemon/owning/heartbeat_grants.py
+++ b/comfreywharf/daemon/owning/heartbeat_grants.py
@@ -37,9 +37,9 @@
     changes in that time don't have to wait for the next heartbeat.
     """
 
-    def __init__(self, node, book, interval_s, room):
+    def __init__(self, node, book, interval_s, capacity):
         super().__init__(node, book)
-        self.lists = HoldLists(book, room)
+        self.lists = HoldLists(book, capacity)
         self._wait_s = min(WAIT_FRACTION * interval_s, MAX_WAIT_S)
         self._newest_report = None
         self._change = Event()
