--- a/comfreywharf/platform/tests/test_announcements.py
+++ b/comfreywharf/platform/tests/test_announcements.py
@@ -122,7 +122,7 @@
 def make_port():
     """Return a heartbeat port, the calls to its lifecycle, and its events."""
     received, events = [], []
-    life = SimpleNamespace(
+    lifecycle = SimpleNamespace(
         receive_heartbeat=lambda *call: received.append(call),
         receive_deregistration=lambda incarnation: received.append(incarnation),
     )
@@ -135,7 +135,7 @@
         report=lambda name, /, **fields: events.append((name, fields["field"])),
     )
     return (
-        HeartbeatPort(node, life, Address("127.0.0.1", 0), "booking"),
+        HeartbeatPort(node, lifecycle, Address("127.0.0.1", 0), "booking"),
         received,
         events,
     )
