--- a/comfreywharf/records/state.py
+++ b/comfreywharf/records/state.py
@@ -133,7 +133,7 @@
     def takeover_fence(self, piece):
         """Return the fence of the standby that took a slice over.
 
-        It increases with the standby's own lease, which starts anew after each loss
+        It increases with the standby's own lease, which is reacquired after each loss
         of its backend server. Otherwise, if the server were lost before the record
         of the takeover is written, the next server would be granted the slice under
         the same fence as the lost one, and late orders to the lost server could not
