--- a/comfreywharf/daemon/belonging/gossip_calls.py
+++ b/comfreywharf/daemon/belonging/gossip_calls.py
@@ -1,7 +1,7 @@
 """Handlers of the calls between nodes for gossip and load reports."""
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.owning.load_reports import node_report
+from comfreywharf.daemon.ownership.load_reports import node_report
 from comfreywharf.transport.gen.ttypes import LoadReportReply
 
 __all__ = ["GossipCalls"]
--- a/comfreywharf/daemon/handler.py
+++ b/comfreywharf/daemon/handler.py
@@ -1,7 +1,7 @@
 """The peer port: the thrift interface ``Node``, which other nodes call."""
 
 from comfreywharf.daemon.belonging.gossip_calls import GossipCalls
-from comfreywharf.daemon.owning.lease_calls import LeaseCalls
+from comfreywharf.daemon.ownership.lease_calls import LeaseCalls
 from comfreywharf.daemon.requests.forward_calls import ForwardCalls
 
 __all__ = ["PeerHandler"]
--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -14,10 +14,10 @@
 from comfreywharf.daemon.operating.decisions import Decisions
 from comfreywharf.daemon.operating.metering import Meter
 from comfreywharf.daemon.operating.reporter import Reporter
-from comfreywharf.daemon.owning.leases import Leases
-from comfreywharf.daemon.owning.load_reports import LoadReports
-from comfreywharf.daemon.owning.planner import Planner
-from comfreywharf.daemon.owning.witnessing import Witnessing
+from comfreywharf.daemon.ownership.leases import Leases
+from comfreywharf.daemon.ownership.load_reports import LoadReports
+from comfreywharf.daemon.ownership.planner import Planner
+from comfreywharf.daemon.ownership.witnessing import Witnessing
 from comfreywharf.daemon.ports import OwnPorts
 from comfreywharf.daemon.recording.follower import (
     Follower,
--- a/comfreywharf/daemon/owning/fenced_grants.py
+++ b/comfreywharf/daemon/ownership/fenced_grants.py
@@ -5,7 +5,7 @@
 from gevent.event import Event
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.owning.key_grants import KeyGrants
+from comfreywharf.daemon.ownership.key_grants import KeyGrants
 
 __all__ = ["FencedGrants"]
 
--- a/comfreywharf/daemon/owning/grants_by_service.py
+++ b/comfreywharf/daemon/ownership/grants_by_service.py
@@ -1,6 +1,6 @@
 """Select how grants reach the backend server, by its service's configuration."""
 
-from comfreywharf.daemon.owning.key_grants import KeyGrants
+from comfreywharf.daemon.ownership.key_grants import KeyGrants
 from comfreywharf.routes import GrantWay
 
 __all__ = ["GrantsByService"]
--- a/comfreywharf/daemon/owning/heartbeat_grants.py
+++ b/comfreywharf/daemon/ownership/heartbeat_grants.py
@@ -3,7 +3,7 @@
 from gevent.event import Event
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.owning.key_grants import BookedGrants
+from comfreywharf.daemon.ownership.key_grants import BookedGrants
 from comfreywharf.ownership.hold_lists import HoldList, HoldLists, Serving
 from comfreywharf.transport.sockets import is_open_and_idle
 
--- a/comfreywharf/daemon/owning/leases.py
+++ b/comfreywharf/daemon/ownership/leases.py
@@ -5,7 +5,7 @@
 from gevent.event import Event
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.owning.lease_messages import (
+from comfreywharf.daemon.ownership.lease_messages import (
     claim_request,
     grant_of,
     renew_request,
--- a/comfreywharf/daemon/owning/range_grants.py
+++ b/comfreywharf/daemon/ownership/range_grants.py
@@ -6,7 +6,7 @@
 from gevent.pool import Pool
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.owning.key_grants import PENDING_GRANT_POLL_S, BookedGrants
+from comfreywharf.daemon.ownership.key_grants import PENDING_GRANT_POLL_S, BookedGrants
 from comfreywharf.ownership.holds import GrantAnswer
 from comfreywharf.records import numbers_in
 
--- a/comfreywharf/daemon/owning/witnessing.py
+++ b/comfreywharf/daemon/ownership/witnessing.py
@@ -4,7 +4,11 @@
 from absl import logging
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.owning.lease_messages import claim_of, grant_reply, renewal_of
+from comfreywharf.daemon.ownership.lease_messages import (
+    claim_of,
+    grant_reply,
+    renewal_of,
+)
 from comfreywharf.ownership import Denial, Grant, OwnerView, Witness
 from comfreywharf.transport import CallError
 from comfreywharf.transport.gen.ttypes import LapsedNotice
--- a/comfreywharf/daemon/tests/test_held_requests.py
+++ b/comfreywharf/daemon/tests/test_held_requests.py
@@ -5,7 +5,7 @@
 
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.node import Node
-from comfreywharf.daemon.owning import leases as leases_module
+from comfreywharf.daemon.ownership import leases as leases_module
 from comfreywharf.daemon.ports import OwnPorts
 from comfreywharf.daemon.tests.builders import node_settings
 from comfreywharf.ownership import Grant, Right
--- a/comfreywharf/daemon/tests/test_outdated_grants.py
+++ b/comfreywharf/daemon/tests/test_outdated_grants.py
@@ -5,7 +5,7 @@
 import gevent
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.owning.range_grants import Orders, RangeGrants
+from comfreywharf.daemon.ownership.range_grants import Orders, RangeGrants
 from comfreywharf.daemon.servers.backend import Announcement
 from comfreywharf.ownership.holds import GrantAnswer, HoldTerms
 from comfreywharf.ownership.listed_holds import ListedHoldBook
--- a/comfreywharf/daemon/tests/test_planner_rounds.py
+++ b/comfreywharf/daemon/tests/test_planner_rounds.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from comfreywharf.daemon.owning.planner import Planner
+from comfreywharf.daemon.ownership.planner import Planner
 from comfreywharf.placement.tests.builders import PlannedCluster
 from comfreywharf.records import fold
 
--- a/comfreywharf/daemon/tests/test_range_grants.py
+++ b/comfreywharf/daemon/tests/test_range_grants.py
@@ -6,7 +6,7 @@
 from gevent.event import Event
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.owning.range_grants import Orders, RangeGrants
+from comfreywharf.daemon.ownership.range_grants import Orders, RangeGrants
 from comfreywharf.daemon.requests.load import _RESULTS
 from comfreywharf.load.admission import Result
 from comfreywharf.ownership.holds import GrantAnswer, HoldTerms
--- a/comfreywharf/daemon/tests/test_service_declarer.py
+++ b/comfreywharf/daemon/tests/test_service_declarer.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from comfreywharf.daemon.owning.service_declarer import (
+from comfreywharf.daemon.ownership.service_declarer import (
     SLICES_PER_SERVER,
     ServiceDeclarer,
 )
--- a/comfreywharf/daemon/tests/test_subpackages.py
+++ b/comfreywharf/daemon/tests/test_subpackages.py
@@ -13,9 +13,9 @@
 ALLOWED_IMPORTS = {
     "requests": {"servers", "connections"},
     "servers": {"recording", "connections"},
-    "owning": {"recording"},
+    "ownership": {"recording"},
     "recording": {"connections"},
-    "belonging": {"owning", "recording"},
+    "belonging": {"ownership", "recording"},
     "operating": {"servers", "recording", "connections"},
     "connections": set(),
 }
--- a/comfreywharf/platform/backends.py
+++ b/comfreywharf/platform/backends.py
@@ -9,7 +9,7 @@
 from comfreywharf.clock import boottime_s
 from comfreywharf.daemon.connections.bound_pool import BoundClient
 from comfreywharf.daemon.connections.http import SingleSendClient
-from comfreywharf.daemon.owning.range_grants import Orders
+from comfreywharf.daemon.ownership.range_grants import Orders
 from comfreywharf.daemon.requests.wire import Dialect, join_lines
 from comfreywharf.daemon.servers.backend import Backend, CancelReply
 from comfreywharf.ownership.holds import GrantAnswer
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -8,10 +8,10 @@
 from comfreywharf.daemon.connections.http import NodelayHandler, SingleSendClient
 from comfreywharf.daemon.operating.decisions import StdoutLineWriter
 from comfreywharf.daemon.operating.operators import OperatorPort
-from comfreywharf.daemon.owning.grants_by_service import GrantsByService
-from comfreywharf.daemon.owning.heartbeat_grants import HeartbeatGrants
-from comfreywharf.daemon.owning.range_grants import RangeGrants
-from comfreywharf.daemon.owning.service_declarer import ServiceDeclarer
+from comfreywharf.daemon.ownership.grants_by_service import GrantsByService
+from comfreywharf.daemon.ownership.heartbeat_grants import HeartbeatGrants
+from comfreywharf.daemon.ownership.range_grants import RangeGrants
+from comfreywharf.daemon.ownership.service_declarer import ServiceDeclarer
 from comfreywharf.daemon.ports import Ports
 from comfreywharf.daemon.recording.follower import ReadOptions
 from comfreywharf.daemon.requests.caller_server import CallerServer
--- a/comfreywharf_dev/bench/placement_cost.py
+++ b/comfreywharf_dev/bench/placement_cost.py
@@ -11,7 +11,7 @@
 from thrift.protocol.TBinaryProtocol import TBinaryProtocolAccelerated
 from thrift.transport.TTransport import TMemoryBuffer
 
-from comfreywharf.daemon.owning.load_reports import load_report, node_report
+from comfreywharf.daemon.ownership.load_reports import load_report, node_report
 from comfreywharf.placement import (
     LoadReported,
     NodeReport,
