--- a/comfreywharf/daemon/handler.py
+++ b/comfreywharf/daemon/handler.py
@@ -1,6 +1,6 @@
 """The peer port: the thrift interface ``Node``, which other nodes call."""
 
-from comfreywharf.daemon.belonging.gossip_calls import GossipCalls
+from comfreywharf.daemon.membership.gossip_calls import GossipCalls
 from comfreywharf.daemon.ownership.lease_calls import LeaseCalls
 from comfreywharf.daemon.requests.forward_calls import ForwardCalls
 
--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/membership/gossip.py
@@ -9,7 +9,7 @@
 from gevent.pool import Pool
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.belonging.record_packing import (
+from comfreywharf.daemon.membership.record_packing import (
     RecordPackingError,
     pack_records,
     unpack_records,
--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -6,11 +6,11 @@
 from gevent.event import Event
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.belonging.gossip import Gossip
-from comfreywharf.daemon.belonging.notices import Notices
-from comfreywharf.daemon.belonging.peers import Peers
-from comfreywharf.daemon.belonging.relay_client import RelayClient
 from comfreywharf.daemon.handler import PeerHandler
+from comfreywharf.daemon.membership.gossip import Gossip
+from comfreywharf.daemon.membership.notices import Notices
+from comfreywharf.daemon.membership.peers import Peers
+from comfreywharf.daemon.membership.relay_client import RelayClient
 from comfreywharf.daemon.operating.decisions import Decisions
 from comfreywharf.daemon.operating.metering import Meter
 from comfreywharf.daemon.operating.reporter import Reporter
--- a/comfreywharf/daemon/tests/test_record_packing.py
+++ b/comfreywharf/daemon/tests/test_record_packing.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from comfreywharf.daemon.belonging.record_packing import (
+from comfreywharf.daemon.membership.record_packing import (
     MAX_UNPACKED_BYTES,
     RecordPackingError,
     pack_records,
--- a/comfreywharf/daemon/tests/test_subpackages.py
+++ b/comfreywharf/daemon/tests/test_subpackages.py
@@ -15,7 +15,7 @@
     "servers": {"recording", "connections"},
     "ownership": {"recording"},
     "recording": {"connections"},
-    "belonging": {"ownership", "recording"},
+    "membership": {"ownership", "recording"},
     "operating": {"servers", "recording", "connections"},
     "connections": set(),
 }
--- a/comfreywharf_dev/standins/fleet.py
+++ b/comfreywharf_dev/standins/fleet.py
@@ -11,10 +11,10 @@
 import gevent
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.belonging.gossip import Gossip
-from comfreywharf.daemon.belonging.gossip_calls import GossipCalls
-from comfreywharf.daemon.belonging.notices import Notices
-from comfreywharf.daemon.belonging.peers import Peers
+from comfreywharf.daemon.membership.gossip import Gossip
+from comfreywharf.daemon.membership.gossip_calls import GossipCalls
+from comfreywharf.daemon.membership.notices import Notices
+from comfreywharf.daemon.membership.peers import Peers
 from comfreywharf.daemon.operating.reporter import Reporter
 from comfreywharf.daemon.recording.follower import Follower, new_record_id
 from comfreywharf.daemon.recording.logclient import LogClient
