--- a/comfreywharf/daemon/belonging/gossip.py
+++ b/comfreywharf/daemon/membership/gossip.py
@@ -9,12 +9,12 @@
 from gevent.pool import Pool
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.belonging.record_packing import (
+from comfreywharf.daemon.membership.record_packing import (
     RecordPackingError,
     pack_records,
     unpack_records,
 )
-from comfreywharf.daemon.recording.snapshots import encode_yielding
+from comfreywharf.daemon.records.snapshots import encode_yielding
 from comfreywharf.membership.gossip import GossipInterval, choose_partners, push_count
 from comfreywharf.membership.relays import RelayedAge
 from comfreywharf.records.snapshots import SnapshotAssembler
--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -6,25 +6,25 @@
 from gevent.event import Event
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.belonging.gossip import Gossip
-from comfreywharf.daemon.belonging.notices import Notices
-from comfreywharf.daemon.belonging.peers import Peers
-from comfreywharf.daemon.belonging.relay_client import RelayClient
 from comfreywharf.daemon.handler import PeerHandler
+from comfreywharf.daemon.membership.gossip import Gossip
+from comfreywharf.daemon.membership.notices import Notices
+from comfreywharf.daemon.membership.peers import Peers
+from comfreywharf.daemon.membership.relay_client import RelayClient
 from comfreywharf.daemon.operating.decisions import Decisions
 from comfreywharf.daemon.operating.metering import Meter
 from comfreywharf.daemon.operating.reporter import Reporter
-from comfreywharf.daemon.owning.leases import Leases
-from comfreywharf.daemon.owning.load_reports import LoadReports
-from comfreywharf.daemon.owning.planner import Planner
-from comfreywharf.daemon.owning.witnessing import Witnessing
+from comfreywharf.daemon.ownership.leases import Leases
+from comfreywharf.daemon.ownership.load_reports import LoadReports
+from comfreywharf.daemon.ownership.planner import Planner
+from comfreywharf.daemon.ownership.witnessing import Witnessing
 from comfreywharf.daemon.ports import OwnPorts
-from comfreywharf.daemon.recording.follower import (
+from comfreywharf.daemon.records.follower import (
     Follower,
     NotAcknowledged,
     new_record_id,
 )
-from comfreywharf.daemon.recording.snapshots import SnapshotWriter
+from comfreywharf.daemon.records.snapshots import SnapshotWriter
 from comfreywharf.daemon.requests.dispatch import Dispatcher
 from comfreywharf.daemon.requests.forwarder import Forwarder
 from comfreywharf.daemon.requests.ingress import Ingress
