--- a/comfreywharf/daemon/requests/admission.py
+++ b/comfreywharf/daemon/requests/admission.py
@@ -1,4 +1,7 @@
-"""The I/O shell around admission: greenlets wait for a slot and are woken here."""
+"""Admission of requests: block greenlets that wait for a slot, and wake them.
+
+The decisions are those of `comfreywharf.load.admission`, which does no I/O.
+"""
 
 import gevent
 from gevent.event import Event
@@ -32,7 +35,7 @@
 
     ``refused`` is the reply to a request that isn't forwarded. ``verdict`` is an
     `Event` that is set once a waiting request is admitted or refused. ``result`` is
-    the outcome as far as the request path knows it.
+    the outcome for admission; it is a failure until another one is recorded.
     """
 
     def __init__(self, request, body):
--- a/comfreywharf/daemon/requests/bodies.py
+++ b/comfreywharf/daemon/requests/bodies.py
@@ -129,7 +129,10 @@
         return not self.finished.ready()
 
     def put(self, part):
-        """Queue a part, or ``None`` for the end; return false if no more is wanted."""
+        """Queue a part, or ``None`` for the end; return false if it isn't wanted.
+
+        A part also isn't wanted if the previous one isn't consumed in time.
+        """
         if self.finished.ready():
             return False
         try:
--- a/comfreywharf/daemon/requests/caller_server.py
+++ b/comfreywharf/daemon/requests/caller_server.py
@@ -39,7 +39,7 @@
 
 LINGER_TIMEOUT_S = 0.5
 WRITE_TIMEOUT_S = 10.0
-"""A caller that accepts no data for this long is given up, to free its greenlet."""
+"""A caller that accepts no data for this long is disconnected, to free its greenlet."""
 
 _BODILESS = frozenset({204, 304})
 
@@ -74,7 +74,11 @@
 
 
 class _Connection:
-    """One caller's connection, and those of its requests that are being served."""
+    """One caller's connection, and those of its requests that are being served.
+
+    ``running`` has the `_Turn` of each of these requests, and ``last`` is that of the
+    latest request. ``changed`` is an `Event` that wakes waits when a request ends.
+    """
 
     def __init__(self, sock, limits):
         self.sock = sock
--- a/comfreywharf/daemon/requests/caller_watch.py
+++ b/comfreywharf/daemon/requests/caller_watch.py
@@ -28,6 +28,7 @@
 
     ``target`` is the node that currently has the request. ``target_deadline_s`` is the
     time by which an answer meets the latency target, ``None`` if there is no target.
+    ``gone`` is true once the caller has disconnected.
     """
 
     request: ForwardRequest
--- a/comfreywharf/daemon/requests/forwarder.py
+++ b/comfreywharf/daemon/requests/forwarder.py
@@ -38,7 +38,7 @@
 
 
 class AnswerStream:
-    """The rest of an answer. The request ends when it is closed."""
+    """The rest of an answer that is streamed; closing it ends the request."""
 
     def __init__(self, response, deadline_s, close):
         self._response = response
@@ -111,8 +111,8 @@
     def _serve_once(self, request, body, right, now_s, deadline_s):
         """Run a request unless it ran before; return a `StreamedReply`.
 
-        Return ``None`` if the caller has to try again, which is the case after a wait
-        for the first send of the same request.
+        Return ``None`` if `serve` has to try again, which is the case after a wait for
+        the first send of the same request.
         """
         node = self._node
         key = RequestKey(request.service_name, right.key_hash, request.request_id)
@@ -167,7 +167,8 @@
         backend = node.backend
         deadline_s = min(deadline_s, right.deadline_s)
         # An address may be reassigned to a server of another service. A node that
-        # hasn't folded this record yet still sends its requests here.
+        # hasn't folded the new server's record yet still sends requests of the
+        # previous service here.
         is_other_service = (
             backend and backend.announcement.service != request.service_name
         )
@@ -294,7 +295,10 @@
             # Callers would get answers of two owners for one key within the length
             # of a lease. The outcome of such a late answer is reported as unknown.
             if not self._node.leases.still_held(self._running.right, boottime_s()):
-                raise BackendError(Reason.LEASE_LAPSED, "the answer came too late")
+                raise BackendError(
+                    Reason.LEASE_LAPSED,
+                    "the answer arrived after the deadline of the lease",
+                )
         except BaseException:
             response.release()
             raise
@@ -314,7 +318,10 @@
             with gevent.Timeout(self._running.deadline_s - boottime_s()):
                 return response.read(WHOLE_BODY_BYTES)
         except gevent.Timeout as error:
-            raise BackendError(Reason.DEADLINE_PASSED, "answer too late") from error
+            raise BackendError(
+                Reason.DEADLINE_PASSED,
+                "the answer's body was not received before the deadline",
+            ) from error
         except (OSError, HTTPParseError) as error:
             cancelled = self._running.cancelled
             reason = Reason.CALLER_GONE if cancelled else Reason.ANSWER_CUT
--- a/comfreywharf/daemon/requests/members.py
+++ b/comfreywharf/daemon/requests/members.py
@@ -1,4 +1,7 @@
-"""The I/O shell around the choice of a member for services not divided by key."""
+"""Measure the members of services that aren't divided by key, and choose among them.
+
+The decisions are those of `comfreywharf.load`, which does no I/O.
+"""
 
 import random
 
--- a/comfreywharf/daemon/requests/quarantine.py
+++ b/comfreywharf/daemon/requests/quarantine.py
@@ -1,4 +1,7 @@
-"""The I/O shell around the quarantine: detected crashes, and notices to peers."""
+"""A node's quarantine: detect crashes of its backend server, and notify its peers.
+
+The decisions are those of `comfreywharf.load.quarantine`, which does no I/O.
+"""
 
 import itertools
 
@@ -39,7 +42,7 @@
 
 
 class QuarantineShell:
-    """Suspect and condemned requests that this node or its peers know of."""
+    """Suspect and condemned requests that this node or a peer has recorded."""
 
     def __init__(self, node):
         self._node = node
@@ -138,7 +141,7 @@
 
         Gossip reaches most nodes at once, and the others within seconds. A node that
         hasn't been notified runs a suspect beside other requests, so that each such
-        node can cost another crash.
+        node can cause another crash.
         """
         node = self._node
         others = [
--- a/comfreywharf/daemon/requests/running.py
+++ b/comfreywharf/daemon/requests/running.py
@@ -94,8 +94,8 @@
         """Wait for the confirmed cancellation or the deadline, then end the request."""
         # A server that froze with the request in its socket runs it when it resumes.
         # If the right were released when the wait for the answer ends, the key could
-        # have its next owner by then, and the ledger would show two owners. The
-        # deadline bounds the wait if the server never confirms.
+        # have its next owner by then, and two servers would work on it. The deadline
+        # bounds the wait if the server never confirms the cancellation.
         end_s = running.deadline_s + DEADLINE_MARGIN_S
         try:
             while True:
