--- a/comfreywharf/daemon/requests/admission.py
+++ b/comfreywharf/daemon/requests/admission.py
@@ -33,9 +33,10 @@
 class Slot:
     """One request in admission, and afterwards at the backend server.
 
-    ``refused`` is the reply to a request that isn't forwarded. ``verdict`` is an
-    `Event` that is set once a waiting request is admitted or refused. ``result`` is
-    the outcome for admission; it is a failure until another one is recorded.
+    ``refused`` is the reply to a request that isn't forwarded. ``decision_event`` is
+    an `Event` that is set once a waiting request is admitted or refused; it is ``None``
+    if the request doesn't have to wait. ``result`` is the outcome for admission; it is
+    a failure until another one is recorded.
     """
 
     def __init__(self, request, body):
@@ -44,7 +45,7 @@
         self.ticket = None
         self.admission = None
         self.refused = None
-        self.verdict = None
+        self.decision_event = None
         self.result = Result.FAILED
         self._fingerprint = ""
         if not isinstance(body, bytes):
@@ -86,14 +87,14 @@
         return refusal(shed.reason, retry_after_ms=int(shed.retry_after_s * 1000))
 
     def enter(self, slot, flow, deadline_s, alone, now_s):
-        """Request admission; if the request has to wait, create ``slot.verdict``."""
+        """Request admission; create ``slot.decision_event`` if the request waits."""
         slot.admission = self
         slot.ticket = ticket = _ticket(slot.request, flow, deadline_s, alone, now_s)
         self._waiting[ticket] = slot
         self._apply(decide(self.state, Arrived(ticket), now_s))
         if ticket not in self._waiting:
             return
-        slot.verdict = Event()
+        slot.decision_event = Event()
         if not self._ticker:
             self._ticker = gevent.spawn(self._tick)
 
@@ -162,5 +163,5 @@
 
 
 def _wake(slot):
-    if slot.verdict is not None:
-        slot.verdict.set()
+    if slot.decision_event is not None:
+        slot.decision_event.set()
--- a/comfreywharf/daemon/requests/bodies.py
+++ b/comfreywharf/daemon/requests/bodies.py
@@ -185,14 +185,14 @@
 
     def add(self, item):
         """Store an item and return its stream id."""
-        number = next(self._stream_ids)
-        self._items[number] = item
-        return number
+        stream_id = next(self._stream_ids)
+        self._items[stream_id] = item
+        return stream_id
 
-    def get(self, number):
+    def get(self, stream_id):
         """Return the item with a stream id, or ``None`` if there is none."""
-        return self._items.get(number)
+        return self._items.get(stream_id)
 
-    def remove(self, number):
+    def remove(self, stream_id):
         """Remove the item with a stream id and return it, or ``None``."""
-        return self._items.pop(number, None)
+        return self._items.pop(stream_id, None)
--- a/comfreywharf/daemon/requests/caller_server.py
+++ b/comfreywharf/daemon/requests/caller_server.py
@@ -239,7 +239,7 @@
         return self._server.server_port
 
     @property
-    def busy(self):
+    def busy_count(self):
         """Return how many connections have a request in progress."""
         return sum(not connection.idle for connection in self._connections)
 
--- a/comfreywharf/daemon/requests/caller_stream.py
+++ b/comfreywharf/daemon/requests/caller_stream.py
@@ -144,14 +144,14 @@
         read_bytes = 0
         with gevent.Timeout(self._limits().header_timeout_s, BadRequest(408)):
             while not callbacks.head_done:
-                piece = self._take_head_piece()
-                read_bytes += len(piece)
+                data = self._take_to_empty_line()
+                read_bytes += len(data)
                 if read_bytes > self._limits().header_bytes:
                     raise BadRequest(431)
-                feed(parser, callbacks, piece)
+                feed(parser, callbacks, data)
         return IncomingRequest(self, callbacks, _head(callbacks, parser), parser)
 
-    def _take_head_piece(self):
+    def _take_to_empty_line(self):
         """Return the bytes up to the next empty line, which usually ends the head."""
         while True:
             end = self._buffer.find(HEAD_END)
--- a/comfreywharf/daemon/requests/caller_watch.py
+++ b/comfreywharf/daemon/requests/caller_watch.py
@@ -80,13 +80,13 @@
             if isinstance(body, CallerBody) and body.reading:
                 if now_s > call.deadline_s:
                     _stop_reading(call)
-            elif (number := call.sock.fileno()) >= 0:
-                waiting.setdefault(number, []).append(call)
-                poll.register(number, _DISCONNECTED)
+            elif (fd := call.sock.fileno()) >= 0:
+                waiting.setdefault(fd, []).append(call)
+                poll.register(fd, _DISCONNECTED)
         if not waiting:
             return
-        for number, _ in poll.poll(0):
-            for call in waiting[number]:
+        for fd, _ in poll.poll(0):
+            for call in waiting[fd]:
                 call.gone = True
                 self._on_disconnect(call)
 
--- a/comfreywharf/daemon/requests/collecting.py
+++ b/comfreywharf/daemon/requests/collecting.py
@@ -44,10 +44,10 @@
         """
         self.waiting += 1
         try:
-            entered = self._permits.acquire(timeout=_left_s(deadline_s))
+            acquired = self._permits.acquire(timeout=_left_s(deadline_s))
         finally:
             self.waiting -= 1
-        if not entered:
+        if not acquired:
             raise BodyError(Reason.DEADLINE_BEFORE_START)
         try:
             yield
--- a/comfreywharf/daemon/requests/dispatch.py
+++ b/comfreywharf/daemon/requests/dispatch.py
@@ -206,7 +206,7 @@
         if call.request.key:
             return self._send(target, call)
         members = self._node.load.members
-        sent = members.sent(call.service.name, target)
+        sent = members.record_sent(call.service.name, target)
         reply = None
         try:
             reply, body_stream = self._send(target, call)
--- a/comfreywharf/daemon/requests/forward_calls.py
+++ b/comfreywharf/daemon/requests/forward_calls.py
@@ -50,10 +50,10 @@
             upload.finish(StreamedReply(refusal(Reason.DEADLINE_BEFORE_START)))
         else:
             gevent.spawn(self._serve_upload, request, upload, boottime_s())
-        number = self._uploads.add(upload)
+        stream_id = self._uploads.add(upload)
         kept_s = request.remaining_ms / 1000 + STREAM_MARGIN_S
-        gevent.spawn_later(kept_s, self._uploads.remove, number)
-        return UploadOpened(stream_id=number, wanted=upload.await_demand())
+        gevent.spawn_later(kept_s, self._uploads.remove, stream_id)
+        return UploadOpened(stream_id=stream_id, wanted=upload.await_demand())
 
     def _subtract_transit_time(self, request):
         """Subtract the time that a request spent in queues from its remaining time.
@@ -90,14 +90,14 @@
 
     def _reply(self, served):
         if served.stream is not None:
-            number = self._downloads.add(served.stream)
-            served.reply.stream_id = number
+            stream_id = self._downloads.add(served.stream)
+            served.reply.stream_id = stream_id
             left_s = max(0, served.stream.deadline_s - boottime_s())
-            gevent.spawn_later(left_s + STREAM_MARGIN_S, self._drop_download, number)
+            gevent.spawn_later(left_s + STREAM_MARGIN_S, self._drop_download, stream_id)
         return served.reply
 
-    def _drop_download(self, number):
-        stream = self._downloads.remove(number)
+    def _drop_download(self, stream_id):
+        stream = self._downloads.remove(stream_id)
         if stream is not None:
             stream.close()
 
--- a/comfreywharf/daemon/requests/ingress.py
+++ b/comfreywharf/daemon/requests/ingress.py
@@ -95,7 +95,7 @@
         ``parts`` yields the body of a streamed answer; it is ``None`` if the whole
         body is in the reply.
         """
-        call = self._call(parsed, sock, now_s)
+        call = self._create_call(parsed, sock, now_s)
         self.watch.enter(call)
         try:
             refused = self._read_body(source, call)
@@ -126,7 +126,7 @@
         finally:
             self._streaming -= 1
 
-    def _call(self, parsed, sock, now_s):
+    def _create_call(self, parsed, sock, now_s):
         request = parsed.request
         request.ingress_node_id = self._node.settings.node_id
         return Call(
--- a/comfreywharf/daemon/requests/load.py
+++ b/comfreywharf/daemon/requests/load.py
@@ -14,7 +14,7 @@
     is_collected,
 )
 from comfreywharf.daemon.requests.members import Members
-from comfreywharf.daemon.requests.quarantine import QuarantineShell, request_fingerprint
+from comfreywharf.daemon.requests.quarantine import NodeQuarantine, request_fingerprint
 from comfreywharf.daemon.requests.replies import refusal
 from comfreywharf.load import HotKeys, Standing
 from comfreywharf.load.admission import AdmissionState, Result
@@ -61,7 +61,7 @@
         self._hot = HotKeys(boottime_s(), window_s)
         self._shed_count = 0
         self._shed_reported_s = float("-inf")
-        self.quarantine = QuarantineShell(node)
+        self.quarantine = NodeQuarantine(node)
         self._collection_limiter = BodyCollectionLimiter()
         self.members = Members(node)
 
@@ -69,7 +69,7 @@
 
     def backend_announced(self):
         """Start a new admission for an instance that has just announced itself."""
-        self.quarantine.confirm()
+        self.quarantine.confirm_crash()
         self._begin_admission()
 
     def reset_admission(self):
@@ -128,7 +128,7 @@
             if slot.refused is None:
                 flow = right.key_hash or None
                 admission.enter(slot, flow, running.deadline_s, alone, boottime_s())
-            if slot.verdict is not None:
+            if slot.decision_event is not None:
                 self._wait(slot, running)
         if slot.refused is None and running.right is not right:
             self._reacquire_right(slot, running, right)
@@ -177,7 +177,7 @@
     def _wait(self, slot, running):
         self._release_right(running)
         running.abort = partial(slot.admission.give_up, slot)
-        slot.verdict.wait()
+        slot.decision_event.wait()
         running.abort = None
 
     def _reacquire_right(self, slot, running, right):
@@ -210,7 +210,7 @@
         """Record a request without an answer, and the reason."""
         slot.result = _RESULTS.get(reason, Result.FAILED)
         if reason in _LOST:
-            self.quarantine.lost(slot, backend)
+            self.quarantine.connection_lost(slot, backend)
 
     def answer_interrupted(self, slot, backend):
         """Record that a streamed answer broke off, or that its caller disconnected.
@@ -219,7 +219,7 @@
         without delay.
         """
         slot.result = Result.FAILED
-        self.quarantine.lost(slot, backend, wait_s=0)
+        self.quarantine.connection_lost(slot, backend, wait_s=0)
 
     def finish(self, slot):
         """End an admitted request; it no longer occupies the server."""
@@ -238,10 +238,10 @@
         """
         if self.quarantine.is_empty():
             return None
-        name = request_fingerprint(request, body)
-        standing = self.quarantine.standing(name, boottime_s())
+        fingerprint = request_fingerprint(request, body)
+        standing = self.quarantine.standing(fingerprint, boottime_s())
         if standing is Standing.CONDEMNED:
-            return self._quarantine_refusal(name)
+            return self._quarantine_refusal(fingerprint)
         if standing is Standing.SUSPECT:
             request.headers.append(Header(name=SUSPECT_HEADER, value="1"))
         return None
@@ -255,19 +255,19 @@
         if not isinstance(body, bytes):
             return
         if reply.reason == Reason.BACKEND_LOST.value:
-            name = request_fingerprint(request, body)
-            self.quarantine.suspect(name, request.service_name)
+            fingerprint = request_fingerprint(request, body)
+            self.quarantine.mark_suspect(fingerprint, request.service_name)
         elif not reply.reason and _is_marked(request):
             self.quarantine.clear_suspect(request_fingerprint(request, body))
 
     def choose(self, request, body):
         """Return the member that a request without a key goes to first."""
         if not self.quarantine.is_empty():
-            name = request_fingerprint(request, body)
-            if self.quarantine.standing(name, boottime_s()) is Standing.SUSPECT:
+            fingerprint = request_fingerprint(request, body)
+            if self.quarantine.standing(fingerprint, boottime_s()) is Standing.SUSPECT:
                 # If copies of a suspect were sent to any member, they could run
                 # at several servers at a time, and crash all of them.
-                return self.members.designated(request.service_name, name)
+                return self.members.designated(request.service_name, fingerprint)
         idempotent = request.method in SAFE_METHODS
         return self.members.choose(request.service_name, (), idempotent)
 
@@ -303,8 +303,8 @@
             return Standing.TRUSTED
         return self.quarantine.standing(slot.fingerprint, boottime_s())
 
-    def _quarantine_refusal(self, name):
-        wait_ms = self.quarantine.retry_after_ms(name, boottime_s())
+    def _quarantine_refusal(self, fingerprint):
+        wait_ms = self.quarantine.retry_after_ms(fingerprint, boottime_s())
         return refusal(Reason.QUARANTINED, retry_after_ms=wait_ms)
 
 
--- a/comfreywharf/daemon/requests/members.py
+++ b/comfreywharf/daemon/requests/members.py
@@ -78,16 +78,16 @@
         usable = group.ejector.usable(present, now_s, idempotent)
         return group.chooser.choose(usable, self._random).node_id
 
-    def designated(self, service, name):
+    def designated(self, service, fingerprint):
         """Return the member that runs a suspect, which is the same on all nodes."""
         group = self._current_members(service, boottime_s())
         return min(
             (m.node_id for m in group.present),
-            key=lambda node_id: random.Random(f"{name} {node_id}").random(),
+            key=lambda node_id: random.Random(f"{fingerprint} {node_id}").random(),
             default="",
         )
 
-    def sent(self, service, node_id):
+    def record_sent(self, service, node_id):
         """Record a sent request; pass the result to `record_outcome` later."""
         group = self._services.get(service)
         member = group.members.get(node_id) if group else None
@@ -137,8 +137,8 @@
         else:
             group.absences.record_present(sent.member.node_id, boottime_s())
 
-    def _report_ejection(self, sent, node_id, out):
-        if not out:
+    def _report_ejection(self, sent, node_id, ejected):
+        if not ejected:
             self._node.report("member_returned", service=sent.service, member=node_id)
             return
         self._node.report(
--- a/comfreywharf/daemon/requests/quarantine.py
+++ b/comfreywharf/daemon/requests/quarantine.py
@@ -12,7 +12,7 @@
 from comfreywharf.load.quarantine import CONDEMNED_S, LIFTED, SUSPECT
 from comfreywharf.records import NodeAnnounced
 
-__all__ = ["QuarantineShell", "request_fingerprint"]
+__all__ = ["NodeQuarantine", "request_fingerprint"]
 
 PROBE_WAIT_S = 0.1
 """How long the reply to a lost request is delayed while the server's port is probed and
@@ -41,7 +41,7 @@
     )
 
 
-class QuarantineShell:
+class NodeQuarantine:
     """Suspect and condemned requests that this node or a peer has recorded."""
 
     def __init__(self, node):
@@ -58,33 +58,33 @@
         """Return whether no request is suspect or condemned."""
         return not len(self._quarantine)
 
-    def standing(self, name, now_s):
+    def standing(self, fingerprint, now_s):
         """Return the `Standing` of a fingerprint."""
-        return self._quarantine.standing(name, now_s)
+        return self._quarantine.standing(fingerprint, now_s)
 
-    def retry_after_ms(self, name, now_s):
+    def retry_after_ms(self, fingerprint, now_s):
         """Return after how many ms a condemned request may be sent again."""
-        return int(self._quarantine.retry_after_s(name, now_s) * 1000)
+        return int(self._quarantine.retry_after_s(fingerprint, now_s) * 1000)
 
     def list(self, now_s):
         """Return a `QuarantineEntry` for each suspect or condemned request."""
         return self._quarantine.list(now_s)
 
-    def lift(self, name):
+    def lift(self, fingerprint):
         """Let a request run again on all nodes; return false if it is unknown."""
-        notices = self._quarantine.lift(name, boottime_s())
+        notices = self._quarantine.lift(fingerprint, boottime_s())
         if notices:
-            self._node.report("quarantine_lifted", fingerprint=name)
+            self._node.report("quarantine_lifted", fingerprint=fingerprint)
         self._publish(notices)
         return bool(notices)
 
-    def suspect(self, name, service):
+    def mark_suspect(self, fingerprint, service):
         """Mark a request as suspect before the crash of its server is confirmed."""
-        self._quarantine.suspect(name, service, boottime_s())
+        self._quarantine.suspect(fingerprint, service, boottime_s())
 
-    def clear_suspect(self, name):
+    def clear_suspect(self, fingerprint):
         """Clear a suspect that another node ran alone and got an answer to."""
-        self._quarantine.answered(name, boottime_s())
+        self._quarantine.answered(fingerprint, boottime_s())
 
     def record_start(self, slot):
         """Record a request that is about to be forwarded."""
@@ -96,7 +96,7 @@
         if answered and slot.ticket.alone:
             self._publish(self._quarantine.answered(slot.fingerprint, boottime_s()))
 
-    def lost(self, slot, backend, wait_s=PROBE_WAIT_S):
+    def connection_lost(self, slot, backend, wait_s=PROBE_WAIT_S):
         """Record a lost connection, and probe whether the backend server crashed.
 
         The caller may send its request again as soon as it has a reply. The reply is
@@ -108,11 +108,11 @@
     def _probe(self, backend):
         for pause_s in (*PROBE_PAUSES_S, 0):
             if backend.refuses_connections():
-                self.confirm()
+                self.confirm_crash()
                 return
             gevent.sleep(pause_s)
 
-    def confirm(self):
+    def confirm_crash(self):
         """Handle the confirmation that the backend server crashed or was restarted."""
         now_s = boottime_s()
         loss = self._crash_watch.confirm_crash(now_s)
--- a/comfreywharf/daemon/stopping.py
+++ b/comfreywharf/daemon/stopping.py
@@ -48,7 +48,8 @@
     node.finishing = True
     draining.join(max(0.0, end_s - boottime_s()))
     _wait_until(
-        lambda: not _is_busy(node) and not caller_server.busy, end_s - boottime_s()
+        lambda: not _is_busy(node) and not caller_server.busy_count,
+        end_s - boottime_s(),
     )
 
 
--- a/comfreywharf/daemon/tests/test_pipelining.py
+++ b/comfreywharf/daemon/tests/test_pipelining.py
@@ -202,7 +202,7 @@
         sock.sendall(get("/1") + get("/2"))
         wait_for(lambda: len(application.started_targets) == 2)
     first.set()
-    wait_for(lambda: server.busy == 0)
+    wait_for(lambda: server.busy_count == 0)
 
 
 PIPELINED_REQUESTS = st.lists(
