--- a/comfreywharf/daemon/connections/bound_pool.py
+++ b/comfreywharf/daemon/connections/bound_pool.py
@@ -25,6 +25,9 @@
 class BoundClient(SingleSendClient):
     """An HTTP client whose requests never reach a later process at the same address.
 
+    Its requests are orders, which grant ranges of keys to the server. A process must
+    not execute an order that was meant for an earlier one.
+
     `reach` returns the number of the process; `borrow` returns a connection to it, and
     `exchange` sends a request on that connection. Each answer confirms that other
     connections lead to the same process.
--- a/comfreywharf/daemon/connections/http.py
+++ b/comfreywharf/daemon/connections/http.py
@@ -149,7 +149,7 @@
 
     def _on_message_begin(self):
         if self._whole:
-            raise HTTPParseError("bytes after the answer")
+            raise HTTPParseError("received bytes after the end of the answer")
         super()._on_message_begin()
 
     def _on_message_complete(self):
@@ -172,7 +172,9 @@
         if not self._unframed and not self._has_length():
             # Such an answer ends where the connection ends. A truncated one would
             # be forwarded as a shorter, successful answer.
-            raise HTTPParseError("an answer without a length")
+            raise HTTPParseError(
+                "the answer has no Content-Length and no Transfer-Encoding"
+            )
         if self._whole:
             self.release()
 
@@ -194,10 +196,12 @@
 
     def _receive(self):
         if self._sock is None:
-            raise HTTPParseError("connection closed")
+            raise HTTPParseError("the connection was already released")
         data = self._sock.recv(BLOCK_BYTES)
         if not data and not self.headers_complete:
-            raise HTTPParseError("connection closed before the answer")
+            raise HTTPParseError(
+                "the connection was closed before the end of the answer's headers"
+            )
         try:
             self.feed(data)
         except HTTPParseError:
@@ -241,7 +245,9 @@
         Raises `HTTPParseError` if this one isn't complete or closes the connection.
         """
         if not self._whole or self.should_close():
-            raise HTTPParseError("nothing can follow this answer")
+            raise HTTPParseError(
+                "no answer can follow one that is truncated or closes the connection"
+            )
         sock, self._sock = self._sock, None
         return BackendResponse(
             self.method, sock, self._pool, self._unframed, self._long_body
