--- a/comfreywharf/daemon/connections/http.py
+++ b/comfreywharf/daemon/connections/http.py
@@ -135,7 +135,7 @@
         self._sock = sock
         self._pool = pool
         self._whole = False
-        self.held = False
+        self.keeps_connection = False
 
     @property
     def whole(self):
@@ -218,9 +218,9 @@
     def release(self):
         """Return the connection to the pool, or close it if bytes may still arrive.
 
-        Do nothing while the response is ``held``: it then keeps the connection.
+        Do nothing while ``keeps_connection`` is set.
         """
-        if self.held:
+        if self.keeps_connection:
             return
         sock, self._sock = self._sock, None
         if sock is None:
@@ -254,7 +254,7 @@
         )
 
     def __del__(self):
-        self.held = False
+        self.keeps_connection = False
         self.release()
 
 
@@ -360,7 +360,7 @@
         the server closes with its answer couldn't confirm others afterwards.
         """
         response = self.send(sock, method, target, header_lines, body)
-        response.held = True
+        response.keeps_connection = True
         try:
             response.read_head()
             while not response.whole:
@@ -368,7 +368,7 @@
             if answered is not None:
                 answered()
         finally:
-            response.held = False
+            response.keeps_connection = False
             response.release()
         return response
 
--- a/comfreywharf/daemon/servers/backend.py
+++ b/comfreywharf/daemon/servers/backend.py
@@ -17,7 +17,7 @@
 
 CONNECT_TIMEOUT_S = 0.5
 CANCEL_TIMEOUT_S = 0.5
-CANCEL_CONNECTIONS = 4
+CONTROL_CONNECTIONS = 4
 CANCEL_REPLY_BYTES = 4096
 
 
@@ -78,7 +78,7 @@
         self._client = self._make_client(announcement.connections)
         # Cancellations use a separate pool: when all connections wait for a frozen
         # server, a cancellation must not queue behind them.
-        self._cancel_client = self._make_client(CANCEL_CONNECTIONS)
+        self._control_client = self._make_client(CONTROL_CONNECTIONS)
 
     def _make_client(self, connections):
         return SingleSendClient(
@@ -158,8 +158,8 @@
         response = None
         try:
             with gevent.Timeout(CANCEL_TIMEOUT_S):
-                sock = self._cancel_client.connect()
-                response = self._cancel_client.send(
+                sock = self._control_client.connect()
+                response = self._control_client.send(
                     sock, "POST", "/cancel", "", message
                 )
                 response.read_head()
@@ -191,8 +191,8 @@
         response = None
         try:
             with gevent.Timeout(GRANT_TIMEOUT_S):
-                sock = self._cancel_client.connect()
-                response = self._cancel_client.send(
+                sock = self._control_client.connect()
+                response = self._control_client.send(
                     sock, "POST", "/grants", "", message
                 )
                 response.read_head()
@@ -207,7 +207,7 @@
     @property
     def awaits_answer(self):
         """Return whether an answer is pending on a connection that is still open."""
-        return self._client.awaits_answer or self._cancel_client.awaits_answer
+        return self._client.awaits_answer or self._control_client.awaits_answer
 
     def refuses_connections(self):
         """Return whether the backend server's port refuses connections.
@@ -226,10 +226,10 @@
     def close(self):
         """Close idle connections."""
         self._client.close()
-        self._cancel_client.close()
+        self._control_client.close()
 
 
 def _release(response):
     if response is not None:
-        response.held = False
+        response.keeps_connection = False
         response.release()
--- a/comfreywharf/platform/backends.py
+++ b/comfreywharf/platform/backends.py
@@ -175,7 +175,7 @@
         request, a booking that is answered shortly after would end as unknown.
         """
         for _ in range(MAX_SKIPPED_ANSWERS):
-            response.held = True
+            response.keeps_connection = True
             response.read_head()
             echoed = response.get(ID_HEADER)
             if echoed is None or echoed == request.request_id:
@@ -183,7 +183,7 @@
             while not response.whole:
                 response.read(MAX_ANSWER_BYTES)
             response = response.next_response()
-        response.held = False
+        response.keeps_connection = False
         if response.whole:
             response.release()
         return response
