--- a/comfreywharf/daemon/servers/backend.py
+++ b/comfreywharf/daemon/servers/backend.py
@@ -76,8 +76,8 @@
     def __init__(self, announcement):
         self.announcement = announcement
         self._client = self._make_client(announcement.connections)
-        # Cancellations use a separate pool: when all connections wait for a frozen
-        # server, a cancellation must not queue behind them.
+        # Cancellations and grants use a separate pool: when all connections wait for
+        # a frozen server, a cancellation must not queue behind them.
         self._control_client = self._make_client(CONTROL_CONNECTIONS)
 
     def _make_client(self, connections):
@@ -112,7 +112,8 @@
         if running.cancelled:
             self._client.give_back(sock)
             raise BackendError(
-                Reason.CALLER_GONE_BEFORE_START, "the caller disconnected first"
+                Reason.CALLER_GONE_BEFORE_START,
+                "the caller disconnected before its request was sent",
             )
         return sock
 
@@ -150,7 +151,7 @@
         return response
 
     def cancel(self, attempt_id, request_id):
-        """Ask the server to cancel a request; return a `CancelReply`.
+        """Send the server a cancellation of a request; return a `CancelReply`.
 
         A failed cancellation is returned as unconfirmed; no error is raised.
         """
@@ -164,7 +165,7 @@
                 )
                 response.read_head()
                 document = orjson.loads(response.read(CANCEL_REPLY_BYTES))
-            # A server that was restarted at the same port doesn't know what the
+            # A server that was restarted at the same port has no record of what the
             # previous process ran. If its "not run" were trusted, the request would
             # be run again, and a booking could be made twice under one request id.
             if not self.announcement.incarnation.has_id(document.get("instance")):
--- a/comfreywharf/daemon/servers/backend_lifecycle.py
+++ b/comfreywharf/daemon/servers/backend_lifecycle.py
@@ -16,10 +16,11 @@
 
 
 class BackendLifecycle:
-    """Pass reports of the current incarnation to the node, in order.
+    """Detect the start, the leaving and the replacement of the backend server.
 
-    ``drain_s`` is how long after its report that it leaves a server may get new
-    requests.
+    The node is notified of each. A heartbeat of an earlier incarnation, or one that a
+    newer heartbeat has overtaken, changes nothing. ``drain_s`` is for how long a server
+    may get new requests after it has reported that it leaves.
     """
 
     def __init__(self, node, drain_s):
@@ -32,9 +33,9 @@
     def receive_heartbeat(self, announcement, sequence, leaving):
         """Process a heartbeat; return whether it is current and its sender is in use.
 
-        A report of an earlier incarnation, or one that a newer report has overtaken,
-        doesn't tell what the current incarnation holds. Its answer must not grant
-        anything.
+        A heartbeat of an earlier incarnation, or one that a newer heartbeat has
+        overtaken, doesn't show which keys the current incarnation holds. The reply to
+        it must not grant any.
         """
         incarnation = announcement.incarnation
         kind = self._instances.receive_heartbeat(
@@ -101,7 +102,8 @@
                 self._instances.set_current(incarnation, sequence, boottime_s())
                 self._start_using(announcement)
             elif self._node.backend is None and not self._instances.leaving:
-                # It was given up because its port refused, but it is still running.
+                # It was given up because its port refused connections, but it is
+                # still running.
                 self._node.backend_announced(self._announcement)
         elif found and self._instances.current == incarnation:
             self._node.backend_lost("another instance answers")
@@ -113,8 +115,8 @@
     def _drain(self, incarnation):
         """Record in the log that the server leaves, and stop new work in time.
 
-        The bound for the server holds whether or not the log is reachable: this node
-        sends it no new request after ``drain_s``.
+        This node sends the server no new request after ``drain_s``, whether or not the
+        log is reachable.
         """
         gevent.spawn(self._record_leaving, incarnation)
         gevent.sleep(self._drain_s - DRAIN_MARGIN_S)
