--- a/comfreywharf/daemon/handler.py
+++ b/comfreywharf/daemon/handler.py
@@ -11,11 +11,11 @@
     """Dispatch each call of the interface to the object that implements it."""
 
     def __init__(self, node):
-        self._parts = (ForwardCalls(node), LeaseCalls(node), GossipCalls(node))
+        self._handlers = (ForwardCalls(node), LeaseCalls(node), GossipCalls(node))
 
     def __getattr__(self, name):
         """Return the method that answers a call."""
-        for part in self._parts:
-            if hasattr(part, name):
-                return getattr(part, name)
+        for handler in self._handlers:
+            if hasattr(handler, name):
+                return getattr(handler, name)
         raise AttributeError(name)
--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -52,6 +52,9 @@
 class Node:
     """The process beside one backend server.
 
+    It forwards callers' requests to the nodes that own their keys, and requests whose
+    keys it owns to its backend server. The components refer to each other through it.
+
     ``process_start_s`` is when its process started, or a later time, in seconds on the
     boot clock. Grants of an earlier process of the node may last as if they had been
     given at that time.
@@ -225,7 +228,7 @@
         return known and not self.stopping
 
     def close_to_new_work(self):
-        """Send the leaving backend server no new requests, whatever the log says."""
+        """Send the leaving backend server no new requests, even if the log is down."""
         self.closed_to_new_work = True
         self.leases.surrender("leaving", self.grants.held_until_s(boottime_s()))
 
@@ -290,7 +293,7 @@
             self.backend_lost("refused")
 
     def _record_refused_as_ended(self, silent_s):
-        """Record a server that refused and has been silent since as ended.
+        """Record a server that refused connections and has been silent since as ended.
 
         Otherwise its successor would be used only after it has answered a query for
         its instance id, and it may have no connection available for that.
--- a/comfreywharf/daemon/stopping.py
+++ b/comfreywharf/daemon/stopping.py
@@ -34,9 +34,9 @@
 def stop_within(node, caller_server, end_s):
     """Drain a node until ``end_s``, even if requests or slices remain by then.
 
-    Each answer asks its caller to connect to another node, and callers are served
-    until they have: a caller that sends a request on a kept-alive connection just as
-    it is closed would lose the request.
+    Each answer from `RETIRE_AFTER_S` on announces that its connection is closed, and
+    callers are served until they have disconnected: a caller that sends a request on a
+    kept-alive connection just as it is closed would lose the request.
     """
     start_s = boottime_s()
     draining = gevent.spawn(_drain_until, node, end_s - FINISH_RESERVE_S)
@@ -44,7 +44,8 @@
     caller_server.retire()
     _wait_until(lambda: boottime_s() >= end_s - FINISH_RESERVE_S, end_s - start_s)
     caller_server.refuse_new()
-    # Peers continue to forward requests of services without owners to this node.
+    # Peers continue to forward requests of services without owners to this node. It
+    # refuses them from now on.
     node.finishing = True
     draining.join(max(0.0, end_s - boottime_s()))
     _wait_until(
