--- a/comfreywharf/daemon/tests/test_backend_answers.py
+++ b/comfreywharf/daemon/tests/test_backend_answers.py
@@ -75,8 +75,8 @@
 
     A server may refuse an upload before it has read the body, and then read on. A
     request that is sent next on that connection would reach the server only after
-    that, possibly after its caller has left. A complete answer alone doesn't prove
-    that the server is done with the request.
+    that, possibly after its caller has disconnected. A complete answer alone doesn't
+    prove that the server has finished the request.
     """
     first = complete_answer(b"full")
     if refused:
@@ -157,9 +157,9 @@
     """A cancellation reply from another instance proves nothing.
 
     A server crashes while it runs a request, and is restarted at the same port. The
-    node's cancellation reaches the new process, which doesn't know the request and
-    replies that it didn't run. If the node trusted that, the request would run again
-    and book twice.
+    node's cancellation reaches the new process, which has no record of the request
+    and replies that it didn't run. If the node trusted that, the request would run
+    again and book twice.
     """
     document = b'{"cancelled": true, "not_run": true, "instance": "%s"}'
     answer = complete_answer(document % instance.encode())
--- a/comfreywharf/daemon/tests/test_bound_pool.py
+++ b/comfreywharf/daemon/tests/test_bound_pool.py
@@ -1,4 +1,9 @@
-"""`BoundClient` over real connections: orders reach one process of a server only."""
+"""`BoundClient` over real connections: orders reach one process of a server only.
+
+An order grants a range of keys. Without a confirmed connection the process can't be
+identified any more, and its keys are unavailable until they are granted under a new
+lease.
+"""
 
 import contextlib
 import struct
@@ -15,8 +20,8 @@
 RESET = struct.pack("ii", 1, 0)
 
 
-class Place:
-    """An address where one server process after the other listens.
+class RestartableServer:
+    """A server that can be restarted: one process after the other at one address.
 
     It accepts ``accept_limit`` connections and resets all later ones. ``received_by``
     has the name of the process that received each order.
@@ -27,9 +32,9 @@
         self.accept_limit = 1000
         self.port = 0
         self._server = None
-        self.begin("first")
+        self.start_process("first")
 
-    def begin(self, name):
+    def start_process(self, name):
         def answer(environ, start_response):
             if environ["REQUEST_METHOD"] == "POST":
                 self.received_by.append(name)
@@ -40,7 +45,7 @@
         self._server = WSGIServer(address, answer, log=None, spawn=Pool())
         accept = self._server.do_handle
 
-        def take(sock, *args):
+        def accept_or_reset(sock, *args):
             self.accept_limit -= 1
             if self.accept_limit >= 0:
                 accept(sock, *args)
@@ -48,28 +53,28 @@
             sock.setsockopt(SOL_SOCKET, SO_LINGER, RESET)
             sock.close()
 
-        self._server.do_handle = take
+        self._server.do_handle = accept_or_reset
         self._server.start()
         self.port = self._server.server_port
 
-    def end(self):
+    def stop_process(self):
         self._server.stop(timeout=0)
 
 
 @pytest.fixture
-def place():
-    """Yield an address where the first process listens."""
-    place = Place()
-    yield place
-    place.end()
+def server():
+    """Yield a server whose first process listens."""
+    server = RestartableServer()
+    yield server
+    server.stop_process()
 
 
 @pytest.fixture
-def client(place):
+def client(server):
     """Yield a client with a pool of three connections."""
     client = BoundClient(
         "127.0.0.1",
-        place.port,
+        server.port,
         probe_target=lambda: "/",
         concurrency=3,
         connect_timeout_s=WAIT_S,
@@ -88,7 +93,7 @@
     return True
 
 
-def test_an_order_is_never_sent_to_the_next_process(client, place):
+def test_an_order_is_never_sent_to_the_next_process(client, server):
     """Guards against an order that a later incarnation of the server executes.
 
     The server crashes and restarts at the same address between `reach` and the order.
@@ -96,23 +101,23 @@
     """
     process = client.reach()
     assert order(client, process)
-    place.end()
-    place.begin("second")
+    server.stop_process()
+    server.start_process("second")
     wait_until(lambda: client.reach() != process)
     assert not order(client, process)
-    assert place.received_by == ["first"]
+    assert server.received_by == ["first"]
     assert order(client, client.reach())
-    assert place.received_by == ["first", "second"]
+    assert server.received_by == ["first", "second"]
 
 
-def test_reach_raises_connection_refused_where_nothing_listens(client, place):
+def test_reach_raises_connection_refused_where_nothing_listens(client, server):
     """A server that refuses connections has crashed and holds no keys.
 
     One that only doesn't answer may still hold them, so that both have to be
     distinguished.
     """
     process = client.reach()
-    place.end()
+    server.stop_process()
     with pytest.raises(ConnectionRefusedError):
         wait_until(lambda: client.reach() != process)
 
@@ -121,7 +126,8 @@
     """Guards against a new lease for each answer that a server fails to give.
 
     One connection after the other is closed, and orders are answered in between. The
-    process is lost if only its first connection counts as confirmed.
+    process couldn't be identified any more if only its first connection counted as
+    confirmed.
     """
     process = client.reach()
     for _ in range(10):
@@ -131,21 +137,23 @@
         assert client.reach() == process
 
 
-def test_borrow_returns_none_once_the_process_is_gone(client, place):
+def test_borrow_returns_none_once_the_process_is_gone(client, server):
     """A waiting order must not wait for connections that were closed for good."""
     process = client.reach()
     wait_until(lambda: client.reach() and client._pool.tracker.confirmed_count == 3)
     taken = [client.borrow(process) for _ in range(2)]
     waiting = gevent.spawn(client.borrow, process)
     gevent.idle()
-    place.end()
+    server.stop_process()
     for sock in taken:
         client._pool.release_socket(sock)
     assert waiting.get(timeout=WAIT_S) is None
 
 
 def test_a_waiting_order_leaves_the_last_connection_to_the_probe(client):
-    """Guards against a lost process, whose keys are unavailable until the next lease.
+    """Guards against a running process that can no longer be identified.
+
+    Its keys would be unavailable until the next lease.
 
     Two of three connections carry orders without an answer, and are closed while a
     third order waits. If that one took the last connection and got no answer either,
@@ -166,8 +174,8 @@
     assert client.reach() == process
 
 
-def test_connections_lost_during_a_refill_dont_lower_the_limit(client, place):
-    """Guards against a lost process, as in the test before.
+def test_connections_lost_during_a_refill_dont_lower_the_limit(client, server):
+    """Guards against a running process that can no longer be identified.
 
     One of three connections is lost and another is in use. While a refill sends its
     probe on the third, the second is lost too, and the connections that the refill
@@ -183,7 +191,7 @@
         return "/"
 
     client._probe_target = probe_target
-    place.accept_limit = 0
+    server.accept_limit = 0
     client._pool.release_socket(in_use.pop())
     wait_until(lambda: client.reach() and not client._refilling.ready())
     client._refilling.join(timeout=WAIT_S)
@@ -194,14 +202,14 @@
     waiting.kill()
 
 
-def test_a_server_that_accepts_one_connection_gets_its_orders(client, place):
+def test_a_server_that_accepts_one_connection_gets_its_orders(client, server):
     """Guards against unavailable keys of a server that accepts no further connection.
 
     The server resets every connection but the first. Reserving the last connection for
     probes forever would leave none for orders.
     """
-    fill_then_lift_limit(client, place)
-    assert place.received_by == ["first"]
+    fill_then_lift_limit(client, server)
+    assert server.received_by == ["first"]
 
 
 def test_connections_reset_during_the_probe_lower_the_limit(client):
@@ -223,13 +231,13 @@
     assert order(client, process)
 
 
-def test_a_refill_reserves_the_last_connection_for_its_probe(client, place):
-    """Guards against a lost process of a server that was full and no longer is.
+def test_a_refill_reserves_the_last_connection_for_its_probe(client, server):
+    """Guards against an unidentified process of a server that was full before.
 
     While a refill opens connections, an order is sent on the only confirmed one and
     gets no answer. The limit that the previous refill found must not apply any more.
     """
-    process = fill_then_lift_limit(client, place)
+    process = fill_then_lift_limit(client, server)
     taken = []
 
     def open_slowly(sock):
@@ -243,27 +251,27 @@
     assert not any(taken)
 
 
-def test_the_limit_of_one_process_doesnt_apply_to_the_next(client, place):
-    """Guards against a lost process right after a restart of its server.
+def test_the_limit_of_one_process_doesnt_apply_to_the_next(client, server):
+    """Guards against a new process that can no longer be identified.
 
     The previous process accepted one connection only. An order must not take the first
     connection to the next process before further ones were tried.
     """
-    client._pool.release_socket(client.borrow(fill_then_lift_limit(client, place)))
+    client._pool.release_socket(client.borrow(fill_then_lift_limit(client, server)))
     waiting = gevent.spawn(client.borrow, client.reach())
     gevent.idle()
     assert client._pool.tracker.confirmed_count > 1 or not waiting.ready()
     waiting.kill()
 
 
-def fill_then_lift_limit(client, place):
+def fill_then_lift_limit(client, server):
     """Send an order to a server that accepts one connection, then lift its limit."""
-    place.accept_limit = 1
+    server.accept_limit = 1
     process = client.reach()
     sent = gevent.spawn(order, client, process)
     wait_until(lambda: client.reach() and sent.ready())
     assert sent.value
-    place.accept_limit = 1000
+    server.accept_limit = 1000
     return process
 
 
--- a/comfreywharf/daemon/tests/test_pipelining.py
+++ b/comfreywharf/daemon/tests/test_pipelining.py
@@ -65,7 +65,7 @@
     started.stop()
 
 
-def get(path, method="GET", close=False):
+def make_request(path, method="GET", close=False):
     end = "Connection: close\r\n" if close else ""
     return f"{method} {path} HTTP/1.1\r\nHost: h\r\n{end}\r\n".encode()
 
@@ -106,7 +106,9 @@
     """
     first = application.gates["/1"] = Event()
     with connected(server) as sock:
-        sock.sendall(get("/1") + get("/2") + get("/3", close=True))
+        sock.sendall(
+            make_request("/1") + make_request("/2") + make_request("/3", close=True)
+        )
         wait_for(lambda: len(application.started_targets) == 3)
         first.set()
         assert bodies(read_all(sock)) == [b"/1:", b"/2:", b"/3:"]
@@ -119,7 +121,7 @@
     """
     application.gates = {f"/{n}": Event() for n in range(50)}
     with connected(server) as sock:
-        sock.sendall(b"".join(get(f"/{n}") for n in range(50)))
+        sock.sendall(b"".join(make_request(f"/{n}") for n in range(50)))
         wait_for(lambda: len(application.started_targets) == MAX_PIPELINED_REQUESTS)
         gevent.sleep(0.05)
         assert len(application.started_targets) == MAX_PIPELINED_REQUESTS
@@ -139,7 +141,7 @@
     first = application.gates["/1"] = Event()
     application.failing.add("/2")
     with connected(server) as sock:
-        sock.sendall(get("/1") + get("/2") + get("/3"))
+        sock.sendall(make_request("/1") + make_request("/2") + make_request("/3"))
         wait_for(lambda: len(application.started_targets) == 3)
         first.set()
         assert bodies(read_all(sock)) == [b"/1:"]
@@ -152,7 +154,7 @@
     requests after a closing answer again on another connection.
     """
     with connected(server) as sock:
-        sock.sendall(get("/1", close=True) + get("/2"))
+        sock.sendall(make_request("/1", close=True) + make_request("/2"))
         data = read_all(sock)
     assert bodies(data) == [b"/1:"] and b"Connection: close" in data
     assert application.started_targets == ["/1"]
@@ -166,10 +168,10 @@
     """
     first = application.gates["/1"] = Event()
     with connected(server) as sock:
-        sock.sendall(get("/1") + get("/2"))
+        sock.sendall(make_request("/1") + make_request("/2"))
         wait_for(lambda: len(application.started_targets) == 2)
         server.retire()
-        sock.sendall(get("/3"))
+        sock.sendall(make_request("/3"))
         gevent.sleep(0.05)
         first.set()
         data = read_all(sock)
@@ -187,7 +189,7 @@
     first = application.gates["/1"] = Event()
     application.failing.add("/1")
     with connected(server) as sock:
-        sock.sendall(get("/1") + get("/2", "PUT"))
+        sock.sendall(make_request("/1") + make_request("/2", "PUT"))
         wait_for(lambda: application.started_targets)
         gevent.sleep(0.05)
         first.set()
@@ -196,10 +198,10 @@
 
 
 def test_a_connection_is_removed_after_its_caller_disconnects(server, application):
-    """The server forgets the connection once its requests have ended."""
+    """The server drops the connection once its requests have ended."""
     first = application.gates["/1"] = Event()
     with connected(server) as sock:
-        sock.sendall(get("/1") + get("/2"))
+        sock.sendall(make_request("/1") + make_request("/2"))
         wait_for(lambda: len(application.started_targets) == 2)
     first.set()
     wait_for(lambda: server.busy_count == 0)
@@ -280,7 +282,7 @@
     in what may be the body.
     """
     with connected(server) as sock:
-        sock.sendall(first + get("/hidden"))
+        sock.sendall(first + make_request("/hidden"))
         data = read_all(sock)
     assert data.startswith(b"HTTP/1.1 400")
     assert application.started_targets == []
