--- a/comfreywharf/daemon/connections/bound_pool.py
+++ b/comfreywharf/daemon/connections/bound_pool.py
@@ -175,7 +175,10 @@
         return bool(process) and self.tracker.process == process and not self._closed
 
     def answered(self, sock, asked):
-        """Record an answer, and notify waiters that connections may be available."""
+        """Record an answer, and notify waiters that connections may be available.
+
+        ``asked`` is the tracker's number for the sending of the answered request.
+        """
         self.tracker.answered(sock, asked)
         self.notify_waiters()
 
--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -107,7 +107,7 @@
         self.ingress = Ingress(self, Dispatcher(self, self.ports.route_limits))
         self.ownership = OwnershipTracker(settings.node_id)
         self.meter = Meter(self)
-        self._last_report_s = float("-inf")
+        self._last_heartbeat_s = float("-inf")
         self._port_refused = False
         self._backend_leaving = False
         self.stopping = False
@@ -247,7 +247,7 @@
 
     def backend_announced(self, announcement):
         """Process an announcement of the backend server beside this node."""
-        self._last_report_s = boottime_s()
+        self._last_heartbeat_s = boottime_s()
         current = self.backend.announcement if self.backend else None
         if announcement == current:
             return
@@ -273,7 +273,7 @@
         """Detect a lost backend server, and give up its keys."""
         while True:
             gevent.sleep(BACKEND_CHECK_S)
-            silent_s = boottime_s() - self._last_report_s
+            silent_s = boottime_s() - self._last_heartbeat_s
             if self.backend is None:
                 self._record_refused_as_ended(silent_s)
                 continue
@@ -317,14 +317,14 @@
         self._port_refused = True
         self._give_up_backend("refused")
 
-    def backend_reported(self):
+    def record_heartbeat(self):
         """Record a heartbeat of a server that was given up because its port refused.
 
         The server is queried for its instance id, and may have no connection
         available for a while. If it counted as silent in the meantime, it would be
         recorded as ended for good and get no more work.
         """
-        self._last_report_s = boottime_s()
+        self._last_heartbeat_s = boottime_s()
 
     def backend_leaves(self, instance):
         """Record that the backend server has reported that it leaves."""
--- a/comfreywharf/daemon/requests/caller_server.py
+++ b/comfreywharf/daemon/requests/caller_server.py
@@ -59,7 +59,10 @@
 
 
 class _Turn:
-    """The position of a request in the order of answers on its connection."""
+    """The position of a request in the order of answers on its connection.
+
+    ``before`` is the `_Turn` of the previous request, ``None`` once that is answered.
+    """
 
     def __init__(self, before):
         self.before = before
--- a/comfreywharf/daemon/requests/load.py
+++ b/comfreywharf/daemon/requests/load.py
@@ -41,8 +41,8 @@
 """Set by an ingress node on a request that has to run alone. Callers can't set it,
 since their headers with this prefix are dropped."""
 
-_SHED = frozenset({Reason.OVERLOADED.value, Reason.DEADLINE_BEFORE_START.value})
-_LOST = frozenset({Reason.BACKEND_LOST, Reason.ANSWER_CUT})
+_SHED_REASONS = frozenset({Reason.OVERLOADED.value, Reason.DEADLINE_BEFORE_START.value})
+_LOST_REASONS = frozenset({Reason.BACKEND_LOST, Reason.ANSWER_CUT})
 
 
 class Load:
@@ -134,7 +134,7 @@
             self._reacquire_right(slot, running, right)
         if slot.refused is None:
             self.quarantine.record_start(slot)
-        elif slot.refused.reason in _SHED:
+        elif slot.refused.reason in _SHED_REASONS:
             self._count_shed(request.service_name)
         return slot
 
@@ -209,7 +209,7 @@
     def refused(self, slot, reason, backend):
         """Record a request without an answer, and the reason."""
         slot.result = _RESULTS.get(reason, Result.FAILED)
-        if reason in _LOST:
+        if reason in _LOST_REASONS:
             self.quarantine.connection_lost(slot, backend)
 
     def answer_interrupted(self, slot, backend):
--- a/comfreywharf/daemon/servers/backend_lifecycle.py
+++ b/comfreywharf/daemon/servers/backend_lifecycle.py
@@ -58,7 +58,7 @@
         elif kind is HeartbeatKind.RIVAL:
             gevent.spawn(self._verify, announcement, sequence)
         elif kind is HeartbeatKind.SAME and self._node.backend is None:
-            self._node.backend_reported()
+            self._node.record_heartbeat()
             gevent.spawn(self._verify, announcement, sequence)
         elif kind is HeartbeatKind.SAME:
             self._node.backend_announced(self._announcement)
--- a/comfreywharf/daemon/tests/test_backend_lost.py
+++ b/comfreywharf/daemon/tests/test_backend_lost.py
@@ -60,9 +60,9 @@
     lifecycle.receive_heartbeat(announcement("i-1"), 1, False)
     node.backend_refused(node.backend)
     assert node.backend is None
-    node._last_report_s = boottime_s() - 5.0
+    node._last_heartbeat_s = boottime_s() - 5.0
     lifecycle.receive_heartbeat(announcement("i-1"), 2, False)
-    node._record_refused_as_ended(boottime_s() - node._last_report_s)
+    node._record_refused_as_ended(boottime_s() - node._last_heartbeat_s)
     assert ended == []
 
 
