--- a/comfreywharf/daemon/requests/running.py
+++ b/comfreywharf/daemon/requests/running.py
@@ -46,7 +46,11 @@
 
 
 class RunningRequests:
-    """All requests of this node that may still take effect."""
+    """The requests of this node from before admission until they end.
+
+    A request that is given up on is no longer listed here, but its right and its slot
+    are released only once it can't take effect any more.
+    """
 
     def __init__(self, node):
         self._node = node
