--- a/comfreywharf/daemon/connections/bound_pool.py
+++ b/comfreywharf/daemon/connections/bound_pool.py
@@ -25,6 +25,9 @@
 class BoundClient(SingleSendClient):
     """An HTTP client whose requests never reach a later process at the same address.
 
+    Its requests are orders, which grant ranges of keys to the server. A process must
+    not execute an order that was meant for an earlier one.
+
     `reach` returns the number of the process; `borrow` returns a connection to it, and
     `exchange` sends a request on that connection. Each answer confirms that other
     connections lead to the same process.
@@ -172,7 +175,10 @@
         return bool(process) and self.tracker.process == process and not self._closed
 
     def answered(self, sock, asked):
-        """Record an answer, and notify waiters that connections may be available."""
+        """Record an answer, and notify waiters that connections may be available.
+
+        ``asked`` is the tracker's number for the sending of the answered request.
+        """
         self.tracker.answered(sock, asked)
         self.notify_waiters()
 
--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -52,6 +52,9 @@
 class Node:
     """The process beside one backend server.
 
+    It forwards callers' requests to the nodes that own their keys, and requests whose
+    keys it owns to its backend server. The components refer to each other through it.
+
     ``process_start_s`` is when its process started, or a later time, in seconds on the
     boot clock. Grants of an earlier process of the node may last as if they had been
     given at that time.
@@ -104,7 +107,7 @@
         self.ingress = Ingress(self, Dispatcher(self, self.ports.route_limits))
         self.ownership = OwnershipTracker(settings.node_id)
         self.meter = Meter(self)
-        self._last_report_s = float("-inf")
+        self._last_heartbeat_s = float("-inf")
         self._port_refused = False
         self._backend_leaving = False
         self.stopping = False
@@ -225,7 +228,7 @@
         return known and not self.stopping
 
     def close_to_new_work(self):
-        """Send the leaving backend server no new requests, whatever the log says."""
+        """Send the leaving backend server no new requests, even if the log is down."""
         self.closed_to_new_work = True
         self.leases.surrender("leaving", self.grants.held_until_s(boottime_s()))
 
@@ -244,7 +247,7 @@
 
     def backend_announced(self, announcement):
         """Process an announcement of the backend server beside this node."""
-        self._last_report_s = boottime_s()
+        self._last_heartbeat_s = boottime_s()
         current = self.backend.announcement if self.backend else None
         if announcement == current:
             return
@@ -270,7 +273,7 @@
         """Detect a lost backend server, and give up its keys."""
         while True:
             gevent.sleep(BACKEND_CHECK_S)
-            silent_s = boottime_s() - self._last_report_s
+            silent_s = boottime_s() - self._last_heartbeat_s
             if self.backend is None:
                 self._record_refused_as_ended(silent_s)
                 continue
@@ -290,7 +293,7 @@
             self.backend_lost("refused")
 
     def _record_refused_as_ended(self, silent_s):
-        """Record a server that refused and has been silent since as ended.
+        """Record a server that refused connections and has been silent since as ended.
 
         Otherwise its successor would be used only after it has answered a query for
         its instance id, and it may have no connection available for that.
@@ -314,14 +317,14 @@
         self._port_refused = True
         self._give_up_backend("refused")
 
-    def backend_reported(self):
+    def record_heartbeat(self):
         """Record a heartbeat of a server that was given up because its port refused.
 
         The server is queried for its instance id, and may have no connection
         available for a while. If it counted as silent in the meantime, it would be
         recorded as ended for good and get no more work.
         """
-        self._last_report_s = boottime_s()
+        self._last_heartbeat_s = boottime_s()
 
     def backend_leaves(self, instance):
         """Record that the backend server has reported that it leaves."""
--- a/comfreywharf/daemon/requests/caller_server.py
+++ b/comfreywharf/daemon/requests/caller_server.py
@@ -39,7 +39,7 @@
 
 LINGER_TIMEOUT_S = 0.5
 WRITE_TIMEOUT_S = 10.0
-"""A caller that accepts no data for this long is given up, to free its greenlet."""
+"""A caller that accepts no data for this long is disconnected, to free its greenlet."""
 
 _BODILESS = frozenset({204, 304})
 
@@ -59,7 +59,10 @@
 
 
 class _Turn:
-    """The position of a request in the order of answers on its connection."""
+    """The position of a request in the order of answers on its connection.
+
+    ``before`` is the `_Turn` of the previous request, ``None`` once that is answered.
+    """
 
     def __init__(self, before):
         self.before = before
@@ -74,7 +77,11 @@
 
 
 class _Connection:
-    """One caller's connection, and those of its requests that are being served."""
+    """One caller's connection, and those of its requests that are being served.
+
+    ``running`` has the `_Turn` of each of these requests, and ``last`` is that of the
+    latest request. ``changed`` is an `Event` that wakes waits when a request ends.
+    """
 
     def __init__(self, sock, limits):
         self.sock = sock
@@ -235,7 +242,7 @@
         return self._server.server_port
 
     @property
-    def busy(self):
+    def busy_count(self):
         """Return how many connections have a request in progress."""
         return sum(not connection.idle for connection in self._connections)
 
--- a/comfreywharf/daemon/requests/running.py
+++ b/comfreywharf/daemon/requests/running.py
@@ -46,7 +46,11 @@
 
 
 class RunningRequests:
-    """All requests of this node that may still take effect."""
+    """The requests of this node from before admission until they end.
+
+    A request that is given up on is no longer listed here, but its right and its slot
+    are released only once it can't take effect any more.
+    """
 
     def __init__(self, node):
         self._node = node
@@ -94,8 +98,8 @@
         """Wait for the confirmed cancellation or the deadline, then end the request."""
         # A server that froze with the request in its socket runs it when it resumes.
         # If the right were released when the wait for the answer ends, the key could
-        # have its next owner by then, and the ledger would show two owners. The
-        # deadline bounds the wait if the server never confirms.
+        # have its next owner by then, and two servers would work on it. The deadline
+        # bounds the wait if the server never confirms the cancellation.
         end_s = running.deadline_s + DEADLINE_MARGIN_S
         try:
             while True:
--- a/comfreywharf/daemon/servers/backend.py
+++ b/comfreywharf/daemon/servers/backend.py
@@ -17,7 +17,7 @@
 
 CONNECT_TIMEOUT_S = 0.5
 CANCEL_TIMEOUT_S = 0.5
-CANCEL_CONNECTIONS = 4
+CONTROL_CONNECTIONS = 4
 CANCEL_REPLY_BYTES = 4096
 
 
@@ -76,9 +76,9 @@
     def __init__(self, announcement):
         self.announcement = announcement
         self._client = self._make_client(announcement.connections)
-        # Cancellations use a separate pool: when all connections wait for a frozen
-        # server, a cancellation must not queue behind them.
-        self._cancel_client = self._make_client(CANCEL_CONNECTIONS)
+        # Cancellations and grants use a separate pool: when all connections wait for
+        # a frozen server, a cancellation must not queue behind them.
+        self._control_client = self._make_client(CONTROL_CONNECTIONS)
 
     def _make_client(self, connections):
         return SingleSendClient(
@@ -112,7 +112,8 @@
         if running.cancelled:
             self._client.give_back(sock)
             raise BackendError(
-                Reason.CALLER_GONE_BEFORE_START, "the caller disconnected first"
+                Reason.CALLER_GONE_BEFORE_START,
+                "the caller disconnected before its request was sent",
             )
         return sock
 
@@ -150,7 +151,7 @@
         return response
 
     def cancel(self, attempt_id, request_id):
-        """Ask the server to cancel a request; return a `CancelReply`.
+        """Send the server a cancellation of a request; return a `CancelReply`.
 
         A failed cancellation is returned as unconfirmed; no error is raised.
         """
@@ -158,13 +159,13 @@
         response = None
         try:
             with gevent.Timeout(CANCEL_TIMEOUT_S):
-                sock = self._cancel_client.connect()
-                response = self._cancel_client.send(
+                sock = self._control_client.connect()
+                response = self._control_client.send(
                     sock, "POST", "/cancel", "", message
                 )
                 response.read_head()
                 document = orjson.loads(response.read(CANCEL_REPLY_BYTES))
-            # A server that was restarted at the same port doesn't know what the
+            # A server that was restarted at the same port has no record of what the
             # previous process ran. If its "not run" were trusted, the request would
             # be run again, and a booking could be made twice under one request id.
             if not self.announcement.incarnation.has_id(document.get("instance")):
@@ -191,8 +192,8 @@
         response = None
         try:
             with gevent.Timeout(GRANT_TIMEOUT_S):
-                sock = self._cancel_client.connect()
-                response = self._cancel_client.send(
+                sock = self._control_client.connect()
+                response = self._control_client.send(
                     sock, "POST", "/grants", "", message
                 )
                 response.read_head()
@@ -207,7 +208,7 @@
     @property
     def awaits_answer(self):
         """Return whether an answer is pending on a connection that is still open."""
-        return self._client.awaits_answer or self._cancel_client.awaits_answer
+        return self._client.awaits_answer or self._control_client.awaits_answer
 
     def refuses_connections(self):
         """Return whether the backend server's port refuses connections.
@@ -226,10 +227,10 @@
     def close(self):
         """Close idle connections."""
         self._client.close()
-        self._cancel_client.close()
+        self._control_client.close()
 
 
 def _release(response):
     if response is not None:
-        response.held = False
+        response.keeps_connection = False
         response.release()
