--- a/comfreywharf/placement/__init__.py
+++ b/comfreywharf/placement/__init__.py
@@ -1,8 +1,9 @@
 """Placement of slices on backend servers, and election of the planner.
 
-`planning.decide` turns load reports and the folded state into moves, splits and
-merges; `terms.decide` determines when a node starts a planner's term;
-`SliceMeter` measures the rates that a node reports.
+The planner is the node that decides which backend server owns each slice of a
+service. `planning.decide` turns load reports and the cluster state that was folded
+from the log into moves, splits and merges; `terms.decide` determines when a node
+starts a planner's term; `SliceMeter` measures the rates that a node reports.
 """
 
 from comfreywharf.placement.loads import (
--- a/comfreywharf/placement/loads.py
+++ b/comfreywharf/placement/loads.py
@@ -27,8 +27,12 @@
 """Number of report intervals without a report after which a node is lost."""
 
 MIN_LOST_S = 0.001
+"""Shortest time for which a node that was taken over counts as lost; 0 would mean that
+it isn't lost."""
 
 HOT_KEY_RETENTION_S = 30.0
+"""Time after its latest report for which a key counts as hot."""
+
 MAX_HOT_KEYS = 256
 """Limit on the hot keys that the planner keeps for each service."""
 
@@ -136,7 +140,7 @@
 
     ``started_s`` is the start of this planner's term. A node whose first report
     arrives soon after it is treated as warm: it is probably new only to the
-    planner.
+    planner. ``rates`` are requests per second by service and start of the slice.
     """
 
     started_s: float
@@ -280,7 +284,7 @@
         rates[start] = rates.get(start, 0.0) + rates.pop(next_start, 0.0)
 
     def prune(self, service, starts):
-        """Drop rates of slices that no longer exist."""
+        """Drop the rates of slices that don't begin at one of ``starts`` any more."""
         rates = self.rates.get(service, {})
         if len(rates) > len(starts):
             self.rates[service] = {s: rates[s] for s in starts if s in rates}
--- a/comfreywharf/placement/mandatory.py
+++ b/comfreywharf/placement/mandatory.py
@@ -3,7 +3,8 @@
 __all__ = ["plan_mandatory_moves"]
 
 TAKEOVER_GRACE_S = 10.0
-"""Time that the standbys of a lost owner have for their takeover."""
+"""Time that the standbys of a lost owner have for their takeover, before the planner
+assigns another owner."""
 
 
 def plan_mandatory_moves(view):
--- a/comfreywharf/placement/planning.py
+++ b/comfreywharf/placement/planning.py
@@ -77,7 +77,11 @@
 
 @attrs.frozen(kw_only=True)
 class Switches:
-    """Parts of the planner that a replay can disable to measure their effect."""
+    """Parts of the planner that a replay can disable to measure their effect.
+
+    Without ``notice_takeovers``, a node whose standbys took over counts as lost only
+    after its reports are missing.
+    """
 
     resize: bool = True
     spread_standbys: bool = True
--- a/comfreywharf/placement/rebalance.py
+++ b/comfreywharf/placement/rebalance.py
@@ -15,8 +15,11 @@
 ]
 
 LEAST_MOVES_PER_ROUND = 4
+"""Moves that are allowed in each round, also for a service with few slices."""
+
 MAX_MOVED_SHARE_PER_ROUND = 0.05
-"""Limit on the slices that move in one round, as a share of all slices."""
+"""Limit on the slices that move in one round, as a share of all slices, unless it is
+below `LEAST_MOVES_PER_ROUND`."""
 
 OVERLOADED = 0.9
 """Busy fraction of a server's slots from which on its queue grows."""
@@ -98,7 +101,7 @@
         # while another one is above the trigger has just joined; that isn't noise.
         if joined:
             return True
-        # The further the load is above the trigger, the less likely is it noise.
+        # The further the load is above the trigger, the less likely it is noise.
         patience_s = self.patience_s * (self.trigger - 1) / (level - 1)
         return now_s - self._above_since_s >= patience_s
 
--- a/comfreywharf/placement/resize.py
+++ b/comfreywharf/placement/resize.py
@@ -27,6 +27,8 @@
 second split slices until none could be split, and the parts were moved around."""
 
 SLICES_PER_MEMBER = 24
+"""Slices that a service may have for each member, if that is more than twice the
+number of slices that it declares."""
 
 
 @attrs.frozen(kw_only=True)
--- a/comfreywharf/placement/standbys.py
+++ b/comfreywharf/placement/standbys.py
@@ -23,8 +23,8 @@
     def sort_key(self, owner, standby, members):
         """Return a sort key; the candidate with the lowest key is preferred.
 
-        The load that it would take over from this owner counts before the total
-        for each of its slots.
+        The first criterion is the load that it would take over from this owner,
+        the second the load that it would take over in total, per slot.
         """
         slots = max(1, members[standby].slots)
         return (
--- a/comfreywharf/placement/tests/builders.py
+++ b/comfreywharf/placement/tests/builders.py
@@ -135,7 +135,7 @@
         return planning.decide(self.planning, event, self.now_s)[1]
 
     def apply(self, actions):
-        """Fold actions and return whether each was accepted."""
+        """Fold the records of actions and return whether each was accepted."""
         accepted = []
         for action in actions:
             record = to_record(action, str(self.state.next_offset), TERM)
--- a/comfreywharf/placement/tests/test_terms.py
+++ b/comfreywharf/placement/tests/test_terms.py
@@ -45,7 +45,7 @@
 
 
 def test_a_single_missed_answer_starts_no_term():
-    """Two unanswered reports don't count as the planner's loss; an answer resets."""
+    """Two unanswered reports aren't a loss; an answer resets their count."""
     states = make_states(missed_reports=2)
     for state in states:
         decide(state, ReportAnswered(planner_id="node-0", planning=True), 0.0)
--- a/comfreywharf/placement/view.py
+++ b/comfreywharf/placement/view.py
@@ -33,7 +33,12 @@
     ``targets`` holds the nodes to which slices may be assigned and their capacity
     in slots, scaled down while they are cold and, where the tuning asks for it, by
     their speed. ``lost_s`` holds how long each member that isn't live has been
-    lost, in seconds. ``loads`` are requests per second by owner.
+    lost, in seconds. ``weights`` are requests per second by start of the slice, with
+    a minimum for idle slices; ``loads`` are their sums by owner, ``total`` is the sum
+    of all, ``mean`` that sum per unit of the targets' capacity. ``hot_keys`` are
+    requests per second by key hash. ``busy`` is the fraction of each member's slots
+    that is in use, ``service_s`` the mean service time there. ``owners`` and
+    ``standbys`` are the planned changes by start of the slice.
     """
 
     config: object
