--- a/comfreywharf/placement/budget.py
+++ b/comfreywharf/placement/budget.py
@@ -5,7 +5,7 @@
 __all__ = ["ChurnBudget"]
 
 HOUR_S = 3600.0
-BURST = 0.25
+BURST_FRACTION = 0.25
 """Capacity of the bucket, as a fraction of the hourly share."""
 
 
@@ -22,13 +22,15 @@
     _filled_s: float | None = None
 
     def __attrs_post_init__(self):
-        self._tokens = self.hourly_share * BURST
+        self._tokens = self.hourly_share * BURST_FRACTION
 
     def refill(self, now_s):
         """Add the tokens accrued since the last call; ``now_s`` is in seconds."""
         if self._filled_s is not None:
             accrued = self.hourly_share * (now_s - self._filled_s) / HOUR_S
-            self._tokens = min(self.hourly_share * BURST, self._tokens + accrued)
+            self._tokens = min(
+                self.hourly_share * BURST_FRACTION, self._tokens + accrued
+            )
         self._filled_s = now_s
 
     def spend(self, share):
--- a/comfreywharf/placement/planning.py
+++ b/comfreywharf/placement/planning.py
@@ -79,14 +79,14 @@
 class Switches:
     """Parts of the planner that a replay can disable to measure their effect.
 
-    Without ``notice_takeovers``, a node whose standbys took over counts as lost only
+    Without ``detect_takeovers``, a node whose standbys took over counts as lost only
     after its reports are missing.
     """
 
     resize: bool = True
     spread_standbys: bool = True
     warm_up: bool = True
-    notice_takeovers: bool = True
+    detect_takeovers: bool = True
 
 
 @attrs.define(kw_only=True)
@@ -135,7 +135,7 @@
         state.table.record_report(event.report, now_s)
         return state, []
     if isinstance(event, TakeoverFolded):
-        if state.switches.notice_takeovers:
+        if state.switches.detect_takeovers:
             state.table.mark_taken_over(event.owner_id, now_s)
         return state, []
     cluster = event.cluster
--- a/comfreywharf/placement/rebalance.py
+++ b/comfreywharf/placement/rebalance.py
@@ -14,14 +14,14 @@
     "policy_for",
 ]
 
-LEAST_MOVES_PER_ROUND = 4
-"""Moves that are allowed in each round, also for a service with few slices."""
+MIN_MOVE_LIMIT_PER_ROUND = 4
+"""Lower bound on the limit on moves in one round, for services with few slices."""
 
 MAX_MOVED_SHARE_PER_ROUND = 0.05
 """Limit on the slices that move in one round, as a share of all slices, unless it is
-below `LEAST_MOVES_PER_ROUND`."""
+below `MIN_MOVE_LIMIT_PER_ROUND`."""
 
-OVERLOADED = 0.9
+OVERLOADED_BUSY_FRACTION = 0.9
 """Busy fraction of a server's slots from which on its queue grows."""
 
 MIN_UTILISATION = 0.3
@@ -36,7 +36,7 @@
 """Hourly churn where moves are cheap: all keys once a minute, which only runaway
 moves reach."""
 
-CHURN_DOMINATES = 10.0
+CHURN_DOMINANCE_RATIO = 10.0
 """Ratio of churn weight to unavailability weight from which on slices move only in
 an overload."""
 
@@ -84,7 +84,9 @@
         self._end_dwells(now_s)
         if len(view.targets) < 2 or not self._is_due(view, now_s):
             return
-        max_moves = max(LEAST_MOVES_PER_ROUND, int(self.moved_share * len(view.pieces)))
+        max_moves = max(
+            MIN_MOVE_LIMIT_PER_ROUND, int(self.moved_share * len(view.pieces))
+        )
         self._plan_moves(view, now_s, max_moves)
 
     def _is_due(self, view, now_s):
@@ -170,7 +172,7 @@
 
     def _is_due(self, view, now_s):
         busy = max(view.busy.get(node_id, 0.0) for node_id in view.targets)
-        if busy < OVERLOADED:
+        if busy < OVERLOADED_BUSY_FRACTION:
             self._above_since_s = None
             return False
         return super()._is_due(view, now_s)
@@ -186,7 +188,9 @@
     """
     weights = service.churn_weight + service.unavailable_weight
     caution = service.churn_weight / weights if weights > 0 else 0.5
-    dominated = service.churn_weight >= CHURN_DOMINATES * service.unavailable_weight
+    dominated = (
+        service.churn_weight >= CHURN_DOMINANCE_RATIO * service.unavailable_weight
+    )
     chosen = OverloadRebalance if dominated and weights > 0 else BoundedRebalance
     return chosen(
         trigger=1.205 + 0.01 * caution,
--- a/comfreywharf/placement/terms.py
+++ b/comfreywharf/placement/terms.py
@@ -28,8 +28,8 @@
 `LATE_WINDOW_S`."""
 
 LATE_WINDOW_S = 30.0
-BACKOFF_FROM_S = 2.0
-BACKOFF_TO_S = 300.0
+MIN_BACKOFF_S = 2.0
+MAX_BACKOFF_S = 300.0
 
 
 @attrs.frozen(kw_only=True)
@@ -150,4 +150,4 @@
     Otherwise two nodes that can't reach each other, while all others reach both,
     would take the role from each other every few seconds.
     """
-    return min(BACKOFF_TO_S, BACKOFF_FROM_S * 2 ** min(state.own_starts, 10))
+    return min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2 ** min(state.own_starts, 10))
--- a/comfreywharf_dev/bench/placement.py
+++ b/comfreywharf_dev/bench/placement.py
@@ -132,7 +132,7 @@
 def _takeovers_without_notice():
     trace = attrs.evolve(make_trace(LARGE, domain_loss), duration_s=400.0)
     off = Replay(
-        trace, step_s=LARGE_STEP_S, switches=Switches(notice_takeovers=False)
+        trace, step_s=LARGE_STEP_S, switches=Switches(detect_takeovers=False)
     ).run()
     return Figure(
         name="large_domain_loss_takeovers_unnoticed",
