--- a/comfreywharf/placement/rebalance.py
+++ b/comfreywharf/placement/rebalance.py
@@ -91,7 +91,7 @@
 
     def _is_due(self, view, now_s):
         highest = max(view.relative_load(node_id) for node_id in view.targets)
-        level = highest / view.mean
+        level = highest / view.mean_relative_load
         joined = any(view.loads[node_id] <= 0 for node_id in view.targets)
         noticeable = joined or view.max_utilisation() >= self.min_utilisation
         if level <= self.trigger or not noticeable:
@@ -116,7 +116,7 @@
                 if best_move is None:
                     break
                 piece, owner = best_move
-                if not self.budget.spend(view.weights[piece.start] / view.total):
+                if not self.budget.spend(view.weights[piece.start] / view.total_load):
                     return
                 pieces[source].remove(piece)
                 view.move(piece, owner)
@@ -127,7 +127,11 @@
         pieces = {node_id: [] for node_id in view.targets}
         for piece in view.pieces:
             held = piece.previous or piece.start in self._moved_s
-            if piece.owner in pieces and not held and piece.start not in view.owners:
+            if (
+                piece.owner in pieces
+                and not held
+                and piece.start not in view.planned_owners
+            ):
                 pieces[piece.owner].append(piece)
         return pieces
 
@@ -136,7 +140,7 @@
 
         Return ``None`` if there is no such move.
         """
-        limit = self.target * view.mean
+        limit = self.target * view.mean_relative_load
         excess = view.loads[source] - limit * view.targets[source]
         if excess <= 0 or not pieces:
             return None
@@ -171,7 +175,7 @@
     """
 
     def _is_due(self, view, now_s):
-        busy = max(view.busy.get(node_id, 0.0) for node_id in view.targets)
+        busy = max(view.busy_fractions.get(node_id, 0.0) for node_id in view.targets)
         if busy < OVERLOADED_BUSY_FRACTION:
             self._above_since_s = None
             return False
--- a/comfreywharf/placement/resize.py
+++ b/comfreywharf/placement/resize.py
@@ -64,9 +64,9 @@
     Slices with a planned move or an awaited release are skipped, since the fold
     would refuse one of the two changes.
     """
-    if not view.targets or view.total <= 0:
+    if not view.targets or view.total_load <= 0:
         return []
-    fair_load = view.total / len(view.targets)
+    fair_load = view.total_load / len(view.targets)
     max_splits = slice_limit(view.config, len(view.members)) - len(view.pieces)
     splits = _splits(view, fair_load)[: max(0, min(max_splits, MAX_RESIZES_PER_ROUND))]
     split_starts = {split.start for split in splits}
@@ -180,4 +180,7 @@
 def _is_stable(view, piece):
     if piece.previous or not piece.owner:
         return False
-    return piece.start not in view.owners and piece.start not in view.standbys
+    return (
+        piece.start not in view.planned_owners
+        and piece.start not in view.planned_standbys
+    )
--- a/comfreywharf/placement/view.py
+++ b/comfreywharf/placement/view.py
@@ -34,11 +34,12 @@
     in slots, scaled down while they are cold and, where the tuning asks for it, by
     their speed. ``lost_s`` holds how long each member that isn't live has been
     lost, in seconds. ``weights`` are requests per second by start of the slice, with
-    a minimum for idle slices; ``loads`` are their sums by owner, ``total`` is the sum
-    of all, ``mean`` that sum per unit of the targets' capacity. ``hot_keys`` are
-    requests per second by key hash. ``busy`` is the fraction of each member's slots
-    that is in use, ``service_s`` the mean service time there. ``owners`` and
-    ``standbys`` are the planned changes by start of the slice.
+    a minimum for idle slices; ``loads`` are their sums by owner, ``total_load`` is
+    the sum of all, ``mean_relative_load`` that sum per unit of the targets' capacity.
+    ``hot_keys`` are requests per second by key hash. ``busy_fractions`` are the
+    shares of the members' slots that are in use, ``service_s`` their mean service
+    times. ``planned_owners`` and ``planned_standbys`` are the planned changes by
+    start of the slice.
     """
 
     config: object
@@ -49,18 +50,20 @@
     weights: dict[int, float]
     loads: dict[str, float]
     hot_keys: dict[int, float]
-    busy: dict[str, float]
+    busy_fractions: dict[str, float]
     service_s: dict[str, float] = attrs.Factory(dict)
-    owners: dict[int, str] = attrs.Factory(dict)
-    standbys: dict[int, str] = attrs.Factory(dict)
-    total: float = attrs.field(init=False)
-    mean: float = attrs.field(init=False)
+    planned_owners: dict[int, str] = attrs.Factory(dict)
+    planned_standbys: dict[int, str] = attrs.Factory(dict)
+    total_load: float = attrs.field(init=False)
+    mean_relative_load: float = attrs.field(init=False)
     _load_heap: list = attrs.field(init=False, repr=False)
 
     def __attrs_post_init__(self):
         """Compute the total rate, the mean rate per unit of capacity and the order."""
-        self.total = sum(self.weights.values())
-        self.mean = self.total / max(sum(self.targets.values()), 1e-9)
+        self.total_load = sum(self.weights.values())
+        self.mean_relative_load = self.total_load / max(
+            sum(self.targets.values()), 1e-9
+        )
         self._load_heap = [
             (self.relative_load(node_id), node_id) for node_id in self.targets
         ]
@@ -95,18 +98,18 @@
 
     def owner(self, piece):
         """Return a slice's owner with the planned moves applied."""
-        return self.owners.get(piece.start, piece.owner)
+        return self.planned_owners.get(piece.start, piece.owner)
 
     def standby(self, piece):
         """Return a slice's standby with the planned changes applied."""
-        return self.standbys.get(piece.start, piece.standby)
+        return self.planned_standbys.get(piece.start, piece.standby)
 
     def move(self, piece, owner):
         """Plan a new owner for a slice."""
         weight = self.weights[piece.start]
         self._add_load(self.owner(piece), -weight)
         self._add_load(owner, weight)
-        self.owners[piece.start] = owner
+        self.planned_owners[piece.start] = owner
 
     def _add_load(self, node_id, weight):
         if node_id in self.loads:
@@ -117,7 +120,7 @@
     def set_standby(self, piece, standby):
         """Plan a new standby for a slice."""
         if standby != self.standby(piece):
-            self.standbys[piece.start] = standby
+            self.planned_standbys[piece.start] = standby
 
     def moves(self):
         """Return the planned moves, those that change an owner first."""
@@ -175,7 +178,7 @@
         weights=weights,
         loads=loads,
         hot_keys=table.hot_keys(name, now_s),
-        busy={node_id: table.busy_fraction(node_id) for node_id in members},
+        busy_fractions={node_id: table.busy_fraction(node_id) for node_id in members},
         service_s={node_id: table.service_ms(node_id) / 1000 for node_id in members},
     )
 
