--- a/comfreywharf/placement/loads.py
+++ b/comfreywharf/placement/loads.py
@@ -58,16 +58,16 @@
     return max(MIN_RATES_PER_REPORT, round(share))
 
 
-def report_delay_s(member_count, planner_changed, rng, least_s=MIN_INTERVAL_S):
+def report_delay_s(member_count, planner_changed, rng, min_interval_s=MIN_INTERVAL_S):
     """Return the delay before a node's next report, in seconds.
 
     A new planner needs a report from every node soon, but not from all 640 at
     once. After a change of planner the delay is therefore drawn from ``rng``,
     spread over the interval.
     """
-    interval_s = max(least_s, member_count / MAX_REPORTS_PER_S)
+    interval_s = max(min_interval_s, member_count / MAX_REPORTS_PER_S)
     if planner_changed:
-        return rng.uniform(0, interval_s - least_s / 2)
+        return rng.uniform(0, interval_s - min_interval_s / 2)
     return interval_s
 
 
@@ -108,7 +108,7 @@
     service_ms: float = 0.0
 
     @property
-    def well(self):
+    def can_serve(self):
         """Return whether the node can serve: it holds a lease and its server is up."""
         return self.backend_up and self.lease_held
 
@@ -119,7 +119,7 @@
 
     incarnation: int
     reported_s: float
-    well: bool
+    can_serve: bool
     backend_up: bool
     changed_s: float
     warm_from_s: float
@@ -170,11 +170,13 @@
         """
         node = self._nodes.get(node_id)
         if node is not None and node.taken_over_s is None:
-            self._nodes[node_id] = attrs.evolve(node, well=False, taken_over_s=now_s)
+            self._nodes[node_id] = attrs.evolve(
+                node, can_serve=False, taken_over_s=now_s
+            )
 
     def _next_state(self, earlier, report, now_s):
         restarted = earlier is None or earlier.incarnation != report.incarnation
-        changed = restarted or earlier.well != report.well
+        changed = restarted or earlier.can_serve != report.can_serve
         # An expired lease doesn't restart the backend server, which stays warm.
         if not restarted and earlier.backend_up >= report.backend_up:
             warm_from_s = earlier.warm_from_s
@@ -185,7 +187,7 @@
         return _NodeState(
             incarnation=report.incarnation,
             reported_s=now_s,
-            well=report.well,
+            can_serve=report.can_serve,
             backend_up=report.backend_up,
             changed_s=now_s if changed else earlier.changed_s,
             warm_from_s=warm_from_s,
@@ -199,7 +201,7 @@
             requests_per_s=entry.requests_per_s, seen_s=now_s
         )
         if len(seen) > MAX_HOT_KEYS:
-            coldest = min(seen, key=lambda value: seen[value].requests_per_s)
+            coldest = min(seen, key=lambda key_hash: seen[key_hash].requests_per_s)
             del seen[coldest]
 
     def update_members(self, members, now_s):
@@ -223,7 +225,7 @@
         node = self._nodes.get(member.node_id)
         return (
             node is not None
-            and node.well
+            and node.can_serve
             and node.incarnation >= member.incarnation
             and now_s - node.reported_s <= report_timeout_s
         )
@@ -241,7 +243,7 @@
         if node.taken_over_s is not None:
             return max(MIN_LOST_S, now_s - node.taken_over_s)
         overdue_s = now_s - node.reported_s - report_timeout_s
-        unable_s = 0.0 if node.well else now_s - node.changed_s - report_timeout_s
+        unable_s = 0.0 if node.can_serve else now_s - node.changed_s - report_timeout_s
         return max(0.0, overdue_s, unable_s)
 
     def warm_for_s(self, node_id, now_s):
@@ -262,11 +264,13 @@
     def hot_keys(self, service, now_s):
         """Return ``{key_hash: requests_per_s}`` of the recently reported hot keys."""
         seen = self._hot.get(service, {})
-        for value in [
-            v for v, s in seen.items() if now_s - s.seen_s > HOT_KEY_RETENTION_S
+        for key_hash in [
+            key_hash
+            for key_hash, sample in seen.items()
+            if now_s - sample.seen_s > HOT_KEY_RETENTION_S
         ]:
-            del seen[value]
-        return {value: entry.requests_per_s for value, entry in seen.items()}
+            del seen[key_hash]
+        return {key_hash: sample.requests_per_s for key_hash, sample in seen.items()}
 
     def record_split(self, service, start, at, right_per_s):
         """Divide a slice's rate between the two parts of a split.
--- a/comfreywharf/placement/meter.py
+++ b/comfreywharf/placement/meter.py
@@ -59,11 +59,11 @@
         """
         kept = {}
         for service, piece in owned:
-            place = (service, piece.start)
-            rate = self._rates.get(place)
+            slice_key = (service, piece.start)
+            rate = self._rates.get(slice_key)
             if rate is None or rate.end != piece.end:
                 rate = _Rate(service, piece.end)
-            kept[place] = rate
+            kept[slice_key] = rate
         self._rates = kept
 
     def close_window(self, now_s):
@@ -90,7 +90,9 @@
     def everything(self):
         """Return every rate as a `SliceRate`, for a planner without earlier reports."""
         return self._entries(
-            place for place, rate in self._rates.items() if rate.average_per_s >= 0
+            slice_key
+            for slice_key, rate in self._rates.items()
+            if rate.average_per_s >= 0
         )
 
     def changed(self, limit):
@@ -98,14 +100,18 @@
 
         The returned rates count as reported.
         """
-        places = [place for place, rate in self._rates.items() if _needs_report(rate)]
-        if len(places) > limit:
-            places.sort(key=lambda place: (-_difference(self._rates[place]), place))
-        return self._entries(places[:limit])
+        slice_keys = [
+            slice_key for slice_key, rate in self._rates.items() if _needs_report(rate)
+        ]
+        if len(slice_keys) > limit:
+            slice_keys.sort(
+                key=lambda slice_key: (-_difference(self._rates[slice_key]), slice_key)
+            )
+        return self._entries(slice_keys[:limit])
 
-    def _entries(self, places):
+    def _entries(self, slice_keys):
         entries = []
-        for service, start in places:
+        for service, start in slice_keys:
             rate = self._rates[service, start]
             rate.reported_per_s = rate.average_per_s
             entries.append(
--- a/comfreywharf/placement/rebalance.py
+++ b/comfreywharf/placement/rebalance.py
@@ -126,10 +126,10 @@
     def _movable(self, view):
         pieces = {node_id: [] for node_id in view.targets}
         for piece in view.pieces:
-            held = piece.previous or piece.start in self._moved_s
+            immovable = piece.previous or piece.start in self._moved_s
             if (
                 piece.owner in pieces
-                and not held
+                and not immovable
                 and piece.start not in view.planned_owners
             ):
                 pieces[piece.owner].append(piece)
--- a/comfreywharf/placement/resize.py
+++ b/comfreywharf/placement/resize.py
@@ -76,7 +76,9 @@
 
 def _splits(view, fair_load):
     hot = sorted(
-        value for value, rate in view.hot_keys.items() if rate >= PIN_SHARE * fair_load
+        key_hash
+        for key_hash, rate in view.hot_keys.items()
+        if rate >= PIN_SHARE * fair_load
     )
     splits = []
     for piece in view.pieces:
@@ -107,30 +109,30 @@
     refuses requests until then. The hot keys show where the load lies.
     """
     hot_inside = sorted(
-        (value, rate)
-        for value, rate in view.hot_keys.items()
-        if piece.start < value < piece.end
+        (key_hash, rate)
+        for key_hash, rate in view.hot_keys.items()
+        if piece.start < key_hash < piece.end
     )
     hot = sum(rate for _, rate in hot_inside)
     if hot < MIN_HOT_SHARE * view.weights[piece.start]:
         return (piece.start + piece.end) // 2
     cumulative = 0.0
-    for value, rate in hot_inside:
+    for key_hash, rate in hot_inside:
         cumulative += rate
         if cumulative >= hot / 2:
-            return value
+            return key_hash
     return (piece.start + piece.end) // 2
 
 
-def _pin(view, piece, value):
+def _pin(view, piece, key_hash):
     """Return the next of the two splits that isolate a key in its own slice."""
-    rate = view.hot_keys[value]
+    rate = view.hot_keys[key_hash]
     weight = view.weights[piece.start]
-    if value > piece.start:
+    if key_hash > piece.start:
         rest = max(0.0, weight - rate)
-        right_fraction = (piece.end - value) / (piece.end - piece.start)
-        return _split(view, piece, value, rate + rest * right_fraction)
-    return _split(view, piece, value + 1, max(0.0, weight - rate))
+        right_fraction = (piece.end - key_hash) / (piece.end - piece.start)
+        return _split(view, piece, key_hash, rate + rest * right_fraction)
+    return _split(view, piece, key_hash + 1, max(0.0, weight - rate))
 
 
 def _split(view, piece, at, right_per_s):
@@ -174,7 +176,7 @@
     weight = view.weights[left.start] + view.weights[right.start]
     if weight > MERGE_SHARE * fair_load:
         return False
-    return not any(left.start <= value < right.end for value in view.hot_keys)
+    return not any(left.start <= key_hash < right.end for key_hash in view.hot_keys)
 
 
 def _is_stable(view, piece):
--- a/comfreywharf/placement/view.py
+++ b/comfreywharf/placement/view.py
@@ -221,5 +221,5 @@
     """
     known = [rates[piece.start] for piece in pieces if piece.start in rates]
     mean = sum(known) / len(known) if known else 0.0
-    least = MIN_WEIGHT_SHARE * mean if mean > IDLE_PER_S else 1.0
-    return {piece.start: rates.get(piece.start, mean) + least for piece in pieces}
+    min_weight = MIN_WEIGHT_SHARE * mean if mean > IDLE_PER_S else 1.0
+    return {piece.start: rates.get(piece.start, mean) + min_weight for piece in pieces}
