--- a/comfreywharf/daemon/ownership/load_reports.py
+++ b/comfreywharf/daemon/ownership/load_reports.py
@@ -98,9 +98,9 @@
 
     def _slice_rates(self, everything):
         if everything:
-            return self._meter.everything()
+            return self._meter.all_rates()
         members = len(self._node.follower.state.members)
-        return self._meter.changed(rates_per_report(members))
+        return self._meter.changed_rates(rates_per_report(members))
 
     def _send(self, planner_id, report):
         """Send a report and return whether the receiver is the planner."""
--- a/comfreywharf/placement/meter.py
+++ b/comfreywharf/placement/meter.py
@@ -87,7 +87,7 @@
                 )
             rate.count = 0
 
-    def everything(self):
+    def all_rates(self):
         """Return every rate as a `SliceRate`, for a planner without earlier reports."""
         return self._entries(
             slice_key
@@ -95,7 +95,7 @@
             if rate.average_per_s >= 0
         )
 
-    def changed(self, limit):
+    def changed_rates(self, limit):
         """Return at most ``limit`` changed rates, the largest changes first.
 
         The returned rates count as reported.
--- a/comfreywharf/placement/tests/test_meter.py
+++ b/comfreywharf/placement/tests/test_meter.py
@@ -19,7 +19,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(windows=st.lists(counts, min_size=1, max_size=12), limit=st.integers(1, 6))
-def test_reports_are_bounded_and_catch_up(windows, limit):
+def test_reports_are_bounded_and_omitted_rates_follow(windows, limit):
     """No report exceeds the limit; the omitted rates follow in later reports."""
     meter = make_meter(6)
     reported = {}
@@ -29,12 +29,12 @@
         for number, count in enumerate(window):
             meter.count("booking", 10 * number, count)
         meter.close_window(now_s)
-        entries = meter.changed(limit)
+        entries = meter.changed_rates(limit)
         assert len(entries) <= limit
         reported.update({entry.start: entry.requests_per_s for entry in entries})
     for _ in range(6):
-        reported.update({e.start: e.requests_per_s for e in meter.changed(limit)})
-    measured = {entry.start: entry.requests_per_s for entry in meter.everything()}
+        reported.update({e.start: e.requests_per_s for e in meter.changed_rates(limit)})
+    measured = {entry.start: entry.requests_per_s for entry in meter.all_rates()}
     for start, rate in measured.items():
         assert abs(reported[start] - rate) <= max(1.0, 0.05 * reported[start]) + 1e-9
 
@@ -44,11 +44,11 @@
     meter = make_meter(1)
     meter.count("booking", 0, 100)
     meter.close_window(1.0)
-    assert meter.everything()[0].requests_per_s == 100.0
+    assert meter.all_rates()[0].requests_per_s == 100.0
     meter.set_owned([("booking", Slice(start=0, end=5))])
     meter.count("booking", 0, 10)
     meter.close_window(2.0)
-    assert meter.everything()[0].requests_per_s == 10.0
+    assert meter.all_rates()[0].requests_per_s == 10.0
 
 
 def test_rates_that_all_nodes_report_together_are_bounded():
--- a/comfreywharf/placement/tests/test_planning.py
+++ b/comfreywharf/placement/tests/test_planning.py
@@ -31,7 +31,7 @@
         super().__init__()
         self.cluster = PlannedCluster(slices=16)
         self.rates = {}
-        self.gone = set()
+        self.taken_over = set()
         self.lost_s = {}
 
     @rule(node=NODES)
@@ -39,7 +39,7 @@
         node_id = f"node-{node}"
         if node_id not in self.cluster.live:
             self.cluster.start(node_id, DOMAINS[node % 3])
-            self.gone.discard(node_id)
+            self.taken_over.discard(node_id)
 
     @rule(node=NODES)
     def lose(self, node):
@@ -49,16 +49,16 @@
             self.cluster.lose(node_id)
             self.lost_s[node_id] = self.cluster.now_s
             if owned:
-                self.gone.add(node_id)
+                self.taken_over.add(node_id)
 
     @rule(node=NODES, draining=st.booleans())
     def drain(self, node, draining):
         self.cluster.drain(f"node-{node}", draining)
 
-    @rule(place=st.integers(0, 40), rate=st.floats(0, 500))
-    def load(self, place, rate):
+    @rule(number=st.integers(0, 40), rate=st.floats(0, 500))
+    def load(self, number, rate):
         pieces = self.cluster.pieces
-        self.rates[pieces[place % len(pieces)].start] = rate
+        self.rates[pieces[number % len(pieces)].start] = rate
 
     @rule()
     def hand_over(self):
@@ -72,8 +72,8 @@
     def report(self):
         self.cluster.report(self.rates)
 
-    @rule(lost=st.booleans())
-    def plan(self, lost):
+    @rule(records_lost=st.booleans())
+    def plan(self, records_lost):
         self.cluster.report(self.rates)
         before = {p.start: p for p in self.cluster.pieces}
         actions = self.cluster.plan()
@@ -81,7 +81,7 @@
         for move in moves:
             self.check_move(before[move.start], move)
         # A plan whose records don't reach the log must not affect the next one.
-        if not lost:
+        if not records_lost:
             assert all(self.cluster.apply(actions))
 
     def check_move(self, piece, move):
@@ -92,7 +92,7 @@
             if move.owner not in self.cluster.live:
                 silent_s = self.cluster.now_s - self.lost_s[move.owner]
                 assert silent_s <= REPORT_TIMEOUT_S
-            assert move.owner not in self.gone
+            assert move.owner not in self.taken_over
         if move.standby:
             domain = members[move.owner].failure_domain
             eligible = {
@@ -192,12 +192,12 @@
     assert {p.start: p.owner for p in cluster.pieces} == before
 
 
-def awaited(cluster):
+def starts_awaiting_release(cluster):
     return {piece.start for piece in cluster.pieces if piece.previous}
 
 
-def assert_awaited_stay(cluster, rates, rounds=40):
-    waiting = awaited(cluster)
+def assert_slices_awaiting_release_stay(cluster, rates, rounds=40):
+    waiting = starts_awaiting_release(cluster)
     assert waiting
     for _ in range(rounds):
         cluster.now_s += 2.0
@@ -220,7 +220,7 @@
     cluster.drain("node-0")
     cluster.apply(cluster.plan())
     cluster.drain("node-1")
-    assert_awaited_stay(cluster, {})
+    assert_slices_awaiting_release_stay(cluster, {})
 
 
 def test_balance_doesnt_move_a_slice_whose_release_is_awaited():
@@ -229,13 +229,13 @@
     rates = dict.fromkeys([p.start for p in cluster.pieces], 100.0)
     cluster.run_rounds(8, rates)
     rates.update({p.start: 300.0 for p in cluster.pieces if p.owner == "node-0"})
-    while not awaited(cluster):
+    while not starts_awaiting_release(cluster):
         cluster.now_s += 2.0
         cluster.report(rates)
         cluster.apply(cluster.plan())
     new_owner = next(p.owner for p in cluster.pieces if p.previous)
     rates = {p.start: 500.0 if p.owner == new_owner else 50.0 for p in cluster.pieces}
-    assert_awaited_stay(cluster, rates)
+    assert_slices_awaiting_release_stay(cluster, rates)
 
 
 def test_a_standby_goes_to_another_domain_once_there_is_one():
@@ -267,14 +267,17 @@
     assert 16 < len(cluster.pieces) <= limit
 
 
-def is_rebalanced(cluster, per_slice_s, heavier, rounds):
-    """Return whether slices move when one server has ``heavier`` times the load."""
+def is_rebalanced(cluster, rate_per_slice, load_factor, rounds):
+    """Return whether slices move when one server has ``load_factor`` times the load.
+
+    ``rate_per_slice`` is that of the others, in requests per second.
+    """
     cluster.service_ms = 130.0
     cluster.run_rounds()
     before = {piece.start: piece.owner for piece in cluster.pieces}
     heavy = before[0]
     rates = {
-        start: per_slice_s * (heavier if owner == heavy else 1.0)
+        start: rate_per_slice * (load_factor if owner == heavy else 1.0)
         for start, owner in before.items()
     }
     cluster.run_rounds(rounds=rounds, rates=rates)
@@ -282,8 +285,8 @@
     return any(after[start] != before[start] for start in after)
 
 
-@pytest.mark.parametrize(("per_slice_s", "moves"), [(0.6, False), (3.0, True)])
-def test_cheap_moves_need_a_noticeable_imbalance(per_slice_s, moves):
+@pytest.mark.parametrize(("rate_per_slice", "moves"), [(0.6, False), (3.0, True)])
+def test_cheap_moves_need_a_noticeable_imbalance(rate_per_slice, moves):
     """An imbalance doesn't move slices while all servers have idle slots.
 
     Guards against moves for any difference in load, whether requests wait or not:
@@ -292,11 +295,11 @@
     """
     tuning = PlacementTuning(cheap_moves=True, scale_by_speed=True)
     cluster = PlannedCluster(nodes=4, tuning=tuning, slices=40)
-    assert is_rebalanced(cluster, per_slice_s, heavier=2.0, rounds=6) is moves
+    assert is_rebalanced(cluster, rate_per_slice, load_factor=2.0, rounds=6) is moves
 
 
-@pytest.mark.parametrize(("per_slice_s", "moves"), [(0.1, False), (2.0, True)])
-def test_a_nearly_idle_service_is_not_rebalanced(per_slice_s, moves):
+@pytest.mark.parametrize(("rate_per_slice", "moves"), [(0.1, False), (2.0, True)])
+def test_a_nearly_idle_service_is_not_rebalanced(rate_per_slice, moves):
     """A lasting imbalance doesn't move slices of a nearly idle service.
 
     Guards against moves for any lasting difference in load. One server had three
@@ -305,4 +308,4 @@
     release of its slice.
     """
     cluster = PlannedCluster(nodes=4, slices=40)
-    assert is_rebalanced(cluster, per_slice_s, heavier=3.0, rounds=20) is moves
+    assert is_rebalanced(cluster, rate_per_slice, load_factor=3.0, rounds=20) is moves
--- a/comfreywharf_dev/bench/placement_cost.py
+++ b/comfreywharf_dev/bench/placement_cost.py
@@ -241,5 +241,5 @@
     for number in range(ROUNDS):
         meter.set_owned(cluster.owned_by("node-001"))
         meter.close_window(float(number))
-        meter.changed(rates_per_report(MEMBERS))
+        meter.changed_rates(rates_per_report(MEMBERS))
     return (time.process_time() - start_s) / ROUNDS
--- a/comfreywharf_dev/bench/placement_replay.py
+++ b/comfreywharf_dev/bench/placement_replay.py
@@ -320,7 +320,7 @@
         report = NodeReport(
             node_id=node_id,
             incarnation=self._incarnations[node_id],
-            slices=meter.changed(rates_per_report(len(self.cluster.members))),
+            slices=meter.changed_rates(rates_per_report(len(self.cluster.members))),
             hot_keys=tuple(hot_keys),
         )
         planning.decide(self._planning, LoadReported(report=report), self._now_s)
