--- a/comfreywharf/load/admission.py
+++ b/comfreywharf/load/admission.py
@@ -32,7 +32,8 @@
 """Limit on the suspects that wait to run alone."""
 
 SUSPECT_DRAIN_S = 0.25
-"""Time that the backend server is drained for a suspect before it is refused."""
+"""Time that the backend server is drained for a suspect before the suspect is
+refused."""
 
 SUSPECT_TIME_SHARE = 0.2
 """Limit on the fraction of the backend server's time that suspects take."""
@@ -52,7 +53,8 @@
 """Weight of the newest request in the moving shares of the ranks."""
 
 MIN_SLOT_SHARE = 0.1
-"""Lower bound on the share of slots that estimates leave to the least urgent rank."""
+"""Lower bound on the share of the slots that an estimate of the waiting time leaves
+to a rank."""
 
 SHED_WEIGHT = 0.02
 """Weight of the newest request in the moving fraction of refused requests."""
@@ -130,8 +132,12 @@
 class AdmissionState:
     """State of one backend server and of the requests that wait for it.
 
-    Benchmarks and tests set ``fair`` or ``by_deadline`` to false to show the effect
-    of the mechanism.
+    ``times`` are the service times of all requests, ``kind_times`` those of each
+    kind. ``shed_fraction`` is the moving fraction of refused requests,
+    ``rank_shares`` the moving shares of the ranks in the started ones. The server
+    has been drained for a suspect since ``suspect_drain_since_s``; no further
+    suspect is started before ``suspect_not_before_s``. Benchmarks and tests set
+    ``fair`` or ``by_deadline`` to false to show the effect of the mechanism.
     """
 
     limit: ConcurrencyLimit
@@ -178,7 +184,8 @@
 def decide(state, event, now_s):
     """Apply an event and return the resulting `Begin` and `Shed` actions.
 
-    Raise a `TypeError` if ``event`` isn't an admission event.
+    The state is changed in place. Raise a `TypeError` if ``event`` isn't an
+    admission event.
     """
     match event:
         case Arrived(ticket=ticket):
--- a/comfreywharf/load/crashes.py
+++ b/comfreywharf/load/crashes.py
@@ -5,7 +5,7 @@
 __all__ = ["CrashWatch", "Loss"]
 
 CONFIRM_S = 2.0
-"""Time after a lost connection within which a restart of the server explains it."""
+"""Time after a lost connection within which a crash can be confirmed as its cause."""
 
 SAME_LOSS_S = 0.1
 """Time within which lost connections are attributed to the same crash."""
@@ -37,7 +37,10 @@
     _lost_s: float = float("-inf")
 
     def run_started(self, run, alone):
-        """Record the start of a run; ``run`` is any hashable object for it."""
+        """Record the start of a run; ``run`` is any hashable object that identifies it.
+
+        ``alone`` is true if it was started as a suspect with no other beside it.
+        """
         self._in_flight[run] = alone
 
     def run_ended(self, run):
@@ -47,7 +50,7 @@
     def connection_lost(self, run, now_s):
         """Record a lost connection; return whether to check if the server is up.
 
-        It has to be called before `run_ended` of the run that lost its connection.
+        Call it before `run_ended` for the run that lost its connection.
         All runs of a crash lose their connections one after another; at the first
         loss the others are still in flight.
         """
--- a/comfreywharf/load/estimates.py
+++ b/comfreywharf/load/estimates.py
@@ -11,7 +11,7 @@
 """Weight of the newest sample in the mean, which covers about 30 requests."""
 
 GAP_WEIGHT = 0.1
-"""Weight of the newest gap between two completions."""
+"""Weight of the newest gap between two completions in the mean gap."""
 
 HALF_LIFE_S = 1.0
 """Half-life of an estimate without new samples."""
--- a/comfreywharf/load/fairqueue.py
+++ b/comfreywharf/load/fairqueue.py
@@ -55,7 +55,7 @@
 
 @attrs.define(eq=False)
 class _Flow:
-    """The waiting tickets of one flow and its start tag."""
+    """The waiting tickets of one flow, and its start tag in virtual time."""
 
     tag: float
     tickets: list[Ticket] = attrs.Factory(list)
--- a/comfreywharf/load/limits.py
+++ b/comfreywharf/load/limits.py
@@ -8,7 +8,7 @@
 """Fraction of its slots that a backend server gets right after its announcement."""
 
 WARM_ROUNDS = 5
-"""Mean number of answers per slot after which a backend server counts as warm."""
+"""Answers per slot, on average, after which a backend server counts as warm."""
 
 CUT_FACTOR = 0.7
 """Factor that a refusal by the backend server applies to the limit."""
@@ -35,7 +35,7 @@
 class ConcurrencyLimit:
     """The slots of one backend server: a ramp after its start, cuts on refusals.
 
-    The number of slots is the one that the server announced; it is never exceeded.
+    ``slots`` is the number that the server announced; the limit never exceeds it.
     If the server refuses requests within it, the limit is cut at once, and rises
     again with each answer (additive increase, multiplicative decrease: Chiu and
     Jain, 1989).
--- a/comfreywharf/load/quarantine.py
+++ b/comfreywharf/load/quarantine.py
@@ -1,9 +1,10 @@
 """Quarantine of requests that crash backend servers, or are suspected of it.
 
 A request in flight when a backend server crashes becomes a suspect. The next time
-it runs alone: an answer clears it, and a crash condemns it, since no other request
-can be the cause. Nodes inform their peers by notices. Each crash has an id, so that
-a notice that is received twice counts once.
+it runs alone: an answer clears it. After a crash it is condemned, which means that it
+is refused for `CONDEMNED_S`, since no other request can be the cause. Nodes inform
+their peers by notices. Each crash has an id, so that a notice that is received twice
+counts once.
 """
 
 from enum import Enum
@@ -29,13 +30,14 @@
 """Values of a suspect's notice: whether it ran with others or alone at the crash."""
 
 UNCONFIRMED = "here"
-"""Crash id of this node's unconfirmed suspicions."""
+"""Crash id of a suspicion that is based on an unconfirmed crash; used on this node
+only."""
 
 SUSPECT_S = 60.0
 """Time after which a request without another crash is no longer a suspect."""
 
 CONDEMNED_S = 600.0
-"""Time for which a condemned request isn't run."""
+"""Time for which a condemned request is refused."""
 
 MAX_ENTRIES = 1024
 """Limit on the fingerprints kept. Suspects are evicted before condemned requests,
@@ -84,7 +86,11 @@
 
 @attrs.define
 class _Record:
-    """The crashes during which a request was in flight, by crash id."""
+    """The crashes during which a request was in flight.
+
+    ``crashes`` holds for each crash id whether it ran alone. The ids in ``cleared``
+    are ignored if a notice of them is received later.
+    """
 
     service: str
     crashes: dict[str, float] = attrs.Factory(dict)
@@ -101,7 +107,7 @@
 
 
 class Quarantine:
-    """Suspect and condemned requests of all nodes, as known to one node."""
+    """Suspect and condemned requests of all nodes, as one node has recorded them."""
 
     def __init__(self):
         self._records = {}
@@ -121,7 +127,7 @@
         return max(record.expires_s - now_s, 0.0) if record else 0.0
 
     def suspect(self, fingerprint, service, now_s):
-        """Make a request a suspect on this node only; peers aren't notified."""
+        """Make a request a suspect on this node only, without notices for peers."""
         self._add(fingerprint, service, UNCONFIRMED, WITH_OTHERS, now_s)
 
     def record_crash(self, crash_id, service, crash, now_s):
--- a/comfreywharf/load/tests/test_choice.py
+++ b/comfreywharf/load/tests/test_choice.py
@@ -163,9 +163,10 @@
 
 
 def test_near_server_is_preferred_while_it_has_idle_slots():
-    """Guards against needless traffic between failure domains.
+    """A server in the node's failure domain is chosen while it has idle slots.
 
-    It was two thirds of all bytes when a near server wasn't preferred.
+    Guards against needless traffic between failure domains, which was two thirds of
+    all bytes when a near server wasn't preferred.
     """
     members = three_members()
     members[0].begin()
--- a/comfreywharf/load/tests/test_ranked_queue.py
+++ b/comfreywharf/load/tests/test_ranked_queue.py
@@ -158,9 +158,9 @@
 def test_late_requests_wait_behind_all_others():
     """Late requests wait behind all others instead of being refused.
 
-    Guards against refused retries while the server has idle slots: after an overload
-    of a second its refused callers retry, and requests past their target were
-    refused whenever another request waited.
+    Guards against refusing retries while the server has idle slots. When requests
+    past their target were refused whenever another request waited, the callers that
+    an overload of one second had refused were refused again.
     """
     queue = RankedQueue()
     late, fresh = ticket(0.0, 101, None), ticket(0.0, 1)
@@ -199,7 +199,10 @@
 
 
 def test_short_calls_are_served_beside_long_uploads():
-    """Guards against short calls that are refused by the service time of uploads."""
+    """Short calls are estimated by their own service time.
+
+    Guards against refusing short calls because uploads to the same server take long.
+    """
     server = MixedLoadServer(60).run(10)
     served, refused = len(server.done[0]), len(server.shed[0])
     assert served > 0.95 * (served + refused)
