--- a/comfreywharf/daemon/operating/decisions.py
+++ b/comfreywharf/daemon/operating/decisions.py
@@ -119,7 +119,7 @@
         if state is not None:
             facts["waiting"] = state.waiting
             facts["running"] = len(state.in_flight)
-            facts["allowed"] = state.limit.allowed()
+            facts["allowed"] = state.limit.max_in_flight()
             typical_s = state.typical_s(work_kind(request), now_s)
             facts["typical_ms"] = round(typical_s * 1000)
             facts["target_ms"] = request.target_ms
--- a/comfreywharf/daemon/requests/admission.py
+++ b/comfreywharf/daemon/requests/admission.py
@@ -11,8 +11,8 @@
 from comfreywharf.load.admission import (
     Arrived,
     Begin,
+    CallerDisconnected,
     Finished,
-    GaveUp,
     Result,
     TimePassed,
     decide,
@@ -103,7 +103,7 @@
         """End the wait of a request whose caller disconnected."""
         if slot.ticket not in self._waiting:
             return
-        actions = decide(self.state, GaveUp(slot.ticket), boottime_s())
+        actions = decide(self.state, CallerDisconnected(slot.ticket), boottime_s())
         self._refuse(slot.ticket, Reason.CALLER_GONE_BEFORE_START, 0)
         self._apply(actions)
 
--- a/comfreywharf/daemon/requests/quarantine.py
+++ b/comfreywharf/daemon/requests/quarantine.py
@@ -77,11 +77,11 @@
 
     def suspect(self, name, service):
         """Mark a request as suspect before the crash of its server is confirmed."""
-        self._quarantine.suspect(name, service, boottime_s())
+        self._quarantine.mark_suspect(name, service, boottime_s())
 
     def clear_suspect(self, name):
         """Clear a suspect that another node ran alone and got an answer to."""
-        self._quarantine.answered(name, boottime_s())
+        self._quarantine.clear_suspect(name, boottime_s())
 
     def record_start(self, slot):
         """Record a request that is about to be forwarded."""
@@ -91,7 +91,9 @@
         """Record the end of a request; a suspect that was answered is cleared."""
         self._crash_watch.run_ended(slot)
         if answered and slot.ticket.alone:
-            self._publish(self._quarantine.answered(slot.fingerprint, boottime_s()))
+            self._publish(
+                self._quarantine.clear_suspect(slot.fingerprint, boottime_s())
+            )
 
     def lost(self, slot, backend, wait_s=PROBE_WAIT_S):
         """Record a lost connection, and probe whether the backend server crashed.
--- a/comfreywharf/load/absences.py
+++ b/comfreywharf/load/absences.py
@@ -5,7 +5,7 @@
 __all__ = ["Absences"]
 
 FIRST_PAUSE_S = 0.25
-LONGEST_PAUSE_S = 4.0
+MAX_PAUSE_S = 4.0
 """Bounds of the pause after which one request probes an absent member."""
 
 PAUSE_RESET_S = 10.0
@@ -66,7 +66,7 @@
             self._absences[node_id] = _Absence(now_s + FIRST_PAUSE_S, FIRST_PAUSE_S)
             return
         if absence.probing or absence.ended_s is not None:
-            absence.pause_s = min(2 * absence.pause_s, LONGEST_PAUSE_S)
+            absence.pause_s = min(2 * absence.pause_s, MAX_PAUSE_S)
             absence.until_s = now_s + absence.pause_s
         absence.probing = False
         absence.ended_s = None
--- a/comfreywharf/load/admission.py
+++ b/comfreywharf/load/admission.py
@@ -18,8 +18,8 @@
     "AdmissionState",
     "Arrived",
     "Begin",
+    "CallerDisconnected",
     "Finished",
-    "GaveUp",
     "Result",
     "RetryAfter",
     "Shed",
@@ -38,11 +38,11 @@
 SUSPECT_TIME_SHARE = 0.2
 """Limit on the fraction of the backend server's time that suspects take."""
 
-FLOW_RESERVE = 1
+SLOTS_LEFT_TO_OTHER_FLOWS = 1
 """Slots that a single flow leaves to other flows."""
 
 MIN_SLOTS_FOR_RESERVE = 4
-"""Number of slots from which on `FLOW_RESERVE` applies."""
+"""Number of slots from which on `SLOTS_LEFT_TO_OTHER_FLOWS` applies."""
 
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 3.0
@@ -89,7 +89,7 @@
 
 
 @attrs.frozen
-class GaveUp:
+class CallerDisconnected:
     """The caller of a waiting request disconnected."""
 
     ticket: Ticket
@@ -124,8 +124,8 @@
     second attempt is of little use even if it is served.
     """
 
-    least_s: float = MIN_RETRY_AFTER_S
-    most_s: float = MAX_RETRY_AFTER_S
+    min_s: float = MIN_RETRY_AFTER_S
+    max_s: float = MAX_RETRY_AFTER_S
 
 
 @attrs.define
@@ -193,7 +193,7 @@
         case Finished(ticket=ticket, result=result):
             _finish(state, ticket, result, now_s)
             return _begin_next(state, now_s)
-        case GaveUp(ticket=ticket):
+        case CallerDisconnected(ticket=ticket):
             _remove_waiting(state, ticket)
             return _begin_next(state, now_s)
         case TimePassed():
@@ -206,7 +206,7 @@
 
     ``ahead`` is the number of earlier requests that wait to send their bodies.
     """
-    sent_s = now_s + state.times.wait_s(ahead, state.limit.allowed(), now_s)
+    sent_s = now_s + state.times.wait_s(ahead, state.limit.max_in_flight(), now_s)
     if not ahead and not state.queue and _slot_available(state):
         served = not _misses_deadline(state, ticket, sent_s)
     else:
@@ -249,15 +249,15 @@
     """Return whether a slot is available for a request that needn't run alone."""
     if state.suspect_running or state.suspect_drain_since_s is not None:
         return False
-    return len(state.in_flight) < state.limit.allowed()
+    return len(state.in_flight) < state.limit.max_in_flight()
 
 
 def _is_flow_at_limit(state, flow):
     """Return whether a flow occupies all the slots that one flow may have."""
-    allowed = state.limit.allowed()
+    allowed = state.limit.max_in_flight()
     if not state.fair or flow is None or allowed < MIN_SLOTS_FOR_RESERVE:
         return False
-    return state.flows_in_flight.get(flow, 0) >= allowed - FLOW_RESERVE
+    return state.flows_in_flight.get(flow, 0) >= allowed - SLOTS_LEFT_TO_OTHER_FLOWS
 
 
 def _misses_deadline(state, ticket, now_s):
@@ -292,7 +292,7 @@
 def _completion_s(state, ticket, now_s):
     """Return the estimated completion time of a request that starts to wait now."""
     ahead = state.queue.ahead_of(ticket) + 1
-    wait_s = state.times.wait_s(ahead, state.limit.allowed(), now_s)
+    wait_s = state.times.wait_s(ahead, state.limit.max_in_flight(), now_s)
     # More urgent requests that arrive later still run before this one.
     wait_s /= max(1 - state.more_urgent_share(ticket.effective_rank), MIN_SLOT_SHARE)
     return now_s + wait_s + state.typical_s(ticket.kind, now_s)
@@ -390,14 +390,14 @@
         state.times.add_gap(now_s - state.last_finish_s, now_s)
     state.last_finish_s = now_s if state.queue else None
     if result is Result.REFUSED:
-        state.limit.refused(now_s)
+        state.limit.record_refusal(now_s)
     if result in (Result.REFUSED, Result.UNUSED):
         return
     own_times = state.kind_times.setdefault(ticket.kind, ServiceTimes())
     for times in (state.times, own_times):
         times.add(now_s - ticket.started_s, now_s)
     if result is Result.ANSWERED:
-        state.limit.answered()
+        state.limit.record_answer()
 
 
 def _remove_waiting(state, ticket):
@@ -435,8 +435,8 @@
     It has jitter, since callers that retry all at once, or sooner than the backend
     server can serve them, prolong an overload after its cause has gone.
     """
-    drain_s = state.times.wait_s(state.waiting, state.limit.allowed(), now_s)
-    least_s, most_s = state.retry_after.least_s, state.retry_after.most_s
-    served = max(1 - state.shed_fraction, least_s / most_s)
-    wanted_s = min(max(least_s, drain_s) / served, most_s)
-    return max(wanted_s * state.rng.uniform(0.5, 1.5), least_s)
+    drain_s = state.times.wait_s(state.waiting, state.limit.max_in_flight(), now_s)
+    min_s, max_s = state.retry_after.min_s, state.retry_after.max_s
+    served = max(1 - state.shed_fraction, min_s / max_s)
+    wanted_s = min(max(min_s, drain_s) / served, max_s)
+    return max(wanted_s * state.rng.uniform(0.5, 1.5), min_s)
--- a/comfreywharf/load/estimates.py
+++ b/comfreywharf/load/estimates.py
@@ -16,7 +16,7 @@
 HALF_LIFE_S = 1.0
 """Half-life of an estimate without new samples."""
 
-FRESH_S = 1.0
+MAX_GAP_AGE_S = 1.0
 """Maximum age of the last gap for the drain rate to be based on it."""
 
 
@@ -67,7 +67,7 @@
 
     def add_gap(self, gap_s, now_s):
         """Add the time between two completions while requests waited, in seconds."""
-        if now_s - self._gap_sampled_s > FRESH_S:
+        if now_s - self._gap_sampled_s > MAX_GAP_AGE_S:
             self._gap_s = gap_s
         else:
             self._gap_s += GAP_WEIGHT * (gap_s - self._gap_s)
@@ -87,6 +87,6 @@
 
     def wait_s(self, ahead, slots, now_s):
         """Return how long a request waits behind ``ahead`` others, in seconds."""
-        if now_s - self._gap_sampled_s <= FRESH_S:
+        if now_s - self._gap_sampled_s <= MAX_GAP_AGE_S:
             return ahead * self._gap_s
         return ahead * self.typical_s(now_s) / max(slots, 1)
--- a/comfreywharf/load/limits.py
+++ b/comfreywharf/load/limits.py
@@ -7,7 +7,7 @@
 COLD_FRACTION = 0.25
 """Fraction of its slots that a backend server gets right after its announcement."""
 
-WARM_ROUNDS = 5
+WARM_ANSWERS_PER_SLOT = 5
 """Answers per slot, on average, after which a backend server counts as warm."""
 
 CUT_FACTOR = 0.7
@@ -40,20 +40,20 @@
     again with each answer (additive increase, multiplicative decrease: Chiu and
     Jain, 1989).
 
-    If ``cold`` is false, there is no ramp: a server that is slower after its start
-    at any number of requests only loses throughput by idle slots. If ``cuts`` is
-    false, refusals don't change the limit: a server that refuses a fraction of its
-    requests at any load would be cut down to a single slot, a twelfth of its
-    throughput with 12 slots.
+    If ``ramp_up`` is false, there is no ramp: a server that is slower after its start
+    at any number of requests only loses throughput by idle slots. If
+    ``cut_on_refusal`` is false, refusals don't change the limit: a server that
+    refuses a fraction of its requests at any load would be cut down to a single
+    slot, a twelfth of its throughput with 12 slots.
 
     >>> limit = ConcurrencyLimit(slots=12)
-    >>> limit.allowed()
+    >>> limit.max_in_flight()
     3
     """
 
     slots: int
-    cold: bool = True
-    cuts: bool = True
+    ramp_up: bool = True
+    cut_on_refusal: bool = True
     _answers: int = 0
     _limit: float = attrs.field(init=False)
     _allowed: int = attrs.field(init=False)
@@ -63,11 +63,11 @@
         self._limit = float(self.slots)
         self._update()
 
-    def allowed(self):
+    def max_in_flight(self):
         """Return how many requests may be in flight; at least one."""
         return self._allowed
 
-    def answered(self):
+    def record_answer(self):
         """Count a successful answer of the backend server."""
         if self._allowed == self.slots:
             return
@@ -75,9 +75,9 @@
         self._limit = min(float(self.slots), self._limit + 1 / max(self._limit, 1))
         self._update()
 
-    def refused(self, now_s):
+    def record_refusal(self, now_s):
         """Cut the limit after the backend server refused a request."""
-        if not self.cuts or now_s - self._cut_s < CUT_INTERVAL_S:
+        if not self.cut_on_refusal or now_s - self._cut_s < CUT_INTERVAL_S:
             return
         self._cut_s = now_s
         self._limit = max(1.0, self._limit * CUT_FACTOR)
@@ -85,6 +85,6 @@
 
     def _update(self):
         warm = 1.0
-        if self.cold:
-            warm = warm_fraction(self._answers, self.slots * WARM_ROUNDS)
+        if self.ramp_up:
+            warm = warm_fraction(self._answers, self.slots * WARM_ANSWERS_PER_SLOT)
         self._allowed = max(1, int(min(self.slots * warm, self._limit)))
--- a/comfreywharf/load/quarantine.py
+++ b/comfreywharf/load/quarantine.py
@@ -126,7 +126,7 @@
         record = self._unexpired(fingerprint, now_s)
         return max(record.expires_s - now_s, 0.0) if record else 0.0
 
-    def suspect(self, fingerprint, service, now_s):
+    def mark_suspect(self, fingerprint, service, now_s):
         """Make a request a suspect on this node only, without notices for peers."""
         self._add(fingerprint, service, UNCONFIRMED, WITH_OTHERS, now_s)
 
@@ -145,7 +145,7 @@
             notices.append(Notice(SUSPECT, subject, value, _ttl_s(value)))
         return notices
 
-    def answered(self, fingerprint, now_s):
+    def clear_suspect(self, fingerprint, now_s):
         """Clear a suspect that ran alone and was answered; return notices for peers."""
         if self.standing(fingerprint, now_s) is not Standing.SUSPECT:
             return []
--- a/comfreywharf/load/tests/builders.py
+++ b/comfreywharf/load/tests/builders.py
@@ -4,7 +4,7 @@
 
 from comfreywharf.load.admission import AdmissionState
 from comfreywharf.load.fairqueue import Ticket
-from comfreywharf.load.limits import WARM_ROUNDS, ConcurrencyLimit
+from comfreywharf.load.limits import WARM_ANSWERS_PER_SLOT, ConcurrencyLimit
 from comfreywharf.load.members import MemberLoad
 
 __all__ = ["admission_state", "make_ticket", "member", "warm_limit"]
@@ -13,8 +13,8 @@
 def warm_limit(slots):
     """Return the limit of a backend server that is warm."""
     limit = ConcurrencyLimit(slots)
-    for _ in range(slots * WARM_ROUNDS):
-        limit.answered()
+    for _ in range(slots * WARM_ANSWERS_PER_SLOT):
+        limit.record_answer()
     return limit
 
 
--- a/comfreywharf/load/tests/test_admission.py
+++ b/comfreywharf/load/tests/test_admission.py
@@ -8,8 +8,8 @@
     SUSPECT_DRAIN_S,
     Arrived,
     Begin,
+    CallerDisconnected,
     Finished,
-    GaveUp,
     Result,
     Shed,
     TimePassed,
@@ -35,7 +35,7 @@
         self.decided = set()
 
     def apply(self, event):
-        allowed = self.state.limit.allowed()
+        allowed = self.state.limit.max_in_flight()
         for action in decide(self.state, event, self.now_s):
             ticket = action.ticket
             assert ticket not in self.decided, "a request got two decisions"
@@ -50,7 +50,7 @@
             assert not any(other.alone for other in self.running)
             assert not (ticket.alone and self.running)
             self.running.append(ticket)
-            assert len(self.running) <= max(allowed, self.state.limit.allowed())
+            assert len(self.running) <= max(allowed, self.state.limit.max_in_flight())
 
     @rule(
         flow=st.sampled_from("hab"),
@@ -74,7 +74,7 @@
     def hang_up(self, data):
         ticket = data.draw(st.sampled_from(self.waiting))
         self.waiting.remove(ticket)
-        self.apply(GaveUp(ticket))
+        self.apply(CallerDisconnected(ticket))
 
     @rule(elapsed_s=st.floats(0.0, 0.5))
     def wait(self, elapsed_s):
@@ -95,7 +95,7 @@
             self.state.suspect_drain_since_s is not None or self.state.suspect_running
         )
         if len(flows) > 1 and not suspects:
-            assert len(self.running) >= self.state.limit.allowed()
+            assert len(self.running) >= self.state.limit.max_in_flight()
 
     def teardown(self):
         """Every request is started or refused once the running ones have ended."""
@@ -203,10 +203,10 @@
 def test_cold_server_gets_a_part_of_its_slots_until_it_has_answered():
     """Slots ramp up with the answers of a backend server since its start."""
     limit = ConcurrencyLimit(12)
-    seen = [limit.allowed()]
+    seen = [limit.max_in_flight()]
     for _ in range(500):
-        limit.answered()
-        seen.append(limit.allowed())
+        limit.record_answer()
+        seen.append(limit.max_in_flight())
     assert seen[0] == 12 * COLD_FRACTION
     assert seen == sorted(seen)
     assert seen[30] < 12 == seen[-1]
@@ -218,7 +218,7 @@
     tickets = _fill(state, 9)
     for number, ticket in enumerate(tickets):
         decide(state, Finished(ticket, Result.REFUSED), 0.2 * number)
-    assert state.limit.allowed() == 1
+    assert state.limit.max_in_flight() == 1
     for _ in range(100):
-        state.limit.answered()
-    assert state.limit.allowed() == 10
+        state.limit.record_answer()
+    assert state.limit.max_in_flight() == 10
--- a/comfreywharf/load/tests/test_choice.py
+++ b/comfreywharf/load/tests/test_choice.py
@@ -54,8 +54,8 @@
             chosen, self.members, latency_s, failed, self.now_s, probe
         )
         if changed == (chosen.node_id, True):
-            out = [m for m in self.members if self.ejector.is_ejected(m.node_id)]
-            assert len(out) <= len(self.members) // 2
+            ejected = [m for m in self.members if self.ejector.is_ejected(m.node_id)]
+            assert len(ejected) <= len(self.members) // 2
 
     @rule()
     def use_all(self):
@@ -92,9 +92,9 @@
     @invariant()
     def ejected_fraction_is_bounded(self):
         usable = self.ejector.usable(self.members, self.now_s)
-        out = [m for m in self.members if self.ejector.is_ejected(m.node_id)]
+        ejected = [m for m in self.members if self.ejector.is_ejected(m.node_id)]
         assert usable
-        assert len(out) <= len(self.members) // 2
+        assert len(ejected) <= len(self.members) // 2
 
     def teardown(self):
         """All servers are reinstated once they have recovered."""
--- a/comfreywharf/load/tests/test_quarantine.py
+++ b/comfreywharf/load/tests/test_quarantine.py
@@ -17,7 +17,7 @@
 
 NODES = 4
 POISON = "poison"
-INNOCENTS = ("a", "b", "c")
+HARMLESS = ("a", "b", "c")
 
 
 class QuarantineMachine(RuleBasedStateMachine):
@@ -48,8 +48,8 @@
 
     @rule(
         node=st.integers(0, NODES - 1),
-        name=st.sampled_from((POISON, *INNOCENTS)),
-        beside=st.sets(st.sampled_from(INNOCENTS), max_size=2),
+        name=st.sampled_from((POISON, *HARMLESS)),
+        beside=st.sets(st.sampled_from(HARMLESS), max_size=2),
     )
     def send(self, node, name, beside):
         quarantine = self.nodes[node]
@@ -60,7 +60,7 @@
             self.crashes_alone += 1
             self.crash(node, [name], alone=True)
         elif standing is Standing.SUSPECT:
-            self.spread(quarantine.answered(name, self.now_s))
+            self.spread(quarantine.clear_suspect(name, self.now_s))
         elif name == POISON:
             trusted = Standing.TRUSTED
             beside_trusted = [
@@ -68,8 +68,8 @@
             ]
             self.crash(node, [name, *sorted(beside_trusted)])
 
-    @rule(node=st.integers(0, NODES - 1), names=st.sets(st.sampled_from(INNOCENTS)))
-    def server_dies_by_itself(self, node, names):
+    @rule(node=st.integers(0, NODES - 1), names=st.sets(st.sampled_from(HARMLESS)))
+    def server_crashes_for_another_reason(self, node, names):
         """The requests in flight may have started before they became suspects."""
         self.crash(node, sorted(names))
 
@@ -91,7 +91,7 @@
     @invariant()
     def only_what_crashed_alone_is_condemned(self):
         for node in self.nodes:
-            for name in INNOCENTS:
+            for name in HARMLESS:
                 assert node.standing(name, self.now_s) is not Standing.CONDEMNED
         assert self.crashes_alone <= NODES
 
--- a/comfreywharf/load/tests/test_ranked_queue.py
+++ b/comfreywharf/load/tests/test_ranked_queue.py
@@ -37,8 +37,8 @@
 
     work_s = {0: WORK_S, 1: WORK_S}
 
-    def __init__(self, per_s, with_target=True, queue=None):
-        limit = ConcurrencyLimit(SLOTS, cold=False)
+    def __init__(self, arrivals_per_s, with_target=True, queue=None):
+        limit = ConcurrencyLimit(SLOTS, ramp_up=False)
         self.state = AdmissionState(
             limit,
             256,
@@ -46,7 +46,7 @@
             queue=queue or RankedQueue(),
             retry_after=RetryAfter(0.1, 0.2),
         )
-        self.per_s = per_s
+        self.arrivals_per_s = arrivals_per_s
         self.arrived = 0
         self.now_s = 0.0
         self.target_s = TARGET_S if with_target else None
@@ -61,7 +61,7 @@
         for tick in range(int(seconds / step_s)):
             now_s = self.now_s = started_s + tick * step_s
             self._finish(now_s)
-            due += self.per_s * step_s
+            due += self.arrivals_per_s * step_s
             while due >= 1:
                 due -= 1
                 self.arrived += 1
@@ -185,7 +185,7 @@
     of the callers were refused, retried late, and were refused again.
     """
     server = SimulatedServer(220).run(0.6)
-    server.per_s = 30
+    server.arrivals_per_s = 30
     server.run(3)
     refused = sum(map(len, server.shed.values()))
     assert refused <= 0.2 * server.arrived
--- a/comfreywharf/load/tests/test_refusing_server.py
+++ b/comfreywharf/load/tests/test_refusing_server.py
@@ -16,8 +16,8 @@
 from comfreywharf.load.fairqueue import RankedQueue
 
 SLOTS = 12
-PER_S = 80
-WORK_S = 0.13
+ARRIVALS_PER_S = 80
+SERVICE_S = 0.13
 REFUSAL_S = 0.002
 REFUSED_SHARE = 0.55
 SECONDS = 8
@@ -31,10 +31,10 @@
     """
     rng = random.Random(7)
     state = AdmissionState(limit, 256, random.Random(1), queue=RankedQueue())
-    ends, forwarded, arrivals = [], 0, PER_S * SECONDS
+    ends, forwarded, arrivals = [], 0, ARRIVALS_PER_S * SECONDS
     now_s = 0.0
     for number in range(arrivals):
-        arrives_s = number / PER_S
+        arrives_s = number / ARRIVALS_PER_S
         while ends and min(ends, key=lambda end: end[0])[0] <= arrives_s:
             end = min(ends, key=lambda end: end[0])
             ends.remove(end)
@@ -56,20 +56,26 @@
     begun = [action.ticket for action in actions if isinstance(action, Begin)]
     for ticket in begun:
         refused = rng.random() < REFUSED_SHARE
-        lasts_s = REFUSAL_S if refused else WORK_S
+        lasts_s = REFUSAL_S if refused else SERVICE_S
         result = Result.REFUSED if refused else Result.ANSWERED
         ends.append((ticket.started_s + lasts_s, ticket, result))
     return len(begun)
 
 
-@pytest.mark.parametrize(("cuts", "least", "most"), [(True, 0, 0.6), (False, 0.99, 1)])
-def test_a_server_that_refuses_at_any_load_still_gets_requests(cuts, least, most):
+@pytest.mark.parametrize(
+    ("cut_on_refusal", "min_share", "max_share"), [(True, 0, 0.6), (False, 0.99, 1)]
+)
+def test_a_server_that_refuses_at_any_load_still_gets_requests(
+    cut_on_refusal, min_share, max_share
+):
     """Without cuts, refusals at any load don't stop requests from being forwarded.
 
     Guards against a node that refuses most of what its server would run. The server
-    refuses 55 of 100 requests at any load; with ``cuts`` each refusal lowers the
-    limit, down to a single slot. Only a third of the requests was served then,
-    although the servers refused about half.
+    refuses 55 of 100 requests at any load; with ``cut_on_refusal`` each refusal
+    lowers the limit, down to a single slot. Only a third of the requests was served
+    then, although the servers refused about half.
     """
-    share = forwarded_fraction(ConcurrencyLimit(SLOTS, cold=False, cuts=cuts))
-    assert least <= share <= most
+    share = forwarded_fraction(
+        ConcurrencyLimit(SLOTS, ramp_up=False, cut_on_refusal=cut_on_refusal)
+    )
+    assert min_share <= share <= max_share
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -93,7 +93,7 @@
         retry_burst=RETRY_BURST,
         resends=RESENDS,
     )
-    retry_after = RetryAfter(least_s=0.3, most_s=0.6)
+    retry_after = RetryAfter(min_s=0.3, max_s=0.6)
     refused_retry_after_ms = REFUSED_RETRY_AFTER_MS
     read_options = ReadOptions(wait_s=1.0, pause_s=0.1, relayed=True)
 
@@ -189,7 +189,7 @@
         A cold server is slow at any load, and a server that refuses requests although
         it has slots does so at any load as well.
         """
-        return ConcurrencyLimit(slots, cold=False, cuts=False)
+        return ConcurrencyLimit(slots, ramp_up=False, cut_on_refusal=False)
 
     def make_queue(self):
         """Return a queue by priority: here, no key can use up a server's slots."""
--- a/comfreywharf_dev/bench/load_ramp.py
+++ b/comfreywharf_dev/bench/load_ramp.py
@@ -6,7 +6,7 @@
 
 import random
 
-from comfreywharf.load.limits import WARM_ROUNDS
+from comfreywharf.load.limits import WARM_ANSWERS_PER_SLOT
 from comfreywharf_dev.bench.figures import Figure
 from comfreywharf_dev.bench.load_model import Clock, ModelServer, arrivals
 
@@ -25,8 +25,8 @@
     server.cold_answers = COLD_ANSWERS
     server.crowding = CROWDING
     if not ramp:
-        for _ in range(server.state.limit.slots * WARM_ROUNDS):
-            server.state.limit.answered()
+        for _ in range(server.state.limit.slots * WARM_ANSWERS_PER_SLOT):
+            server.state.limit.record_answer()
     good = []
 
     def send():
