--- a/comfreywharf/routing/memory.py
+++ b/comfreywharf/routing/memory.py
@@ -42,7 +42,9 @@
 class MemoryLimits:
     """Bounds of an `AnswerMemory`.
 
-    ``age_s`` is for how long after its completion a request can be resent.
+    ``age_s`` is for how long after its completion a request can be resent. A longer
+    body than ``body_bytes`` isn't kept. ``page_bytes`` is the size of the pages in
+    which the answers are transferred to another owner.
     """
 
     entries: int = 100_000
@@ -97,7 +99,7 @@
 
 
 class BeginStatus(Enum):
-    """What the memory says about a request that arrives.
+    """Whether a request that arrives may run, and if not, why.
 
     ``FIRST``: it may run; ``RUNNING``: the same request is running; ``KNOWN``: its
     answer is remembered; ``NOT_VOUCHED``: it may have run before the memory was
@@ -174,9 +176,10 @@
     def begin(self, key, *, mark, first_sent_s, vouched_since_s, now_s):
         """Return whether a request may run, and record it as running if so.
 
-        ``mark`` is its `fingerprint`. ``first_sent_s`` is the earliest time at
-        which its caller may have sent it for the first time, or ``None`` if this
-        is the first send, so that nothing can have run. ``vouched_since_s`` is
+        ``mark`` is its `fingerprint`, by which it is compared with an earlier
+        request of the same id. ``first_sent_s`` is the earliest time at which its
+        caller may have sent it for the first time, or ``None`` if this is the
+        first send, so that nothing can have run. ``vouched_since_s`` is
         the time since when this node, as the key's owner, is known to remember
         all requests for the key.
         """
@@ -215,6 +218,7 @@
     def take_out(self, service, start, end, skip, now_s):
         """Return ``(answers, more)``: one page of the answers in a range of hashes.
 
+        They are transferred to another owner, and remain in this memory as well.
         ``skip`` is how many answers earlier pages had; ``more`` is whether others
         follow. The first page (``skip`` of zero) fixes the list, so that later
         pages neither miss nor repeat an entry while others expire.
--- a/comfreywharf/routing/outcomes.py
+++ b/comfreywharf/routing/outcomes.py
@@ -96,7 +96,7 @@
 
 
 def status_of(reason):
-    """Return the `Verdict` for a reason.
+    """Return the `Verdict` for a reason: its outcome and HTTP status.
 
     >>> status_of(Reason.OVERLOADED).status
     503
--- a/comfreywharf/routing/route.py
+++ b/comfreywharf/routing/route.py
@@ -67,8 +67,8 @@
     ``retry_after_ms`` is sent to a caller whose key had no owner for all of that
     time; ``retry_burst`` bounds the burst of retries that one node may send after
     a period without any. A request that its owner's server refused is sent there
-    up to ``resends`` more times, within the retry budget. Up to
-    ``unreached_members`` may be unavailable before a further one counts as a retry.
+    up to ``resends`` more times, within the retry budget. A request goes on from up
+    to ``unreached_members`` unavailable members before such a send counts as a retry.
     """
 
     holds: int = 48
@@ -84,11 +84,12 @@
 
 @attrs.frozen(kw_only=True)
 class Ownership:
-    """The nodes that may serve a key, by this node's latest fold; empty: none.
+    """The nodes that may serve a key, according to this node's latest fold.
 
-    While the log is unavailable, the fold keeps naming a lost owner; the standby
-    that serves in its place is known nevertheless. During a move the earlier
-    owner serves until the new one has received its release.
+    An empty id means that there is none. While the log is unavailable, the fold
+    keeps naming a lost owner, but also the standby that serves in its place.
+    During a move, ``previous`` is the earlier owner, which serves until the new
+    one has received its release.
     """
 
     owner: str = ""
@@ -103,7 +104,11 @@
 
 @attrs.frozen(kw_only=True)
 class RouteProgress:
-    """The progress of a request; ``asked`` are the nodes tried since the last hold."""
+    """How far the routing of a request has used up its `RouteLimits`.
+
+    ``asked`` are the nodes tried since the last hold. The limits apply to the
+    fields of the same names.
+    """
 
     target: str
     retries_left: int
--- a/comfreywharf/routing/tests/test_memory.py
+++ b/comfreywharf/routing/tests/test_memory.py
@@ -146,7 +146,7 @@
 
 
 def test_a_long_answer_is_remembered_without_its_body():
-    """A resend is told that the request ran, but doesn't get the answer's body."""
+    """The answer to a resend shows that the request ran, but has no body."""
     memory = AnswerMemory(LIMITS)
     begin(memory, request_key(1))
     memory.finish(request_key(1), answer(LIMITS.body_bytes + 1), 0.0)
@@ -155,7 +155,7 @@
 
 
 def test_a_page_holds_only_the_slice_that_moves():
-    """Answers of adjacent slices stay with their owner."""
+    """Answers of adjacent slices aren't transferred to the new owner."""
     memory = AnswerMemory(LIMITS)
     for key_hash in (1, 2, 3):
         key = RequestKey(SERVICE, key_hash, "id")
