--- a/comfreywharf/daemon/ownership/lease_calls.py
+++ b/comfreywharf/daemon/ownership/lease_calls.py
@@ -74,7 +74,7 @@
         node = self._node
         service, start = request.service_name, request.slice_start
         piece = node.follower.state.slices[service].at_start(start)
-        answers, more = node.memory.take_out(
+        answers, more = node.memory.export_answers(
             service, piece.start, piece.end, request.skip, now_s
         )
         since_s = node.leases.table.vouched_since_s(service, start)
--- a/comfreywharf/daemon/ownership/leases.py
+++ b/comfreywharf/daemon/ownership/leases.py
@@ -391,7 +391,7 @@
                 gevent.sleep(max(RELEASE_RETRY_S, wait_ms / 1000))
                 continue
             now_s = boottime_s()
-            self._node.memory.put_in(key.service, reply.answers, now_s)
+            self._node.memory.import_answers(key.service, reply.answers, now_s)
             received += len(reply.answers)
             self._node.grants.take_handover(key, reply.handover)
             if not reply.more:
--- a/comfreywharf/daemon/requests/memory.py
+++ b/comfreywharf/daemon/requests/memory.py
@@ -59,17 +59,19 @@
         if waiter is not None:
             waiter.set()
 
-    def take_out(self, service, start, end, skip, now_s):
+    def export_answers(self, service, start, end, skip, now_s):
         """Return a page of `RememberedAnswer` and whether more pages follow.
 
         To get the next page, increase ``skip`` by the length of this one.
         """
-        page, more = self.answers.take_out(service, start, end, skip, now_s)
+        page, more = self.answers.export_answers(service, start, end, skip, now_s)
         return [_to_message(kept) for kept in page], more
 
-    def put_in(self, service, answers, now_s):
+    def import_answers(self, service, answers, now_s):
         """Import a page of `RememberedAnswer` from an earlier owner."""
-        self.answers.put_in(service, [_from_message(each) for each in answers], now_s)
+        self.answers.import_answers(
+            service, [_from_message(each) for each in answers], now_s
+        )
 
 
 def _to_message(kept):
--- a/comfreywharf/daemon/requests/replies.py
+++ b/comfreywharf/daemon/requests/replies.py
@@ -1,6 +1,6 @@
 """Replies that a node creates itself, without an answer of the backend server."""
 
-from comfreywharf.routing import Answer, Outcome, Reason, status_of
+from comfreywharf.routing import Answer, Outcome, Reason, verdict_of
 from comfreywharf.transport.gen.ttypes import ForwardReply, Header
 
 __all__ = ["FIRST_STATUS_HEADER", "answer_to_remember", "refusal", "reply_from_answer"]
@@ -14,7 +14,7 @@
 
     ``outcome`` overrides the default outcome of the reason.
     """
-    verdict = status_of(reason)
+    verdict = verdict_of(reason)
     return ForwardReply(
         outcome=outcome or verdict.outcome,
         status=verdict.status,
--- a/comfreywharf/routing/__init__.py
+++ b/comfreywharf/routing/__init__.py
@@ -11,7 +11,7 @@
     RequestKey,
     fingerprint,
 )
-from comfreywharf.routing.outcomes import SAFE_METHODS, Outcome, Reason, status_of
+from comfreywharf.routing.outcomes import SAFE_METHODS, Outcome, Reason, verdict_of
 from comfreywharf.routing.route import (
     GiveUp,
     Hold,
@@ -46,5 +46,5 @@
     "after_hold",
     "decide_route",
     "fingerprint",
-    "status_of",
+    "verdict_of",
 ]
--- a/comfreywharf/routing/memory.py
+++ b/comfreywharf/routing/memory.py
@@ -215,7 +215,7 @@
         if key in self._done:
             self._drop(key)
 
-    def take_out(self, service, start, end, skip, now_s):
+    def export_answers(self, service, start, end, skip, now_s):
         """Return ``(answers, more)``: one page of the answers in a range of hashes.
 
         They are transferred to another owner, and remain in this memory as well.
@@ -239,7 +239,7 @@
             self._snapshots.pop((service, start), None)
         return page, more
 
-    def put_in(self, service, answers, now_s):
+    def import_answers(self, service, answers, now_s):
         """Add the answers that another owner remembered."""
         for kept in answers:
             finished_s = now_s - kept.age_s
@@ -273,11 +273,11 @@
 
     def _drop(self, key):
         entry = self._done.pop(key)
-        place = _bucket(key)
-        bucket = self._buckets[place]
+        bucket_id = _bucket(key)
+        bucket = self._buckets[bucket_id]
         del bucket[key]
         if not bucket:
-            del self._buckets[place]
+            del self._buckets[bucket_id]
         self._size_bytes -= entry.size_bytes
         return entry
 
--- a/comfreywharf/routing/outcomes.py
+++ b/comfreywharf/routing/outcomes.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-__all__ = ["SAFE_METHODS", "Outcome", "Reason", "Verdict", "status_of"]
+__all__ = ["SAFE_METHODS", "Outcome", "Reason", "Verdict", "verdict_of"]
 
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 """Methods without side effects, which may be repeated (RFC 9110, section 9.2.1)."""
@@ -95,10 +95,10 @@
 )
 
 
-def status_of(reason):
+def verdict_of(reason):
     """Return the `Verdict` for a reason: its outcome and HTTP status.
 
-    >>> status_of(Reason.OVERLOADED).status
+    >>> verdict_of(Reason.OVERLOADED).status
     503
     """
     if reason in _REFUSED_INPUT:
--- a/comfreywharf/routing/route.py
+++ b/comfreywharf/routing/route.py
@@ -106,13 +106,13 @@
 class RouteProgress:
     """How far the routing of a request has used up its `RouteLimits`.
 
-    ``asked`` are the nodes tried since the last hold. The limits apply to the
+    ``tried`` are the nodes tried since the last hold. The limits apply to the
     fields of the same names.
     """
 
     target: str
     retries_left: int
-    asked: frozenset[str] = frozenset()
+    tried: frozenset[str] = frozenset()
     holds: int = 0
     held_since_s: float | None = None
     resends: int = 0
@@ -142,7 +142,7 @@
 
 def after_hold(progress, ownership):
     """Return the progress to continue with after a hold."""
-    return attrs.evolve(progress, target=ownership.owner, asked=frozenset())
+    return attrs.evolve(progress, target=ownership.owner, tried=frozenset())
 
 
 def decide_route(
@@ -179,7 +179,7 @@
             )
         if reason not in _NO_SERVING_OWNER:
             return GiveUp()
-        progress = attrs.evolve(progress, asked=progress.asked | {progress.target})
+        progress = attrs.evolve(progress, tried=progress.tried | {progress.target})
         target = _next_candidate(progress, reply.owner_hint, ownership, limits)
         if target:
             return Send(attrs.evolve(progress, target=target))
@@ -210,10 +210,10 @@
     # Two nodes that consider each other the owner would forward a request back
     # and forth. Each is therefore tried once; then the request is held until
     # the fold changes.
-    if len(progress.asked) >= limits.nodes_between_holds:
+    if len(progress.tried) >= limits.nodes_between_holds:
         return ""
     for node_id in (hint, *ownership.candidates()):
-        if node_id and node_id not in progress.asked:
+        if node_id and node_id not in progress.tried:
             return node_id
     return ""
 
--- a/comfreywharf/routing/tests/test_memory.py
+++ b/comfreywharf/routing/tests/test_memory.py
@@ -96,9 +96,11 @@
         receiver = AnswerMemory(LIMITS)
         received, more = 0, True
         while more:
-            page, more = self.memory.take_out(SERVICE, 0, 1 << 63, received, self.now_s)
+            page, more = self.memory.export_answers(
+                SERVICE, 0, 1 << 63, received, self.now_s
+            )
             received += len(page)
-            receiver.put_in(SERVICE, page, self.now_s)
+            receiver.import_answers(SERVICE, page, self.now_s)
             self.now_s += passed_s
         self.memory = receiver
 
@@ -161,5 +163,5 @@
         key = RequestKey(SERVICE, key_hash, "id")
         begin(memory, key)
         memory.finish(key, answer(), 0.0)
-    page, more = memory.take_out(SERVICE, 2, 3, 0, 0.0)
+    page, more = memory.export_answers(SERVICE, 2, 3, 0, 0.0)
     assert ([kept.key_hash for kept in page], more) == ([2], False)
--- a/comfreywharf/routing/tests/test_route.py
+++ b/comfreywharf/routing/tests/test_route.py
@@ -15,7 +15,7 @@
     Send,
     after_hold,
     decide_route,
-    status_of,
+    verdict_of,
 )
 
 LIMITS = RouteLimits()
@@ -38,7 +38,7 @@
 
 
 def refused(reason, owner_hint=""):
-    return Refused(reason.value, status_of(reason).outcome, owner_hint)
+    return Refused(reason.value, verdict_of(reason).outcome, owner_hint)
 
 
 replies = st.builds(
@@ -47,7 +47,7 @@
     st.sampled_from(list(Outcome)),
     nodes,
 )
-gap_replies = st.builds(
+replies_without_owner = st.builds(
     refused,
     st.sampled_from(
         [
@@ -86,7 +86,7 @@
     progress = RouteProgress(target=data.draw(nodes), retries_left=RETRIES)
     now_s, sends = 0.0, 1
     while True:
-        reply = data.draw(gap_replies if divided_by_key else replies)
+        reply = data.draw(replies_without_owner if divided_by_key else replies)
         ownership = data.draw(ownerships) if divided_by_key else None
         step = decide(progress, reply, ownership, now_s, other_member="other")
         if isinstance(step, GiveUp):
