--- a/comfreywharf/routes/codec.py
+++ b/comfreywharf/routes/codec.py
@@ -27,7 +27,7 @@
 def decode_table(data):
     """Return the `RouteTable` that is encoded in bytes.
 
-    Raises `RouteTableError` if they are not a valid encoded table.
+    Raise a `RouteTableError` if they are not a valid encoded table.
     """
     try:
         fields = orjson.loads(data)
@@ -38,7 +38,7 @@
             limits=CallerLimits(**fields["limits"]),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise RouteTableError(f"unreadable routes: {error}") from error
+        raise RouteTableError(f"expected a JSON route table: {error!r}") from error
 
 
 def _route(fields):
--- a/comfreywharf/routes/model.py
+++ b/comfreywharf/routes/model.py
@@ -67,7 +67,11 @@
 
 @attrs.frozen(kw_only=True)
 class CallerLimits:
-    """Limits on the size of a caller's requests and on its slowness and idleness."""
+    """Limits on a caller's requests and connections.
+
+    The header of a request may take ``header_timeout_ms`` to arrive; a connection
+    without a request is closed after ``idle_timeout_ms``.
+    """
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 64 << 20
