--- a/comfreywharf/membership/__init__.py
+++ b/comfreywharf/membership/__init__.py
@@ -1,6 +1,7 @@
 """The life cycles of nodes and backend servers, and the gossip between nodes.
 
-The life cycle of a node is a state chart in a file that the code interprets.
+The life cycle of a node is the state chart in ``node.toml``, which `NodeLifecycle`
+interprets.
 """
 
 from comfreywharf.membership.charts import Chart, load_chart
--- a/comfreywharf/membership/instances.py
+++ b/comfreywharf/membership/instances.py
@@ -54,7 +54,12 @@
     _last_report_s: float = float("-inf")
 
     def receive_heartbeat(self, incarnation, sequence, leaving, now_s):
-        """Return the `HeartbeatKind` of a heartbeat that was received at ``now_s``."""
+        """Return the `HeartbeatKind` of a heartbeat that was received at ``now_s``.
+
+        ``sequence`` numbers the heartbeats of an incarnation; ``leaving`` is true if
+        the server reports that it drains. After ``FIRST``, or once a ``RIVAL`` is
+        the current one, the caller records this with `leave`.
+        """
         if incarnation in self._ended or self._is_outdated(incarnation, now_s):
             return HeartbeatKind.STALE
         if self.current is None:
--- a/comfreywharf/membership/relays.py
+++ b/comfreywharf/membership/relays.py
@@ -71,10 +71,10 @@
     def is_fresh(self, members, relay_id, age):
         """Return whether a relay's data is as recent as expected at its level.
 
-        ``age`` is its `RelayedAge`. A relay that the log refuses keeps answering, and
-        nodes that receive from it would use an outdated configuration without
-        noticing. Routes and records are read separately, so each may be outdated
-        while the other is not.
+        ``age`` is its `RelayedAge`. A relay whose reads the log refuses keeps
+        answering, and nodes that receive from it would use an outdated configuration
+        without detecting it. Routes and records are read separately, so each may be
+        outdated while the other is not.
         """
         order = self._order(members)
         level = _level(order.index(relay_id)) if relay_id in order else 0
--- a/comfreywharf/membership/tests/test_instances.py
+++ b/comfreywharf/membership/tests/test_instances.py
@@ -14,7 +14,7 @@
 
 
 def test_reports_in_order_from_the_first_one_to_leaving():
-    """Reports that arrive in order."""
+    """Each kind of report that arrives in order is recognized."""
     instances = InstanceTracker()
     assert instances.receive_heartbeat(A, 1, False, NOW_S) is HeartbeatKind.FIRST
     assert instances.receive_heartbeat(A, 2, False, NOW_S) is HeartbeatKind.SAME
