--- a/comfreywharf/daemon/membership/notices.py
+++ b/comfreywharf/daemon/membership/notices.py
@@ -47,7 +47,7 @@
 
     def current(self, kind, now_s):
         """Return the unexpired notices of a kind at a monotonic time."""
-        return self._board.current(kind, now_s)
+        return self._board.unexpired_of_kind(kind, now_s)
 
     def on_new_notice(self, listener):
         """Call ``listener()`` whenever there are new notices to forward."""
@@ -57,7 +57,7 @@
         """Return the newest notices as messages, except those with ``known`` ids."""
         chosen = [
             notice
-            for notice in reversed(self._board.live(now_s))
+            for notice in reversed(self._board.unexpired(now_s))
             if notice.notice_id not in known
             and notice.expires_s - now_s >= MIN_REMAINING_S
         ]
--- a/comfreywharf/daemon/membership/relay_client.py
+++ b/comfreywharf/daemon/membership/relay_client.py
@@ -53,6 +53,6 @@
         return True
 
     def _avoid(self, relay_id, why):
-        self._relays.failed(relay_id, boottime_s())
+        self._relays.record_failure(relay_id, boottime_s())
         self._node.report("relay_avoided", relay=relay_id, why=why)
         return False
--- a/comfreywharf/daemon/servers/backend_lifecycle.py
+++ b/comfreywharf/daemon/servers/backend_lifecycle.py
@@ -43,7 +43,7 @@
         if kind is HeartbeatKind.FIRST:
             self._start_using(announcement)
             if leaving:
-                kind = self._instances.leave(incarnation)
+                kind = self._instances.record_leaving(incarnation)
             gevent.spawn(self._verify, announcement, sequence)
         elif kind is HeartbeatKind.RIVAL and self._instances.current.started_before(
             incarnation
@@ -53,7 +53,7 @@
             self._instances.set_current(incarnation, sequence, boottime_s())
             self._start_using(announcement)
             if leaving:
-                kind = self._instances.leave(incarnation)
+                kind = self._instances.record_leaving(incarnation)
         elif kind is HeartbeatKind.RIVAL:
             gevent.spawn(self._verify, announcement, sequence)
         elif kind is HeartbeatKind.SAME and self._node.backend is None:
@@ -70,12 +70,12 @@
 
     def receive_deregistration(self, incarnation):
         """Process a deregistration: the server leaves, or has left."""
-        if self._instances.leave(incarnation) is HeartbeatKind.LEAVES:
+        if self._instances.record_leaving(incarnation) is HeartbeatKind.LEAVES:
             self._start_leaving()
 
     def record_end(self):
         """Record that the current incarnation has ended."""
-        self._instances.end()
+        self._instances.end_current()
 
     def _start_using(self, announcement):
         self._announcement = announcement
--- a/comfreywharf/membership/gossip.py
+++ b/comfreywharf/membership/gossip.py
@@ -25,7 +25,7 @@
 may take.
 """
 
-GROWTH = 1.5
+INTERVAL_GROWTH = 1.5
 """The factor by which the interval grows with each exchange without anything new."""
 
 
@@ -41,14 +41,14 @@
 
     def lengthen(self):
         """Lengthen the interval, up to its maximum."""
-        self.interval_s = min(self.interval_s * GROWTH, MAX_INTERVAL_S)
+        self.interval_s = min(self.interval_s * INTERVAL_GROWTH, MAX_INTERVAL_S)
 
     def wait_s(self, rng):
         """Return the time to wait, with jitter so that nodes don't synchronize."""
         return self.interval_s * rng.uniform(0.75, 1.25)
 
 
-def push_count(members):
+def push_count(member_count):
     """Return to how many peers new information is pushed immediately.
 
     Each node that receives it pushes it to as many peers. With ``k`` pushes by
@@ -58,7 +58,9 @@
     >>> push_count(3), push_count(640)
     (2, 4)
     """
-    return max(1, min(4, math.ceil(math.log(max(members, 2))))) if members else 0
+    return (
+        max(1, min(4, math.ceil(math.log(max(member_count, 2))))) if member_count else 0
+    )
 
 
 def choose_partners(candidates, count, rng):
--- a/comfreywharf/membership/instances.py
+++ b/comfreywharf/membership/instances.py
@@ -58,7 +58,7 @@
 
         ``sequence`` numbers the heartbeats of an incarnation; ``leaving`` is true if
         the server reports that it drains. After ``FIRST``, or once a ``RIVAL`` is
-        the current one, the caller records this with `leave`.
+        the current one, the caller records this with `record_leaving`.
         """
         if incarnation in self._ended or self._is_outdated(incarnation, now_s):
             return HeartbeatKind.STALE
@@ -73,7 +73,9 @@
         self._sequence = sequence
         if not leaving:
             return HeartbeatKind.SAME
-        return HeartbeatKind.LEAVING if self.leaving else self.leave(incarnation)
+        return (
+            HeartbeatKind.LEAVING if self.leaving else self.record_leaving(incarnation)
+        )
 
     def _is_outdated(self, incarnation, now_s):
         newest = self._newest.get(incarnation.instance)
@@ -83,7 +85,7 @@
         damaged = incarnation.started_ms is None and newest.started_ms is not None
         return damaged or incarnation.started_before(newest)
 
-    def leave(self, incarnation):
+    def record_leaving(self, incarnation):
         """Record that an incarnation leaves.
 
         Return `HeartbeatKind.LEAVES` if that is the first such report of the current
@@ -100,13 +102,13 @@
 
     def set_current(self, incarnation, sequence=-1, now_s=float("-inf")):
         """Make an incarnation the current one; the one before it has ended."""
-        self.end()
+        self.end_current()
         self.current = incarnation
         self._sequence = sequence
         self._last_report_s = now_s
         self._newest[incarnation.instance] = incarnation
 
-    def end(self):
+    def end_current(self):
         """Record that the current incarnation has ended."""
         if self.current is not None:
             self._ended.add(self.current)
--- a/comfreywharf/membership/notices.py
+++ b/comfreywharf/membership/notices.py
@@ -46,8 +46,10 @@
     ...     notice_id="a", kind="suspect", subject="f", value=1.0, expires_s=9.0)
     >>> board.add(notice, now_s=0.0), board.add(notice, now_s=0.0)
     (True, False)
-    >>> len(board.current("suspect", now_s=8.0)), board.current("suspect", now_s=9.0)
-    (1, [])
+    >>> len(board.unexpired_of_kind("suspect", now_s=8.0))
+    1
+    >>> board.unexpired_of_kind("suspect", now_s=9.0)
+    []
     """
 
     def __init__(self, capacity=MAX_NOTICES):
@@ -70,11 +72,11 @@
         self._notices[notice.notice_id] = notice
         return True
 
-    def current(self, kind, now_s):
+    def unexpired_of_kind(self, kind, now_s):
         """Return the unexpired notices of a kind, the first added first."""
-        return [notice for notice in self.live(now_s) if notice.kind == kind]
+        return [notice for notice in self.unexpired(now_s) if notice.kind == kind]
 
-    def live(self, now_s):
+    def unexpired(self, now_s):
         """Return all unexpired notices, the first added first."""
         self._expire(now_s)
         return list(self._notices.values())
--- a/comfreywharf/membership/relays.py
+++ b/comfreywharf/membership/relays.py
@@ -64,7 +64,7 @@
                 return node_id
         return ""
 
-    def failed(self, node_id, now_s):
+    def record_failure(self, node_id, now_s):
         """Record that a relay didn't answer, or that its data was outdated."""
         self._avoided_until_s[node_id] = now_s + AVOIDANCE_S
 
--- a/comfreywharf/membership/tests/test_lifecycle.py
+++ b/comfreywharf/membership/tests/test_lifecycle.py
@@ -41,8 +41,10 @@
     lifecycle = NodeLifecycle()
     for seen in history:
         settle(lifecycle, seen)
-    well = NodeFacts(caught_up=True, lease_held=True, superseded=False, draining=False)
-    settle(lifecycle, well)
+    healthy = NodeFacts(
+        caught_up=True, lease_held=True, superseded=False, draining=False
+    )
+    settle(lifecycle, healthy)
     assert lifecycle.state in ("active", "replaced")
 
 
--- a/comfreywharf/membership/tests/test_notices.py
+++ b/comfreywharf/membership/tests/test_notices.py
@@ -31,9 +31,9 @@
         if board.add(make_notice(notice_id, now_s + ttl_s), now_s):
             assert now_s >= new_until_s.get(notice_id, now_s)
             new_until_s[notice_id] = now_s + ttl_s
-        live = board.live(now_s)
-        assert len(live) <= CAPACITY
-        assert all(notice.expires_s > now_s for notice in live)
+        unexpired = board.unexpired(now_s)
+        assert len(unexpired) <= CAPACITY
+        assert all(notice.expires_s > now_s for notice in unexpired)
 
 
 def test_an_expired_notice_is_not_accepted_again_from_a_peer():
@@ -46,7 +46,7 @@
     board = NoticeBoard()
     notice = make_notice("a", expires_s=1.0)
     assert board.add(notice, now_s=0.0)
-    assert board.live(now_s=1.0) == []
+    assert board.unexpired(now_s=1.0) == []
     echo = attrs.evolve(notice, expires_s=1.2)
     assert not board.add(echo, now_s=1.1)
     later = attrs.evolve(notice, expires_s=2 + ECHO_MARGIN_S)
--- a/comfreywharf/membership/tests/test_relays.py
+++ b/comfreywharf/membership/tests/test_relays.py
@@ -41,7 +41,7 @@
     for name in members:
         own = Relays(name, MAX_AGE_S)
         while (chosen := own.choose(members, NOW_S)) and rng.random() < 0.5:
-            own.failed(chosen, NOW_S)
+            own.record_failure(chosen, NOW_S)
         relays[name] = chosen
     for name in members:
         seen = set()
@@ -65,10 +65,10 @@
     reader = next(name for name in members if not relay_of(name, members))
     last = Relays(order[-1], MAX_AGE_S)
     assert last.choose(members, NOW_S) == reader
-    last.failed(reader, NOW_S)
+    last.record_failure(reader, NOW_S)
     second = last.choose(members, NOW_S + 1)
     assert second not in ("", reader, order[-1])
-    last.failed(second, NOW_S + 1)
+    last.record_failure(second, NOW_S + 1)
     assert last.choose(members, NOW_S + 2) == ""
     assert last.choose(members, NOW_S + 5.1) == reader
 
