--- a/comfreywharf/daemon/requests/memory.py
+++ b/comfreywharf/daemon/requests/memory.py
@@ -7,7 +7,7 @@
     AnswerMemory,
     KeptAnswer,
     Outcome,
-    fingerprint,
+    resend_fingerprint,
 )
 from comfreywharf.transport.gen.ttypes import RememberedAnswer
 
@@ -23,7 +23,7 @@
     if request.body_mark:
         return request.body_mark
     known_part = body if isinstance(body, bytes) else b""
-    return fingerprint(request.method, request.path, known_part)
+    return resend_fingerprint(request.method, request.path, known_part)
 
 
 class NodeMemory:
--- a/comfreywharf/load/ejection.py
+++ b/comfreywharf/load/ejection.py
@@ -61,7 +61,7 @@
         """
         if not self._ejected:
             return list(members)
-        self._forget_departed(members)
+        self._drop_departed_and_excess(members)
         for member in members:
             ejection = self._ejected.get(member.node_id)
             if ejection and ejection.is_due(now_s, idempotent):
@@ -147,7 +147,7 @@
             return FIRST_PAUSE_S
         return pause_s
 
-    def _forget_departed(self, members):
+    def _drop_departed_and_excess(self, members):
         """Drop members that left, and reinstate members beyond the allowed fraction."""
         present = {member.node_id for member in members}
         for node_id in [n for n in self._ejected if n not in present]:
--- a/comfreywharf/membership/notices.py
+++ b/comfreywharf/membership/notices.py
@@ -67,7 +67,7 @@
         # nodes would send such a copy back and forth and it would never expire.
         if notice.notice_id in self._notices or notice.notice_id in self._expired_ids:
             return False
-        if len(self._notices) >= self._capacity and not self._make_room(notice):
+        if len(self._notices) >= self._capacity and not self._evict_for(notice):
             return False
         self._notices[notice.notice_id] = notice
         return True
@@ -87,7 +87,7 @@
             return False
         return now_s < notice.expires_s <= now_s + MAX_TTL_S
 
-    def _make_room(self, notice):
+    def _evict_for(self, notice):
         soonest = min(self._notices.values(), key=lambda kept: kept.expires_s)
         if soonest.expires_s > notice.expires_s:
             return False
--- a/comfreywharf/routing/__init__.py
+++ b/comfreywharf/routing/__init__.py
@@ -9,7 +9,7 @@
     KeptAnswer,
     MemoryLimits,
     RequestKey,
-    fingerprint,
+    resend_fingerprint,
 )
 from comfreywharf.routing.outcomes import SAFE_METHODS, Outcome, Reason, verdict_of
 from comfreywharf.routing.route import (
@@ -45,6 +45,6 @@
     "Send",
     "after_hold",
     "decide_route",
-    "fingerprint",
+    "resend_fingerprint",
     "verdict_of",
 ]
--- a/comfreywharf/routing/memory.py
+++ b/comfreywharf/routing/memory.py
@@ -24,7 +24,7 @@
     "KeptAnswer",
     "MemoryLimits",
     "RequestKey",
-    "fingerprint",
+    "resend_fingerprint",
 ]
 
 ENTRY_BYTES = 400
@@ -127,7 +127,7 @@
 _REUSED = BeginResult(BeginStatus.REUSED)
 
 
-def fingerprint(method, path, body):
+def resend_fingerprint(method, path, body):
     """Return a 63-bit digest of a request's method, path and body.
 
     A request id that is used with another fingerprint is a caller's mistake, and
@@ -176,7 +176,7 @@
     def begin(self, key, *, mark, first_sent_s, vouched_since_s, now_s):
         """Return whether a request may run, and record it as running if so.
 
-        ``mark`` is its `fingerprint`, by which it is compared with an earlier
+        ``mark`` is its `resend_fingerprint`, by which it is compared with an earlier
         request of the same id. ``first_sent_s`` is the earliest time at which its
         caller may have sent it for the first time, or ``None`` if this is the
         first send, so that nothing can have run. ``vouched_since_s`` is
--- a/comfreywharf/routing/tests/test_memory.py
+++ b/comfreywharf/routing/tests/test_memory.py
@@ -11,7 +11,7 @@
     MemoryLimits,
     Outcome,
     RequestKey,
-    fingerprint,
+    resend_fingerprint,
 )
 
 SERVICE = "booking"
@@ -139,10 +139,10 @@
     """
     memory = AnswerMemory(LIMITS)
     key = request_key(1)
-    first = fingerprint("POST", "/book", b"monday")
+    first = resend_fingerprint("POST", "/book", b"monday")
     begin(memory, key, first)
     memory.finish(key, answer(), 0.0)
-    other = fingerprint("POST", "/book", b"tuesday")
+    other = resend_fingerprint("POST", "/book", b"tuesday")
     assert begin(memory, key, other).begin_status == BeginStatus.REUSED
     assert begin(memory, key, first).answer.body == answer().body
 
