--- a/comfreywharf/load/absences.py
+++ b/comfreywharf/load/absences.py
@@ -15,6 +15,12 @@
 
 @attrs.define
 class _Absence:
+    """A member's absence, and when its next probe is due.
+
+    It is kept after its end, ``ended_s``, so that the pause of another absence soon
+    after it continues from this one.
+    """
+
     until_s: float
     pause_s: float
     probing: bool = False
--- a/comfreywharf/membership/notices.py
+++ b/comfreywharf/membership/notices.py
@@ -88,6 +88,7 @@
         return now_s < notice.expires_s <= now_s + MAX_TTL_S
 
     def _evict_for(self, notice):
+        """Evict the notice that expires first; return false if that is the new one."""
         soonest = min(self._notices.values(), key=lambda kept: kept.expires_s)
         if soonest.expires_s > notice.expires_s:
             return False
--- a/comfreywharf/placement/meter.py
+++ b/comfreywharf/placement/meter.py
@@ -26,6 +26,8 @@
 
 @attrs.define
 class _Rate:
+    """Requests to a slice; a negative rate hasn't been measured or reported yet."""
+
     service: str
     end: int
     count: int = 0
--- a/comfreywharf/placement/terms.py
+++ b/comfreywharf/placement/terms.py
@@ -28,8 +28,10 @@
 `LATE_WINDOW_S`."""
 
 LATE_WINDOW_S = 30.0
+
 MIN_BACKOFF_S = 2.0
 MAX_BACKOFF_S = 300.0
+"""Base and upper bound of the time for which a node starts no further term."""
 
 
 @attrs.frozen(kw_only=True)
@@ -69,7 +71,11 @@
 
 @attrs.define(kw_only=True)
 class TermState:
-    """One node's view of the planner."""
+    """One node's view of the planner.
+
+    The planner has seemed lost since ``suspected_s``. ``own_starts`` counts the
+    terms that this node started; it doesn't start another before ``not_before_s``.
+    """
 
     node_id: str
     missed_reports: int = 0
--- a/comfreywharf/routing/route.py
+++ b/comfreywharf/routing/route.py
@@ -61,14 +61,15 @@
 class RouteLimits:
     """Bounds of the routing of one request.
 
-    At most ``nodes_between_holds`` nodes are tried between two holds. The holds
-    grow from ``first_hold_s`` to ``longest_hold_s`` and last no longer than
-    ``total_hold_s`` together; a fold that changes the owner ends a hold early.
-    ``retry_after_ms`` is sent to a caller whose key had no owner for all of that
-    time; ``retry_burst`` bounds the burst of retries that one node may send after
-    a period without any. A request that its owner's server refused is sent there
-    up to ``resends`` more times, within the retry budget. A request goes on from up
-    to ``unreached_members`` unavailable members before such a send counts as a retry.
+    A request is held up to ``holds`` times, and at most ``nodes_between_holds``
+    nodes are tried between two holds. The holds grow from ``first_hold_s`` to
+    ``longest_hold_s`` and last no longer than ``total_hold_s`` together; a fold that
+    changes the owner ends a hold early. ``retry_after_ms`` is sent to a caller whose
+    key had no owner for all of that time; ``retry_burst`` bounds the burst of
+    retries that one node may send after a period without any. A request that its
+    owner's server refused is sent there up to ``resends`` more times, within the
+    retry budget. A request goes on from up to ``unreached_members`` unavailable
+    members before such a send counts as a retry.
     """
 
     holds: int = 48
