--- a/comfreywharf/placement/terms.py
+++ b/comfreywharf/placement/terms.py
@@ -29,7 +29,7 @@
 
 LATE_WINDOW_S = 30.0
 
-MIN_BACKOFF_S = 2.0
+BACKOFF_BASE_S = 2.0
 MAX_BACKOFF_S = 300.0
 """Base and upper bound of the time for which a node starts no further term."""
 
@@ -156,4 +156,4 @@
     Otherwise two nodes that can't reach each other, while all others reach both,
     would take the role from each other every few seconds.
     """
-    return min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2 ** min(state.own_starts, 10))
+    return min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2 ** min(state.own_starts, 10))
