--- a/comfreywharf/daemon/requests/quarantine.py
+++ b/comfreywharf/daemon/requests/quarantine.py
@@ -80,11 +80,11 @@
 
     def mark_suspect(self, fingerprint, service):
         """Mark a request as suspect before the crash of its server is confirmed."""
-        self._quarantine.suspect(fingerprint, service, boottime_s())
+        self._quarantine.mark_suspect(fingerprint, service, boottime_s())
 
     def clear_suspect(self, fingerprint):
         """Clear a suspect that another node ran alone and got an answer to."""
-        self._quarantine.answered(fingerprint, boottime_s())
+        self._quarantine.clear_suspect(fingerprint, boottime_s())
 
     def record_start(self, slot):
         """Record a request that is about to be forwarded."""
@@ -94,7 +94,9 @@
         """Record the end of a request; a suspect that was answered is cleared."""
         self._crash_watch.run_ended(slot)
         if answered and slot.ticket.alone:
-            self._publish(self._quarantine.answered(slot.fingerprint, boottime_s()))
+            self._publish(
+                self._quarantine.clear_suspect(slot.fingerprint, boottime_s())
+            )
 
     def connection_lost(self, slot, backend, wait_s=PROBE_WAIT_S):
         """Record a lost connection, and probe whether the backend server crashed.
--- a/comfreywharf/load/tests/test_ranked_queue.py
+++ b/comfreywharf/load/tests/test_ranked_queue.py
@@ -37,8 +37,8 @@
 
     work_s = {0: WORK_S, 1: WORK_S}
 
-    def __init__(self, per_s, with_target=True, queue=None):
-        limit = ConcurrencyLimit(SLOTS, cold=False)
+    def __init__(self, arrivals_per_s, with_target=True, queue=None):
+        limit = ConcurrencyLimit(SLOTS, ramp_up=False)
         self.state = AdmissionState(
             limit,
             256,
@@ -46,7 +46,7 @@
             queue=queue or RankedQueue(),
             retry_after=RetryAfter(0.1, 0.2),
         )
-        self.per_s = per_s
+        self.arrivals_per_s = arrivals_per_s
         self.arrived = 0
         self.now_s = 0.0
         self.target_s = TARGET_S if with_target else None
@@ -61,7 +61,7 @@
         for tick in range(int(seconds / step_s)):
             now_s = self.now_s = started_s + tick * step_s
             self._finish(now_s)
-            due += self.per_s * step_s
+            due += self.arrivals_per_s * step_s
             while due >= 1:
                 due -= 1
                 self.arrived += 1
@@ -158,9 +158,9 @@
 def test_late_requests_wait_behind_all_others():
     """Late requests wait behind all others instead of being refused.
 
-    Guards against refused retries while the server has idle slots: after an overload
-    of a second its refused callers retry, and requests past their target were
-    refused whenever another request waited.
+    Guards against refusing retries while the server has idle slots. When requests
+    past their target were refused whenever another request waited, the callers that
+    an overload of one second had refused were refused again.
     """
     queue = RankedQueue()
     late, fresh = ticket(0.0, 101, None), ticket(0.0, 1)
@@ -185,7 +185,7 @@
     of the callers were refused, retried late, and were refused again.
     """
     server = SimulatedServer(220).run(0.6)
-    server.per_s = 30
+    server.arrivals_per_s = 30
     server.run(3)
     refused = sum(map(len, server.shed.values()))
     assert refused <= 0.2 * server.arrived
@@ -199,7 +199,10 @@
 
 
 def test_short_calls_are_served_beside_long_uploads():
-    """Guards against short calls that are refused by the service time of uploads."""
+    """Short calls are estimated by their own service time.
+
+    Guards against refusing short calls because uploads to the same server take long.
+    """
     server = MixedLoadServer(60).run(10)
     served, refused = len(server.done[0]), len(server.shed[0])
     assert served > 0.95 * (served + refused)
--- a/comfreywharf/membership/notices.py
+++ b/comfreywharf/membership/notices.py
@@ -46,8 +46,10 @@
     ...     notice_id="a", kind="suspect", subject="f", value=1.0, expires_s=9.0)
     >>> board.add(notice, now_s=0.0), board.add(notice, now_s=0.0)
     (True, False)
-    >>> len(board.current("suspect", now_s=8.0)), board.current("suspect", now_s=9.0)
-    (1, [])
+    >>> len(board.unexpired_of_kind("suspect", now_s=8.0))
+    1
+    >>> board.unexpired_of_kind("suspect", now_s=9.0)
+    []
     """
 
     def __init__(self, capacity=MAX_NOTICES):
@@ -65,16 +67,16 @@
         # nodes would send such a copy back and forth and it would never expire.
         if notice.notice_id in self._notices or notice.notice_id in self._expired_ids:
             return False
-        if len(self._notices) >= self._capacity and not self._make_room(notice):
+        if len(self._notices) >= self._capacity and not self._evict_for(notice):
             return False
         self._notices[notice.notice_id] = notice
         return True
 
-    def current(self, kind, now_s):
+    def unexpired_of_kind(self, kind, now_s):
         """Return the unexpired notices of a kind, the first added first."""
-        return [notice for notice in self.live(now_s) if notice.kind == kind]
+        return [notice for notice in self.unexpired(now_s) if notice.kind == kind]
 
-    def live(self, now_s):
+    def unexpired(self, now_s):
         """Return all unexpired notices, the first added first."""
         self._expire(now_s)
         return list(self._notices.values())
@@ -85,7 +87,8 @@
             return False
         return now_s < notice.expires_s <= now_s + MAX_TTL_S
 
-    def _make_room(self, notice):
+    def _evict_for(self, notice):
+        """Evict the notice that expires first; return false if that is the new one."""
         soonest = min(self._notices.values(), key=lambda kept: kept.expires_s)
         if soonest.expires_s > notice.expires_s:
             return False
--- a/comfreywharf/placement/rebalance.py
+++ b/comfreywharf/placement/rebalance.py
@@ -14,11 +14,14 @@
     "policy_for",
 ]
 
-LEAST_MOVES_PER_ROUND = 4
+MIN_MOVE_LIMIT_PER_ROUND = 4
+"""Lower bound on the limit on moves in one round, for services with few slices."""
+
 MAX_MOVED_SHARE_PER_ROUND = 0.05
-"""Limit on the slices that move in one round, as a share of all slices."""
+"""Limit on the slices that move in one round, as a share of all slices, unless it is
+below `MIN_MOVE_LIMIT_PER_ROUND`."""
 
-OVERLOADED = 0.9
+OVERLOADED_BUSY_FRACTION = 0.9
 """Busy fraction of a server's slots from which on its queue grows."""
 
 MIN_UTILISATION = 0.3
@@ -33,7 +36,7 @@
 """Hourly churn where moves are cheap: all keys once a minute, which only runaway
 moves reach."""
 
-CHURN_DOMINATES = 10.0
+CHURN_DOMINANCE_RATIO = 10.0
 """Ratio of churn weight to unavailability weight from which on slices move only in
 an overload."""
 
@@ -81,12 +84,14 @@
         self._end_dwells(now_s)
         if len(view.targets) < 2 or not self._is_due(view, now_s):
             return
-        max_moves = max(LEAST_MOVES_PER_ROUND, int(self.moved_share * len(view.pieces)))
+        max_moves = max(
+            MIN_MOVE_LIMIT_PER_ROUND, int(self.moved_share * len(view.pieces))
+        )
         self._plan_moves(view, now_s, max_moves)
 
     def _is_due(self, view, now_s):
         highest = max(view.relative_load(node_id) for node_id in view.targets)
-        level = highest / view.mean
+        level = highest / view.mean_relative_load
         joined = any(view.loads[node_id] <= 0 for node_id in view.targets)
         noticeable = joined or view.max_utilisation() >= self.min_utilisation
         if level <= self.trigger or not noticeable:
@@ -98,7 +103,7 @@
         # while another one is above the trigger has just joined; that isn't noise.
         if joined:
             return True
-        # The further the load is above the trigger, the less likely is it noise.
+        # The further the load is above the trigger, the less likely it is noise.
         patience_s = self.patience_s * (self.trigger - 1) / (level - 1)
         return now_s - self._above_since_s >= patience_s
 
@@ -111,7 +116,7 @@
                 if best_move is None:
                     break
                 piece, owner = best_move
-                if not self.budget.spend(view.weights[piece.start] / view.total):
+                if not self.budget.spend(view.weights[piece.start] / view.total_load):
                     return
                 pieces[source].remove(piece)
                 view.move(piece, owner)
@@ -121,8 +126,12 @@
     def _movable(self, view):
         pieces = {node_id: [] for node_id in view.targets}
         for piece in view.pieces:
-            held = piece.previous or piece.start in self._moved_s
-            if piece.owner in pieces and not held and piece.start not in view.owners:
+            immovable = piece.previous or piece.start in self._moved_s
+            if (
+                piece.owner in pieces
+                and not immovable
+                and piece.start not in view.planned_owners
+            ):
                 pieces[piece.owner].append(piece)
         return pieces
 
@@ -131,7 +140,7 @@
 
         Return ``None`` if there is no such move.
         """
-        limit = self.target * view.mean
+        limit = self.target * view.mean_relative_load
         excess = view.loads[source] - limit * view.targets[source]
         if excess <= 0 or not pieces:
             return None
@@ -166,8 +175,8 @@
     """
 
     def _is_due(self, view, now_s):
-        busy = max(view.busy.get(node_id, 0.0) for node_id in view.targets)
-        if busy < OVERLOADED:
+        busy = max(view.busy_fractions.get(node_id, 0.0) for node_id in view.targets)
+        if busy < OVERLOADED_BUSY_FRACTION:
             self._above_since_s = None
             return False
         return super()._is_due(view, now_s)
@@ -183,7 +192,9 @@
     """
     weights = service.churn_weight + service.unavailable_weight
     caution = service.churn_weight / weights if weights > 0 else 0.5
-    dominated = service.churn_weight >= CHURN_DOMINATES * service.unavailable_weight
+    dominated = (
+        service.churn_weight >= CHURN_DOMINANCE_RATIO * service.unavailable_weight
+    )
     chosen = OverloadRebalance if dominated and weights > 0 else BoundedRebalance
     return chosen(
         trigger=1.205 + 0.01 * caution,
--- a/comfreywharf/placement/resize.py
+++ b/comfreywharf/placement/resize.py
@@ -27,6 +27,8 @@
 second split slices until none could be split, and the parts were moved around."""
 
 SLICES_PER_MEMBER = 24
+"""Slices that a service may have for each member, if that is more than twice the
+number of slices that it declares."""
 
 
 @attrs.frozen(kw_only=True)
@@ -62,9 +64,9 @@
     Slices with a planned move or an awaited release are skipped, since the fold
     would refuse one of the two changes.
     """
-    if not view.targets or view.total <= 0:
+    if not view.targets or view.total_load <= 0:
         return []
-    fair_load = view.total / len(view.targets)
+    fair_load = view.total_load / len(view.targets)
     max_splits = slice_limit(view.config, len(view.members)) - len(view.pieces)
     splits = _splits(view, fair_load)[: max(0, min(max_splits, MAX_RESIZES_PER_ROUND))]
     split_starts = {split.start for split in splits}
@@ -74,7 +76,9 @@
 
 def _splits(view, fair_load):
     hot = sorted(
-        value for value, rate in view.hot_keys.items() if rate >= PIN_SHARE * fair_load
+        key_hash
+        for key_hash, rate in view.hot_keys.items()
+        if rate >= PIN_SHARE * fair_load
     )
     splits = []
     for piece in view.pieces:
@@ -105,30 +109,30 @@
     refuses requests until then. The hot keys show where the load lies.
     """
     hot_inside = sorted(
-        (value, rate)
-        for value, rate in view.hot_keys.items()
-        if piece.start < value < piece.end
+        (key_hash, rate)
+        for key_hash, rate in view.hot_keys.items()
+        if piece.start < key_hash < piece.end
     )
     hot = sum(rate for _, rate in hot_inside)
     if hot < MIN_HOT_SHARE * view.weights[piece.start]:
         return (piece.start + piece.end) // 2
     cumulative = 0.0
-    for value, rate in hot_inside:
+    for key_hash, rate in hot_inside:
         cumulative += rate
         if cumulative >= hot / 2:
-            return value
+            return key_hash
     return (piece.start + piece.end) // 2
 
 
-def _pin(view, piece, value):
+def _pin(view, piece, key_hash):
     """Return the next of the two splits that isolate a key in its own slice."""
-    rate = view.hot_keys[value]
+    rate = view.hot_keys[key_hash]
     weight = view.weights[piece.start]
-    if value > piece.start:
+    if key_hash > piece.start:
         rest = max(0.0, weight - rate)
-        right_fraction = (piece.end - value) / (piece.end - piece.start)
-        return _split(view, piece, value, rate + rest * right_fraction)
-    return _split(view, piece, value + 1, max(0.0, weight - rate))
+        right_fraction = (piece.end - key_hash) / (piece.end - piece.start)
+        return _split(view, piece, key_hash, rate + rest * right_fraction)
+    return _split(view, piece, key_hash + 1, max(0.0, weight - rate))
 
 
 def _split(view, piece, at, right_per_s):
@@ -172,10 +176,13 @@
     weight = view.weights[left.start] + view.weights[right.start]
     if weight > MERGE_SHARE * fair_load:
         return False
-    return not any(left.start <= value < right.end for value in view.hot_keys)
+    return not any(left.start <= key_hash < right.end for key_hash in view.hot_keys)
 
 
 def _is_stable(view, piece):
     if piece.previous or not piece.owner:
         return False
-    return piece.start not in view.owners and piece.start not in view.standbys
+    return (
+        piece.start not in view.planned_owners
+        and piece.start not in view.planned_standbys
+    )
--- a/comfreywharf/routing/__init__.py
+++ b/comfreywharf/routing/__init__.py
@@ -9,9 +9,9 @@
     KeptAnswer,
     MemoryLimits,
     RequestKey,
-    fingerprint,
+    resend_fingerprint,
 )
-from comfreywharf.routing.outcomes import SAFE_METHODS, Outcome, Reason, status_of
+from comfreywharf.routing.outcomes import SAFE_METHODS, Outcome, Reason, verdict_of
 from comfreywharf.routing.route import (
     GiveUp,
     Hold,
@@ -45,6 +45,6 @@
     "Send",
     "after_hold",
     "decide_route",
-    "fingerprint",
-    "status_of",
+    "resend_fingerprint",
+    "verdict_of",
 ]
--- a/comfreywharf/routing/route.py
+++ b/comfreywharf/routing/route.py
@@ -61,14 +61,15 @@
 class RouteLimits:
     """Bounds of the routing of one request.
 
-    At most ``nodes_between_holds`` nodes are tried between two holds. The holds
-    grow from ``first_hold_s`` to ``longest_hold_s`` and last no longer than
-    ``total_hold_s`` together; a fold that changes the owner ends a hold early.
-    ``retry_after_ms`` is sent to a caller whose key had no owner for all of that
-    time; ``retry_burst`` bounds the burst of retries that one node may send after
-    a period without any. A request that its owner's server refused is sent there
-    up to ``resends`` more times, within the retry budget. Up to
-    ``unreached_members`` may be unavailable before a further one counts as a retry.
+    A request is held up to ``holds`` times, and at most ``nodes_between_holds``
+    nodes are tried between two holds. The holds grow from ``first_hold_s`` to
+    ``longest_hold_s`` and last no longer than ``total_hold_s`` together; a fold that
+    changes the owner ends a hold early. ``retry_after_ms`` is sent to a caller whose
+    key had no owner for all of that time; ``retry_burst`` bounds the burst of
+    retries that one node may send after a period without any. A request that its
+    owner's server refused is sent there up to ``resends`` more times, within the
+    retry budget. A request goes on from up to ``unreached_members`` unavailable
+    members before such a send counts as a retry.
     """
 
     holds: int = 48
@@ -84,11 +85,12 @@
 
 @attrs.frozen(kw_only=True)
 class Ownership:
-    """The nodes that may serve a key, by this node's latest fold; empty: none.
+    """The nodes that may serve a key, according to this node's latest fold.
 
-    While the log is unavailable, the fold keeps naming a lost owner; the standby
-    that serves in its place is known nevertheless. During a move the earlier
-    owner serves until the new one has received its release.
+    An empty id means that there is none. While the log is unavailable, the fold
+    keeps naming a lost owner, but also the standby that serves in its place.
+    During a move, ``previous`` is the earlier owner, which serves until the new
+    one has received its release.
     """
 
     owner: str = ""
@@ -103,11 +105,15 @@
 
 @attrs.frozen(kw_only=True)
 class RouteProgress:
-    """The progress of a request; ``asked`` are the nodes tried since the last hold."""
+    """How far the routing of a request has used up its `RouteLimits`.
+
+    ``tried`` are the nodes tried since the last hold. The limits apply to the
+    fields of the same names.
+    """
 
     target: str
     retries_left: int
-    asked: frozenset[str] = frozenset()
+    tried: frozenset[str] = frozenset()
     holds: int = 0
     held_since_s: float | None = None
     resends: int = 0
@@ -137,7 +143,7 @@
 
 def after_hold(progress, ownership):
     """Return the progress to continue with after a hold."""
-    return attrs.evolve(progress, target=ownership.owner, asked=frozenset())
+    return attrs.evolve(progress, target=ownership.owner, tried=frozenset())
 
 
 def decide_route(
@@ -174,7 +180,7 @@
             )
         if reason not in _NO_SERVING_OWNER:
             return GiveUp()
-        progress = attrs.evolve(progress, asked=progress.asked | {progress.target})
+        progress = attrs.evolve(progress, tried=progress.tried | {progress.target})
         target = _next_candidate(progress, reply.owner_hint, ownership, limits)
         if target:
             return Send(attrs.evolve(progress, target=target))
@@ -205,10 +211,10 @@
     # Two nodes that consider each other the owner would forward a request back
     # and forth. Each is therefore tried once; then the request is held until
     # the fold changes.
-    if len(progress.asked) >= limits.nodes_between_holds:
+    if len(progress.tried) >= limits.nodes_between_holds:
         return ""
     for node_id in (hint, *ownership.candidates()):
-        if node_id and node_id not in progress.asked:
+        if node_id and node_id not in progress.tried:
             return node_id
     return ""
 
--- a/comfreywharf/routing/tests/test_memory.py
+++ b/comfreywharf/routing/tests/test_memory.py
@@ -11,7 +11,7 @@
     MemoryLimits,
     Outcome,
     RequestKey,
-    fingerprint,
+    resend_fingerprint,
 )
 
 SERVICE = "booking"
@@ -96,9 +96,11 @@
         receiver = AnswerMemory(LIMITS)
         received, more = 0, True
         while more:
-            page, more = self.memory.take_out(SERVICE, 0, 1 << 63, received, self.now_s)
+            page, more = self.memory.export_answers(
+                SERVICE, 0, 1 << 63, received, self.now_s
+            )
             received += len(page)
-            receiver.put_in(SERVICE, page, self.now_s)
+            receiver.import_answers(SERVICE, page, self.now_s)
             self.now_s += passed_s
         self.memory = receiver
 
@@ -137,16 +139,16 @@
     """
     memory = AnswerMemory(LIMITS)
     key = request_key(1)
-    first = fingerprint("POST", "/book", b"monday")
+    first = resend_fingerprint("POST", "/book", b"monday")
     begin(memory, key, first)
     memory.finish(key, answer(), 0.0)
-    other = fingerprint("POST", "/book", b"tuesday")
+    other = resend_fingerprint("POST", "/book", b"tuesday")
     assert begin(memory, key, other).begin_status == BeginStatus.REUSED
     assert begin(memory, key, first).answer.body == answer().body
 
 
 def test_a_long_answer_is_remembered_without_its_body():
-    """A resend is told that the request ran, but doesn't get the answer's body."""
+    """The answer to a resend shows that the request ran, but has no body."""
     memory = AnswerMemory(LIMITS)
     begin(memory, request_key(1))
     memory.finish(request_key(1), answer(LIMITS.body_bytes + 1), 0.0)
@@ -155,11 +157,11 @@
 
 
 def test_a_page_holds_only_the_slice_that_moves():
-    """Answers of adjacent slices stay with their owner."""
+    """Answers of adjacent slices aren't transferred to the new owner."""
     memory = AnswerMemory(LIMITS)
     for key_hash in (1, 2, 3):
         key = RequestKey(SERVICE, key_hash, "id")
         begin(memory, key)
         memory.finish(key, answer(), 0.0)
-    page, more = memory.take_out(SERVICE, 2, 3, 0, 0.0)
+    page, more = memory.export_answers(SERVICE, 2, 3, 0, 0.0)
     assert ([kept.key_hash for kept in page], more) == ([2], False)
