--- a/comfreywharf/platform/backends.py
+++ b/comfreywharf/platform/backends.py
@@ -33,7 +33,7 @@
 
 
 class PlatformDialect(Dialect):
-    """The platform's headers."""
+    """Write the headers of requests, and interpret the headers of answers."""
 
     def request_lines(self, request, running, instance):
         """Return the header lines; ``None`` if a value contains a line break."""
@@ -64,7 +64,7 @@
 
 
 class PlatformOrders(Orders):
-    """Grants and releases as calls to the backend server."""
+    """Send grants and releases to the backend server."""
 
     def __init__(self, host, port, probe_target):
         self._grants = BoundClient(
@@ -107,7 +107,10 @@
         return _GRANT_ANSWERS.get(answer.status_code, GrantAnswer.REFUSED)
 
     def release(self, first, last, fence, timeout_s):
-        """Return the server's handover, or ``None`` without a successful answer."""
+        """Return the server's handover, or ``None`` without a successful answer.
+
+        The next holder's server receives the handover with its grant.
+        """
         fields = {"from": first, "to": last, "fence": fence}
         try:
             with gevent.Timeout(timeout_s):
@@ -172,7 +175,7 @@
 
         A server may answer a request twice, and the second answer then arrives where
         the next one is expected. If it were taken for the answer to the running
-        request, a booking that is answered shortly after would end as unknown.
+        request, that request would end as unknown, although its own answer follows.
         """
         for _ in range(MAX_SKIPPED_ANSWERS):
             response.held = True
--- a/comfreywharf/platform/configuration.py
+++ b/comfreywharf/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: read from the store, and made a `RouteTable`."""
+"""Read the operator's configuration from the store into a `RouteTable`."""
 
 import gevent
 import orjson
@@ -32,7 +32,8 @@
 
 ERROR_PAUSE_S = 0.3
 RELAY_CHECK_INTERVAL_S = 0.1
-"""How often a node that receives the configuration from a peer checks that it does."""
+"""How often a node that receives the configuration from a peer checks whether it
+still does."""
 
 
 def route_table(document):
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -38,10 +38,10 @@
 
 REPLACE_WITNESS_AFTER_S = 1.2
 """Counted from the end of a witness's grant, so that a witness is replaced 2.7 s after
-it was lost. Machines are lost for good here, up to three within seconds; a third loss
-before the first two are replaced leaves a node without a majority. In simulations of
-the heaviest days, 2.0 s served 0.65 and 0.72 of the requests' worth and 1.2 s served
-0.72 and 0.76; 0.4 s served no more than 1.2 s."""
+it was lost. On the platform, machines are lost for good, up to three within seconds; a
+third loss before the first two are replaced leaves a node without a majority. In
+simulations of the heaviest days, 2.0 s served 0.65 and 0.72 of the requests' worth and
+1.2 s served 0.72 and 0.76; 0.4 s served no more than 1.2 s."""
 
 WITNESSES = 5
 """Up to three machines are lost within two seconds. With three witnesses, every
@@ -129,7 +129,7 @@
         return service.health_path if service else "/"
 
     def make_grants(self, node):
-        """Return the grants, in the way that is configured for each service."""
+        """Return the grants, which each service receives in its configured way."""
         settings = self._settings
         terms = HoldTerms(
             lease_s=settings.node.lease_ms / 1000,
@@ -192,7 +192,7 @@
         return ConcurrencyLimit(slots, cold=False, cuts=False)
 
     def make_queue(self):
-        """Return a queue by priority: here, no key can use up a server's slots."""
+        """Return a queue by priority; on the platform, no key can use up the slots."""
         return RankedQueue()
 
     def backend_lost(self):
--- a/comfreywharf/platform/store.py
+++ b/comfreywharf/platform/store.py
@@ -81,7 +81,10 @@
         return self.append(topic, [bytes([len(name)]) + name + value], position)
 
     def read(self, topic, start, wait_s, max_kb=1024):
-        """Return `TopicRecords` from an offset on, waiting up to ``wait_s`` for one."""
+        """Return the `TopicRecords` from an offset on.
+
+        If there is no record yet, wait up to ``wait_s`` for one.
+        """
         target = (
             f"/-/log-read?topic={topic}&part=0&from={start}"
             f"&waitMs={int(wait_s * 1000)}&maxKb={max_kb}"
@@ -198,7 +201,10 @@
         return newest.values.values(), newest.end
 
     def replace_newest(self, stream, data, position):
-        """Write a snapshot if none was written since; return whether it was written."""
+        """Write a snapshot unless one was written after ``position``.
+
+        Return whether it was written.
+        """
         topic = _topic(stream)
         return self._store.append_keyed(topic, "newest", data, position) is not None
 
--- a/comfreywharf/platform/tests/builders.py
+++ b/comfreywharf/platform/tests/builders.py
@@ -138,7 +138,7 @@
     end_s = boottime_s() + timeout_s
     while not condition():
         if boottime_s() > end_s:
-            raise TimeoutError(f"not within {timeout_s} s")
+            raise TimeoutError(f"the condition didn't hold within {timeout_s} s")
         gevent.sleep(0.02)
 
 
@@ -164,7 +164,9 @@
             if first not in _USED_PORTS:
                 _USED_PORTS.update(range(first - 6, first + 6))
                 return tuple(range(first, first + 6))
-    raise RuntimeError("no free ports")
+    raise RuntimeError(
+        f"no six consecutive free ports from {first_port} to {last_port - 1}"
+    )
 
 
 class ReceivedAnswer:
@@ -206,7 +208,7 @@
         return self
 
     def configure(self, version, timeout_ms=1000):
-        """Write a configuration that names the way of granting to the store."""
+        """Write a configuration to the store, with the way of granting of `booking`."""
         document = configuration(version)
         for route in document["routes"].values():
             route["timeout"] = f"{timeout_ms}ms"
--- a/comfreywharf/platform/tests/test_backends.py
+++ b/comfreywharf/platform/tests/test_backends.py
@@ -37,7 +37,7 @@
 
 
 def test_an_answer_to_an_earlier_request_is_skipped():
-    """Guards against an unknown outcome of a booking that is answered shortly after.
+    """Guards against a request that ends as unknown although its answer follows.
 
     A server answers an earlier request a second time, where the next answer is
     expected.
@@ -102,7 +102,7 @@
     ],
 )
 def test_only_explicit_refusals_count_as_not_run(status, extra, reason):
-    """Guards against a booking that runs twice.
+    """Guards against a request that runs twice although it isn't repeatable.
 
     A server's failure must not be taken for a refusal because of its status alone,
     since the request would then be sent again.
--- a/comfreywharf/platform/tests/test_closing.py
+++ b/comfreywharf/platform/tests/test_closing.py
@@ -14,9 +14,9 @@
     """Guards against a key that is granted again while its last holder works on it.
 
     A server that leaves closes its port and its idle connections, and goes on with its
-    request. Its node is then refused a connection for the next grant. A refused
-    connection is no proof that the process has ended: taken for one, the keys moved
-    0.14 s before the server's request ended, on days with planned leaves only.
+    request. Its node is then refused a connection for the next grant, which doesn't
+    prove that the process has ended. If it counted as proof, the keys would move before
+    the server's request ends: in one case, 0.14 s before, at a planned leave.
     """
     deployment.allow_long_requests()
     name = deployment.holder(7)
--- a/comfreywharf/platform/tests/test_incarnations.py
+++ b/comfreywharf/platform/tests/test_incarnations.py
@@ -32,8 +32,8 @@
     """Guards against a leaving server that gets new work until it is gone.
 
     A server restarts under its id, with heartbeat numbers from the start, and later
-    drains. If incarnations were told apart by the id alone, its low numbers would look
-    like those of late heartbeats.
+    drains. If incarnations were distinguished by the id alone, its low numbers would
+    count as those of late heartbeats.
     """
     name = deployment.holder(7)
     server = deployment.servers[name]
@@ -137,7 +137,7 @@
     A server's connections all close, as when it drains, and its node surrenders the
     lease to reacquire it with higher fences. The witnesses grant the new lease, but the
     store is unavailable before it is recorded, so that it is surrendered as well. Both
-    times the witnesses have to learn until when the server holds what it was granted.
+    times the witnesses have to be notified until when the server's grants last.
     Otherwise the standby claims the lease at once: in one case, 0.96 s before the
     owner's last grant ended.
     """
--- a/comfreywharf/platform/tests/test_lists.py
+++ b/comfreywharf/platform/tests/test_lists.py
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def deployment(tmp_path):
-    """Yield four nodes with their servers; all keys are held by lists."""
+    """Yield four nodes with their servers; all keys are granted by hold lists."""
     with Deployment(tmp_path, grants="heartbeat") as started:
         yield started
 
@@ -90,7 +90,7 @@
     """Guards against two holders of a key, or a server that refuses its ranges.
 
     A node's process is killed and restarts while its server runs on. The new process
-    doesn't know what the earlier one granted.
+    has no record of what the earlier one granted.
     """
     name = deployment.holder(7)
     deployment.nodes.pop(name).kill()
@@ -165,8 +165,8 @@
 def test_a_partitioned_server_loses_its_keys_when_its_hold_expires(deployment):
     """Guards against two holders of a key, or none for good.
 
-    A server's heartbeats don't arrive any more, although it runs. Its node must count
-    it neither as crashed nor as running for good.
+    A server's heartbeats don't arrive any more, although it runs. Its node must neither
+    count it as crashed nor count it as running indefinitely.
     """
     name = deployment.holder(7)
     deployment.servers[name].heartbeats_off = True
--- a/comfreywharf/platform/tests/test_losses.py
+++ b/comfreywharf/platform/tests/test_losses.py
@@ -19,8 +19,8 @@
 def test_a_restarted_node_continues_beside_its_server_with_orders(deployment):
     """Guards against two holders of a key, or none for good.
 
-    A node is killed and restarts while its server runs on. The new process doesn't know
-    what the earlier one granted.
+    A node is killed and restarts while its server runs on. The new process has no
+    record of what the earlier one granted.
     """
     name = deployment.holder(7)
     server = deployment.servers[name]
@@ -34,11 +34,11 @@
 def test_a_node_that_restarts_during_an_outage_of_the_store_queries_its_peers(
     deployment,
 ):
-    """Guards against a node that knows no owners and refuses all requests for 8 s.
+    """Guards against a node that has no record of owners and refuses requests for 8 s.
 
-    It restarts while the store answers nobody, and knows no peer. Nodes that request
-    records from it aren't members of its empty state; it has to query them
-    nevertheless.
+    It restarts while the store is unavailable, so that its state is empty and has no
+    peers. Nodes that request records from it aren't members in this state, but it has
+    to query them nevertheless.
     """
     deployment.store.fault = "busy"
     name = deployment.non_holder(7)
--- a/comfreywharf/platform/tests/test_orders.py
+++ b/comfreywharf/platform/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to a backend server: each test guards against a way to harm the server."""
+"""Orders to a backend server: grants in time, and few connections."""
 
 import contextlib
 import struct
@@ -72,7 +72,7 @@
     """Return a grant's order; ``steps`` records when its hold is computed."""
     steps = [] if steps is None else steps
     return SimpleNamespace(
-        fence=5, handover="", hold_s_at=lambda now_s: steps.append("asked") or 1.0
+        fence=5, handover="", hold_s_at=lambda now_s: steps.append("computed") or 1.0
     )
 
 
@@ -92,7 +92,7 @@
     ]
     gevent.joinall(tasks)
     assert [task.value for task in tasks] == [GrantAnswer.TAKEN] * 3
-    assert server.steps == ["asked", "answered"] * 3
+    assert server.steps == ["computed", "answered"] * 3
 
 
 def test_an_order_that_is_too_late_returns_its_connection(serve):
@@ -106,7 +106,7 @@
 
 
 def test_a_connection_confirms_its_process_before_it_is_closed(serve):
-    """Guards against a lease per second and unavailable keys at a leaving server.
+    """Guards against unavailable keys, and a new lease each second, as a server leaves.
 
     The server closes each connection with its answer. The answer has to confirm the
     process before the connection is removed from the pool.
@@ -164,7 +164,7 @@
 
 
 def test_a_server_that_resets_connections_isnt_flooded():
-    """Guards against 3,300 connections within 0.4 s to a server without room for one.
+    """Guards against 3,300 connections within 0.4 s to a server that accepts only one.
 
     It accepts and resets all connections but the first, which stays silent. A
     connection that closes must not lead to a new one at once.
@@ -198,7 +198,7 @@
 
 
 def test_unanswered_orders_leave_a_connection_that_tracks_the_process():
-    """Guards against unavailable keys and one lease after the other.
+    """Guards against unavailable keys and one new lease after the other.
 
     Some orders get no answer, and each of the eight connections carries orders until
     one is lost. If the last known connection carried orders as well, the node would
--- a/comfreywharf/platform/tests/test_relaying.py
+++ b/comfreywharf/platform/tests/test_relaying.py
@@ -16,7 +16,7 @@
 def test_one_node_reads_the_store_and_all_receive_its_records(deployment):
     """Guards against calls to the store in proportion to nodes times records.
 
-    Not every node may read each record itself.
+    Only one node may read the records from the store.
     """
     wait_for(lambda: reader(deployment))
     deployment.store.put("keyed.op", "config", configuration(version=4))
@@ -47,7 +47,7 @@
     """
     wait_for(lambda: reader(deployment))
     store = deployment.nodes[reader(deployment)].ports.store
-    with mock.patch.object(store, "_call", side_effect=LogError("turned away")):
+    with mock.patch.object(store, "_call", side_effect=LogError("refused")):
         deployment.store.put("keyed.op", "config", configuration(version=4))
         nodes = deployment.nodes.values()
         wait_for(lambda: all(node.routes.version == 4 for node in nodes))
--- a/comfreywharf/platform/tests/test_requests.py
+++ b/comfreywharf/platform/tests/test_requests.py
@@ -11,7 +11,7 @@
 @pytest.fixture(scope="module")
 def deployment(tmp_path_factory):
     """Yield four nodes with their servers; all keys are held."""
-    with Deployment(tmp_path_factory.mktemp("calm")) as started:
+    with Deployment(tmp_path_factory.mktemp("without_faults")) as started:
         yield started
 
 
@@ -80,8 +80,8 @@
 def test_a_smuggled_request_isnt_run(deployment):
     """Guards against a request that no caller sent (request smuggling).
 
-    A body that looks like a request has two contradictory lengths, so that two hops
-    could disagree on where the first request ends.
+    A request has a body that looks like another request, and two contradictory
+    lengths, so that two hops could disagree on where the body ends.
     """
     inner = b"GET /look/smuggled HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: s\r\n\r\n"
     head = (
--- a/comfreywharf/platform/tests/test_stopping.py
+++ b/comfreywharf/platform/tests/test_stopping.py
@@ -10,7 +10,7 @@
 def test_a_stopping_node_starts_no_request_of_its_peers(deployment):
     """Guards against a request that the shutdown of its server's node cuts off.
 
-    While the store is unavailable, its peers don't learn that the node stops.
+    While the store is unavailable, its peers aren't notified that the node stops.
     """
     node = deployment.nodes["n3"]
     deployment.store.fault = "busy"
--- a/comfreywharf/platform/tests/test_translation.py
+++ b/comfreywharf/platform/tests/test_translation.py
@@ -1,4 +1,4 @@
-"""The platform's messages and settings as typed values, and errors in them."""
+"""Translation of the platform's configuration and settings, and errors in them."""
 
 import orjson
 import pytest
@@ -87,7 +87,7 @@
 
 
 def test_each_service_has_a_way_of_granting():
-    """The default is by orders."""
+    """Keys are granted by orders unless the configuration names another way."""
     document = configuration()
     document["services"]["booking"]["grants"] = "heartbeat"
     table = route_table(orjson.dumps(document))
@@ -99,7 +99,7 @@
 def test_an_unknown_way_of_granting_is_reported_with_its_position():
     """Guards against a service whose keys are never held, without any error.
 
-    A configuration names a way of granting that this version doesn't know.
+    A configuration names a way of granting that this version doesn't have.
     """
     document = configuration()
     document["services"]["booking"]["grants"] = "post"
--- a/comfreywharf/platform/tests/test_uploads.py
+++ b/comfreywharf/platform/tests/test_uploads.py
@@ -53,7 +53,7 @@
     """Guards against a link that is filled with bodies that admission refuses."""
     server = deployment.servers["n3"]
     server.work_s = 0.4
-    # From these, its node estimates how long an upload takes.
+    # The server's node estimates from these how long an upload takes.
     gevent.joinall([gevent.spawn(upload, deployment, "n0") for _ in range(8)])
     deployment.ledger.clear()
     running = start_long_uploads(deployment, 8)
