--- a/comfreywharf/platform/heartbeats.py
+++ b/comfreywharf/platform/heartbeats.py
@@ -15,7 +15,7 @@
 )
 from comfreywharf.platform.durations import duration_text
 
-__all__ = ["HOLD_LIST_LIMIT", "HeartbeatPort", "list_fields"]
+__all__ = ["HOLD_LIST_LIMIT", "HeartbeatPort", "hold_list_fields"]
 
 _CALL = re.compile(r"/-/instances/([^/]{1,128})/(heartbeat|deregister)")
 MAX_BODY_BYTES = 256 * 1024
@@ -93,14 +93,14 @@
             held=heartbeat.held,
             released=heartbeat.released,
         )
-        return list_fields(self._node.grants.answer(report))
+        return hold_list_fields(self._node.grants.answer(report))
 
     def _check_service(self, name):
         if name != self._service and self._node.routes.table.service(name) is None:
             raise DamagedReport("service", name, "a service that is configured")
 
 
-def list_fields(hold_list):
+def hold_list_fields(hold_list):
     """Return the fields of the answer that carries a `HoldList`; empty for ``None``."""
     if hold_list is None:
         return {}
--- a/comfreywharf_dev/bench/list_cost.py
+++ b/comfreywharf_dev/bench/list_cost.py
@@ -12,7 +12,7 @@
 from comfreywharf.ownership.holds import HoldTerms
 from comfreywharf.ownership.listed_holds import ListedHoldBook
 from comfreywharf.platform.announcements import read_heartbeat
-from comfreywharf.platform.heartbeats import HOLD_LIST_LIMIT, list_fields
+from comfreywharf.platform.heartbeats import HOLD_LIST_LIMIT, hold_list_fields
 from comfreywharf.records import Slice, range_of_numbers
 from comfreywharf_dev.bench.figures import Figure
 
@@ -65,7 +65,7 @@
         )
         lists.receive(report, now_s)
         serving = _serving(size, fences, now_s + LEASE_S)
-        fields = list_fields(lists.decide(report, serving, now_s))
+        fields = hold_list_fields(lists.decide(report, serving, now_s))
         held = [row[:3] for row in fields["holds"]]
         answer = orjson.dumps(fields)
     return time.process_time() - began_s, len(answer)
