--- a/comfreywharf/platform/announcements.py
+++ b/comfreywharf/platform/announcements.py
@@ -102,18 +102,18 @@
 def _held(fields):
     """Return the held ranges; they overlap while work on an earlier grant goes on."""
     held = []
-    for place, (first, last, fence) in _rows(fields, "holds"):
+    for position, (first, last, fence) in _rows(fields, "holds"):
         if type(fence) is not int or not 0 <= fence <= MAX_FENCE:
-            raise DamagedReport(place, fence, f"a fence from 0 to {MAX_FENCE}")
+            raise DamagedReport(position, fence, f"a fence from 0 to {MAX_FENCE}")
         held.append(HeldRange(first=first, last=last, fence=fence))
     return tuple(held)
 
 
 def _released(fields):
     released = []
-    for place, (first, last, handover) in _rows(fields, "released"):
+    for position, (first, last, handover) in _rows(fields, "released"):
         if not isinstance(handover, str) or not _HANDOVER.fullmatch(handover):
-            raise DamagedReport(place, handover, "a handover of visible characters")
+            raise DamagedReport(position, handover, "a handover of visible characters")
         released.append(ReleasedRange(first=first, last=last, handover=handover))
     return tuple(released)
 
@@ -124,15 +124,15 @@
     if not isinstance(rows, list) or len(rows) > MAX_RANGES:
         raise DamagedReport(name, rows, f"a list of {MAX_RANGES} rows at most")
     for number, row in enumerate(rows):
-        place = f"{name}[{number}]"
+        position = f"{name}[{number}]"
         if not isinstance(row, list) or len(row) != 3:
-            raise DamagedReport(place, row, "three values")
+            raise DamagedReport(position, row, "three values")
         for value in row[:2]:
             if type(value) is not int or not 0 <= value < NUMBER_KEYS:
-                raise DamagedReport(place, row, f"keys from 0 to {NUMBER_KEYS - 1}")
+                raise DamagedReport(position, row, f"keys from 0 to {NUMBER_KEYS - 1}")
         if row[0] > row[1]:
-            raise DamagedReport(place, row, "a first key that isn't above the last")
-        yield place, row
+            raise DamagedReport(position, row, "a first key that isn't above the last")
+        yield position, row
 
 
 def read_deregistration(instance, body):
--- a/comfreywharf/platform/configuration.py
+++ b/comfreywharf/platform/configuration.py
@@ -94,8 +94,8 @@
         return GRANT_WAYS[text]
     except KeyError as error:
         expected = " or ".join(GRANT_WAYS)
-        place = f"{TOPIC}/{KEY}: services.{service}.grants"
-        raise ValueError(f"{place}: found {text!r}; expected {expected}") from error
+        position = f"{TOPIC}/{KEY}: services.{service}.grants"
+        raise ValueError(f"{position}: found {text!r}; expected {expected}") from error
 
 
 class ConfigurationReader:
--- a/comfreywharf/platform/settings.py
+++ b/comfreywharf/platform/settings.py
@@ -71,8 +71,8 @@
             elif name and not name.startswith("#"):
                 self._add_finding(number, f"found {line!r}; expected NAME=VALUE")
 
-    def _add_finding(self, number, what):
-        self.findings.append(f"{self._path}:{number}: {what}")
+    def _add_finding(self, number, message):
+        self.findings.append(f"{self._path}:{number}: {message}")
 
     def read(self, name, convert, default=None):
         """Return a field converted by ``convert``, or the default with a finding."""
@@ -109,7 +109,7 @@
     return number
 
 
-def _by_heartbeats(text):
+def _uses_heartbeat_grants(text):
     if text not in GRANT_WAYS:
         raise ValueError(f"found {text!r}; expected {' or '.join(GRANT_WAYS)}")
     return GRANT_WAYS[text] is GrantWay.HEARTBEATS
@@ -161,11 +161,11 @@
         "store_writes_per_s": read("platform.platform.writesPerS", _positive, 400.0),
         "store_reads_per_s": read("platform.platform.readsPerS", _positive, 2000.0),
     }
-    by_heartbeats = read("grants", _by_heartbeats, False)
+    uses_heartbeat_grants = read("grants", _uses_heartbeat_grants, False)
     if fields.findings:
         return None
     lease_ms = LEASE_MS
-    if by_heartbeats:
+    if uses_heartbeat_grants:
         lease_ms = max(lease_ms, _heartbeat_lease_ms(times["heartbeat_interval_s"]))
     node = NodeSettings(
         node_id=node_id,
--- a/comfreywharf/platform/store.py
+++ b/comfreywharf/platform/store.py
@@ -151,14 +151,14 @@
         raise LogError("the store's read answer has fewer than 16 bytes")
     end, first = _BOUNDS.unpack_from(data)
     found = []
-    place = _BOUNDS.size
-    while place + _LENGTH.size <= len(data):
-        (size,) = _LENGTH.unpack_from(data, place)
-        place += _LENGTH.size
-        if place + size > len(data):
+    offset = _BOUNDS.size
+    while offset + _LENGTH.size <= len(data):
+        (size,) = _LENGTH.unpack_from(data, offset)
+        offset += _LENGTH.size
+        if offset + size > len(data):
             raise LogError("the store's read answer ends within a record")
-        found.append(data[place : place + size])
-        place += size
+        found.append(data[offset : offset + size])
+        offset += size
     return TopicRecords(end, first, tuple(found))
 
 
