--- a/comfreywharf/platform/tests/builders.py
+++ b/comfreywharf/platform/tests/builders.py
@@ -19,7 +19,7 @@
 from comfreywharf_dev.standins.platform_store import PlatformStore
 
 __all__ = [
-    "LONG_MS",
+    "LONG_TIMEOUT_MS",
     "Deployment",
     "ReceivedAnswer",
     "boot_text",
@@ -33,7 +33,7 @@
 WORKERS = 10
 PORTS_OF_A_WORKER = 2_000
 
-LONG_MS = 20_000
+LONG_TIMEOUT_MS = 20_000
 """Longer than any machine takes for a few requests."""
 
 BOOT = """\
@@ -216,8 +216,8 @@
         self.store.put("keyed.op", "config", document)
 
     def allow_long_requests(self, version=2):
-        """Set the routes' timeout to `LONG_MS`, and wait until all nodes apply it."""
-        self.configure(version, timeout_ms=LONG_MS)
+        """Set the routes' timeout to `LONG_TIMEOUT_MS` on all nodes."""
+        self.configure(version, timeout_ms=LONG_TIMEOUT_MS)
         nodes = self.nodes.values()
         wait_for(lambda: all(node.routes.version == version for node in nodes))
 
--- a/comfreywharf/platform/tests/reports.py
+++ b/comfreywharf/platform/tests/reports.py
@@ -3,9 +3,9 @@
 import orjson
 from hypothesis import strategies as st
 
-__all__ = ["GOOD", "damaged_reports", "report"]
+__all__ = ["VALID_FIELDS", "damaged_reports", "report"]
 
-GOOD = {
+VALID_FIELDS = {
     "service": "booking",
     "address": "10.0.0.9:8080",
     "zone": "z1",
@@ -17,7 +17,7 @@
     "born": 1_000,
 }
 
-_OTHERS = st.one_of(
+_OTHER_VALUES = st.one_of(
     st.none(),
     st.booleans(),
     st.integers(-(2**63), 2**64 - 1),
@@ -30,7 +30,7 @@
 
 def report(**changed):
     """Return the bytes of a valid heartbeat with some fields changed."""
-    return orjson.dumps({**GOOD, **changed})
+    return orjson.dumps({**VALID_FIELDS, **changed})
 
 
 @st.composite
@@ -40,16 +40,16 @@
     The result may still be valid, for example with one text in place of another or
     without any change.
     """
-    fields = dict(GOOD)
-    for name in draw(st.lists(st.sampled_from(sorted(GOOD)), max_size=3)):
+    fields = dict(VALID_FIELDS)
+    for name in draw(st.lists(st.sampled_from(sorted(VALID_FIELDS)), max_size=3)):
         if draw(st.booleans()):
             fields.pop(name, None)
         else:
-            fields[name] = draw(_OTHERS)
+            fields[name] = draw(_OTHER_VALUES)
     body = bytearray(orjson.dumps(fields))
     for _ in range(draw(st.integers(0, 3))):
-        place = draw(st.integers(0, max(0, len(body) - 1)))
-        piece = draw(st.binary(max_size=3))
-        body[place : place + draw(st.integers(0, 4))] = piece
+        start = draw(st.integers(0, max(0, len(body) - 1)))
+        replacement = draw(st.binary(max_size=3))
+        body[start : start + draw(st.integers(0, 4))] = replacement
     cut = draw(st.integers(0, len(body)))
     return bytes(body if draw(st.booleans()) else body[:cut])
--- a/comfreywharf/platform/tests/test_announcements.py
+++ b/comfreywharf/platform/tests/test_announcements.py
@@ -13,7 +13,7 @@
     read_heartbeat,
 )
 from comfreywharf.platform.heartbeats import HeartbeatPort
-from comfreywharf.platform.tests.reports import GOOD, damaged_reports, report
+from comfreywharf.platform.tests.reports import VALID_FIELDS, damaged_reports, report
 from comfreywharf.routes import RoutedService, RouteTable
 from comfreywharf.settings.model import Address
 
@@ -30,13 +30,13 @@
 
 def test_the_start_time_is_optional():
     """The start time is optional."""
-    fields = {name: value for name, value in GOOD.items() if name != "born"}
+    fields = {name: value for name, value in VALID_FIELDS.items() if name != "born"}
     heartbeat = read_heartbeat("i-1", orjson.dumps(fields))
     assert heartbeat.announcement.incarnation == ServerIncarnation("i-1", None)
 
 
 DAMAGED = [
-    *[(name, None) for name in GOOD if name != "born"],
+    *[(name, None) for name in VALID_FIELDS if name != "born"],
     *[("born", value) for value in ("1", True, 1.0, 1.5, -1, 10**15, [], {})],
     *[("sequence", value) for value in ("4", True, 4.0, -1, 10**10, [4])],
     *[("slots", value) for value in (0, -8, 8.5, True, "8", 10**6)],
@@ -63,10 +63,10 @@
     assert caught.value.field == name
 
 
-@pytest.mark.parametrize("name", [name for name in GOOD if name != "born"])
+@pytest.mark.parametrize("name", [name for name in VALID_FIELDS if name != "born"])
 def test_a_missing_field_is_reported_by_name(name):
     """A report without one field may lack others as well."""
-    fields = {other: value for other, value in GOOD.items() if other != name}
+    fields = {other: value for other, value in VALID_FIELDS.items() if other != name}
     with pytest.raises(DamagedReport) as caught:
         read_heartbeat("i-1", orjson.dumps(fields))
     assert caught.value.field == name
@@ -207,15 +207,15 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "value", "place"), DAMAGED_RANGES)
-def test_a_damaged_range_is_reported_by_position(name, value, place):
+@pytest.mark.parametrize(("name", "value", "position"), DAMAGED_RANGES)
+def test_a_damaged_range_is_reported_by_position(name, value, position):
     """Guards against releases that didn't happen, and grants with an invalid fence.
 
     The lists of a report have rows of another shape, out of bounds, or too many rows.
     """
     with pytest.raises(DamagedReport) as caught:
         read_heartbeat("i-1", report(**{name: value}))
-    assert caught.value.field == place
+    assert caught.value.field == position
     assert len(str(caught.value)) < 300
 
 
--- a/comfreywharf/platform/tests/test_closing.py
+++ b/comfreywharf/platform/tests/test_closing.py
@@ -3,7 +3,7 @@
 import gevent
 import pytest
 
-from comfreywharf.platform.tests.builders import LONG_MS, wait_for
+from comfreywharf.platform.tests.builders import LONG_TIMEOUT_MS, wait_for
 from comfreywharf_dev.standins.platform_server import post
 
 
@@ -23,17 +23,17 @@
     server = deployment.servers[name]
     server.work_s = 0.8
     wait_for(lambda: server.remaining_hold_s(7) > 1.0)
-    deadline = str(LONG_MS)
+    deadline = str(LONG_TIMEOUT_MS)
     non_holder = deployment.non_holder(7)
-    asking = gevent.spawn(deployment.send_request, non_holder, X_Deadline_Ms=deadline)
+    pending = gevent.spawn(deployment.send_request, non_holder, X_Deadline_Ms=deadline)
     wait_for(lambda: server.busy)
     if leaves:
         port = deployment.ports[name][3]
         assert post(port, f"/-/instances/{server.instance}/deregister", {}) == 200
     server.close_port()
-    while not asking.ready():
+    while not pending.ready():
         assert deployment.holders(7) in ([], [name])
         gevent.sleep(0.01)
-    assert asking.value.status == 200
+    assert pending.value.status == 200
     server.crash()
     wait_for(lambda: deployment.holder(7) not in (None, name))
--- a/comfreywharf/platform/tests/test_hanging.py
+++ b/comfreywharf/platform/tests/test_hanging.py
@@ -53,13 +53,13 @@
     """
     hang(deployment.servers["n3"])
     for _ in range(4):
-        asked = [
+        tasks = [
             gevent.spawn(
                 deployment.send_request, "n0", "/stock/1", None, X_Deadline_Ms="300"
             )
             for _ in range(8)
         ]
-        gevent.joinall(asked)
+        gevent.joinall(tasks)
     statuses = [
         deployment.send_request("n0", "/stock/1", None).status for _ in range(10)
     ]
--- a/comfreywharf/platform/tests/test_incarnations.py
+++ b/comfreywharf/platform/tests/test_incarnations.py
@@ -175,8 +175,8 @@
     """
     return [
         later
-        for place, later in enumerate(taken)
-        for earlier in taken[:place]
+        for index, later in enumerate(taken)
+        for earlier in taken[:index]
         if later.incarnation != earlier.incarnation
         and later.fence <= earlier.fence
         and later.first <= earlier.last
--- a/comfreywharf/platform/tests/test_lists.py
+++ b/comfreywharf/platform/tests/test_lists.py
@@ -6,7 +6,7 @@
 import pytest
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.platform.tests.builders import LONG_MS, Deployment, wait_for
+from comfreywharf.platform.tests.builders import LONG_TIMEOUT_MS, Deployment, wait_for
 from comfreywharf_dev.standins.platform_server import HEARTBEAT_S
 
 
@@ -149,14 +149,16 @@
     name = deployment.holder(7)
     server = deployment.servers[name]
     server.work_s = 0.6
-    asked = gevent.spawn(deployment.send_request, "n3", X_Deadline_Ms=str(LONG_MS))
+    task = gevent.spawn(
+        deployment.send_request, "n3", X_Deadline_Ms=str(LONG_TIMEOUT_MS)
+    )
     wait_for(lambda: server.busy)
     server.state = "draining"
     while server.busy:
         others = [n for n in deployment.holders(7) if n != name]
         assert others == []
         gevent.sleep(0.01)
-    assert asked.get().status == 200
+    assert task.get().status == 200
     wait_for(lambda: deployment.holder(7) not in (None, name), 8)
     taker = deployment.servers[deployment.holder(7)]
     assert set(taker.received_handovers) & set(server.issued_handovers)
--- a/comfreywharf/platform/tests/test_relaying.py
+++ b/comfreywharf/platform/tests/test_relaying.py
@@ -7,7 +7,7 @@
 from comfreywharf.platform.tests.builders import configuration, wait_for
 
 
-def reader(deployment):
+def store_reader(deployment):
     """Return the name of the only node that reads the store, or ``None``."""
     found = [n for n, node in deployment.nodes.items() if not node.follower.relayed]
     return found[0] if len(found) == 1 else None
@@ -18,11 +18,11 @@
 
     Only one node may read the records from the store.
     """
-    wait_for(lambda: reader(deployment))
+    wait_for(lambda: store_reader(deployment))
     deployment.store.put("keyed.op", "config", configuration(version=4))
     nodes = deployment.nodes.values()
     wait_for(lambda: all(node.routes.version == 4 for node in nodes))
-    assert reader(deployment)
+    assert store_reader(deployment)
 
 
 def test_nodes_receive_new_records_after_the_reader_is_lost(deployment):
@@ -31,8 +31,8 @@
     The node that reads the store is killed, and a configuration is written. Its peers
     must not go on waiting for it.
     """
-    wait_for(lambda: reader(deployment))
-    lost = reader(deployment)
+    wait_for(lambda: store_reader(deployment))
+    lost = store_reader(deployment)
     deployment.nodes.pop(lost).kill()
     deployment.store.put("keyed.op", "config", configuration(version=4))
     nodes = deployment.nodes.values()
@@ -45,8 +45,8 @@
     The store answers all nodes but the one that reads it. The peers must not count that
     node's answers as current.
     """
-    wait_for(lambda: reader(deployment))
-    store = deployment.nodes[reader(deployment)].ports.store
+    wait_for(lambda: store_reader(deployment))
+    store = deployment.nodes[store_reader(deployment)].ports.store
     with mock.patch.object(store, "_call", side_effect=LogError("refused")):
         deployment.store.put("keyed.op", "config", configuration(version=4))
         nodes = deployment.nodes.values()
@@ -55,18 +55,18 @@
 
 def test_a_reader_whose_reads_of_the_routes_fail_is_bypassed(deployment):
     """Guards against outdated routes from a relay that still reads the record log."""
-    wait_for(lambda: reader(deployment))
-    blind = deployment.nodes[reader(deployment)]
-    others = [node for node in deployment.nodes.values() if node is not blind]
-    read = blind.ports.store.read
+    wait_for(lambda: store_reader(deployment))
+    failing = deployment.nodes[store_reader(deployment)]
+    others = [node for node in deployment.nodes.values() if node is not failing]
+    read = failing.ports.store.read
 
     def read_records_only(topic, *arguments):
         if topic == "keyed.op":
             raise LogError("no answer")
         return read(topic, *arguments)
 
-    with mock.patch.object(blind.ports.store, "read", read_records_only):
-        wait_for(lambda: blind.routes.age_s(boottime_s()) > 1.0)
+    with mock.patch.object(failing.ports.store, "read", read_records_only):
+        wait_for(lambda: failing.routes.age_s(boottime_s()) > 1.0)
         deployment.configure(4)
         wait_for(lambda: all(node.routes.version == 4 for node in others))
-    assert blind.follower.reachable
+    assert failing.follower.reachable
--- a/comfreywharf/platform/tests/test_translation.py
+++ b/comfreywharf/platform/tests/test_translation.py
@@ -27,7 +27,7 @@
     assert settings.longest_hold_s == 10.0
 
 
-def test_all_findings_are_reported_together_with_their_places(tmp_path):
+def test_all_findings_are_reported_together_with_their_positions(tmp_path):
     """An operator can correct all errors of a file at once."""
     text = boot_text().replace("drain=2000ms", "drain=soon")
     text = text.replace("network.listen.ready=127.0.0.1:1003", "network.listen.ready=x")
--- a/comfreywharf/platform/tests/test_uploads.py
+++ b/comfreywharf/platform/tests/test_uploads.py
@@ -6,7 +6,7 @@
 
 from comfreywharf.daemon.requests.caller_watch import WATCH_INTERVAL_S
 from comfreywharf.daemon.requests.collecting import MAX_COLLECTED_BODIES
-from comfreywharf.platform.tests.builders import LONG_MS, wait_for
+from comfreywharf.platform.tests.builders import LONG_TIMEOUT_MS, wait_for
 from comfreywharf.transport.sockets import SocketTransport
 
 BODY = b"x" * 60_000
@@ -16,7 +16,7 @@
 """How many bytes the messages of one request may take in addition to its body."""
 
 
-def sent_between_nodes():
+def count_bytes_between_nodes():
     """Return a patch, and a counter of the bytes that nodes send to each other."""
     write = SocketTransport.write
     counter = mock.Mock(size_bytes=0)
@@ -44,7 +44,7 @@
     return started
 
 
-def spawn_uploads(deployment, count, deadline_ms=LONG_MS):
+def spawn_uploads(deployment, count, deadline_ms=LONG_TIMEOUT_MS):
     headers = {"X_Deadline_Ms": str(deadline_ms)}
     return [gevent.spawn(upload, deployment, "n0", **headers) for _ in range(count)]
 
@@ -57,7 +57,7 @@
     gevent.joinall([gevent.spawn(upload, deployment, "n0") for _ in range(8)])
     deployment.ledger.clear()
     running = start_long_uploads(deployment, 8)
-    patch, counter = sent_between_nodes()
+    patch, counter = count_bytes_between_nodes()
     with patch:
         tries = spawn_uploads(deployment, UPLOADS, deadline_ms=300)
         gevent.joinall(tries)
@@ -80,7 +80,7 @@
     """Guards against a link that is filled with bodies of callers that are gone."""
     owner = deployment.nodes["n3"]
     first = start_long_uploads(deployment, 8)
-    patch, counter = sent_between_nodes()
+    patch, counter = count_bytes_between_nodes()
     with patch:
         left = spawn_uploads(deployment, 16)
         wait_for(lambda: owner.load.waiting() == len(left))
