--- a/comfreywharf/transport/tests/test_stamps.py
+++ b/comfreywharf/transport/tests/test_stamps.py
@@ -73,10 +73,10 @@
     One machine's clock jumps an hour, and its next call carries the time. Such a time
     has to be reported and not merged.
     """
-    jumped, sound = FixedClock(now_ms=3_700_000), FixedClock(now_ms=100_000)
-    renew_over_tcp(jumped, sound)
-    assert sound.refused == ["booking-1"]
-    assert EventClock.milliseconds(sound.stamp()) == 100_000
+    jumped, correct = FixedClock(now_ms=3_700_000), FixedClock(now_ms=100_000)
+    renew_over_tcp(jumped, correct)
+    assert correct.refused == ["booking-1"]
+    assert EventClock.milliseconds(correct.stamp()) == 100_000
     jumped.now_ms = 100_050
-    renew_over_tcp(jumped, sound)
-    assert len(sound.refused) == 1
+    renew_over_tcp(jumped, correct)
+    assert len(correct.refused) == 1
