--- a/comfreywharf/transport/clients.py
+++ b/comfreywharf/transport/clients.py
@@ -92,7 +92,7 @@
 
     def _borrow(self):
         # A node that restarted has closed all connections. A call on one of them
-        # would end without an answer, as one that may have been run.
+        # would end without an answer, and would count as possibly run.
         while self._idle:
             connection = self._idle.pop()
             if connection.is_open_and_idle():
--- a/comfreywharf/transport/sockets.py
+++ b/comfreywharf/transport/sockets.py
@@ -119,8 +119,8 @@
 
         A message is in one frame, so its head is read from the frame's buffer. Read
         through the transport, each of the four fields could wait for another frame:
-        a peer that sent half a head would keep its connection open forever, and
-        each call would cost reads that never need to wait.
+        a peer that sent half a head would keep its connection open forever. Each
+        call would also cost further reads through the transport.
         """
         version = self.readI32()
         if version & VERSION_MASK != VERSION_1:
--- a/comfreywharf/transport/stamps.py
+++ b/comfreywharf/transport/stamps.py
@@ -36,7 +36,7 @@
 
 
 class NoStamps(Stamps):
-    """For programs that record no events: messages carry no event clock."""
+    """Set and merge no event clock, for programs that record no events."""
 
     def stamp(self):
         """Return 0, which stands for no event clock."""
--- a/comfreywharf/transport/tests/test_clients.py
+++ b/comfreywharf/transport/tests/test_clients.py
@@ -24,8 +24,8 @@
 def test_a_late_answer_isnt_taken_for_that_of_the_next_call():
     """Guards against a caller that receives the answer to another call.
 
-    A call times out, the next one follows, and the late answer arrives. Both calls must
-    not use the same connection.
+    A call times out, the next one follows, and the late answer arrives. The two
+    calls must not use the same connection.
     """
     server, port = start_server()
     client = PeerClient("127.0.0.1", port)
--- a/comfreywharf/transport/transits.py
+++ b/comfreywharf/transport/transits.py
@@ -12,17 +12,17 @@
 __all__ = ["TransitTimes"]
 
 WINDOW_S = 10.0
-"""For how long a smallest difference is used, at the minimum. Clocks that drift by 5
-in 1,000 are off by 50 ms after this time."""
+"""For how long a smallest difference is used, at least. Clocks that drift by 5 in
+1,000 are off by 50 ms after this time."""
 
 MAX_QUEUED_S = 8.0
-"""A longer delay means that the clock is another one: the machine was replaced by one
-of the same name."""
+"""A longer delay means that the sender's clock is another one: its machine was replaced
+by one of the same name."""
 
 
 @attrs.define
 class TransitTimes:
-    """The transit times of one peer's messages.
+    """Estimate the queueing delay of each message of one peer.
 
     >>> times = TransitTimes()
     >>> times.queued_s(sent_s=100.0, now_s=5.0)
@@ -36,7 +36,7 @@
     _window_start_s: float = float("-inf")
 
     def queued_s(self, sent_s, now_s):
-        """Return how much longer a message took than the fastest recent one."""
+        """Return how much longer a message took than the fastest recent one, in s."""
         difference_s = now_s - sent_s
         if now_s - self._window_start_s > WINDOW_S:
             self._start_window(now_s, self._min_difference_s)
--- a/idl/comfreywharf.thrift
+++ b/idl/comfreywharf.thrift
@@ -68,6 +68,7 @@
   3: required bool failed              // the rest is lost: the body is incomplete
 }
 
+// From the owner of a lease to each of its witnesses.
 struct RenewRequest {
   1: required string node_id,
   2: required i64 incarnation,
@@ -80,6 +81,8 @@
   9: required bool vouched             // a grant of this witness is still in force
 }
 
+// From a node that may take over from a node whose lease expired, to the latter's
+// witnesses.
 struct ClaimRequest {
   1: required string owner_id,         // the node whose lease expired
   2: required string taker_id,
@@ -92,6 +95,7 @@
   9: required i64 round
 }
 
+// A witness's answer to a renewal or a claim.
 struct GrantReply {
   1: required bool granted,
   2: required i64 term,                // changes with each holder and each restart
@@ -100,12 +104,15 @@
   5: required i64 event_clock
 }
 
+// From a witness to the takers of an expired lease, so that they claim it at once.
 struct LapsedNotice {
   1: required string owner_id,
   2: required i64 lease_epoch,
   3: required i64 event_clock
 }
 
+// An answer that the earlier owner of a slice has kept, so that the next owner can
+// answer a repeated request without running it again.
 struct RememberedAnswer {
   1: required string request_id,
   2: required i64 key_hash,
@@ -121,6 +128,7 @@
 // An entry with an empty request id bounds the list: the sender has kept every
 // request id of the last age_ms, and may have dropped older ones.
 
+// From the next owner of a slice to its earlier owner.
 struct ReleaseRequest {
   1: required string service_name,
   2: required i64 slice_start,
@@ -140,6 +148,7 @@
   7: required string handover          // from the server, for the next owner
 }
 
+// A short-lived fact that nodes pass on to each other, outside of the log.
 struct Notice {
   1: required string notice_id,
   2: required string kind,             // suspect, hot_key, lifted
@@ -148,6 +157,7 @@
   5: required i32 remaining_ms
 }
 
+// Gossip: log records, routes and notices that the two nodes lack.
 struct ExchangeRequest {
   1: required string node_id,
   2: required i64 incarnation,
@@ -185,6 +195,7 @@
   3: required double requests_per_s
 }
 
+// From each node to the planner, which assigns the slices.
 struct LoadReport {
   1: required string node_id,
   2: required i64 incarnation,
