--- a/comfreywharf/settings/kinds.py
+++ b/comfreywharf/settings/kinds.py
@@ -55,7 +55,7 @@
 
     @property
     def expected(self):
-        """Return the phrase for findings."""
+        """Return the description of valid values for findings."""
         unit = f" {self.unit}" if self.unit else ""
         return f"a whole number from {self.low} to {self.high}{unit}"
 
@@ -87,7 +87,7 @@
 
     @property
     def expected(self):
-        """Return the phrase for findings."""
+        """Return the description of valid values for findings."""
         return f"a number from {self.low:g} to {self.high:g}"
 
     def read(self, text):
--- a/comfreywharf/settings/reader.py
+++ b/comfreywharf/settings/reader.py
@@ -46,6 +46,7 @@
 
 _PORTS = ("caller_port", "peer_port", "operator_port", "backend_port")
 _FIELDS = {"id": "node_id", "address": "log", "stream": "log_stream"}
+"""The fields of `NodeSettings` whose names differ from their keys in the file."""
 
 
 def read_settings(path) -> Result[NodeSettings, list[Finding]]:
