--- a/comfreywharf/settings/document.py
+++ b/comfreywharf/settings/document.py
@@ -52,9 +52,9 @@
     def _line(self, section, key):
         if section not in self.sections:
             return 0
-        place = self.sections[section]
-        entry = place.entries.get(key)
-        return entry.line if entry else place.line
+        containing_section = self.sections[section]
+        entry = containing_section.entries.get(key)
+        return entry.line if entry else containing_section.line
 
 
 def read_document(path):
--- a/comfreywharf/settings/findings.py
+++ b/comfreywharf/settings/findings.py
@@ -28,12 +28,12 @@
     expected: str
 
     def __str__(self):
-        place = f"{self.path}:{self.line}" if self.line else self.path
+        position = f"{self.path}:{self.line}" if self.line else self.path
         section = f" [{self.section}]" if self.section else ""
         key = f" {self.key}" if self.key else ""
         where = f"{section}{key}:" if section or key else ""
         found = "nothing" if self.found is None else repr(self.found)
-        return f"{place}:{where} found {found}; expected {self.expected}"
+        return f"{position}:{where} found {found}; expected {self.expected}"
 
 
 def suggest(name, known):
--- a/comfreywharf/settings/tests/test_reader.py
+++ b/comfreywharf/settings/tests/test_reader.py
@@ -36,7 +36,7 @@
     return {(finding.line, finding.key) for finding in result.failure()}
 
 
-def test_valid_file(read):
+def test_a_valid_file_gives_typed_values(read):
     """A valid file gives typed values, including those with continuation lines."""
     settings = read(VALID).unwrap()
     assert settings.node_id == "booking-1"
@@ -68,7 +68,7 @@
     found = read(text)
     # A port may be equal to another port that was changed; then one of the two
     # findings is at the other port.
-    ports = {place for place in expected if place[1].endswith("_port")}
+    ports = {position for position in expected if position[1].endswith("_port")}
     assert expected - ports <= positions(found)
     assert bool(ports) == any(key.endswith("_port") for _, key in positions(found))
 
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("data", [None, b"\xff\xfe", b"x" * (1 << 21), b""])
-def test_unusable_file(tmp_path, data):
+def test_an_unusable_file_is_a_failure(tmp_path, data):
     """A file that is missing, not text, too large or empty is a `Failure`."""
     path = tmp_path / "node.ini"
     if data is not None:
@@ -141,7 +141,7 @@
 
 @given(st.text("ab=[]: \n#\t;\rx", max_size=60))
 @settings(derandomize=True, deadline=None, max_examples=500)
-def test_index_agrees_with_the_parser(text):
+def test_each_parsed_value_has_its_line_number(text):
     """Any text is parsed or refused, and each value has its line."""
     document = Document(path="any")
     parse_text(document, text)
