--- a/comfreywharf/declarations/fields.py
+++ b/comfreywharf/declarations/fields.py
@@ -9,7 +9,7 @@
 
 __all__ = [
     "MAX_SERVICES",
-    "NAME",
+    "NAME_KIND",
     "SERVICE_KEYS",
     "contradictions",
     "service_from_fields",
@@ -20,7 +20,7 @@
 MAX_WEIGHT = 1000.0
 MAX_QUEUE_LENGTH = 100_000
 
-NAME = NameKind()
+NAME_KIND = NameKind()
 
 SERVICE_KEYS = (
     Key("divided_by_key", YesNoKind()),
@@ -34,7 +34,7 @@
     Key("max_body_bytes", IntegerKind(0, MAX_BODY_BYTES, "bytes")),
 )
 
-_BY_NAME = {key.name: key for key in SERVICE_KEYS}
+_KEYS_BY_NAME = {key.name: key for key in SERVICE_KEYS}
 
 
 def service_to_fields(service):
@@ -56,19 +56,19 @@
     """
     errors = []
     values = {}
-    if not _is_valid(NAME, name):
-        errors.append(f"service name: found {name!r}; expected {NAME.expected}")
+    if not _is_valid(NAME_KIND, name):
+        errors.append(f"service name: found {name!r}; expected {NAME_KIND.expected}")
     for key, text in fields.items():
-        if key not in _BY_NAME:
-            errors.append(f"{name}.{key}: expected one of {', '.join(_BY_NAME)}")
+        if key not in _KEYS_BY_NAME:
+            errors.append(f"{name}.{key}: expected one of {', '.join(_KEYS_BY_NAME)}")
             continue
-        kind = _BY_NAME[key].kind
+        kind = _KEYS_BY_NAME[key].kind
         if _is_valid(kind, text):
             values[key] = kind.read(text)
         else:
             errors.append(f"{name}.{key}: found {text!r}; expected {kind.expected}")
     service = ServiceConfig(name=str(name), **values)
-    errors += [f"{name}.{key}: {what}" for key, what in contradictions(service)]
+    errors += [f"{name}.{key}: {expected}" for key, expected in contradictions(service)]
     return Failure(errors) if errors else Success(service)
 
 
--- a/comfreywharf/declarations/reader.py
+++ b/comfreywharf/declarations/reader.py
@@ -4,7 +4,7 @@
 
 from comfreywharf.declarations.fields import (
     MAX_SERVICES,
-    NAME,
+    NAME_KIND,
     SERVICE_KEYS,
     contradictions,
 )
@@ -57,7 +57,7 @@
         document.add_finding("[service NAME]", f"[{section}]", section)
         return ""
     try:
-        return NAME.read(words[1])
+        return NAME_KIND.read(words[1])
     except ValueError:
-        document.add_finding(NAME.expected, words[1], section)
+        document.add_finding(NAME_KIND.expected, words[1], section)
         return ""
--- a/comfreywharf/declarations/tests/test_declarations.py
+++ b/comfreywharf/declarations/tests/test_declarations.py
@@ -43,14 +43,14 @@
 
 @given(configurations(min_size=1))
 @settings(derandomize=True, deadline=None)
-def test_round_trip(read, configuration):
+def test_written_declarations_are_read_back_the_same(read, configuration):
     """Services that are written are read back the same."""
     assert read(write_declarations(configuration)).unwrap() == configuration
 
 
 @given(services())
 @settings(derandomize=True, deadline=None)
-def test_fields_round_trip(service):
+def test_the_fields_of_a_service_give_the_same_service(service):
     """Texts by key, as sent over the network, give the same service again."""
     texts = service_to_fields(service)
     assert service_from_fields(service.name, texts).unwrap() == service
@@ -116,7 +116,9 @@
     """Any input from the network gives a service or a list of errors."""
     result = service_from_fields("booking", {key: value})
     if isinstance(result, Failure):
-        assert all("expected" in what or "at most" in what for what in result.failure())
+        assert all(
+            "expected" in error or "at most" in error for error in result.failure()
+        )
     else:
         assert service_to_fields(result.unwrap())[key]
 
