--- a/comfreywharf/events/limit.py
+++ b/comfreywharf/events/limit.py
@@ -45,7 +45,7 @@
         return withheld
 
     def withhold(self, name, now_s):
-        """Count an event that is withheld for another reason than the limit."""
+        """Count an event that is withheld for another reason than the rate limit."""
         self._refill(name, now_s).withheld += 1
 
     def _refill(self, name, now_s):
--- a/comfreywharf/events/lines.py
+++ b/comfreywharf/events/lines.py
@@ -62,7 +62,7 @@
 
 
 def parse_line(line) -> Result[Event, str]:
-    """Return the event of a line, or a message that says why it has none.
+    """Return the event of a line, or a message that says why it can't be parsed.
 
     The prefix of the logging library is skipped.
     """
--- a/comfreywharf/events/ring.py
+++ b/comfreywharf/events/ring.py
@@ -11,7 +11,7 @@
 
 @attrs.frozen(kw_only=True)
 class Event:
-    """Something that happened at a node.
+    """A numbered event that a node reported.
 
     ``clock`` is a hybrid logical time. ``sequence`` counts the node's own events
     since its process started, and ``incarnation`` identifies that process.
--- a/comfreywharf/events/timeline/page.py
+++ b/comfreywharf/events/timeline/page.py
@@ -74,7 +74,7 @@
 
 
 def _notable(events):
-    """Return the table of warnings and errors, with what to do about them."""
+    """Return a table of the warnings and errors, with the advice of the catalogue."""
     chosen = [event for event in events if severity_of(event) != Severity.INFO]
     if not chosen:
         return "<h2>Warnings and errors</h2><p>None.</p>"
--- a/comfreywharf/events/timeline/scale.py
+++ b/comfreywharf/events/timeline/scale.py
@@ -13,7 +13,7 @@
 """The width of a shortened stretch, as a share of that of all busy stretches."""
 
 EDGE_SHARE = 0.25
-"""The part next to an event that isn't shortened, as a share of `QUIET_SHARE`."""
+"""The time next to an event that isn't shortened, as a share of `QUIET_SHARE`."""
 
 
 @attrs.frozen(kw_only=True)
--- a/comfreywharf/events/timeline/spans.py
+++ b/comfreywharf/events/timeline/spans.py
@@ -10,7 +10,7 @@
 
 
 class SpanState(Enum):
-    """Whether and by what right a node could serve during a span; see `Span`."""
+    """Whether a node could serve during a span, and on which basis; see `Span`."""
 
     SERVING = "serving"
     WAITING = "waiting"
