--- a/comfreywharf/events/lines.py
+++ b/comfreywharf/events/lines.py
@@ -53,12 +53,12 @@
     text = str(value)
     if len(text) > MAX_VALUE_CHARACTERS:
         text = text[:MAX_VALUE_CHARACTERS] + "..."
-    if _BARE.fullmatch(text) and text not in _LITERALS and text not in _NUMBERS:
+    if _BARE.fullmatch(text) and text not in _LITERALS and text not in _NON_FINITE:
         return text
     return json.dumps(text)
 
 
-_NUMBERS = frozenset({"NaN", "Infinity"})
+_NON_FINITE = frozenset({"NaN", "Infinity"})
 
 
 def parse_line(line) -> Result[Event, str]:
@@ -102,6 +102,6 @@
 
 
 def _unquote(text):
-    if text not in _LITERALS and text not in _NUMBERS and _BARE.fullmatch(text):
+    if text not in _LITERALS and text not in _NON_FINITE and _BARE.fullmatch(text):
         return text
     return json.loads(text)
--- a/comfreywharf/events/tests/test_decisions.py
+++ b/comfreywharf/events/tests/test_decisions.py
@@ -69,8 +69,8 @@
     try:
         write = StdoutLineWriter(writer)
         line = b"x" * 4000 + b"\n"
-        taken = [write(line) for _ in range(100)]
-        assert taken[0] and not taken[-1]
+        written = [write(line) for _ in range(100)]
+        assert written[0] and not written[-1]
     finally:
         os.close(reader)
         os.close(writer)
--- a/comfreywharf/events/tests/test_timeline.py
+++ b/comfreywharf/events/tests/test_timeline.py
@@ -52,8 +52,8 @@
     for cause, effect in causes:
         assert merged.index(cause) < merged.index(effect)
     for ring in rings:
-        places = [merged.index(event) for event in ring]
-        assert places == sorted(places)
+        positions = [merged.index(event) for event in ring]
+        assert positions == sorted(positions)
 
 
 def test_a_corrected_clock_keeps_the_order_of_a_node():
--- a/comfreywharf/events/timeline/page.py
+++ b/comfreywharf/events/timeline/page.py
@@ -52,7 +52,7 @@
         f"<style>{STYLE}</style></head><body>\n"
         f"<h1>{escape(title)}</h1>\n<p class=lead>{_summary(events, lanes)}</p>\n"
         f"<div class=picture>{render_svg(events, lanes)}</div>\n"
-        f"{_notable(events)}\n"
+        f"{_warnings_and_errors(events)}\n"
         "<h2>All events</h2>\n<details><summary>Show the time line as text</summary>"
         f"<pre>{escape(render_text(events))}</pre></details>\n"
         "</body></html>\n"
@@ -73,7 +73,7 @@
     )
 
 
-def _notable(events):
+def _warnings_and_errors(events):
     """Return a table of the warnings and errors, with the advice of the catalogue."""
     chosen = [event for event in events if severity_of(event) != Severity.INFO]
     if not chosen:
--- a/comfreywharf/events/timeline/picture.py
+++ b/comfreywharf/events/timeline/picture.py
@@ -133,16 +133,16 @@
 
 def _legend(services, spans, events):
     """Return the legend of colours and shapes, which is above the picture."""
-    keys = [
+    entries = [
         (_box(_colour(index)), f"{name}: slices owned")
         for index, name in enumerate(services)
     ]
     states = {span.state for span in spans}
     if SpanState.WAITING in states:
-        keys.append((_box("url(#wait)"), "owned, but no lease"))
+        entries.append((_box("url(#wait)"), "owned, but no lease"))
     if SpanState.CLAIMED in states:
-        keys.append((_box(CLAIM_COLOUR), "taken over, not yet in the log"))
-    keys += [
+        entries.append((_box(CLAIM_COLOUR), "taken over, not yet in the log"))
+    entries += [
         (_shape(Severity.INFO, 6, 0, 4), "event"),
         (_shape(Severity.WARNING, 6, 0, 6), "warning"),
         (_shape(Severity.ERROR, 6, 0, 6), "error"),
@@ -153,11 +153,11 @@
     ]
     names = {event.name for event in events}
     if "takeover" in names:
-        keys.append((_CROSS, "lease over, taken over"))
+        entries.append((_CROSS, "lease over, taken over"))
     if MISSING in names:
-        keys.append((_box("url(#gap)"), "events missing"))
+        entries.append((_box("url(#gap)"), "events missing"))
     parts, x, y = [], 8, 16
-    for symbol, label in keys:
+    for symbol, label in entries:
         width = 34 + 6.4 * len(label)
         if x + width > WIDTH:
             x, y = 8, y + 20
@@ -365,14 +365,14 @@
         if event.name == MISSING:
             yield _missing_events(scale, event)
             continue
-        place = (event.node_id, severity_of(event))
+        lane_key = (event.node_id, severity_of(event))
         x = scale.x(time_ms(event))
-        marker = latest.get(place)
+        marker = latest.get(lane_key)
         if marker and x - marker.x < MERGE_PX:
             marker.events.append(event)
             continue
-        marker = _Marker(x=x, node_id=place[0], severity=place[1], events=[event])
-        latest[place] = marker
+        marker = _Marker(x=x, node_id=lane_key[0], severity=lane_key[1], events=[event])
+        latest[lane_key] = marker
         markers.append(marker)
     order = list(Severity)
     for marker in sorted(markers, key=lambda m: order.index(m.severity)):
