--- a/comfreywharf/metrics/families.py
+++ b/comfreywharf/metrics/families.py
@@ -30,146 +30,154 @@
     return Family(f"comfreywharf_{name}", kind, tuple(labels.split()), text, page)
 
 
-_C, _G, _H = Kind.COUNTER, Kind.GAUGE, Kind.HISTOGRAM
+_COUNTER, _GAUGE, _HISTOGRAM = Kind.COUNTER, Kind.GAUGE, Kind.HISTOGRAM
 
 FAMILIES = {
     family.name: family
     for family in (
         _family(
             "requests_total",
-            _C,
+            _COUNTER,
             "service outcome reason",
             "outcomes",
             "Requests that entered here, by outcome and the reason of a refusal",
         ),
         _family(
             "request_duration_seconds",
-            _H,
+            _HISTOGRAM,
             "service",
             "latency",
             "Time from a caller's request to the start of its answer",
         ),
         _family(
             "stage_duration_seconds",
-            _H,
+            _HISTOGRAM,
             "service stage",
             "latency",
             "Time of a request in one stage at its owner: queue or server",
         ),
         _family(
             "ingress_unavailable_seconds_total",
-            _C,
+            _COUNTER,
             "service",
             "unavailable-time",
             "Slice seconds in which requests that entered here found no server",
         ),
         _family(
             "owner_unavailable_seconds_total",
-            _C,
+            _COUNTER,
             "service",
             "unavailable-time",
             "Slice seconds in which this node owned slices without a lease",
         ),
         _family(
             "slices_moved_total",
-            _C,
+            _COUNTER,
             "service direction",
             "churn",
             "Slices that this node gained and lost",
         ),
         _family(
-            "owned_slices", _G, "service", "imbalance", "Slices that this node owns"
+            "owned_slices", _GAUGE, "service", "imbalance", "Slices that this node owns"
         ),
         _family(
             "backend_requests_total",
-            _C,
+            _COUNTER,
             "service",
             "imbalance",
             "Requests that this node's own backend server was given",
         ),
         _family(
             "backend_running_requests",
-            _G,
+            _GAUGE,
             "",
             "queue",
             "Requests at this node's backend server now",
         ),
         _family(
-            "backend_slots", _G, "", "queue", "Slots of this node's backend server"
+            "backend_slots", _GAUGE, "", "queue", "Slots of this node's backend server"
         ),
         _family(
             "admission_refusals_total",
-            _C,
+            _COUNTER,
             "service reason",
             "queue",
             "Requests that found no slot at this node's backend server, by reason",
         ),
         _family(
             "waiting_requests",
-            _G,
+            _GAUGE,
             "",
             "queue",
             "Requests that entered here and wait for their answer now",
         ),
-        _family("streams", _G, "", "streams", "Large answers being passed on now"),
-        _family("lease_held", _G, "", "leases", "1 while this node holds its lease"),
+        _family("streams", _GAUGE, "", "streams", "Large answers being passed on now"),
+        _family(
+            "lease_held", _GAUGE, "", "leases", "1 while this node holds its lease"
+        ),
         _family(
             "lease_remaining_seconds",
-            _G,
+            _GAUGE,
             "",
             "leases",
             "Time until the lease ends if no witness renews it",
         ),
         _family(
             "events_total",
-            _C,
+            _COUNTER,
             "event severity",
             "events",
             "Events of the catalogue that this node reported",
         ),
-        _family("log_reachable", _G, "", "log", "1 while the log service answers"),
+        _family("log_reachable", _GAUGE, "", "log", "1 while the log service answers"),
         _family(
-            "log_calls_total", _C, "call", "log", "Calls to the log service, by kind"
+            "log_calls_total",
+            _COUNTER,
+            "call",
+            "log",
+            "Calls to the log service, by kind",
         ),
         _family(
             "log_bytes_total",
-            _C,
+            _COUNTER,
             "direction",
             "log",
             "Bytes of bodies sent to the log service and received from it",
         ),
         _family(
             "fold_age_seconds",
-            _G,
+            _GAUGE,
             "",
             "fold-lag",
             "How long ago the log confirmed what this node has folded",
         ),
-        _family("fold_offset", _G, "", "fold-lag", "Offset of the next record to fold"),
+        _family(
+            "fold_offset", _GAUGE, "", "fold-lag", "Offset of the next record to fold"
+        ),
         _family(
             "config_version",
-            _G,
+            _GAUGE,
             "",
             "fold-lag",
             "Version of the configuration in force here",
         ),
         _family(
             "routes_version",
-            _G,
+            _GAUGE,
             "",
             "fold-lag",
             "Version of the routes in force here; 0 where there are none",
         ),
         _family(
             "routes_age_seconds",
-            _G,
+            _GAUGE,
             "",
             "fold-lag",
             "For how long the routes in force here may have been out of date",
         ),
         _family(
             "loop_late_seconds",
-            _H,
+            _HISTOGRAM,
             "",
             "latency",
             "How much later than due the event loop woke a greenlet that sleeps",
--- a/comfreywharf/metrics/render.py
+++ b/comfreywharf/metrics/render.py
@@ -23,8 +23,8 @@
         buckets = self.get_value(labels)
         totals = list(accumulate(buckets.counts))
         bounds = (*LATENCY_BOUNDS_S, float("inf"))
-        named = dict(zip(bounds, totals, strict=True))
-        return {**named, "count": totals[-1], "sum": buckets.sum_s}
+        counts = dict(zip(bounds, totals, strict=True))
+        return {**counts, "count": totals[-1], "sum": buckets.sum_s}
 
 
 _CLASSES = {
@@ -45,8 +45,8 @@
         family = FAMILIES[f"comfreywharf_{name}"]
         collector = _CLASSES[family.kind](family.name, family.help, registry=registry)
         for labels, value in values.items():
-            named = zip(family.labels, map(_escape, labels), strict=True)
-            collector.set_value(dict(named), value)
+            labels_by_name = zip(family.labels, map(_escape, labels), strict=True)
+            collector.set_value(dict(labels_by_name), value)
     return aioprometheus.render(registry, [accept] if accept else [])
 
 
--- a/comfreywharf/metrics/unavailable.py
+++ b/comfreywharf/metrics/unavailable.py
@@ -42,12 +42,12 @@
 
     def refused(self, service, slice_start, began_s, now_s):
         """Record a request that found no server; it arrived at ``began_s``."""
-        place = (service, slice_start)
-        outage = self._open.get(place)
+        slice_id = (service, slice_start)
+        outage = self._open.get(slice_id)
         if outage is None:
             if len(self._open) >= MAX_OPEN_OUTAGES:
                 return
-            outage = self._open[place] = _Outage(began_s)
+            outage = self._open[slice_id] = _Outage(began_s)
         self._advance(service, outage, now_s)
 
     def answered(self, service, slice_start, now_s):
