--- a/comfreywharf/cli/client.py
+++ b/comfreywharf/cli/client.py
@@ -115,8 +115,8 @@
     each client. An answer is a `CommandError` if the call raised it.
     """
 
-    def query_one(place):
-        node_id, client = place
+    def query_one(node):
+        node_id, client = node
         try:
             return node_id, get_answer(client)
         except CommandError as error:
--- a/comfreywharf/cli/config.py
+++ b/comfreywharf/cli/config.py
@@ -177,11 +177,11 @@
     _, document = submit_once(client, "/config", order, SubmissionDocument, base)
     show(document, at.json, _verdict_text(client, document, base, file))
     if document.verdict == Verdict.ACCEPTED and wait_s > 0:
-        return _wait(client, base + 1, wait_s, at.json)
+        return _wait_until_in_force(client, base + 1, wait_s, at.json)
     return exit_code(document)
 
 
-def _wait(client, version, wait_s, as_json):
+def _wait_until_in_force(client, version, wait_s, as_json):
     rollout = wait_for_rollout(client, version, wait_s)
     if not as_json:
         print(rollout.text)
--- a/comfreywharf/cli/doctor.py
+++ b/comfreywharf/cli/doctor.py
@@ -48,8 +48,8 @@
     """
     checks = _check_settings(settings) if settings else []
     client = at.client()
-    asked = client.get("/doctor", DoctorDocument)
-    checks += asked.checks
+    report = client.get("/doctor", DoctorDocument)
+    checks += report.checks
     checks += _check_nodes(client)
     troubles = sum(not check.well for check in checks)
     rows = [
@@ -58,8 +58,8 @@
     ]
     text = table(["", "check", "found", "what to do"], rows)
     summary = count_of(troubles, "trouble") if troubles else "no trouble"
-    document = {"node_id": asked.node_id, "checks": checks}
-    show(document, at.json, f"{text}\n\nseen from {asked.node_id}: {summary}")
+    document = {"node_id": report.node_id, "checks": checks}
+    show(document, at.json, f"{text}\n\nseen from {report.node_id}: {summary}")
     return ExitCode.REFUSED if troubles else ExitCode.FINE
 
 
--- a/comfreywharf/cli/nodes.py
+++ b/comfreywharf/cli/nodes.py
@@ -199,7 +199,7 @@
     code = exit_code(document)
     owned = answer.owned_slices if answer else -1
     if code == ExitCode.FINE and wait_s:
-        owned = _wait_empty(client, node_id, wait_s)
+        owned = _wait_until_drained(client, node_id, wait_s)
         if owned:
             code = ExitCode.REFUSED
             print_to_stderr(
@@ -214,7 +214,7 @@
     return code
 
 
-def _wait_empty(client, node_id, wait_s):
+def _wait_until_drained(client, node_id, wait_s):
     for _ in range(max(1, int(wait_s / WAIT_INTERVAL_S))):
         owned = {
             node.node_id: node.owned_slices + node.awaited_slices
--- a/comfreywharf/cli/tests/builders.py
+++ b/comfreywharf/cli/tests/builders.py
@@ -54,12 +54,12 @@
             for node_id in others
         ]
         self.posts = []
-        self.asked = []
+        self.queried_record_ids = []
 
     def get(self, path, cls, **query):
         if path == "/nodes":
             return self._others
-        self.asked.append(query["record_id"])
+        self.queried_record_ids.append(query["record_id"])
         return self._next_answer("outcome")
 
     def post(self, path, order, cls):
--- a/comfreywharf/cli/tests/test_clocks.py
+++ b/comfreywharf/cli/tests/test_clocks.py
@@ -19,10 +19,10 @@
         ClockReading(
             node_id=str(number),
             sent_ms=100.0,
-            received_ms=100.0 + there + back,
-            clock_ms=100.0 + there + ahead,
+            received_ms=100.0 + query_delay_ms + answer_delay_ms,
+            clock_ms=100.0 + query_delay_ms + ahead,
         )
-        for number, (ahead, there, back) in enumerate(clocks)
+        for number, (ahead, query_delay_ms, answer_delay_ms) in enumerate(clocks)
     ]
     estimates = clock_offsets(readings)
     for (ahead, *_), estimate in zip(clocks, estimates, strict=True):
--- a/comfreywharf/cli/tests/test_commands.py
+++ b/comfreywharf/cli/tests/test_commands.py
@@ -22,7 +22,9 @@
         (["config", "outcome", "r", "--base", "x", "--node", DOWN_NODE], 2, "--base"),
     ],
 )
-def test_bad_input_and_unreachable_nodes(capsys, monkeypatch, tokens, code, message):
+def test_bad_input_and_unreachable_nodes_have_exit_codes_and_messages(
+    capsys, monkeypatch, tokens, code, message
+):
     """Bad input exits with 2, an unreachable node with 3, each with a message."""
     monkeypatch.delenv("COMFREYWHARF_NODE", raising=False)
     assert run(tokens) == code
@@ -41,7 +43,7 @@
     assert "2 findings" in error
 
 
-def test_table():
+def test_numbers_are_right_aligned_and_empty_cells_are_dashes():
     """Numbers are right-aligned, and an empty cell is shown as a dash."""
     text = table(["node", "slices", "log"], [["a", 12, ""], ["booking-1", 3, True]])
     assert text.splitlines() == [
--- a/comfreywharf/cli/tests/test_submission.py
+++ b/comfreywharf/cli/tests/test_submission.py
@@ -21,16 +21,16 @@
     return submit_once(node, "/config", make_order(), SubmissionDocument, 4)[1]
 
 
-@given(posted=verdicts, asked=st.lists(verdicts, max_size=14))
+@given(posted=verdicts, outcomes=st.lists(verdicts, max_size=14))
 @settings(derandomize=True, deadline=None)
-def test_a_record_is_posted_once_and_its_outcome_reported(posted, asked):
+def test_a_record_is_posted_once_and_its_outcome_reported(posted, outcomes):
     """A patch must not be appended twice, nor its outcome be reported wrongly.
 
     Both could happen if the answer to the post is lost, or if it is sent before
     the outcome is known, since the tool then queries the outcome.
     """
-    node = FakeNode([posted], asked)
-    verdicts_read = [v for v in [posted, *asked][: module.MAX_QUERIES + 1] if v]
+    node = FakeNode([posted], outcomes)
+    verdicts_read = [v for v in [posted, *outcomes][: module.MAX_QUERIES + 1] if v]
     final_verdicts = [v for v in verdicts_read if v != "unknown"]
     if not verdicts_read:
         with pytest.raises(CommandError, match="config outcome r1 --base 4") as raised:
@@ -40,7 +40,7 @@
         expected = Verdict(final_verdicts[0] if final_verdicts else "unknown")
         assert submit(node).verdict == expected
     assert node.posts == ["r1"]
-    assert set(node.asked) <= {"r1"}
+    assert set(node.queried_record_ids) <= {"r1"}
 
 
 def test_the_outcome_is_queried_at_another_node_after_a_crash(monkeypatch):
@@ -60,6 +60,6 @@
     "verdict, code",
     [("accepted", ExitCode.FINE), ("refused", 1), ("unknown", 1)],
 )
-def test_exit_codes(verdict, code):
+def test_only_an_accepted_record_exits_with_0(verdict, code):
     """Only an accepted record, which was read back from the log, exits with 0."""
     assert exit_code(submission(verdict)) == code
