--- a/comfreywharf/cli/target.py
+++ b/comfreywharf/cli/target.py
@@ -15,7 +15,7 @@
 @Parameter(name="*")
 @attrs.frozen(kw_only=True)
 class Target:
-    """The node that is asked; any node will do."""
+    """The options for the queried node, which may be any, and for the output."""
 
     node: Annotated[
         str,
--- a/comfreywharf/cli/tests/test_submission.py
+++ b/comfreywharf/cli/tests/test_submission.py
@@ -26,8 +26,8 @@
 def test_a_record_is_posted_once_and_its_outcome_reported(posted, outcomes):
     """A patch must not be appended twice, nor its outcome be reported wrongly.
 
-    Both could happen if the answer to the post is lost, or if it is sent before
-    the outcome is known, since the tool then queries the outcome.
+    The answer to the post is lost, or is sent before the outcome is known, so that
+    the tool has to query the outcome.
     """
     node = FakeNode([posted], outcomes)
     verdicts_read = [v for v in [posted, *outcomes][: module.MAX_QUERIES + 1] if v]
