--- a/comfreywharf/platform/tests/test_transit.py
+++ b/comfreywharf/platform/tests/test_transit.py
@@ -26,7 +26,11 @@
 
 
 def test_a_request_that_arrives_after_its_deadline_is_not_run(deployment):
-    """Guards against work for callers that are gone, after a congested link."""
+    """Guards against work for callers that are gone.
+
+    On a congested link between two nodes, a request is on its way until after its
+    deadline.
+    """
     link = SlowLink()
     with link.patch:
         ingress = deployment.non_holder(KEY)
--- a/comfreywharf/platform/tests/test_uploads.py
+++ b/comfreywharf/platform/tests/test_uploads.py
@@ -50,7 +50,11 @@
 
 
 def test_the_body_of_a_refused_upload_is_not_sent_to_its_owners_node(deployment):
-    """Guards against a link that is filled with bodies that admission refuses."""
+    """Guards against a link that is filled with bodies that admission refuses.
+
+    All slots of the server are occupied, and further uploads have deadlines that are
+    too short to wait for one.
+    """
     server = deployment.servers["n3"]
     server.work_s = 0.4
     # The server's node estimates from these how long an upload takes.
@@ -77,7 +81,10 @@
 
 
 def test_few_bodies_are_sent_for_callers_who_leave_while_they_wait(deployment):
-    """Guards against a link that is filled with bodies of callers that are gone."""
+    """Guards against a link that is filled with bodies of callers that are gone.
+
+    All slots of the server are occupied, and the callers of waiting uploads leave.
+    """
     owner = deployment.nodes["n3"]
     first = start_long_uploads(deployment, 8)
     patch, counter = count_bytes_between_nodes()
@@ -93,7 +100,10 @@
 
 
 def test_an_upload_that_waits_for_a_leaving_server_is_not_started(deployment):
-    """Guards against work that reaches a server after it has left."""
+    """Guards against work that reaches a server after it has left.
+
+    Uploads wait for a slot when their server leaves.
+    """
     server, owner = deployment.servers["n3"], deployment.nodes["n3"]
     running = start_long_uploads(deployment, 8)
     waiting = spawn_uploads(deployment, 8)
