--- a/comfreywharf/platform/settings.py
+++ b/comfreywharf/platform/settings.py
@@ -140,24 +140,24 @@
 def _settings(fields):
     read = fields.read
     host = read("self.ip", str, "")
-    listening = "network.listen."
-    bounds = "terms.bounds."
-    callers = read(listening + "outbound", _address)
-    ready = read(listening + "ready", _address)
-    heartbeats = read(listening + "control", _address)
+    listen_prefix = "network.listen."
+    bounds_prefix = "terms.bounds."
+    callers = read(listen_prefix + "outbound", _address)
+    ready = read(listen_prefix + "ready", _address)
+    heartbeats = read(listen_prefix + "control", _address)
     store = read("platform.platform.address", _address)
     peer_port, last_port = read("network.internalPorts", _ports, (0, 0))
     node_id = read("self.node", str, "")
     zone = read("self.zone", str, "")
     region = read("self.region", str, "")
     service = read("self.service", str, "")
-    times = {
+    numbers = {
         "heartbeat_interval_s": read("platform.heartbeat", duration_s, 1.0),
-        "drain_s": read(bounds + "drain", duration_s, 2.0),
-        "grace_s": read(bounds + "grace", duration_s, 6.0),
-        "longest_hold_s": read(bounds + "maxHold", duration_s, 10.0),
-        "routes_apply_s": read(bounds + "configApply", duration_s, 2.0),
-        "retry_fraction": read(bounds + "retryBudgetRatio", _positive, 0.2),
+        "drain_s": read(bounds_prefix + "drain", duration_s, 2.0),
+        "grace_s": read(bounds_prefix + "grace", duration_s, 6.0),
+        "longest_hold_s": read(bounds_prefix + "maxHold", duration_s, 10.0),
+        "routes_apply_s": read(bounds_prefix + "configApply", duration_s, 2.0),
+        "retry_fraction": read(bounds_prefix + "retryBudgetRatio", _positive, 0.2),
         "store_writes_per_s": read("platform.platform.writesPerS", _positive, 400.0),
         "store_reads_per_s": read("platform.platform.readsPerS", _positive, 2000.0),
     }
@@ -166,7 +166,7 @@
         return None
     lease_ms = LEASE_MS
     if uses_heartbeat_grants:
-        lease_ms = max(lease_ms, _heartbeat_lease_ms(times["heartbeat_interval_s"]))
+        lease_ms = max(lease_ms, _heartbeat_lease_ms(numbers["heartbeat_interval_s"]))
     node = NodeSettings(
         node_id=node_id,
         host=host,
@@ -187,5 +187,5 @@
         ready=ready,
         heartbeats=heartbeats,
         store=store,
-        **times,
+        **numbers,
     )
