--- a/comfreywharf/cli/events.py
+++ b/comfreywharf/cli/events.py
@@ -15,7 +15,7 @@
 from comfreywharf.events.timeline.merge import severity_of, time_ms
 from comfreywharf.events.timeline.text import format_time
 
-__all__ = ["fetch", "print_failures", "register"]
+__all__ = ["fetch_events", "print_failures", "register"]
 
 _RANKS = {Severity.INFO: 0, Severity.WARNING: 1, Severity.ERROR: 2}
 
@@ -56,7 +56,7 @@
     """
     client = at.client()
     nodes = other_nodes(client) if all_nodes else [_queried_node(client)]
-    lists, failed = fetch(nodes, since)
+    lists, failed = fetch_events(nodes, since)
     found = [
         event
         for event in merge(lists)
@@ -89,7 +89,7 @@
     return table(headings, rows) if rows else "no events"
 
 
-def fetch(nodes, since=0):
+def fetch_events(nodes, since=0):
     """Return the nodes' lists of events, and ``{node id: error}`` of failed queries."""
     lists, failed = [], {}
     for node_id, answer in query_all(nodes, lambda node: _fetch_one(node, since)):
--- a/comfreywharf/cli/timeline.py
+++ b/comfreywharf/cli/timeline.py
@@ -8,7 +8,7 @@
 from returns.result import Success
 
 from comfreywharf.cli.client import other_nodes
-from comfreywharf.cli.events import fetch, print_failures
+from comfreywharf.cli.events import fetch_events, print_failures
 from comfreywharf.cli.exits import CommandError, ExitCode
 from comfreywharf.cli.target import Target
 from comfreywharf.daemon.operating.documents import NodeDocument
@@ -73,7 +73,7 @@
         node.node_id: node.failure_domain
         for node in client.get("/nodes", list[NodeDocument])
     }
-    found, failed = fetch(other_nodes(client))
+    found, failed = fetch_events(other_nodes(client))
     events = merge([*found, *map(_read_log, logs)])
     text = _render(events, Format.JSON if at.json else format, domains)
     if output is None:
