--- a/comfreywharf/platform/settings.py
+++ b/comfreywharf/platform/settings.py
@@ -71,8 +71,8 @@
             elif name and not name.startswith("#"):
                 self._add_finding(number, f"found {line!r}; expected NAME=VALUE")
 
-    def _add_finding(self, number, what):
-        self.findings.append(f"{self._path}:{number}: {what}")
+    def _add_finding(self, number, message):
+        self.findings.append(f"{self._path}:{number}: {message}")
 
     def read(self, name, convert, default=None):
         """Return a field converted by ``convert``, or the default with a finding."""
@@ -109,7 +109,7 @@
     return number
 
 
-def _by_heartbeats(text):
+def _uses_heartbeat_grants(text):
     if text not in GRANT_WAYS:
         raise ValueError(f"found {text!r}; expected {' or '.join(GRANT_WAYS)}")
     return GRANT_WAYS[text] is GrantWay.HEARTBEATS
@@ -140,33 +140,33 @@
 def _settings(fields):
     read = fields.read
     host = read("self.ip", str, "")
-    listening = "network.listen."
-    bounds = "terms.bounds."
-    callers = read(listening + "outbound", _address)
-    ready = read(listening + "ready", _address)
-    heartbeats = read(listening + "control", _address)
+    listen_prefix = "network.listen."
+    bounds_prefix = "terms.bounds."
+    callers = read(listen_prefix + "outbound", _address)
+    ready = read(listen_prefix + "ready", _address)
+    heartbeats = read(listen_prefix + "control", _address)
     store = read("platform.platform.address", _address)
     peer_port, last_port = read("network.internalPorts", _ports, (0, 0))
     node_id = read("self.node", str, "")
     zone = read("self.zone", str, "")
     region = read("self.region", str, "")
     service = read("self.service", str, "")
-    times = {
+    numbers = {
         "heartbeat_interval_s": read("platform.heartbeat", duration_s, 1.0),
-        "drain_s": read(bounds + "drain", duration_s, 2.0),
-        "grace_s": read(bounds + "grace", duration_s, 6.0),
-        "longest_hold_s": read(bounds + "maxHold", duration_s, 10.0),
-        "routes_apply_s": read(bounds + "configApply", duration_s, 2.0),
-        "retry_fraction": read(bounds + "retryBudgetRatio", _positive, 0.2),
+        "drain_s": read(bounds_prefix + "drain", duration_s, 2.0),
+        "grace_s": read(bounds_prefix + "grace", duration_s, 6.0),
+        "longest_hold_s": read(bounds_prefix + "maxHold", duration_s, 10.0),
+        "routes_apply_s": read(bounds_prefix + "configApply", duration_s, 2.0),
+        "retry_fraction": read(bounds_prefix + "retryBudgetRatio", _positive, 0.2),
         "store_writes_per_s": read("platform.platform.writesPerS", _positive, 400.0),
         "store_reads_per_s": read("platform.platform.readsPerS", _positive, 2000.0),
     }
-    by_heartbeats = read("grants", _by_heartbeats, False)
+    uses_heartbeat_grants = read("grants", _uses_heartbeat_grants, False)
     if fields.findings:
         return None
     lease_ms = LEASE_MS
-    if by_heartbeats:
-        lease_ms = max(lease_ms, _heartbeat_lease_ms(times["heartbeat_interval_s"]))
+    if uses_heartbeat_grants:
+        lease_ms = max(lease_ms, _heartbeat_lease_ms(numbers["heartbeat_interval_s"]))
     node = NodeSettings(
         node_id=node_id,
         host=host,
@@ -187,5 +187,5 @@
         ready=ready,
         heartbeats=heartbeats,
         store=store,
-        **times,
+        **numbers,
     )
--- a/comfreywharf/platform/store.py
+++ b/comfreywharf/platform/store.py
@@ -81,7 +81,10 @@
         return self.append(topic, [bytes([len(name)]) + name + value], position)
 
     def read(self, topic, start, wait_s, max_kb=1024):
-        """Return `TopicRecords` from an offset on, waiting up to ``wait_s`` for one."""
+        """Return the `TopicRecords` from an offset on.
+
+        If there is no record yet, wait up to ``wait_s`` for one.
+        """
         target = (
             f"/-/log-read?topic={topic}&part=0&from={start}"
             f"&waitMs={int(wait_s * 1000)}&maxKb={max_kb}"
@@ -148,14 +151,14 @@
         raise LogError("the store's read answer has fewer than 16 bytes")
     end, first = _BOUNDS.unpack_from(data)
     found = []
-    place = _BOUNDS.size
-    while place + _LENGTH.size <= len(data):
-        (size,) = _LENGTH.unpack_from(data, place)
-        place += _LENGTH.size
-        if place + size > len(data):
+    offset = _BOUNDS.size
+    while offset + _LENGTH.size <= len(data):
+        (size,) = _LENGTH.unpack_from(data, offset)
+        offset += _LENGTH.size
+        if offset + size > len(data):
             raise LogError("the store's read answer ends within a record")
-        found.append(data[place : place + size])
-        place += size
+        found.append(data[offset : offset + size])
+        offset += size
     return TopicRecords(end, first, tuple(found))
 
 
@@ -198,7 +201,10 @@
         return newest.values.values(), newest.end
 
     def replace_newest(self, stream, data, position):
-        """Write a snapshot if none was written since; return whether it was written."""
+        """Write a snapshot unless one was written after ``position``.
+
+        Return whether it was written.
+        """
         topic = _topic(stream)
         return self._store.append_keyed(topic, "newest", data, position) is not None
 
--- a/comfreywharf/platform/tests/builders.py
+++ b/comfreywharf/platform/tests/builders.py
@@ -19,7 +19,7 @@
 from comfreywharf_dev.standins.platform_store import PlatformStore
 
 __all__ = [
-    "LONG_MS",
+    "LONG_TIMEOUT_MS",
     "Deployment",
     "ReceivedAnswer",
     "boot_text",
@@ -33,7 +33,7 @@
 WORKERS = 10
 PORTS_OF_A_WORKER = 2_000
 
-LONG_MS = 20_000
+LONG_TIMEOUT_MS = 20_000
 """Longer than any machine takes for a few requests."""
 
 BOOT = """\
@@ -138,7 +138,7 @@
     end_s = boottime_s() + timeout_s
     while not condition():
         if boottime_s() > end_s:
-            raise TimeoutError(f"not within {timeout_s} s")
+            raise TimeoutError(f"the condition didn't hold within {timeout_s} s")
         gevent.sleep(0.02)
 
 
@@ -164,7 +164,9 @@
             if first not in _USED_PORTS:
                 _USED_PORTS.update(range(first - 6, first + 6))
                 return tuple(range(first, first + 6))
-    raise RuntimeError("no free ports")
+    raise RuntimeError(
+        f"no six consecutive free ports from {first_port} to {last_port - 1}"
+    )
 
 
 class ReceivedAnswer:
@@ -206,7 +208,7 @@
         return self
 
     def configure(self, version, timeout_ms=1000):
-        """Write a configuration that names the way of granting to the store."""
+        """Write a configuration to the store, with the way of granting of `booking`."""
         document = configuration(version)
         for route in document["routes"].values():
             route["timeout"] = f"{timeout_ms}ms"
@@ -214,8 +216,8 @@
         self.store.put("keyed.op", "config", document)
 
     def allow_long_requests(self, version=2):
-        """Set the routes' timeout to `LONG_MS`, and wait until all nodes apply it."""
-        self.configure(version, timeout_ms=LONG_MS)
+        """Set the routes' timeout to `LONG_TIMEOUT_MS` on all nodes."""
+        self.configure(version, timeout_ms=LONG_TIMEOUT_MS)
         nodes = self.nodes.values()
         wait_for(lambda: all(node.routes.version == version for node in nodes))
 
--- a/comfreywharf/platform/tests/test_lists.py
+++ b/comfreywharf/platform/tests/test_lists.py
@@ -6,13 +6,13 @@
 import pytest
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.platform.tests.builders import LONG_MS, Deployment, wait_for
+from comfreywharf.platform.tests.builders import LONG_TIMEOUT_MS, Deployment, wait_for
 from comfreywharf_dev.standins.platform_server import HEARTBEAT_S
 
 
 @pytest.fixture
 def deployment(tmp_path):
-    """Yield four nodes with their servers; all keys are held by lists."""
+    """Yield four nodes with their servers; all keys are granted by hold lists."""
     with Deployment(tmp_path, grants="heartbeat") as started:
         yield started
 
@@ -90,7 +90,7 @@
     """Guards against two holders of a key, or a server that refuses its ranges.
 
     A node's process is killed and restarts while its server runs on. The new process
-    doesn't know what the earlier one granted.
+    has no record of what the earlier one granted.
     """
     name = deployment.holder(7)
     deployment.nodes.pop(name).kill()
@@ -149,14 +149,16 @@
     name = deployment.holder(7)
     server = deployment.servers[name]
     server.work_s = 0.6
-    asked = gevent.spawn(deployment.send_request, "n3", X_Deadline_Ms=str(LONG_MS))
+    task = gevent.spawn(
+        deployment.send_request, "n3", X_Deadline_Ms=str(LONG_TIMEOUT_MS)
+    )
     wait_for(lambda: server.busy)
     server.state = "draining"
     while server.busy:
         others = [n for n in deployment.holders(7) if n != name]
         assert others == []
         gevent.sleep(0.01)
-    assert asked.get().status == 200
+    assert task.get().status == 200
     wait_for(lambda: deployment.holder(7) not in (None, name), 8)
     taker = deployment.servers[deployment.holder(7)]
     assert set(taker.received_handovers) & set(server.issued_handovers)
@@ -165,8 +167,8 @@
 def test_a_partitioned_server_loses_its_keys_when_its_hold_expires(deployment):
     """Guards against two holders of a key, or none for good.
 
-    A server's heartbeats don't arrive any more, although it runs. Its node must count
-    it neither as crashed nor as running for good.
+    A server's heartbeats don't arrive any more, although it runs. Its node must neither
+    count it as crashed nor count it as running indefinitely.
     """
     name = deployment.holder(7)
     deployment.servers[name].heartbeats_off = True
--- a/comfreywharf/platform/tests/test_uploads.py
+++ b/comfreywharf/platform/tests/test_uploads.py
@@ -6,7 +6,7 @@
 
 from comfreywharf.daemon.requests.caller_watch import WATCH_INTERVAL_S
 from comfreywharf.daemon.requests.collecting import MAX_COLLECTED_BODIES
-from comfreywharf.platform.tests.builders import LONG_MS, wait_for
+from comfreywharf.platform.tests.builders import LONG_TIMEOUT_MS, wait_for
 from comfreywharf.transport.sockets import SocketTransport
 
 BODY = b"x" * 60_000
@@ -16,7 +16,7 @@
 """How many bytes the messages of one request may take in addition to its body."""
 
 
-def sent_between_nodes():
+def count_bytes_between_nodes():
     """Return a patch, and a counter of the bytes that nodes send to each other."""
     write = SocketTransport.write
     counter = mock.Mock(size_bytes=0)
@@ -44,20 +44,24 @@
     return started
 
 
-def spawn_uploads(deployment, count, deadline_ms=LONG_MS):
+def spawn_uploads(deployment, count, deadline_ms=LONG_TIMEOUT_MS):
     headers = {"X_Deadline_Ms": str(deadline_ms)}
     return [gevent.spawn(upload, deployment, "n0", **headers) for _ in range(count)]
 
 
 def test_the_body_of_a_refused_upload_is_not_sent_to_its_owners_node(deployment):
-    """Guards against a link that is filled with bodies that admission refuses."""
+    """Guards against a link that is filled with bodies that admission refuses.
+
+    All slots of the server are occupied, and further uploads have deadlines that are
+    too short to wait for one.
+    """
     server = deployment.servers["n3"]
     server.work_s = 0.4
-    # From these, its node estimates how long an upload takes.
+    # The server's node estimates from these how long an upload takes.
     gevent.joinall([gevent.spawn(upload, deployment, "n0") for _ in range(8)])
     deployment.ledger.clear()
     running = start_long_uploads(deployment, 8)
-    patch, counter = sent_between_nodes()
+    patch, counter = count_bytes_between_nodes()
     with patch:
         tries = spawn_uploads(deployment, UPLOADS, deadline_ms=300)
         gevent.joinall(tries)
@@ -77,10 +81,13 @@
 
 
 def test_few_bodies_are_sent_for_callers_who_leave_while_they_wait(deployment):
-    """Guards against a link that is filled with bodies of callers that are gone."""
+    """Guards against a link that is filled with bodies of callers that are gone.
+
+    All slots of the server are occupied, and the callers of waiting uploads leave.
+    """
     owner = deployment.nodes["n3"]
     first = start_long_uploads(deployment, 8)
-    patch, counter = sent_between_nodes()
+    patch, counter = count_bytes_between_nodes()
     with patch:
         left = spawn_uploads(deployment, 16)
         wait_for(lambda: owner.load.waiting() == len(left))
@@ -93,7 +100,10 @@
 
 
 def test_an_upload_that_waits_for_a_leaving_server_is_not_started(deployment):
-    """Guards against work that reaches a server after it has left."""
+    """Guards against work that reaches a server after it has left.
+
+    Uploads wait for a slot when their server leaves.
+    """
     server, owner = deployment.servers["n3"], deployment.nodes["n3"]
     running = start_long_uploads(deployment, 8)
     waiting = spawn_uploads(deployment, 8)
