--- a/comfreywharf/records/changes.py
+++ b/comfreywharf/records/changes.py
@@ -52,7 +52,7 @@
 
 
 def changes_since(state, version):
-    """Return the `ChangesSince` a version, to show to the author of a stale patch.
+    """Return the changes since a version, to show to the author of a stale patch.
 
     >>> from comfreywharf.records.state import ClusterState
     >>> changes_since(ClusterState(), 3).known
--- a/comfreywharf/records/codec.py
+++ b/comfreywharf/records/codec.py
@@ -28,7 +28,7 @@
 
 
 class RecordError(ValueError):
-    """The bytes are no valid record; the message has the found and expected values."""
+    """The bytes aren't a valid record; the message says what was found and expected."""
 
 
 def encode_record(record):
--- a/comfreywharf/records/messages.py
+++ b/comfreywharf/records/messages.py
@@ -51,7 +51,7 @@
 
 @attrs.frozen(kw_only=True)
 class NodeAnnounced(Record):
-    """A node and the backend server beside it, as they started."""
+    """The addresses of a node that has started, and its backend server."""
 
     node_id: str
     incarnation: int
@@ -204,6 +204,6 @@
 
 @attrs.frozen(kw_only=True)
 class UnknownRecord(Record):
-    """A record of a kind that this version doesn't know; the fold refuses it."""
+    """A record of a kind that this version doesn't support; the fold refuses it."""
 
     kind: str
--- a/comfreywharf/records/replica.py
+++ b/comfreywharf/records/replica.py
@@ -27,7 +27,7 @@
 
 
 class Replica:
-    """The state, the most recent records, and whether the log still continues it.
+    """The state, the most recent records, and whether the log still has the next ones.
 
     >>> replica = Replica()
     >>> replica.truncated(first=10)
@@ -65,7 +65,7 @@
 
     @property
     def log_first(self):
-        """Return the log's first offset, as far as this node knows."""
+        """Return the log's first offset according to the answers received so far."""
         return self._log_first
 
     def take(self, offset, data):
--- a/comfreywharf/records/snapshots.py
+++ b/comfreywharf/records/snapshots.py
@@ -143,14 +143,14 @@
         part = decoded.unwrap()
         if self.newest is not None and part.offset <= self.newest.next_offset:
             return
-        # The digest is part of the name, so that the parts of a writer that
+        # The digest is part of the key, so that the parts of a writer that
         # crashed, restarted and wrote other contents under the same id aren't
         # mixed with its earlier ones.
-        name = (part.snapshot_id, part.offset, part.parts, part.digest)
-        parts = self._incomplete.setdefault(name, {})
+        key = (part.snapshot_id, part.offset, part.parts, part.digest)
+        parts = self._incomplete.setdefault(key, {})
         parts[part.part] = part.data
         if len(parts) == part.parts:
-            del self._incomplete[name]
+            del self._incomplete[key]
             self._finish(part, parts)
         while len(self._incomplete) > MAX_INCOMPLETE:
             self._incomplete.popitem(last=False)
--- a/comfreywharf/records/state.py
+++ b/comfreywharf/records/state.py
@@ -90,7 +90,7 @@
     outcomes: OrderedDict[str, FoldOutcome] = attrs.Factory(OrderedDict)
 
     def replace_by(self, other):
-        """Copy all fields of another state into this one, which others refer to."""
+        """Copy all fields of another state into this object, which others refer to."""
         for field in attrs.fields(ClusterState):
             setattr(self, field.name, getattr(other, field.name))
 
--- a/comfreywharf/records/tests/test_appends.py
+++ b/comfreywharf/records/tests/test_appends.py
@@ -24,7 +24,7 @@
 
 @attrs.define
 class Writer:
-    """A record that a node tries to append until the log accepts it."""
+    """A node's attempts to append one record, repeated until the log accepts it."""
 
     budget: AppendBudget
     backoff: Backoff
@@ -50,7 +50,10 @@
 
 
 def run_after_outage(priorities):
-    """Let 640 nodes append at the same time; return the log and the times."""
+    """Let 640 nodes append at the same time; return the log and the times of success.
+
+    Each node appends one record of each of the given priorities.
+    """
     log, queue, done_s = BusyLog(), [], {priority: [] for priority in priorities}
     for number in range(NODES):
         budget = AppendBudget(now_s=0.0)
@@ -94,7 +97,7 @@
 
 
 @pytest.mark.parametrize("members", [8, 64, 640])
-def test_nodes_share_what_the_fleet_may_append(members):
+def test_nodes_share_the_append_rate_of_the_fleet(members):
     """A node that always has records to append gets its share and no more."""
     budget = AppendBudget(now_s=0.0)
     granted = sum(
@@ -137,14 +140,14 @@
     ]
 
 
-def test_one_node_writes_and_the_next_one_if_it_does_not():
+def test_next_node_writes_a_snapshot_if_the_first_one_does_not():
     state = make_state(next_offset=5000, snapshot_offset=100)
     first, later = turns(state, 0, [0.0, MIN_INTERVAL_S, MIN_INTERVAL_S + 3.1])[1:]
     assert len(first) == 1 and len(later) == 2 and first[0] in later
 
 
 def test_writer_changes_with_each_snapshot():
-    """The cost of writing is distributed among the nodes."""
+    """The cost of writing snapshots is distributed among the nodes."""
     writers = {
         turns(make_state(offset + 2000, offset), 0, [0.0, 5.0])[1][0]
         for offset in range(1, 40)
--- a/comfreywharf/records/tests/test_number_keys.py
+++ b/comfreywharf/records/tests/test_number_keys.py
@@ -37,7 +37,7 @@
 
 
 @given(NUMBERS)
-def test_a_pinned_number_is_a_range_of_one(number):
+def test_a_slice_of_width_one_contains_a_single_number(number):
     """The planner isolates a hot key in a slice of width one."""
     value = key_hash(number_key(number))
     assert numbers_in(value, value + 1) == (number, number)
--- a/comfreywharf/records/tests/test_replica.py
+++ b/comfreywharf/records/tests/test_replica.py
@@ -211,8 +211,8 @@
 def test_a_part_with_wrong_contents_is_not_loaded():
     """Guard against a node that starts with a state that no other node has.
 
-    The stream has a part whose contents don't match its digest, so that the
-    complete snapshot has to be verified.
+    The stream has a part whose contents don't match its digest, so the digest of a
+    complete snapshot has to be checked before it is loaded.
     """
     old = encode_snapshot(ClusterState(next_offset=5), "old")
     new = encode_snapshot(ClusterState(next_offset=9), "new")
