--- a/comfreywharf/daemon/membership/gossip.py
+++ b/comfreywharf/daemon/membership/gossip.py
@@ -321,7 +321,7 @@
             if offset == SNAPSHOT_OFFSET:
                 assembler.add(data)
             else:
-                advanced |= follower.take(offset, data)
+                advanced |= follower.fold_next(offset, data)
         if assembler.newest is not None:
             advanced |= follower.load(assembler.newest)
         return advanced
--- a/comfreywharf/daemon/records/follower.py
+++ b/comfreywharf/daemon/records/follower.py
@@ -151,7 +151,7 @@
 
         Reading it back would cost a further call, for which its writer would wait.
         """
-        self.take(offset, data)
+        self.fold_next(offset, data)
 
     def refused(self, error):
         """Mark the log as unreachable after a failed append, if there is a relay.
@@ -163,9 +163,9 @@
         if self.relay is not None:
             self._mark_unreachable(error)
 
-    def take(self, offset, data):
+    def fold_next(self, offset, data):
         """Fold one record if it is the next one; return whether it was."""
-        folded = self.replica.take(offset, data)
+        folded = self.replica.fold_next(offset, data)
         if folded is None:
             return False
         if not folded.result.accepted:
@@ -273,14 +273,14 @@
         try:
             batch = self._client.read(self._stream, start, wait_ms=wait_ms)
         except LogTruncated as error:
-            self.replica.truncated(error.first)
+            self.replica.record_truncation(error.first)
             self._report_gap(error.first)
             return
-        self.replica.answered(start, batch.first, batch.next)
+        self.replica.update_log_bounds(start, batch.first, batch.next)
         self._report_gap(batch.next)
         for index, data in enumerate(batch.records):
-            self.take(start + index, data)
-        if self.replica.reached(batch.next):
+            self.fold_next(start + index, data)
+        if self.replica.check_caught_up(batch.next):
             self.caught_up.set()
             self.confirm(complete_at_s(sent_s, wait_ms / 1000, bool(batch.records)))
 
--- a/comfreywharf/records/replica.py
+++ b/comfreywharf/records/replica.py
@@ -30,7 +30,7 @@
     """The state, the most recent records, and whether the log still has the next ones.
 
     >>> replica = Replica()
-    >>> replica.truncated(first=10)
+    >>> replica.record_truncation(first=10)
     >>> replica.gap
     True
     >>> replica.load(ClusterState(next_offset=12)), replica.gap
@@ -68,7 +68,7 @@
         """Return the log's first offset according to the answers received so far."""
         return self._log_first
 
-    def take(self, offset, data):
+    def fold_next(self, offset, data):
         """Fold a record if it is the next one; return `FoldedRecord` or ``None``."""
         if offset != self.state.next_offset:
             return None
@@ -91,7 +91,7 @@
         self.state.replace_by(state)
         return True
 
-    def answered(self, start, log_first, log_next):
+    def update_log_bounds(self, start, log_first, log_next):
         """Update the bounds of the log from the answer to a read at ``start``."""
         self._log_first = max(self._log_first, log_first)
         # A log that ends before the folded records has lost acknowledged ones,
@@ -99,12 +99,15 @@
         # offsets than on the other nodes, so the state is left unchanged.
         self._log_lost_records = log_next < start
 
-    def truncated(self, first):
+    def record_truncation(self, first):
         """Record that the log no longer keeps records below ``first``."""
         self._log_first = max(self._log_first, first)
 
-    def reached(self, log_next):
-        """Return whether the state has all records below ``log_next`` and no gap."""
+    def check_caught_up(self, log_next):
+        """Return whether the state has all records below ``log_next`` and no gap.
+
+        Once it has, the replica counts as caught up; see `usable`.
+        """
         if not self.gap and self.state.next_offset >= log_next:
             self._caught_up = True
             return True
--- a/comfreywharf/records/tests/test_replica.py
+++ b/comfreywharf/records/tests/test_replica.py
@@ -91,12 +91,12 @@
         replica = self.replicas[node_id]
         start = replica.state.next_offset
         if start < self.first:
-            replica.truncated(self.first)
+            replica.record_truncation(self.first)
             return
-        replica.answered(start, self.first, len(self.log))
+        replica.update_log_bounds(start, self.first, len(self.log))
         for index, data in enumerate(self.log[start : start + rng.choice([2, 100])]):
-            replica.take(start + index, data)
-        if replica.reached(len(self.log)):
+            replica.fold_next(start + index, data)
+        if replica.check_caught_up(len(self.log)):
             self._read_back(replica)
 
     def _read_back(self, replica):
@@ -137,12 +137,12 @@
         if records is None:
             replica.load(peer.state.copy())
         for offset, data in records or ():
-            replica.take(offset, data)
+            replica.fold_next(offset, data)
 
     def _deliver_late(self, node_id, rng):
         """Deliver a record that is late or too early."""
         offset = rng.randrange(len(self.log))
-        self.replicas[node_id].take(offset, self.log[offset])
+        self.replicas[node_id].fold_next(offset, self.log[offset])
 
     def _truncate(self, node_id, rng):
         """Remove the log's oldest records, as when they expire."""
@@ -240,7 +240,7 @@
 def test_a_peer_behind_a_loaded_snapshot_needs_the_snapshot():
     replica = Replica()
     for offset, record in enumerate(initial_records()):
-        replica.take(offset, encode_record(record))
+        replica.fold_next(offset, encode_record(record))
     assert [offset for offset, _ in replica.records_for_peer(4, max_bytes=9999)] == [
         4,
         5,
@@ -258,7 +258,7 @@
     """
     replica = Replica()
     replica.load(ClusterState(next_offset=5))
-    replica.answered(start=5, log_first=0, log_next=5)
-    assert replica.reached(5) and replica.usable
-    replica.answered(start=5, log_first=0, log_next=2)
+    replica.update_log_bounds(start=5, log_first=0, log_next=5)
+    assert replica.check_caught_up(5) and replica.usable
+    replica.update_log_bounds(start=5, log_first=0, log_next=2)
     assert not replica.usable
