--- a/comfreywharf/daemon/operating/metering.py
+++ b/comfreywharf/daemon/operating/metering.py
@@ -52,7 +52,7 @@
         if not call.request.key or not (unserved or outages):
             return
         state = self._node.follower.state
-        piece = state.owner_of(service, key_hash(call.request.key))
+        piece = state.slice_at(service, key_hash(call.request.key))
         start = piece.start if piece else 0
         if unserved:
             outages.refused(service, start, call.began_s, now_s)
--- a/comfreywharf/daemon/operating/views.py
+++ b/comfreywharf/daemon/operating/views.py
@@ -79,7 +79,7 @@
 
 def owner_document(state, reasons, service, key_hash):
     """Return the `OwnerDocument` of a hash, or ``None`` if no slice contains it."""
-    piece = state.owner_of(service, key_hash)
+    piece = state.slice_at(service, key_hash)
     if piece is None:
         return None
     return OwnerDocument(
--- a/comfreywharf/daemon/requests/dispatch.py
+++ b/comfreywharf/daemon/requests/dispatch.py
@@ -177,7 +177,7 @@
 
     def _ownership(self, request):
         state = self._node.follower.state
-        owned_slice = state.owner_of(request.service_name, key_hash(request.key))
+        owned_slice = state.slice_at(request.service_name, key_hash(request.key))
         if owned_slice is None:
             return Ownership()
         return Ownership(
--- a/comfreywharf/ownership/table.py
+++ b/comfreywharf/ownership/table.py
@@ -91,7 +91,7 @@
         if not key:
             return Right(service=service, deadline_s=deadline_s)
         value = key_hash(key)
-        piece = state.owner_of(service, value)
+        piece = state.slice_at(service, value)
         if piece is None or not piece.owner:
             return Right(reason=Reason.NO_OWNER)
         basis = self._basis(state, service, piece, now_s)
--- a/comfreywharf/ownership/tests/builders.py
+++ b/comfreywharf/ownership/tests/builders.py
@@ -136,7 +136,7 @@
     def role(self, name, key):
         """Return the node that has a role for a key according to the whole log."""
         state = self.folded_log()
-        piece = state.owner_of(SERVICE, key_hash(key))
+        piece = state.slice_at(SERVICE, key_hash(key))
         watched = piece.previous or piece.owner
         witnesses = state.members[watched].witnesses
         taken = {piece.owner, piece.standby, piece.previous, *witnesses}
@@ -153,7 +153,7 @@
     def witnesses_of(self, key):
         """Return the witnesses of a key's owner according to the whole log."""
         state = self.folded_log()
-        owner = state.owner_of(SERVICE, key_hash(key)).owner
+        owner = state.slice_at(SERVICE, key_hash(key)).owner
         return state.members[owner].witnesses
 
     def request(self, node_id, key, wanted_s=SHORT_S):
--- a/comfreywharf/ownership/tests/test_acknowledged_fences.py
+++ b/comfreywharf/ownership/tests/test_acknowledged_fences.py
@@ -157,7 +157,7 @@
 
 
 def piece_of(world):
-    return world.folded_log().owner_of(SERVICE, key_hash(KEY))
+    return world.folded_log().slice_at(SERVICE, key_hash(KEY))
 
 
 def fences_around_a_change(change):
--- a/comfreywharf/ownership/tests/test_busy_takers.py
+++ b/comfreywharf/ownership/tests/test_busy_takers.py
@@ -12,13 +12,13 @@
     state = world.folded_log()
     keys = (f"key-{number}".encode() for number in range(1000))
     return next(
-        k for k in keys if state.owner_of(SERVICE, key_hash(k)).owner == node.node_id
+        k for k in keys if state.slice_at(SERVICE, key_hash(k)).owner == node.node_id
     )
 
 
 def plan(world, owner_id=None, standby_id=None):
     """Have the planner assign another owner or standby to the key's slice."""
-    piece = world.folded_log().owner_of(SERVICE, key_hash(KEY))
+    piece = world.folded_log().slice_at(SERVICE, key_hash(KEY))
     change = SliceMove(
         service=SERVICE,
         start=piece.start,
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -57,7 +57,7 @@
         return self.world.request(node.node_id, KEY, wanted_s)
 
     def piece(self):
-        return self.world.folded_log().owner_of(SERVICE, key_hash(KEY))
+        return self.world.folded_log().slice_at(SERVICE, key_hash(KEY))
 
     def plan(self, owner, standby):
         piece = self.piece()
--- a/comfreywharf/ownership/tests/test_restarted_memory.py
+++ b/comfreywharf/ownership/tests/test_restarted_memory.py
@@ -18,7 +18,7 @@
     earlier process."""
     world = make_world()
     node = world.nodes[world.role("owner", KEY)]
-    start = world.folded_log().owner_of(SERVICE, key_hash(KEY)).start
+    start = world.folded_log().slice_at(SERVICE, key_hash(KEY)).start
     node.restart()
     node.fold_some(len(world.log))
     assert node.agent.table.vouched_since_s(SERVICE, start) > ALWAYS_S
--- a/comfreywharf/ownership/tests/test_sole_ownership.py
+++ b/comfreywharf/ownership/tests/test_sole_ownership.py
@@ -128,7 +128,7 @@
     @rule(owner=roles, standby=roles, reader=roles)
     def plan(self, owner, standby, reader):
         """Move a slice, as a planner with a fresh or stale fold would."""
-        piece = self.node(reader).state.owner_of(SERVICE, key_hash(KEY))
+        piece = self.node(reader).state.slice_at(SERVICE, key_hash(KEY))
         owner, standby = self.node(owner).node_id, self.node(standby).node_id
         if piece is None or owner == standby:
             return
@@ -166,7 +166,7 @@
 def test_standby_takes_over(log_up):
     """A lost owner's keys are served by its standby, with and without the log."""
     world = make_world()
-    piece = world.nodes["node-1"].state.owner_of(SERVICE, key_hash(KEYS[0]))
+    piece = world.nodes["node-1"].state.slice_at(SERVICE, key_hash(KEYS[0]))
     world.log_up = log_up
     world.nodes[piece.owner].frozen = True
     world.run(2.0)
--- a/comfreywharf/records/state.py
+++ b/comfreywharf/records/state.py
@@ -109,7 +109,7 @@
         copied.outcomes = OrderedDict(self.outcomes)
         return copied
 
-    def owner_of(self, service, value):
+    def slice_at(self, service, value):
         """Return the slice of a service that contains a hash, or ``None``."""
         pieces = self.slices.get(service)
         return pieces.at_hash(value) if pieces else None
--- a/comfreywharf_dev/bench/placement_replay.py
+++ b/comfreywharf_dev/bench/placement_replay.py
@@ -332,7 +332,7 @@
         found = defaultdict(list)
         for key in sorted(hottest.tolist()):
             position = int(self.trace.positions[key])
-            owner = self.cluster.owner_of(service, position).owner
+            owner = self.cluster.slice_at(service, position).owner
             rate = float(self._key_rates[key] * self._rng.normal(1.0, 0.05))
             found[owner].append(
                 HotKeyRate(service=service, key_hash=position, requests_per_s=rate)
--- a/comfreywharf_dev/bench/state_size.py
+++ b/comfreywharf_dev/bench/state_size.py
@@ -203,7 +203,7 @@
     yield Figure(
         name="owner_lookup_us",
         value=_processor_us(
-            lambda: [state.owner_of(SERVICE, key_hash(k)) for k in keys]
+            lambda: [state.slice_at(SERVICE, key_hash(k)) for k in keys]
         )
         / LOOKUPS,
         unit="us",
