--- a/comfreywharf/daemon/ownership/grants_by_service.py
+++ b/comfreywharf/daemon/ownership/grants_by_service.py
@@ -9,8 +9,8 @@
 class GrantsByService(KeyGrants):
     """Delegate to the `KeyGrants` that the configuration selects for the service.
 
-    All of them record their grants in the same `HoldBook`, so that no grant is
-    lost track of when the configuration changes the way of a service.
+    All of them record their grants in the same `HoldBook`, so that earlier grants
+    stay recorded when the configuration changes the `GrantWay` of a service.
     """
 
     def __init__(self, node, ways):
--- a/comfreywharf/daemon/ownership/heartbeat_grants.py
+++ b/comfreywharf/daemon/ownership/heartbeat_grants.py
@@ -112,7 +112,7 @@
             self._node.backend_refused(backend)
 
     def _serving(self):
-        """Return the current `Serving`, or ``None`` while it can't be determined.
+        """Return the slices to hold as a `Serving`, or ``None`` if not known now.
 
         Without its lease the node doesn't know who owns the keys. A list without them
         would make the server drop keys that it may be granted again shortly after.
--- a/comfreywharf/daemon/ownership/key_grants.py
+++ b/comfreywharf/daemon/ownership/key_grants.py
@@ -1,4 +1,4 @@
-"""The interface for granting keys to a backend server, and a base class for it."""
+"""The interface for granting keys to a backend server, and a base for range grants."""
 
 from abc import ABC, abstractmethod
 
--- a/comfreywharf/daemon/ownership/leases.py
+++ b/comfreywharf/daemon/ownership/leases.py
@@ -86,7 +86,7 @@
         """Return the `Right` to serve one request, or one with a refusal reason.
 
         This may wait a few milliseconds if the request's deadline exceeds what the
-        lease covers, since the witnesses have to be informed first.
+        lease covers, since the witnesses have to acknowledge the longer one first.
         """
         right = self._query_right(service, key, now_s, remaining_s)
         if right.reason is Reason.NOT_YET_OWNER and self.holder.owns(now_s):
@@ -107,10 +107,10 @@
     def _await_release(self, service, key, now_s, remaining_s):
         """Hold a request at the new owner until the previous owner has released.
 
-        The request is also held until the witnesses know the slice's new fence. Both
-        take a few milliseconds. If the request were refused instead, its ingress node
-        would hold it, get no notification of the release, and retry at growing
-        intervals, which causes gaps of 75 to 155 ms for callers.
+        The request is also held until the witnesses have acknowledged the slice's new
+        fence. Both take a few milliseconds. If the request were refused instead, its
+        ingress node would hold it, get no notification of the release, and retry at
+        growing intervals, which causes gaps of 75 to 155 ms for callers.
         """
         deadline_s = now_s + remaining_s
         end_s = min(deadline_s, now_s + RELEASE_HOLD_S)
@@ -183,10 +183,11 @@
         return self.holder.phase == "held"
 
     def still_held(self, right, now_s):
-        """Return whether an answer that arrived at ``now_s`` may be vouched for.
+        """Return whether an answer that arrived at ``now_s`` may go to the caller.
 
         A server that checks fences answers only for a key that it held, so that its
-        answer is forwarded however late it arrives.
+        answer is forwarded however late it arrives. Any other server's answer must
+        arrive by the right's deadline.
         """
         return self._node.ports.fenced or now_s <= right.deadline_s
 
@@ -260,7 +261,7 @@
         """Give the lease up and acquire it again, so that its fence grows.
 
         Do nothing if the lease was given up by `surrender`: otherwise it would be
-        renewed for a server that gets no work, and no standby could claim the keys.
+        renewed for a server that gets no requests, and no standby could claim the keys.
         """
         if not self._lease_wanted:
             return
@@ -272,8 +273,8 @@
 
         A new lease takes effect only once its record is in the log. A node that has a
         majority of its witnesses but can't append would keep renewing, so that no
-        standby may claim, and its keys would have no server until the store is back,
-        which takes up to 9 s.
+        standby may claim, and its keys would have no server until the log is reachable
+        again, which takes up to 9 s.
 
         The surrender reports how long earlier grants of the server last. Without it, a
         standby's server could hold the same keys at the same time for a second.
@@ -350,7 +351,7 @@
         gevent.spawn(self._call_witness, action.witness, "unclaim", request)
 
     def _call_witness(self, witness, method, request):
-        """Return a witness's `Grant`, or ``None`` without an answer."""
+        """Call a witness; return its `Grant`, or ``None`` if it didn't answer."""
         if witness == self._node.settings.node_id:
             reply = getattr(self._node.witnessing, method)(request)
             return grant_of(reply) if reply else None
@@ -382,7 +383,7 @@
         gevent.spawn(self._fetch_release, action)
 
     def _fetch_release(self, action):
-        """Request the release until it is done or the slice has moved elsewhere."""
+        """Request a release until it is complete or this node no longer needs it."""
         key, received = action.key, 0
         while self.agent.awaits_release(self._node.follower.state, key, boottime_s()):
             reply = self._call_release(action.previous, key, received)
--- a/comfreywharf/daemon/ownership/load_reports.py
+++ b/comfreywharf/daemon/ownership/load_reports.py
@@ -1,4 +1,4 @@
-"""Report this node's load to the planner, and detect its loss by missing replies."""
+"""Report this node's load to the planner; missing replies show the planner's loss."""
 
 import random
 
@@ -26,9 +26,9 @@
 class LoadReports:
     """Count this node's requests by slice and report their rates.
 
-    ``hot_keys`` returns ``(service, key_hash, requests_per_s)`` of the keys that
-    are hot on this node, ``busy_fraction`` the fraction of slots in use, and
-    ``service_ms`` the time that a request takes. All three are set by `Node`.
+    ``hot_keys()`` returns ``(service, key_hash, requests_per_s)`` of the keys that
+    are hot on this node, ``busy_fraction()`` the fraction of slots in use, and
+    ``service_ms()`` the time that a request takes. `Node` sets all three functions.
     """
 
     def __init__(self, node):
@@ -44,7 +44,7 @@
         node.follower.subscribe(self._on_folded)
 
     def count(self, right):
-        """Count a request that may be served under a `Right`."""
+        """Count a request for its slice, unless its `Right` is a refusal."""
         if right.reason is None and right.slice_start >= 0:
             self._meter.count(right.service, right.slice_start)
 
--- a/comfreywharf/daemon/ownership/planner.py
+++ b/comfreywharf/daemon/ownership/planner.py
@@ -26,7 +26,10 @@
 
 
 class Planner:
-    """Plan in rounds while this node is the planner; otherwise detect its loss."""
+    """Plan in rounds while this node is the planner; otherwise detect a planner's loss.
+
+    A node that detects the loss appends a `PlannerTermStarted` to become the planner.
+    """
 
     def __init__(self, node):
         self._node = node
@@ -126,7 +129,10 @@
             self._remove_lost(state, now_s)
 
     def _append_all(self, actions):
-        """Append a record for each action, concurrently, as each has its own slices."""
+        """Append the records of a round's actions, concurrently.
+
+        The actions concern different slices, so the order of the records is irrelevant.
+        """
         append = self._node.follower.append
         records = [
             to_record(action, new_record_id(), self._planned_term) for action in actions
@@ -140,8 +146,8 @@
     def _remove_lost(self, state, now_s):
         """Remove a member that has been lost for long and owns nothing.
 
-        Machines may be removed from the platform without notice. Lost members that
-        remain would still be chosen as witnesses and for requests without a key.
+        VMs may be removed from the platform without notice. Lost members that remain
+        would still be chosen as witnesses and for requests without a key.
         """
         lost = planning.removable_member(self._planning, state, now_s)
         if lost is not None:
@@ -154,7 +160,7 @@
 
 
 def _append_outcome(append, record):
-    """Append a record; return its outcome, ``None`` if not read back in time."""
+    """Append a record; return its outcome, or ``None`` if not read back in time."""
     try:
         return append(record)
     except NotAcknowledged:
--- a/comfreywharf/daemon/ownership/range_grants.py
+++ b/comfreywharf/daemon/ownership/range_grants.py
@@ -101,7 +101,7 @@
             except ConnectionRefusedError:
                 gevent.sleep(REFUSED_RETRY_S)
             except OSError:
-                # The server's state is unknown: the next push tries again.
+                # The process can't be determined now: the next push tries again.
                 return 0
         self._node.backend_refused(backend)
         return 0
--- a/comfreywharf/daemon/ownership/witnessing.py
+++ b/comfreywharf/daemon/ownership/witnessing.py
@@ -23,8 +23,8 @@
 class Witnessing:
     """Act as a witness for the leases of other nodes.
 
-    It grants nothing until, after the start, the fold has caught up with the log:
-    a witness with an older state could grant a claim that the log has made void.
+    After a start, nothing is granted until the fold has caught up with the log: a
+    witness with an older state could grant a claim that the log has made void.
     """
 
     def __init__(self, node, terms):
