--- a/comfreywharf/daemon/ownership/grants_by_service.py
+++ b/comfreywharf/daemon/ownership/grants_by_service.py
@@ -13,9 +13,9 @@
     stay recorded when the configuration changes the `GrantWay` of a service.
     """
 
-    def __init__(self, node, ways):
+    def __init__(self, node, implementations):
         self._node = node
-        self._ways = ways
+        self._implementations = implementations
         self._service = ""
 
     def refresh(self):
@@ -28,7 +28,7 @@
         if self._node.backend is not None:
             self._service = self._node.backend.announcement.service
         service = self._node.routes.table.service(self._service)
-        return self._ways[service.grant_way if service else GrantWay.ORDERS]
+        return self._implementations[service.grant_way if service else GrantWay.ORDERS]
 
     def ensure(self, right, now_s):
         """Return whether the backend server holds the key of a `Right`."""
--- a/comfreywharf/daemon/ownership/heartbeat_grants.py
+++ b/comfreywharf/daemon/ownership/heartbeat_grants.py
@@ -70,7 +70,7 @@
         if self._node.closed_to_new_work:
             return HoldList(rows=(), hold_s=self.book.terms.shortest_s)
         self._node.leases.renew_now(RENEWAL_WAIT_S)
-        return self._decide(report)
+        return self._make_list(report)
 
     def _handle_refused_ranges(self, report):
         self._node.report(
@@ -131,7 +131,7 @@
             lease_until_s=leases.holder.lease.until_s(),
         )
 
-    def _decide(self, report):
+    def _make_list(self, report):
         serving = self._serving()
         if serving is None:
             return None
@@ -146,8 +146,8 @@
         """
         if not right.key_hash:
             return True
-        place = right.slice_start
-        return self.book.holds_key(right.service, right.key_hash, now_s, near=place)
+        start = right.slice_start
+        return self.book.holds_key(right.service, right.key_hash, now_s, near=start)
 
     def refused(self, right):
         """Stop sending requests for a key that the server doesn't hold."""
@@ -155,13 +155,13 @@
             self.book.mark_not_held(right.service, right.key_hash)
             self._change.set()
 
-    def _try_release(self, place, numbers, fence):
+    def _try_release(self, slice_range, numbers, fence):
         self.lists.release()
         self._change.set()
         self._report_received.wait(RELEASE_PAUSE_S)
-        if self._may_be_held(place, fence):
+        if self._may_be_held(slice_range, fence):
             return None
-        return self.lists.pop_handover(*place[1:])
+        return self.lists.pop_handover(*slice_range[1:])
 
     def backend_changed(self):
         """Handle a new incarnation, which holds none of the earlier one's ranges."""
--- a/comfreywharf/daemon/ownership/key_grants.py
+++ b/comfreywharf/daemon/ownership/key_grants.py
@@ -81,55 +81,58 @@
         piece = pieces.at_start(start) if pieces else None
         if piece is None:
             return ""
-        place = (service, start, piece.end)
-        fence = self.book.stop(*place, 2 * piece.epoch, boottime_s())
+        slice_range = (service, start, piece.end)
+        fence = self.book.stop(*slice_range, 2 * piece.epoch, boottime_s())
         if fence is None:
             return ""
-        pending_release = self._releases.get(place)
+        pending_release = self._releases.get(slice_range)
         if pending_release is None or pending_release[0] != fence:
-            task = gevent.spawn(self._release, place, fence)
-            pending_release = self._releases[place] = (fence, task)
+            task = gevent.spawn(self._release, slice_range, fence)
+            pending_release = self._releases[slice_range] = (fence, task)
         pending_release[1].join(max(0.0, timeout_s))
         return pending_release[1].value if pending_release[1].successful() else None
 
-    def _release(self, place, fence):
-        """Return the handover once the backend server no longer holds a slice."""
-        handover = self._request_release(place, fence)
+    def _release(self, slice_range, fence):
+        """Return the handover once the backend server no longer holds a slice.
+
+        ``slice_range`` is ``(service, start, end)``.
+        """
+        handover = self._request_release(slice_range, fence)
         # The server may process an unanswered grant after the release. Wait until
         # that grant has expired; otherwise the next owner could start while this
         # server still holds the keys.
-        left_s = self.book.lost_until_s(*place) - boottime_s()
+        left_s = self.book.lost_until_s(*slice_range) - boottime_s()
         if left_s > 0:
             gevent.sleep(left_s)
         return handover
 
-    def _request_release(self, place, fence):
-        numbers = numbers_in(*place[1:])
-        while self.book.awaits_answer(*place):
+    def _request_release(self, slice_range, fence):
+        numbers = numbers_in(*slice_range[1:])
+        while self.book.awaits_answer(*slice_range):
             gevent.sleep(PENDING_GRANT_POLL_S)
-        while numbers and self._may_be_held(place, fence):
-            handover = self._try_release(place, numbers, fence)
+        while numbers and self._may_be_held(slice_range, fence):
+            handover = self._try_release(slice_range, numbers, fence)
             if handover is not None:
                 return handover
         return ""
 
     @abstractmethod
-    def _try_release(self, place, numbers, fence):
+    def _try_release(self, slice_range, numbers, fence):
         """Return the handover of a released range, or ``None`` to try again.
 
         Pause before returning ``None``.
         """
 
-    def _may_be_held(self, place, fence):
+    def _may_be_held(self, slice_range, fence):
         """Return whether a range may still be held under ``fence`` or a lower one.
 
         A range that was granted again under a higher fence isn't released: that would
         take the keys from the server that holds them rightfully, whether it is a newer
         incarnation or the same one.
         """
-        if self.book.granted_above(*place, fence):
+        if self.book.granted_above(*slice_range, fence):
             return False
-        return boottime_s() < self.book.held_until_s(*place)
+        return boottime_s() < self.book.held_until_s(*slice_range)
 
     def take_handover(self, key, handover):
         """Store what the previous owner's server handed over."""
--- a/comfreywharf/daemon/ownership/lease_calls.py
+++ b/comfreywharf/daemon/ownership/lease_calls.py
@@ -43,7 +43,7 @@
         end_s = boottime_s() + RELEASE_WAIT_S
         while True:
             now_s = boottime_s()
-            decision = self._decide(request, now_s)
+            decision = self._decide_release(request, now_s)
             if decision.released:
                 handover = self._node.grants.release(
                     request.service_name, request.slice_start, end_s - now_s
@@ -61,7 +61,7 @@
                 self._node.leases.force_round()
             gevent.sleep(decision.retry_after_s / 4)
 
-    def _decide(self, request, now_s):
+    def _decide_release(self, request, now_s):
         return self._node.leases.agent.decide_release(
             self._node.follower.state,
             request.service_name,
--- a/comfreywharf/daemon/ownership/leases.py
+++ b/comfreywharf/daemon/ownership/leases.py
@@ -182,7 +182,7 @@
         """Return whether this node holds its lease and read it back from the log."""
         return self.holder.phase == "held"
 
-    def still_held(self, right, now_s):
+    def may_forward_answer(self, right, now_s):
         """Return whether an answer that arrived at ``now_s`` may go to the caller.
 
         A server that checks fences answers only for a key that it held, so that its
--- a/comfreywharf/daemon/ownership/load_reports.py
+++ b/comfreywharf/daemon/ownership/load_reports.py
@@ -114,7 +114,7 @@
                 pass
             else:
                 event = ReportAnswered(planner_id=planner_id, planning=reply.planning)
-        self._node.planner.note(event, boottime_s())
+        self._node.planner.handle_report_result(event, boottime_s())
         return isinstance(event, ReportAnswered) and event.planning
 
 
--- a/comfreywharf/daemon/ownership/planner.py
+++ b/comfreywharf/daemon/ownership/planner.py
@@ -52,7 +52,7 @@
         planning.decide(self._planning, LoadReported(report=report), now_s)
         return True
 
-    def note(self, event, now_s):
+    def handle_report_result(self, event, now_s):
         """Handle a `ReportAnswered` or `ReportFailed` event."""
         terms.decide(self._terms, event, now_s)
 
@@ -79,7 +79,7 @@
         self._watch_planner(now_s)
         self._follow_own_term(now_s)
         if self.is_planning and now_s >= self._next_round_s:
-            self._round(now_s)
+            self._run_round(now_s)
 
     def _watch_planner(self, now_s):
         state = self._node.follower.state
@@ -113,7 +113,7 @@
             self._planned_term = state.planner_term
             self._next_round_s = now_s
 
-    def _round(self, now_s):
+    def _run_round(self, now_s):
         state = self._node.follower.state
         slice_count = sum(len(pieces.slices) for pieces in state.slices.values())
         self._next_round_s = now_s + round_interval_s(slice_count)
@@ -126,7 +126,7 @@
             if not any(isinstance(action, Split) for action in actions):
                 break
         if self._node.ports.removes_lost_nodes:
-            self._remove_lost(state, now_s)
+            self._remove_lost_member(state, now_s)
 
     def _append_all(self, actions):
         """Append the records of a round's actions, concurrently.
@@ -143,7 +143,7 @@
             if task.value is None:
                 raise NotAcknowledged(self._node_id, sent=True)
 
-    def _remove_lost(self, state, now_s):
+    def _remove_lost_member(self, state, now_s):
         """Remove a member that has been lost for long and owns nothing.
 
         VMs may be removed from the platform without notice. Lost members that remain
--- a/comfreywharf/daemon/ownership/range_grants.py
+++ b/comfreywharf/daemon/ownership/range_grants.py
@@ -79,8 +79,8 @@
             return []
         self._track_process(backend, process)
         served = self._served()
-        barred = self.book.has_used_fence(fence for _, _, fence, _ in served)
-        if barred and self._reacquire_lease("another process may be there"):
+        fence_used = self.book.has_used_fence(fence for _, _, fence, _ in served)
+        if fence_used and self._reacquire_lease("another process may be there"):
             return []
         return [
             self._calls.spawn(self._send, backend, process, order)
@@ -192,7 +192,7 @@
             gevent.sleep(PENDING_GRANT_POLL_S)
         return self.book.holds(place, right.fence, boottime_s())
 
-    def _try_release(self, place, numbers, fence):
+    def _try_release(self, slice_range, numbers, fence):
         backend = self._node.backend
         if backend is not None:
             handover = backend.orders.release(*numbers, fence, self._release_timeout_s)
--- a/comfreywharf/daemon/ownership/service_declarer.py
+++ b/comfreywharf/daemon/ownership/service_declarer.py
@@ -56,14 +56,16 @@
             declared = state.config.services.get(name)
             if declared is None and awaiting_servers:
                 continue
-            slices = declared.slices if declared else self._slices(state, name)
+            slices = (
+                declared.slices if declared else self._initial_slice_count(state, name)
+            )
             service = attrs.evolve(service, slices=slices)
             if declared != service:
                 to_declare[name] = service
         return to_declare
 
     @staticmethod
-    def _slices(state, name):
+    def _initial_slice_count(state, name):
         """Return the initial number of slices of a service.
 
         Each slice is granted and renewed separately. The planner splits hot
--- a/comfreywharf/daemon/ownership/witnessing.py
+++ b/comfreywharf/daemon/ownership/witnessing.py
@@ -42,30 +42,30 @@
             gevent.sleep(TICK_S)
             if self._witness is None:
                 continue
-            self._notify(boottime_s())
+            self._notify_takers(boottime_s())
 
     def renew(self, request):
         """Answer an owner's `Renewal`."""
         renewal = renewal_of(request)
-        view = self._view(renewal.owner_id)
+        view = self._owner_view(renewal.owner_id)
         if self._is_stale():
             return grant_reply(Grant(granted=False, denial=Denial.SILENT))
         if view is None:
             return grant_reply(Grant(granted=False, denial=Denial.STALE))
         return grant_reply(
-            self._witness.renew(renewal, view, self._longest_s(), boottime_s())
+            self._witness.renew(renewal, view, self._longest_request_s(), boottime_s())
         )
 
     def claim(self, request):
         """Answer a taker's `Claim`."""
         claim = claim_of(request)
-        view = self._view(claim.owner_id)
+        view = self._owner_view(claim.owner_id)
         if self._is_stale():
             return grant_reply(Grant(granted=False, denial=Denial.SILENT))
         if view is None:
             return grant_reply(Grant(granted=False, denial=Denial.STALE))
         return grant_reply(
-            self._witness.claim(claim, view, self._longest_s(), boottime_s())
+            self._witness.claim(claim, view, self._longest_request_s(), boottime_s())
         )
 
     def unclaim(self, request):
@@ -80,7 +80,7 @@
             return False
         return boottime_s() - self._node.follower.confirmed_s > limit_s
 
-    def _view(self, owner_id):
+    def _owner_view(self, owner_id):
         member = self._node.follower.state.members.get(owner_id)
         if self._witness is None or member is None:
             return None
@@ -92,13 +92,13 @@
             checks_fences=member.checks_fences,
         )
 
-    def _longest_s(self):
+    def _longest_request_s(self):
         """Return the longest time that a request of an owner may take."""
         services = self._node.follower.state.config.services.values()
         limits = [s.longest_request_ms / 1000 for s in services if s.divided_by_key]
         return max(limits, default=DEFAULT_LONGEST_REQUEST_S)
 
-    def _notify(self, now_s):
+    def _notify_takers(self, now_s):
         state = self._node.follower.state
         own_id = self._node.settings.node_id
         watched = [
--- a/comfreywharf/daemon/requests/forwarder.py
+++ b/comfreywharf/daemon/requests/forwarder.py
@@ -293,7 +293,9 @@
             # A node that resumes after a long pause still considers its lease valid.
             # Callers would get answers of two owners for one key within the length
             # of a lease. The outcome of such a late answer is reported as unknown.
-            if not self._node.leases.still_held(self._running.right, boottime_s()):
+            if not self._node.leases.may_forward_answer(
+                self._running.right, boottime_s()
+            ):
                 raise BackendError(Reason.LEASE_LAPSED, "the answer came too late")
         except BaseException:
             response.release()
--- a/comfreywharf/daemon/tests/test_held_requests.py
+++ b/comfreywharf/daemon/tests/test_held_requests.py
@@ -61,5 +61,5 @@
     """
     leases._node.ports.fenced = fenced
     right = Right(deadline_s=10.0)
-    assert leases.still_held(right, 9.9)
-    assert leases.still_held(right, 10.1) is fenced
+    assert leases.may_forward_answer(right, 9.9)
+    assert leases.may_forward_answer(right, 10.1) is fenced
--- a/comfreywharf/daemon/tests/test_planner_rounds.py
+++ b/comfreywharf/daemon/tests/test_planner_rounds.py
@@ -43,7 +43,7 @@
     cluster.now_s += 1.0
     cluster.report(rates)
     before = len(cluster.pieces)
-    make_planner(cluster)._round(cluster.now_s)
+    make_planner(cluster)._run_round(cluster.now_s)
     return len(cluster.pieces) - before
 
 
--- a/comfreywharf/daemon/tests/test_range_grants.py
+++ b/comfreywharf/daemon/tests/test_range_grants.py
@@ -114,15 +114,15 @@
     is granted under a higher fence. The pending release must not be tried again.
     """
     grants = make_grants(SlowOrders())
-    place = ("booking", PIECE.start, PIECE.end)
+    slice_range = ("booking", PIECE.start, PIECE.end)
     gevent.joinall(grants.push())
-    assert grants._may_be_held(place, 10)
+    assert grants._may_be_held(slice_range, 10)
     grants._node.leases.table.serving = lambda state, now_s: [
         ("booking", PIECE, 20, now_s + 60)
     ]
     gevent.joinall(grants.push())
-    assert not grants._may_be_held(place, 10)
-    assert grants._may_be_held(place, 20)
+    assert not grants._may_be_held(slice_range, 10)
+    assert grants._may_be_held(slice_range, 20)
 
 
 def test_refusal_without_a_grant_is_ignored_by_admission():
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -137,13 +137,13 @@
         )
         book = ListedHoldBook.of_new_process(terms, node.process_start_s)
         interval_s = settings.heartbeat_interval_s
-        ways = {
+        implementations = {
             GrantWay.ORDERS: RangeGrants(node, book, RELEASE_TIMEOUT_S),
             GrantWay.HEARTBEATS: HeartbeatGrants(
                 node, book, interval_s, HOLD_LIST_LIMIT
             ),
         }
-        return GrantsByService(node, ways)
+        return GrantsByService(node, implementations)
 
     def make_servers(self, node):
         """Return the servers, not started yet."""
