--- a/comfreywharf/daemon/membership/__init__.py
+++ b/comfreywharf/daemon/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Gossip between nodes: records, snapshots, routes and notices, and the connections.
+"""Gossip of records, snapshots, routes and notices, and the connections between nodes.
 
 Other subpackages use `Gossip`, `Notices`, `RelayClient`, and `Peers`, which holds the
 connections to the other nodes by their ids.
--- a/comfreywharf/daemon/membership/gossip.py
+++ b/comfreywharf/daemon/membership/gossip.py
@@ -35,11 +35,13 @@
 
 MAX_CONCURRENT = 8
 REACH_TIMEOUT_S = 0.4
+"""How long `Gossip.reachable_members` waits for the answers of all members."""
 MAX_REPORTED_AGE_S = 3600.0
+"""Higher ages of records or routes are sent as unknown."""
+
 PUSH_GAP_S = 0.05
 """Pause between two rounds of pushes, so that a burst of news is sent together."""
 
-
 SPARE_PARTNERS = 2
 """Number of further peers that are tried if the first one doesn't answer."""
 
@@ -57,8 +59,9 @@
 class Gossip:
     """Exchange news with random peers, at an interval and when there is news.
 
-    The peers are the members in the folded state. A node without any, for instance
-    because it starts while the log is down, uses the seeds of its settings.
+    News are log records, routes and notices that a peer doesn't have yet. The peers
+    are the members in the folded state. A node without any, for instance because it
+    starts while the log is down, uses the seeds of its settings.
     """
 
     def __init__(self, node, rng=None):
@@ -144,13 +147,13 @@
 
     def reachable_members(self):
         """Return the members that answer an exchange within `REACH_TIMEOUT_S`."""
-        asked = {}
+        exchanges = {}
         for node_id in self._node.follower.state.members:
             client = self._node.peers.client(node_id)
             if client is not None and node_id != self._node.settings.node_id:
-                asked[node_id] = gevent.spawn(self._try_exchange, client)
-        gevent.joinall(list(asked.values()), REACH_TIMEOUT_S)
-        return {node_id for node_id, task in asked.items() if task.value}
+                exchanges[node_id] = gevent.spawn(self._try_exchange, client)
+        gevent.joinall(list(exchanges.values()), REACH_TIMEOUT_S)
+        return {node_id for node_id, task in exchanges.items() if task.value}
 
     def _try_exchange(self, client):
         """Exchange once; return whether the peer answered."""
@@ -237,7 +240,7 @@
                 continue
 
     def _exchange_until_caught_up(self, client):
-        """Exchange with a peer, and repeat while it has more for this node."""
+        """Exchange with a peer, and repeat while it has further records."""
         follower = self._node.follower
         before = follower.state.next_offset
         while self._exchange(client):
@@ -245,9 +248,9 @@
         if follower.reachable:
             self._pace.lengthen()
             return
-        # Without the log, records arrive only from peers, so they are pushed on as
-        # well. By pulling alone, news of a single node out of 640 would take more
-        # than half of the 8 s that a change may take.
+        # Without the log, records arrive only from peers, so they are also pushed to
+        # further peers. With pulls alone, a record that one node out of 640 has would
+        # take more than half of the 8 s that a change may take.
         self._pace.shorten()
         if follower.state.next_offset > before:
             self.push_soon()
@@ -267,7 +270,7 @@
         return RelayedAge(reply.log_age_ms / 1000, _age_s(reply.routes_age_ms))
 
     def _exchange(self, client):
-        """Exchange once; return whether the peer has more for this node."""
+        """Exchange once; return whether the peer has further records for this node."""
         reply, advanced = self._call_exchange(client)
         return advanced and self._node.follower.state.next_offset < reply.next_offset
 
--- a/comfreywharf/daemon/membership/notices.py
+++ b/comfreywharf/daemon/membership/notices.py
@@ -50,7 +50,7 @@
         return self._board.current(kind, now_s)
 
     def on_new_notice(self, listener):
-        """Call ``listener()`` whenever there are new notices to forward."""
+        """Call ``listener()`` whenever there are new notices to send to peers."""
         self._new_notice_listeners.append(listener)
 
     def to_send(self, now_s, known=frozenset()):
@@ -66,7 +66,7 @@
         ]
 
     def receive(self, messages, now_s):
-        """Add the notices of a peer and forward those that are new."""
+        """Add a peer's notices; those that are new are sent to further peers."""
         self._add([_from_message(message, now_s) for message in messages], now_s)
 
     def _add(self, notices, now_s):
--- a/comfreywharf/daemon/membership/record_packing.py
+++ b/comfreywharf/daemon/membership/record_packing.py
@@ -2,7 +2,7 @@
 
 The record that assigns all slices of a service has tens of kilobytes. A relay sends it
 to many members at once. Uncompressed on a slow link, it would reach the last of them
-after their time-out, and they would turn to the next relay and fill its link as well.
+after their time-out, and they would poll the next relay and overload its link as well.
 """
 
 import struct
--- a/comfreywharf/daemon/membership/relay_client.py
+++ b/comfreywharf/daemon/membership/relay_client.py
@@ -12,12 +12,12 @@
 noticed by the end of this time."""
 
 MAX_AGE_MARGIN_S = 0.5
-"""Added to the wait of a log read for the maximum age of records at the node that
-reads the log itself."""
+"""Added to the wait of a log read. The sum is the maximum age of the records at a
+relay that reads the log itself."""
 
 
 class RelayClient:
-    """Poll the relay that `Relays` chooses."""
+    """Poll the relay that `Relays` chooses, and report each relay that is avoided."""
 
     def __init__(self, node, read_wait_s):
         self._node = node
@@ -28,7 +28,7 @@
         )
 
     def poll(self):
-        """Poll a relay once; return whether its news is fresh.
+        """Poll a relay once; return whether its records and routes are fresh.
 
         Otherwise the caller reads the log before another relay is polled: the
         time-outs of two relays in a row would use up the time that a change may take.
