--- a/comfreywharf/daemon/membership/gossip.py
+++ b/comfreywharf/daemon/membership/gossip.py
@@ -67,7 +67,7 @@
     def __init__(self, node, rng=None):
         self._node = node
         self._rng = rng or random.Random(node.settings.node_id)
-        self._pace = GossipInterval()
+        self._exchange_interval = GossipInterval()
         self._push_due = Event()
         self._calls = Pool(MAX_CONCURRENT)
         self._encoding = BoundedSemaphore()
@@ -85,7 +85,7 @@
 
     def push_soon(self):
         """Schedule a push of news to some peers as soon as possible."""
-        self._pace.shorten()
+        self._exchange_interval.shorten()
         self._push_due.set()
 
     def push_to(self, node_ids):
@@ -102,7 +102,7 @@
     def run(self):
         """Exchange news until the greenlet is killed."""
         while True:
-            if self._push_due.wait(self._pace.wait_s(self._rng)):
+            if self._push_due.wait(self._exchange_interval.wait_s(self._rng)):
                 self._push_due.clear()
                 self._push()
                 gevent.sleep(PUSH_GAP_S)
@@ -244,14 +244,14 @@
         follower = self._node.follower
         before = follower.state.next_offset
         while self._exchange(client):
-            self._pace.shorten()
+            self._exchange_interval.shorten()
         if follower.reachable:
-            self._pace.lengthen()
+            self._exchange_interval.lengthen()
             return
         # Without the log, records arrive only from peers, so they are also pushed to
         # further peers. With pulls alone, a record that one node out of 640 has would
         # take more than half of the 8 s that a change may take.
-        self._pace.shorten()
+        self._exchange_interval.shorten()
         if follower.state.next_offset > before:
             self.push_soon()
 
--- a/comfreywharf/daemon/membership/record_packing.py
+++ b/comfreywharf/daemon/membership/record_packing.py
@@ -15,7 +15,7 @@
 
 FASTEST_LEVEL = 1
 
-_HEAD = struct.Struct(">qI")
+_HEADER = struct.Struct(">qI")
 
 
 class RecordPackingError(ValueError):
@@ -30,38 +30,38 @@
     """
     parts = []
     for offset, data in records:
-        parts += (_HEAD.pack(offset, len(data)), data)
+        parts += (_HEADER.pack(offset, len(data)), data)
     return zlib.compress(b"".join(parts), FASTEST_LEVEL)
 
 
 def unpack_records(packed):
     """Return the ``(offset, data)`` pairs; raises `RecordPackingError`."""
-    plain = _decompress(packed)
-    records, place = [], 0
-    while place < len(plain):
-        if place + _HEAD.size > len(plain):
+    unpacked = _decompress(packed)
+    records, position = [], 0
+    while position < len(unpacked):
+        if position + _HEADER.size > len(unpacked):
             raise RecordPackingError(
-                f"found {len(plain) - place} bytes; expected a record header"
+                f"found {len(unpacked) - position} bytes; expected a record header"
             )
-        offset, size = _HEAD.unpack_from(plain, place)
-        place += _HEAD.size
-        if place + size > len(plain):
+        offset, size = _HEADER.unpack_from(unpacked, position)
+        position += _HEADER.size
+        if position + size > len(unpacked):
             raise RecordPackingError(
                 f"record {offset} is truncated; expected {size} bytes"
             )
-        records.append((offset, plain[place : place + size]))
-        place += size
+        records.append((offset, unpacked[position : position + size]))
+        position += size
     return records
 
 
 def _decompress(packed):
-    expander = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        plain = expander.decompress(packed, MAX_UNPACKED_BYTES)
+        unpacked = decompressor.decompress(packed, MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise RecordPackingError(str(error)) from error
-    if not expander.eof:
+    if not decompressor.eof:
         raise RecordPackingError(
             f"truncated, or more than {MAX_UNPACKED_BYTES} bytes unpacked"
         )
-    return plain
+    return unpacked
