--- a/comfreywharf/daemon/operating/assignments.py
+++ b/comfreywharf/daemon/operating/assignments.py
@@ -20,10 +20,10 @@
 
 
 class AssignmentReasons:
-    """Remember, for each slice, the record that assigned it to its owner.
+    """Keep, for each slice, a text about the record that assigned it to its owner.
 
-    Each folded record is passed to this object. For a slice that was last changed
-    before this node began to read the log, no reason is known, and the text says so.
+    `update` is called with each folded record. For a slice that was last changed before
+    this node began to read the log, there is no record, and the text says so.
     """
 
     def __init__(self):
--- a/comfreywharf/daemon/operating/decisions.py
+++ b/comfreywharf/daemon/operating/decisions.py
@@ -10,14 +10,14 @@
 __all__ = ["NEVER_AGE_S", "Decisions", "StdoutLineWriter", "discard_line"]
 
 NEVER_AGE_S = 3600.0
-"""The age that is reported if nothing was ever confirmed, and the highest one."""
+"""Upper bound for reported ages of routes and log, and the age if never confirmed."""
 
 MAX_LINE_BYTES = 4096
 """Maximum length of a line. Up to this length a write to a pipe is atomic (pipe(7))."""
 
 
 def discard_line(line):
-    """Write nothing, and return true; for nodes without lines on single requests."""
+    """Write nothing, and return true; for nodes that log no lines on requests."""
     return True
 
 
--- a/comfreywharf/daemon/operating/diagnosis.py
+++ b/comfreywharf/daemon/operating/diagnosis.py
@@ -1,4 +1,4 @@
-"""Checks of a node and of what it depends on, each with advice."""
+"""Check a node, its log, backend server, lease and peers, and advise on failures."""
 
 import gevent
 from gevent import socket
@@ -14,15 +14,13 @@
 PROBE_TIMEOUT_S = 1.0
 MAX_PROBED_PEERS = 32
 MAX_FOLD_LAG = 1000
+"""More records behind the log's end than this fail the check of the log."""
 CONCURRENT_PROBES = 16
 LEASE_HELD = "held"
 
 
 def diagnose(node):
-    """Run all checks of a node and return its `DoctorDocument`.
-
-    This takes a few seconds at most.
-    """
+    """Run all checks of a node, in a few seconds; return its `DoctorDocument`."""
     checks = [
         _check_log(node),
         _check_configuration(node),
--- a/comfreywharf/daemon/operating/documents.py
+++ b/comfreywharf/daemon/operating/documents.py
@@ -43,7 +43,7 @@
 
 @attrs.frozen(kw_only=True)
 class ErrorDocument:
-    """Why a request failed: ``wrong`` lists each fault with its place."""
+    """Why a request failed; ``wrong`` lists each invalid value with its path."""
 
     error: str
     wrong: tuple[str, ...] = ()
@@ -142,7 +142,7 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigDocument:
-    """A configuration: for each service, its values as texts by key."""
+    """A configuration: for each service, the texts of its settings by name."""
 
     version: int
     offset: int
@@ -153,7 +153,7 @@
 
 @attrs.frozen(kw_only=True)
 class VersionDocument:
-    """One version in the history.
+    """One version in the history of the configuration.
 
     ``changes`` are the lines of the differences from the previous version.
     """
@@ -167,7 +167,7 @@
 
 @attrs.frozen(kw_only=True)
 class PatchOrder:
-    """A patch of a version: a service's texts by key, or ``None`` to remove it."""
+    """A patch of a version: a service's settings as texts, or ``None`` to remove it."""
 
     record_id: str
     base_version: int
--- a/comfreywharf/daemon/operating/jsonport.py
+++ b/comfreywharf/daemon/operating/jsonport.py
@@ -1,4 +1,4 @@
-"""An HTTP server for JSON documents: routes, bounded bodies, errors with places."""
+"""An HTTP server for JSON documents, with errors that name each invalid value."""
 
 from collections import defaultdict
 from urllib.parse import parse_qsl
@@ -139,7 +139,7 @@
 
 
 def structure(fields, cls, lenient=False):
-    """Return parsed JSON as a message; raise one `BadInput` that lists all faults."""
+    """Return parsed JSON as a message; raise one `BadInput` for all invalid values."""
     try:
         return (_lenient if lenient else _strict).structure(fields, cls)
     except Exception as error:
--- a/comfreywharf/daemon/operating/metering.py
+++ b/comfreywharf/daemon/operating/metering.py
@@ -1,4 +1,4 @@
-"""Measurements of requests and of the node's components for its metrics."""
+"""Measure requests and the node's components for the node's metrics."""
 
 import gevent
 
@@ -35,7 +35,7 @@
         self._metrics = node.metrics
 
     def request_refused(self, reply, began_s):
-        """Count a request whose service is unknown or not declared.
+        """Count a request that was refused before it was dispatched.
 
         It gets an empty service label: otherwise a caller could create any number of
         labels.
@@ -64,7 +64,7 @@
         self._metrics.request_ended(service, outcome, reply.reason, duration_s)
 
     def run(self):
-        """Add up the time without a lease, and measure the event loop's delay.
+        """Add up the time that owned slices have no lease; measure the loop's delay.
 
         Runs until killed.
         """
--- a/comfreywharf/daemon/operating/operators.py
+++ b/comfreywharf/daemon/operating/operators.py
@@ -40,7 +40,7 @@
 __all__ = ["BackendPort", "OperatorPort"]
 
 NO_BASE_VERSION = -1
-
+"""Stands for a missing ``base_version`` in the query of ``/config/outcome``."""
 _STATUS_OF_VERDICT = {
     Verdict.ACCEPTED: 200,
     Verdict.REFUSED: 409,
--- a/comfreywharf/daemon/operating/reporter.py
+++ b/comfreywharf/daemon/operating/reporter.py
@@ -1,4 +1,4 @@
-"""Report events of this node: stamp them, keep them in a ring, write them to the log.
+"""Report events of this node: stamp them, keep the newest, and write them to the log.
 
 The log here is the process's own log, not the log service.
 """
@@ -46,7 +46,10 @@
         self._ring_limit = RateLimit(RING_BURST, RING_EVENTS_PER_S)
 
     def report(self, name, /, **fields):
-        """Add an event to the ring and to the log; see docs/events.md."""
+        """Add an event to the ring of the newest ones and to the log.
+
+        docs/events.md lists the events.
+        """
         self.add(name, fields)
 
     def add(self, name, fields):
@@ -66,7 +69,7 @@
             logging.log(_LEVELS[severity], format_line(event, repeats))
 
     def run(self):
-        """Report numbers of withheld events once none followed for `QUIET_S`.
+        """Report how many events were withheld, once none was for `QUIET_S`.
 
         Runs until killed.
         """
--- a/comfreywharf/daemon/operating/submissions.py
+++ b/comfreywharf/daemon/operating/submissions.py
@@ -39,11 +39,11 @@
         services[name] = None
         if fields is None:
             continue
-        read = service_from_fields(name, fields)
-        if isinstance(read, Failure):
-            wrong += read.failure()
+        parsed = service_from_fields(name, fields)
+        if isinstance(parsed, Failure):
+            wrong += parsed.failure()
         else:
-            services[name] = read.unwrap()
+            services[name] = parsed.unwrap()
     if wrong:
         raise BadInput(400, "the patch has faults", wrong)
     return ConfigPatched(
@@ -88,15 +88,19 @@
 
 
 def _is_base_taken(state, base_version):
-    """Return whether a record other than an unknown one was accepted on a base version.
+    """Return whether another patch is certain to have been accepted on a base version.
 
-    The number of remembered outcomes is limited. Once the outcomes from when the
-    next version was accepted are forgotten, the unknown record may itself be the
-    accepted one, and it must not be reported as refused.
+    This is for a patch whose outcome isn't in the state. Only a limited number of
+    outcomes is kept. If those from the time of the next version are no longer kept,
+    the patch may itself have made that version, and must not be reported as refused.
     """
-    taken = configuration_at(state, base_version + 1)
+    successor = configuration_at(state, base_version + 1)
     oldest = next(iter(state.outcomes.values()), None)
-    return taken is not None and oldest is not None and oldest.offset <= taken.offset
+    return (
+        successor is not None
+        and oldest is not None
+        and oldest.offset <= successor.offset
+    )
 
 
 def submission_document(state, record_id, base_version=None):
--- a/comfreywharf/daemon/operating/views.py
+++ b/comfreywharf/daemon/operating/views.py
@@ -1,4 +1,4 @@
-"""Documents of the folded state for operators; this module makes no decisions."""
+"""Convert parts of the folded state to the documents of the operators' port."""
 
 from collections import Counter
 
@@ -152,13 +152,13 @@
 
 
 def changed_since(state, version):
-    """Return lines with the authors of the versions since one, and what changed."""
+    """Return lines that list the versions since ``version``, and then the changes."""
     since = changes_since(state, version)
     if not since.known:
         return (f"version {version} is not kept; compare with the one in force",)
     notes = tuple(
-        f"version {made.version} by {made.author}: {made.note}".removesuffix(": ")
-        for made in since.versions
+        f"version {entry.version} by {entry.author}: {entry.note}".removesuffix(": ")
+        for entry in since.versions
     )
     before = {change.name: change.before for change in since.changes if change.before}
     after = {change.name: change.after for change in since.changes if change.after}
