--- a/comfreywharf/daemon/operating/assignments.py
+++ b/comfreywharf/daemon/operating/assignments.py
@@ -36,8 +36,8 @@
         text = _describe(record)
         if not text:
             return
-        for place in result.changed:
-            self._reasons[place] = _Reason(offset, text)
+        for changed_slice in result.changed:
+            self._reasons[changed_slice] = _Reason(offset, text)
 
     def text(self, service, piece):
         """Return why a slice has its owner."""
--- a/comfreywharf/daemon/operating/diagnosis.py
+++ b/comfreywharf/daemon/operating/diagnosis.py
@@ -20,7 +20,10 @@
 
 
 def diagnose(node):
-    """Run all checks of a node, in a few seconds; return its `DoctorDocument`."""
+    """Run all checks of a node and return its `DoctorDocument`.
+
+    This takes a few seconds at most.
+    """
     checks = [
         _check_log(node),
         _check_configuration(node),
--- a/comfreywharf/daemon/operating/submissions.py
+++ b/comfreywharf/daemon/operating/submissions.py
@@ -87,7 +87,7 @@
     return document
 
 
-def _is_base_taken(state, base_version):
+def _is_base_superseded(state, base_version):
     """Return whether another patch is certain to have been accepted on a base version.
 
     This is for a patch whose outcome isn't in the state. Only a limited number of
@@ -110,7 +110,7 @@
     if outcome is not None:
         verdict = Verdict.ACCEPTED if outcome.accepted else Verdict.REFUSED
         reason, offset = outcome.reason, outcome.offset
-    elif base_version is not None and _is_base_taken(state, base_version):
+    elif base_version is not None and _is_base_superseded(state, base_version):
         verdict, reason = Verdict.REFUSED, Refusal.STALE_VERSION.value
     stale = verdict == Verdict.REFUSED and base_version is not None
     return SubmissionDocument(
