--- a/comfreywharf/daemon/tests/test_lease_and_log.py
+++ b/comfreywharf/daemon/tests/test_lease_and_log.py
@@ -24,13 +24,13 @@
 
 @pytest.mark.parametrize("heartbeat_first", [False, True])
 def test_reacquired_lease_is_given_up_while_the_log_is_unreachable(heartbeat_first):
-    """Guards against keys without a server while the store is away, up to 9 s.
+    """Guards against keys without a server while the log is unreachable, up to 9 s.
 
     A server restarts at its address, so that the lease is reacquired, and a majority
     grants it. With ``heartbeat_first``, the server's heartbeat arrives before the
-    lease's record is appended. Then the store goes away. The lease has to be given up
-    in both cases: if the node kept renewing it after a heartbeat, no standby could
-    claim the keys.
+    lease's record is appended. Then the log becomes unreachable. The lease has to be
+    given up in both cases: if the node kept renewing it after a heartbeat, no standby
+    could claim the keys.
     """
     node = Node(SETTINGS, OwnPorts(SETTINGS))
     leases = node.leases
@@ -53,9 +53,9 @@
     """Guards against two servers that hold the same keys for a second.
 
     A lease is reacquired while its server holds grants, and a majority grants it. The
-    store goes away, so that the lease is given up again. If the second surrender
-    reports no held grants to the witnesses, a taker's server gets the keys while the
-    owner's server still holds them.
+    log becomes unreachable, so that the lease is given up again. If the second
+    surrender reports no held grants to the witnesses, a taker's server gets the keys
+    while the owner's server still holds them.
     """
     node = Node(SETTINGS, OwnPorts(SETTINGS))
     node.grants = SimpleNamespace(held_until_s=lambda now_s: now_s + 1.0)
@@ -87,7 +87,7 @@
 def test_first_lease_is_given_up_without_the_log_and_reacquired_with_it():
     """Guards against keys without a server at a node that starts in an outage.
 
-    The witnesses grant the node's first lease while the store is away. Not only a
+    The witnesses grant the node's first lease while the log is unreachable. Not only a
     reacquired lease but also the first one has to be given up then.
     """
     node = started_without_a_log()
@@ -100,8 +100,8 @@
 def test_lease_surrendered_by_a_stopping_node_isnt_reacquired():
     """Guards against a stopping node that gets its keys back.
 
-    Its lease was given up because it couldn't be appended. Then the node stops, and
-    the store comes back.
+    Its lease was given up because its record couldn't be appended. Then the node
+    stops, and the log becomes reachable again.
     """
     node = started_without_a_log()
     node.leases.surrender("stopping")
@@ -111,7 +111,7 @@
 
 
 def test_held_lease_is_kept_while_the_log_is_unreachable():
-    """Guards against keys without a server at the start of each store outage."""
+    """Guards against keys without a server at the start of each outage of the log."""
     node = Node(SETTINGS, OwnPorts(SETTINGS))
     holder = node.leases.holder
     grant_by_majority(holder, boottime_s())
@@ -125,7 +125,7 @@
 
     The server leaves, and its lease is given up. A grant that was sent before is then
     refused as outdated. If that reacquired the lease, the node would renew it for a
-    server that gets no work.
+    server that gets no requests.
     """
     node = Node(SETTINGS, OwnPorts(SETTINGS))
     node.follower.reachable = True
--- a/comfreywharf/daemon/tests/test_outdated_grants.py
+++ b/comfreywharf/daemon/tests/test_outdated_grants.py
@@ -55,9 +55,10 @@
     )
 
 
-def make_grants(first):
+def make_grants(server):
+    """Return the grants of a node with a server; its reacquisitions are recorded."""
     node = SimpleNamespace(
-        backend=first,
+        backend=server,
         leases=SimpleNamespace(reacquired=[]),
         follower=SimpleNamespace(state=None),
         report=lambda *args, **fields: None,
@@ -78,10 +79,10 @@
     (late,) = grants.book.due(served, boottime_s())
     serve(grants, 20)
     gevent.joinall(grants.push())
-    earlier = grants._node.backend.orders
-    earlier.answer = GrantAnswer.OUTDATED
+    orders = grants._node.backend.orders
+    orders.answer = GrantAnswer.OUTDATED
     grants._send(grants._node.backend, 1, late)
-    assert earlier.fences == [20, 10]
+    assert orders.fences == [20, 10]
     assert grants._node.leases.reacquired == []
 
 
@@ -114,7 +115,7 @@
 
     Two orders under one lease are refused, the second one while the lease is being
     reacquired and nothing is served. The second refusal must not give up the lease
-    that is being acquired because of the first one.
+    whose acquisition the first one started.
     """
     grants = make_grants(backend("i-1", 1, FixedAnswerOrders(GrantAnswer.OUTDATED)))
     until_s = boottime_s() + 1.5
@@ -132,18 +133,19 @@
 
 
 def test_refusal_of_a_superseded_fence_keeps_an_expired_lease():
-    """Guards against a record for an expiry that heals without the log.
+    """Guards against a needless record of a new lease in the log.
 
-    The newer lease expires before the delayed order is refused. Nothing is served
-    then, so that only the orders show which fence was in use.
+    The newer lease expires before the delayed order is refused; a renewal alone would
+    restore it. Nothing is served then, so that only the orders show which fence was in
+    use.
     """
-    earlier = FixedAnswerOrders()
-    grants = make_grants(backend("i-1", 1, earlier))
+    orders = FixedAnswerOrders()
+    grants = make_grants(backend("i-1", 1, orders))
     served = [("booking", PIECE, 10, boottime_s() + 1.5)]
     (late,) = grants.book.due(served, boottime_s())
     serve(grants, 20)
     gevent.joinall(grants.push())
     serve_nothing(grants)
-    earlier.answer = GrantAnswer.OUTDATED
+    orders.answer = GrantAnswer.OUTDATED
     grants._send(grants._node.backend, 1, late)
     assert grants._node.leases.reacquired == []
--- a/comfreywharf/daemon/tests/test_range_grants.py
+++ b/comfreywharf/daemon/tests/test_range_grants.py
@@ -1,4 +1,4 @@
-"""Grants and releases of ranges, as requests and the next owners wait for them."""
+"""Grants of ranges that requests wait for, and releases that next owners wait for."""
 
 from types import SimpleNamespace
 
@@ -55,10 +55,11 @@
 
 
 def test_all_requests_wait_for_a_grant_in_flight():
-    """Guards against requests that their own server refuses, which makes it look fast.
+    """Guards against requests that the server refuses because their grant is late.
 
     Several requests for a new slice arrive at the same time. The first one sends the
-    grant, and the others have to wait for its answer as well.
+    grant, and the others have to wait for its answer as well. Quick refusals would make
+    the server appear fast.
     """
     orders = SlowOrders()
     grants = make_grants(orders)
