--- a/comfreywharf/daemon/tests/builders.py
+++ b/comfreywharf/daemon/tests/builders.py
@@ -19,9 +19,9 @@
     "announcement",
     "backend_for",
     "complete_answer",
+    "forward_request",
     "node_settings",
-    "request",
-    "running",
+    "running_request",
 ]
 
 
@@ -129,14 +129,14 @@
     )
 
 
-def running(request_id="id", timeout_s=5.0):
+def running_request(request_id="id", timeout_s=5.0):
     """Return a `RunningRequest`, as the forwarder keeps it for a request."""
     deadline_s = boottime_s() + timeout_s
     key = RequestKey("booking", 1, request_id)
     return RunningRequest(key, "attempt", Right(deadline_s=deadline_s), deadline_s)
 
 
-def request(method="GET", path="/look"):
+def forward_request(method="GET", path="/look"):
     """Return a request for the owner."""
     return ForwardRequest(
         request_id="id",
--- a/comfreywharf/daemon/tests/test_backend_answers.py
+++ b/comfreywharf/daemon/tests/test_backend_answers.py
@@ -12,15 +12,17 @@
     ScriptedServer,
     backend_for,
     complete_answer,
-    request,
-    running,
+    forward_request,
+    running_request,
 )
 from comfreywharf.routing import Reason
 
 
 def exchange(backend, timeout_s=5.0, method="GET", body=b""):
     """Return status and body of one request."""
-    response = backend.exchange(request(method), "", body, running(timeout_s=timeout_s))
+    response = backend.exchange(
+        forward_request(method), "", body, running_request(timeout_s=timeout_s)
+    )
     return response.status_code, response.read(1000)
 
 
