--- a/comfreywharf/daemon/ownership/lease_calls.py
+++ b/comfreywharf/daemon/ownership/lease_calls.py
@@ -9,7 +9,10 @@
 __all__ = ["LeaseCalls"]
 
 RELEASE_WAIT_S = 0.5
+"""How long a release call is held before the reply that the slice isn't released."""
+
 UNRELEASED_RETRY_S = 0.02
+"""Time until the next check while the backend server may still hold the slice."""
 
 
 class LeaseCalls:
--- a/comfreywharf/daemon/ownership/leases.py
+++ b/comfreywharf/daemon/ownership/leases.py
@@ -31,12 +31,21 @@
 TICK_S = 0.02
 LONG_TICK_S = 0.1
 CALL_TIMEOUT_S = 0.3
+
 COVER_TIMEOUT_S = 0.25
+"""How long a request waits until a majority of witnesses has granted its deadline."""
+
 MIN_ROUND_INTERVAL_S = 0.004
+"""The shortest time between two renewal rounds that are started by `force_round`."""
+
 EXPIRE_INTERVAL_S = 1.0
+"""How often rights in flight whose deadline has passed are dropped."""
+
 RELEASE_TIMEOUT_S = 1.0
 RELEASE_RETRY_S = 0.02
+
 RELEASE_HOLD_S = 0.25
+"""How long a request waits at the new owner for the previous owner's release."""
 
 
 class Leases:
