--- a/comfreywharf/platform/tests/test_backends.py
+++ b/comfreywharf/platform/tests/test_backends.py
@@ -13,8 +13,8 @@
     ScriptedServer,
     backend_for,
     complete_answer,
-    request,
-    running,
+    forward_request,
+    running_request,
 )
 from comfreywharf.platform.backends import PlatformBackend, PlatformDialect
 from comfreywharf.routing import Reason
@@ -30,7 +30,9 @@
 def exchange(server):
     """Return the response to one request, with its body read."""
     backend = make_backend(server)
-    response = backend.exchange(request("POST"), "Host: a\r\n", b"", running())
+    response = backend.exchange(
+        forward_request("POST"), "Host: a\r\n", b"", running_request()
+    )
     body = response.read(1000)
     answers_request = PlatformDialect().answers_request(response, "id")
     return response.status_code, body, answers_request, backend
@@ -110,7 +112,7 @@
     data = complete_answer(b"", *OWN, *extra).replace(b"200 OK", b"%d X" % status)
     with ScriptedServer(Reply(data)) as server:
         backend = make_backend(server)
-        response = backend.exchange(request("POST"), "", b"", running())
+        response = backend.exchange(forward_request("POST"), "", b"", running_request())
         assert PlatformDialect().refused(response) is reason
 
 
@@ -126,6 +128,6 @@
 
     A header's value contains a line break.
     """
-    message = request()
+    message = forward_request()
     message.headers = [attrs.make_class("H", ["name", "value"])("X", "a\r\nY: b")]
-    assert PlatformDialect().request_lines(message, running(), "i") is None
+    assert PlatformDialect().request_lines(message, running_request(), "i") is None
--- a/comfreywharf/platform/tests/test_requests.py
+++ b/comfreywharf/platform/tests/test_requests.py
@@ -3,7 +3,7 @@
 import pytest
 
 from comfreywharf.clock import boottime_s
-from comfreywharf.daemon.tests.builders import request
+from comfreywharf.daemon.tests.builders import forward_request
 from comfreywharf.platform.tests.builders import Deployment
 from comfreywharf.routing import Outcome, Reason
 
@@ -99,7 +99,7 @@
     A machine is replaced at its address by one of another service, and a node that
     hasn't folded this yet forwards a request. The receiver has to compare the service.
     """
-    message = request(method="GET", path="/stock/1")
+    message = forward_request(method="GET", path="/stock/1")
     message.service_name, message.key = "stock", b""
     name = next(n for n, s in deployment.servers.items() if s.service == "booking")
     runs = len(deployment.ledger)
