--- a/comfreywharf/daemon/tests/test_operators.py
+++ b/comfreywharf/daemon/tests/test_operators.py
@@ -14,7 +14,7 @@
 )
 from comfreywharf.events import kind_by_name
 from comfreywharf.records import UnknownRecord, key_hash
-from comfreywharf.records.state import REMEMBERED_RECORDS
+from comfreywharf.records.state import MAX_KEPT_OUTCOMES
 
 POSTS = ["/config", "/drain", "/undrain", "/quarantine/lift"]
 
@@ -139,7 +139,7 @@
     """
     port, follower = make_port()
     send_request(port, "POST", "/config", patch_order())
-    for number in range(REMEMBERED_RECORDS):
+    for number in range(MAX_KEPT_OUTCOMES):
         follower.append(UnknownRecord(record_id=f"later-{number}", kind="later"))
     query = "record_id=second&base_version=1"
     _, outcome = send_request(port, "GET", "/config/outcome", query=query)
--- a/comfreywharf/records/fold.py
+++ b/comfreywharf/records/fold.py
@@ -60,7 +60,7 @@
         return _refuse(Refusal.REPEATED)
     result = _apply(record, state, offset)
     reason = result.refusal.value if result.refusal else ""
-    state.remember(
+    state.keep_outcome(
         record.record_id,
         FoldOutcome(offset=offset, accepted=result.accepted, reason=reason),
     )
@@ -86,7 +86,7 @@
             services[name] = service
     if len(services) > MAX_SERVICES:
         return _refuse(Refusal.NOT_ALLOWED)
-    state.remember_version(state.config)
+    state.keep_version(state.config)
     state.config = Configuration(
         version=state.config.version + 1,
         offset=offset,
--- a/comfreywharf/records/state.py
+++ b/comfreywharf/records/state.py
@@ -9,14 +9,14 @@
 
 __all__ = ["ClusterState", "FoldOutcome", "Member"]
 
-REMEMBERED_RECORDS = 4096
+MAX_KEPT_OUTCOMES = 4096
 """How many outcomes are kept for writers that read their records back.
 
 A writer gives up after a few seconds, and the log accepts a few hundred appends per
 second, so an outcome is kept for longer than any writer may need it.
 """
 
-REMEMBERED_VERSIONS = 64
+MAX_KEPT_VERSIONS = 64
 """How many configuration versions are kept, to report the changes since them."""
 
 
@@ -146,13 +146,13 @@
         member = self.members.get(node_id)
         return member.lease_epoch if member else -1
 
-    def remember(self, record_id, outcome):
+    def keep_outcome(self, record_id, outcome):
         """Keep a record's outcome for read-back, within bounds."""
         self.outcomes[record_id] = outcome
-        while len(self.outcomes) > REMEMBERED_RECORDS:
+        while len(self.outcomes) > MAX_KEPT_OUTCOMES:
             self.outcomes.popitem(last=False)
 
-    def remember_version(self, config):
+    def keep_version(self, config):
         """Keep a configuration for `changes_since`, within bounds."""
         self.config_history.append(config)
-        del self.config_history[:-REMEMBERED_VERSIONS]
+        del self.config_history[:-MAX_KEPT_VERSIONS]
