--- a/comfreywharf/daemon/ownership/heartbeat_grants.py
+++ b/comfreywharf/daemon/ownership/heartbeat_grants.py
@@ -112,10 +112,10 @@
             self._node.backend_refused(backend)
 
     def _serving(self):
-        """Return the slices to hold as a `Serving`, or ``None`` if not known now.
+        """Return the slices to hold as a `Serving`, or ``None`` while undetermined.
 
-        Without its lease the node doesn't know who owns the keys. A list without them
-        would make the server drop keys that it may be granted again shortly after.
+        Without its lease the node can't determine who owns the keys. A list without
+        them would make the server drop keys that it may be granted again shortly after.
         """
         leases, state = self._node.leases, self._node.follower.state
         now_s = boottime_s()
--- a/comfreywharf/daemon/ownership/range_grants.py
+++ b/comfreywharf/daemon/ownership/range_grants.py
@@ -130,7 +130,7 @@
         else:
             self._report_recovery(backend, order)
         if answer is GrantAnswer.OUTDATED and not self._is_superseded(order):
-            # The server has seen a higher fence than this node's. A reacquired lease
+            # The server has received a higher fence than this one. A reacquired lease
             # takes its epoch from the end of the log, above all earlier ones.
             self._superseded_fence = self.book.highest_fence
             self._node.leases.reacquire("grant outdated")
--- a/comfreywharf/daemon/tests/test_operators.py
+++ b/comfreywharf/daemon/tests/test_operators.py
@@ -45,7 +45,7 @@
     """The reason of an older move isn't given for a slice that changed since.
 
     A node folds a move, misses later ones, and continues from a snapshot. The reason
-    that it remembers for the slice then belongs to an older record.
+    that it has kept for the slice then belongs to an older record.
     """
     port, follower = make_port()
     pieces = follower.state.slices["booking"]
@@ -131,10 +131,10 @@
 
 
 def test_forgotten_outcome_stays_unknown():
-    """A patch whose outcome is forgotten isn't reported as refused.
+    """A patch whose outcome is no longer kept isn't reported as refused.
 
     A patch is accepted, its answer is lost, and so many records follow that its
-    outcome is forgotten before its author queries it. Its base version is no longer
+    outcome is dropped before its author queries it. Its base version is no longer
     in force because the patch itself was accepted, so that proves no refusal.
     """
     port, follower = make_port()
--- a/comfreywharf/daemon/tests/test_outdated_grants.py
+++ b/comfreywharf/daemon/tests/test_outdated_grants.py
@@ -1,4 +1,4 @@
-"""Grants that a backend server refuses because it has seen a higher fence."""
+"""Grants that a backend server refuses because it has received a higher fence."""
 
 from types import SimpleNamespace
 
