--- a/comfreywharf/daemon/tests/test_lease_and_log.py
+++ b/comfreywharf/daemon/tests/test_lease_and_log.py
@@ -115,7 +115,7 @@
     node = Node(SETTINGS, OwnPorts(SETTINGS))
     holder = node.leases.holder
     grant_by_majority(holder, boottime_s())
-    holder.start_read_back(holder.continuity)
+    holder.start_read_back(holder.generation)
     node.leases._follow_log_reachability()
     assert holder.phase == "held"
 
--- a/comfreywharf/ownership/agent.py
+++ b/comfreywharf/ownership/agent.py
@@ -116,7 +116,7 @@
         """Scan all slices for releases at the next tick."""
         self._scan_s = float("-inf")
 
-    def own(self, state):
+    def own_lease(self, state):
         """Return this node's lease according to the fold."""
         member = state.members.get(self._node_id)
         if member is None:
@@ -131,34 +131,36 @@
         )
 
     def _renew(self, state, now_s, may_hold, forced):
-        own = self.own(state)
-        if own.incarnation > self._incarnation:
+        own_lease = self.own_lease(state)
+        if own_lease.incarnation > self._incarnation:
             if self.holder.supersede():
-                return [report("superseded", incarnation=own.incarnation)]
+                return [report("superseded", incarnation=own_lease.incarnation)]
             return []
-        if not may_hold or own.incarnation < self._incarnation:
+        if not may_hold or own_lease.incarnation < self._incarnation:
             return []
         if self.holder.majority_overdue(now_s):
             reach_until_s = self.inflight.all_until_s(now_s)
-            ending = self.holder.pause(own, reach_until_s, now_s)
-            return [SendRenewal(witness, ending) for witness in self.holder.asked]
-        if self._groups.lost.must_wait(own.reset_pending, now_s):
+            ending = self.holder.pause(own_lease, reach_until_s, now_s)
+            return [SendRenewal(witness, ending) for witness in self.holder.recipients]
+        if self._groups.lost.must_wait(own_lease.reset_pending, now_s):
             return []
         forced = forced and self.holder.may_request(now_s)
-        regular = forced or self.holder.due(now_s)
-        newest_epoch = self.table.newest_epoch(own.lease_epoch)
+        regular = forced or self.holder.renewal_due(now_s)
+        newest_epoch = self.table.newest_epoch(own_lease.lease_epoch)
         if not regular and not self.holder.has_new_epoch(newest_epoch, now_s):
             return []
-        witnesses = own.witnesses or self._groups.choose(state)
+        witnesses = own_lease.witnesses or self._groups.choose(state)
         if not witnesses or self.holder.phase in ("surrendered", "superseded"):
             return []
-        groups = [witnesses, own.earlier_witnesses]
+        groups = [witnesses, own_lease.earlier_witnesses]
         self.holder.use_witnesses([group for group in groups if group])
         reach_until_s = self.inflight.reach_until_s(now_s)
-        renewal = self.holder.renewal(own, reach_until_s, now_s, extra=not regular)
+        renewal = self.holder.renewal(
+            own_lease, reach_until_s, now_s, extra=not regular
+        )
         return [
-            SendRenewal(witness, self.holder.vouched(renewal, witness))
-            for witness in self.holder.asked
+            SendRenewal(witness, self.holder.mark_vouched(renewal, witness))
+            for witness in self.holder.recipients
         ]
 
     def renewed(self, witness, number, term, now_s):
@@ -171,34 +173,38 @@
         return []
 
     def _reset_witnesses(self, state, now_s, may_hold):
-        own = self.own(state)
-        may_hold = may_hold and own.incarnation == self._incarnation
-        wants_probe, record = self._groups.replace_lost(state, own, may_hold, now_s)
+        own_lease = self.own_lease(state)
+        may_hold = may_hold and own_lease.incarnation == self._incarnation
+        wants_probe, record = self._groups.replace_lost(
+            state, own_lease, may_hold, now_s
+        )
         if wants_probe:
             return [ProbeMembers()]
         if record is None:
             return []
-        return self._append(Purpose(RESET, own.lease_epoch), record, now_s)
+        return self._append(Purpose(RESET, own_lease.lease_epoch), record, now_s)
 
     def _start(self, state, now_s):
         """Append the record of a new lease once a majority has granted it."""
         if self.holder.phase != "starting":
             return []
-        own = self.own(state)
-        if own.earlier_witnesses and not self._groups.earlier_acknowledged(own):
+        own_lease = self.own_lease(state)
+        if own_lease.earlier_witnesses and not self._groups.earlier_acknowledged(
+            own_lease
+        ):
             return []
-        witnesses = own.witnesses or self.holder.lease.groups[0]
-        record = self._groups.lease_started(own, witnesses)
-        return self._append(Purpose(START, self.holder.continuity), record, now_s)
+        witnesses = own_lease.witnesses or self.holder.lease.groups[0]
+        record = self._groups.lease_started(own_lease, witnesses)
+        return self._append(Purpose(START, self.holder.generation), record, now_s)
 
     def _replace_witnesses(self, state, now_s):
         if not self.holder.owns(now_s):
             return []
-        own = self.own(state)
-        record = self._groups.replace_unfit(state, own, now_s)
+        own_lease = self.own_lease(state)
+        record = self._groups.replace_unfit(state, own_lease, now_s)
         if record is None:
             return []
-        return self._append(Purpose(WITNESSES, own.lease_epoch), record, now_s)
+        return self._append(Purpose(WITNESSES, own_lease.lease_epoch), record, now_s)
 
     def surrender(self, state, reason, now_s, held_until_s=None):
         """Give up the lease and all shares at once; return the actions to take.
@@ -215,7 +221,7 @@
         witnesses = self.holder.lease.witnesses
         reach_until_s = self.inflight.all_until_s(now_s)
         renewal = self.holder.surrender(
-            self.own(state), reach_until_s, now_s, held_until_s
+            self.own_lease(state), reach_until_s, now_s, held_until_s
         )
         actions = [report("lease_surrendered", reason=reason)]
         actions += [SendRenewal(witness, renewal) for witness in witnesses]
@@ -284,7 +290,7 @@
             # If an owner and its standby are each granted by some witnesses,
             # neither gets a majority and each blocks the other. The standby
             # pauses for long enough that a live owner can renew its lease.
-            if claim.lease.terms_now(now_s):
+            if claim.lease.witness_terms(now_s):
                 pause_s = CLAIM_PAUSE_LEASES * self._terms.lease_s
                 self._claim_not_before_s[claim.owner_id] = now_s + pause_s
             return self._end_claim(claim, now_s)
@@ -448,11 +454,11 @@
             return self._end_claim(claim, now_s) if claim else []
         return []
 
-    def _started(self, state, continuity, outcome, now_s):
-        if continuity != self.holder.continuity or self.holder.phase != "starting":
+    def _started(self, state, generation, outcome, now_s):
+        if generation != self.holder.generation or self.holder.phase != "starting":
             return []
         self.table.lease_began(state, now_s)
-        self.holder.start_read_back(continuity)
+        self.holder.start_read_back(generation)
         self.rescan()
         return [report("lease_started", offset=outcome.offset)]
 
--- a/comfreywharf/ownership/holder.py
+++ b/comfreywharf/ownership/holder.py
@@ -45,8 +45,8 @@
         self._terms = terms
         self._chart = Chart(_CHART)
         self._lease = QuorumLease(terms, [()])
-        self._known_terms = {}
-        self._continuity = 0
+        self._known_witness_terms = {}
+        self._generation = 0
         self._was_started = False
         self._round_sent_s = float("-inf")
         self._sent_epoch = -1
@@ -65,9 +65,9 @@
         return self._chart.state
 
     @property
-    def continuity(self):
+    def generation(self):
         """Return a number that changes whenever the lease was lost in between."""
-        return self._continuity
+        return self._generation
 
     @property
     def lease(self):
@@ -89,7 +89,7 @@
         """Return when the next round of renewals is due."""
         return self._round_sent_s + self._terms.renew_interval_s
 
-    def due(self, now_s):
+    def renewal_due(self, now_s):
         """Return whether it is time to renew."""
         if not self.may_request(now_s):
             return False
@@ -123,7 +123,7 @@
             return False
         return self._majority_due_s is not None and now_s >= self._majority_due_s
 
-    def pause(self, own, reach_until_s, now_s):
+    def pause(self, own_lease, reach_until_s, now_s):
         """Pause requests for a while; return the renewal that ends the lease.
 
         Answers that are still in transit no longer count, since the witnesses
@@ -133,38 +133,40 @@
         self._paused_until_s = now_s + PAUSE_LEASES * self._terms.lease_s
         timeout_s = MAJORITY_TIMEOUT_LEASES * self._terms.lease_s
         self._majority_due_s = self._paused_until_s + timeout_s
-        return self._ending(own, reach_until_s, now_s)
+        return self._ending(own_lease, reach_until_s, now_s)
 
-    def renewal(self, own, reach_until_s, now_s, extra=False):
+    def renewal(self, own_lease, reach_until_s, now_s, extra=False):
         """Return the renewal to send to each of ``asked`` now.
 
         An ``extra`` renewal doesn't change when the next regular one is due.
         """
         if not extra:
             self._round_sent_s = now_s
-        self._sent_epoch = max(own.lease_epoch, own.portfolio_epoch)
+        self._sent_epoch = max(own_lease.lease_epoch, own_lease.portfolio_epoch)
         if self._majority_due_s is None:
             self._majority_due_s = now_s + MAJORITY_TIMEOUT_LEASES * self._terms.lease_s
         self._requested_since_s = {
             witness: self._requested_since_s.get(witness, now_s)
-            for witness in self.asked
+            for witness in self.recipients
         }
         number = self._lease.begin_round(
-            now_s, reach_until_s, own.portfolio_epoch, own.lease_epoch
+            now_s, reach_until_s, own_lease.portfolio_epoch, own_lease.lease_epoch
+        )
+        return self._message(
+            own_lease, self._terms.lease_s, reach_until_s - now_s, number
         )
-        return self._message(own, self._terms.lease_s, reach_until_s - now_s, number)
 
-    def vouched(self, renewal, witness):
+    def mark_vouched(self, renewal, witness):
         """Return a renewal for one witness, marked if its grant still counts."""
-        vouched = self._lease.vouches_for(witness, renewal.round)
+        vouched = self._lease.had_grant(witness, renewal.round)
         return attrs.evolve(renewal, vouched=vouched)
 
     @property
-    def asked(self):
+    def recipients(self):
         """Return the witnesses and the candidates for witnesses."""
         return tuple(dict.fromkeys((*self._lease.witnesses, *self.candidates)))
 
-    def silent(self, now_s):
+    def silent_witnesses(self, now_s):
         """Return those of ``asked`` that have granted nothing for too long."""
         limit_s = now_s - self._terms.replace_witness_after_s
         return {
@@ -189,27 +191,27 @@
         self._lease.grant(witness, number, term, now_s)
         if not self._lease.held(now_s):
             return
-        granting = self._lease.terms_now(now_s)
+        granting = self._lease.witness_terms(now_s)
         if self.phase == "lapsed":
             self._regain(granting)
         elif self.phase == "acquiring":
             self._chart.fire("majority")
-            self._continuity += 1
-            self._known_terms = {}
-        self._known_terms.update(granting)
+            self._generation += 1
+            self._known_witness_terms = {}
+        self._known_witness_terms.update(granting)
 
     def _regain(self, granting):
         unbroken = {
             witness
             for witness, term in granting.items()
-            if self._known_terms.get(witness) == term
+            if self._known_witness_terms.get(witness) == term
         }
         if self._was_started and self._lease.majority_of(unbroken):
             self._chart.fire("majority_unbroken")
             return
         self._chart.fire("majority_broken")
-        self._continuity += 1
-        self._known_terms = {}
+        self._generation += 1
+        self._known_witness_terms = {}
 
     def tick(self, now_s):
         """Detect a lapse; return whether there was one."""
@@ -219,12 +221,12 @@
         self._majority_due_s = now_s + self._terms.lease_s
         return self._chart.fire("majority_lost")
 
-    def start_read_back(self, continuity):
+    def start_read_back(self, generation):
         """Register that the `LeaseStarted` record of a hold was read back."""
-        if continuity == self._continuity and self.phase == "starting":
+        if generation == self._generation and self.phase == "starting":
             self._chart.fire("started")
 
-    def surrender(self, own, reach_until_s, now_s, held_until_s=None):
+    def surrender(self, own_lease, reach_until_s, now_s, held_until_s=None):
         """Stop owning at once; return the renewal that ends the lease.
 
         It allows a standby to begin before the lease would have lapsed. All grants
@@ -236,18 +238,18 @@
         self._chart.fire("surrender")
         self._lease.reset()
         held_s = 0.0 if held_until_s is None else max(0.0, held_until_s - now_s)
-        return self._ending(own, reach_until_s, now_s, held_s)
+        return self._ending(own_lease, reach_until_s, now_s, held_s)
 
-    def _ending(self, own, reach_until_s, now_s, held_s=0.0):
+    def _ending(self, own_lease, reach_until_s, now_s, held_s=0.0):
         number = self._lease.next_number()
-        return self._message(own, held_s, reach_until_s - now_s, number)
+        return self._message(own_lease, held_s, reach_until_s - now_s, number)
 
-    def _message(self, own, lease_s, reach_s, number):
+    def _message(self, own_lease, lease_s, reach_s, number):
         return Renewal(
             owner_id=self._node_id,
             incarnation=self._incarnation,
-            lease_epoch=own.lease_epoch,
-            portfolio_epoch=own.portfolio_epoch,
+            lease_epoch=own_lease.lease_epoch,
+            portfolio_epoch=own_lease.portfolio_epoch,
             lease_s=lease_s,
             reach_s=max(0.0, reach_s),
             round=number,
--- a/comfreywharf/ownership/quorum.py
+++ b/comfreywharf/ownership/quorum.py
@@ -14,7 +14,7 @@
     reach_until_s: float
     portfolio_epoch: int
     lease_epoch: int
-    vouched: frozenset
+    granting: frozenset
 
 
 @attrs.define
@@ -70,9 +70,9 @@
     def begin_round(self, now_s, reach_until_s, portfolio_epoch, lease_epoch=-1):
         """Register a round of requests to all witnesses; return its number."""
         self._number += 1
-        vouched = frozenset(self.terms_now(now_s))
+        granting = frozenset(self.witness_terms(now_s))
         self._rounds[self._number] = _Round(
-            now_s, reach_until_s, portfolio_epoch, lease_epoch, vouched
+            now_s, reach_until_s, portfolio_epoch, lease_epoch, granting
         )
         self._rounds.pop(self._number - KEPT_ROUNDS, None)
         return self._number
@@ -88,31 +88,33 @@
         self._majorities.clear()
         self._rounds.clear()
 
-    def vouches_for(self, witness, number):
+    def had_grant(self, witness, number):
         """Return whether a witness's earlier grant counted when a round was sent."""
-        return witness in self._rounds[number].vouched
+        return witness in self._rounds[number].granting
 
     def grant(self, witness, number, term, now_s):
         """Count a witness's grant for a round, received at ``now_s``."""
-        asked = self._rounds.get(number)
-        if asked is None:
+        sent_round = self._rounds.get(number)
+        if sent_round is None:
             return
-        until_s = self._terms.held_until_s(asked.sent_s)
+        until_s = self._terms.held_until_s(sent_round.sent_s)
         granted = self._granted.get(witness)
-        if granted is not None and self._too_late_to_vouch(asked, witness, term, now_s):
+        if granted is not None and self._relied_on_expired_grant(
+            sent_round, witness, term, now_s
+        ):
             return
         if granted is not None and granted.until_s > until_s:
             return
         self._granted[witness] = _Granted(
             until_s=until_s,
-            reach_until_s=asked.reach_until_s,
-            portfolio_epoch=asked.portfolio_epoch,
-            lease_epoch=asked.lease_epoch,
+            reach_until_s=sent_round.reach_until_s,
+            portfolio_epoch=sent_round.portfolio_epoch,
+            lease_epoch=sent_round.lease_epoch,
             term=term,
         )
         self._majorities.clear()
 
-    def _too_late_to_vouch(self, asked, witness, term, now_s):
+    def _relied_on_expired_grant(self, sent_round, witness, term, now_s):
         """Return whether a restarted witness may have relied on an expired grant.
 
         After that expiry, the witness's earlier process may have granted the lease to
@@ -122,7 +124,7 @@
         """
         granted = self._granted[witness]
         restarted = term != granted.term
-        return restarted and witness in asked.vouched and now_s >= granted.until_s
+        return restarted and witness in sent_round.granting and now_s >= granted.until_s
 
     def until_s(self):
         """Return when the lease ends, unless it is renewed."""
@@ -158,7 +160,7 @@
         granted = self._granted.get(witness)
         return granted.until_s if granted else NEVER_S
 
-    def terms_now(self, now_s):
+    def witness_terms(self, now_s):
         """Return the terms of the witnesses whose grants currently count."""
         return {
             witness: granted.term
--- a/comfreywharf/ownership/tests/test_acknowledged_fences.py
+++ b/comfreywharf/ownership/tests/test_acknowledged_fences.py
@@ -197,7 +197,7 @@
     learn of it only by the next regular renewal."""
     world = make_world(fenced=True)
     owner = owner_of(world)
-    while owner.agent.holder.due(owner.now_s() + 3 * STEP_S):
+    while owner.agent.holder.renewal_due(owner.now_s() + 3 * STEP_S):
         world.run(STEP_S)
     before = fence_of(world, owner)
     rounds = count_rounds(owner)
--- a/comfreywharf/ownership/tests/test_restarted_lease.py
+++ b/comfreywharf/ownership/tests/test_restarted_lease.py
@@ -20,7 +20,7 @@
     for it must not wait until the next renewal is due."""
     world = make_world(fenced=True)
     owner = world.nodes[world.role("owner", KEY)]
-    while owner.agent.holder.due(owner.now_s()):
+    while owner.agent.holder.renewal_due(owner.now_s()):
         world.run(STEP_S)
     restart_lease(owner)
-    assert owner.agent.holder.due(owner.now_s())
+    assert owner.agent.holder.renewal_due(owner.now_s())
--- a/comfreywharf/ownership/tests/test_vouching.py
+++ b/comfreywharf/ownership/tests/test_vouching.py
@@ -60,7 +60,7 @@
     for witness in GROUP:
         lease.grant(witness, first, term=1, now_s=10.1)
     second = lease.begin_round(10.9, 0.0, 0)
-    assert lease.vouches_for("a", second)
+    assert lease.had_grant("a", second)
     for witness in GROUP:
         lease.grant(witness, second, term=term, now_s=received_s)
     assert lease.held(11.1) is held
--- a/comfreywharf/ownership/witnessgroups.py
+++ b/comfreywharf/ownership/witnessgroups.py
@@ -33,44 +33,48 @@
         wanted = self._terms.witnesses
         return choose_witnesses(state, self._node_id, kept, avoided, wanted)
 
-    def earlier_acknowledged(self, own):
+    def earlier_acknowledged(self, own_lease):
         """Return whether a majority of each group refuses claims on the old epoch."""
-        return self._holder.lease.acknowledged_lease_epoch() >= own.lease_epoch
+        return self._holder.lease.acknowledged_lease_epoch() >= own_lease.lease_epoch
 
-    def lease_started(self, own, witnesses):
+    def lease_started(self, own_lease, witnesses):
         """Return the record by which the lease continues with a group."""
         return LeaseStarted(
             record_id=self._make_id(),
             node_id=self._node_id,
             incarnation=self._incarnation,
-            base_lease_epoch=own.lease_epoch,
+            base_lease_epoch=own_lease.lease_epoch,
             witnesses=witnesses,
         )
 
-    def replace_lost(self, state, own, may_hold, now_s):
+    def replace_lost(self, state, own_lease, may_hold, now_s):
         """Return ``(wants_probe, record)`` for replacing a lost majority.
 
         The members have to be probed first; ``record`` is `None` until then, and
         also if no replacement is needed or possible.
         """
         requesting = (
-            may_hold and not own.reset_pending and self._holder.phase in _REQUESTING
+            may_hold
+            and not own_lease.reset_pending
+            and self._holder.phase in _REQUESTING
+        )
+        wants_probe, wants_reset = self.lost.evaluate(
+            own_lease.witnesses, requesting, now_s
         )
-        wants_probe, wants_reset = self.lost.evaluate(own.witnesses, requesting, now_s)
         if wants_probe or not wants_reset:
             return wants_probe, None
         group = self.lost.choose(state, self._node_id)
-        if not group or set(group) == set(own.witnesses):
+        if not group or set(group) == set(own_lease.witnesses):
             return False, None
         return False, WitnessesReset(
             record_id=self._make_id(),
             node_id=self._node_id,
             incarnation=self._incarnation,
-            base_lease_epoch=own.lease_epoch,
+            base_lease_epoch=own_lease.lease_epoch,
             witnesses=group,
         )
 
-    def replace_unfit(self, state, own, now_s):
+    def replace_unfit(self, state, own_lease, now_s):
         """Return the record that replaces silent or leaving witnesses, or ``None``.
 
         If such a witness were kept while there still is a majority, the next loss
@@ -79,24 +83,28 @@
         lease has no gap. The earlier group receives renewals as well until a majority
         of it knows the new epoch.
         """
-        if own.earlier_witnesses:
+        if own_lease.earlier_witnesses:
             self._holder.candidates = ()
-            acknowledged = self.earlier_acknowledged(own)
-            return self.lease_started(own, own.witnesses) if acknowledged else None
-        self._holder.candidates = group = self._better_group(state, own, now_s)
+            acknowledged = self.earlier_acknowledged(own_lease)
+            return (
+                self.lease_started(own_lease, own_lease.witnesses)
+                if acknowledged
+                else None
+            )
+        self._holder.candidates = group = self._better_group(state, own_lease, now_s)
         if not group or not self._holder.granted_by_majority(group, now_s):
             return None
-        return self.lease_started(own, group)
+        return self.lease_started(own_lease, group)
 
-    def _better_group(self, state, own, now_s):
+    def _better_group(self, state, own_lease, now_s):
         """Return a group without unfit witnesses, or a larger one; else ``()``."""
-        unfit = self._holder.silent(now_s) | _leaving(state)
-        some_unfit = not unfit.isdisjoint(own.witnesses)
+        unfit = self._holder.silent_witnesses(now_s) | _leaving(state)
+        some_unfit = not unfit.isdisjoint(own_lease.witnesses)
         size = group_size(self._terms.witnesses, len(state.members) - 1)
-        if not some_unfit and len(own.witnesses) >= size:
+        if not some_unfit and len(own_lease.witnesses) >= size:
             return ()
-        group = self.choose(state, set(own.witnesses) - unfit, unfit)
-        return group if some_unfit or len(group) > len(own.witnesses) else ()
+        group = self.choose(state, set(own_lease.witnesses) - unfit, unfit)
+        return group if some_unfit or len(group) > len(own_lease.witnesses) else ()
 
 
 def _leaving(state):
