--- a/comfreywharf/daemon/node.py
+++ b/comfreywharf/daemon/node.py
@@ -35,7 +35,7 @@
 from comfreywharf.events.ownership import OwnershipTracker
 from comfreywharf.membership import NodeFacts, NodeLifecycle, PauseDetector
 from comfreywharf.metrics import Metrics
-from comfreywharf.ownership import WITNESSES
+from comfreywharf.ownership import MIN_WITNESSES
 from comfreywharf.ownership.holds import NOTHING_HELD_S
 from comfreywharf.records import NodeAnnounced
 from comfreywharf.routing import MemoryLimits
@@ -168,7 +168,7 @@
                 self.report("node_state", before=transition[0], after=transition[1])
             self._announce_if_removed()
             members = len(self.follower.state.members)
-            if self.lifecycle.state == "joining" and members < WITNESSES:
+            if self.lifecycle.state == "joining" and members < MIN_WITNESSES:
                 if not reported_too_few:
                     self.report("too_few_nodes", members=members)
                 reported_too_few = True
--- a/comfreywharf/daemon/ownership/leases.py
+++ b/comfreywharf/daemon/ownership/leases.py
@@ -93,11 +93,11 @@
             right = self._await_release(service, key, now_s, remaining_s)
         if right.reason is not None or not right.key_hash:
             return right
-        right = self.table.begin(right)
+        right = self.table.begin_request(right)
         covered = right.covered or self._cover_deadline(service, key, right)
         if covered and self._node.grants.ensure(right, now_s):
             return right
-        self.table.finish(right)
+        self.table.finish_request(right)
         return Right(reason=Reason.NOT_YET_OWNER)
 
     def _query_right(self, service, key, now_s, remaining_s):
@@ -176,7 +176,7 @@
 
     def finish(self, right):
         """Record that nothing forwarded under a right can take effect any more."""
-        self.table.finish(right)
+        self.table.finish_request(right)
 
     def held(self):
         """Return whether this node holds its lease and read it back from the log."""
@@ -236,7 +236,7 @@
     def receive_lapse_notice(self, owner_id):
         """Handle a witness's notice that an owner's lease expired."""
         state = self._node.follower.state
-        self.carry_out(self.agent.lapsed(state, owner_id, boottime_s()))
+        self.carry_out(self.agent.lapse_notified(state, owner_id, boottime_s()))
         self._wake.set()
 
     def surrender(self, reason, held_until_s=None):
@@ -308,7 +308,9 @@
             self._node.report("renewal_denied", witness=witness, why=why)
             return
         acknowledged_epoch = self.holder.lease.acknowledged_epoch()
-        self.carry_out(self.agent.renewed(witness, request.round, grant.term, now_s))
+        self.carry_out(
+            self.agent.renewal_granted(witness, request.round, grant.term, now_s)
+        )
         self._grant_counted()
         if self.holder.lease.acknowledged_epoch() > acknowledged_epoch:
             self._wake_held_requests()
@@ -335,7 +337,9 @@
             denied = self.agent.claim_denied(owner_id, grant.denial, now_s)
             self.carry_out(denied)
             return
-        self.carry_out(self.agent.claimed(owner_id, witness, number, grant.term, now_s))
+        self.carry_out(
+            self.agent.claim_granted(owner_id, witness, number, grant.term, now_s)
+        )
         self._grant_counted()
 
     def _grant_counted(self):
@@ -395,7 +399,7 @@
             received += len(reply.answers)
             self._node.grants.take_handover(key, reply.handover)
             if not reply.more:
-                self.carry_out(self.agent.released(key, reply.vouched, now_s))
+                self.carry_out(self.agent.release_received(key, reply.vouched, now_s))
                 self._wake_held_requests()
                 self._wake.set()
                 return
--- a/comfreywharf/daemon/ownership/witnessing.py
+++ b/comfreywharf/daemon/ownership/witnessing.py
@@ -106,8 +106,8 @@
             for member in state.members.values()
             if any(own_id in group for group in member.witness_groups)
         ]
-        self._witness.forget(state.members, now_s)
-        lapsed = self._witness.lapsed(watched, now_s)
+        self._witness.drop_owners_except(state.members, now_s)
+        lapsed = self._witness.lapsed_owners(watched, now_s)
         if not lapsed:
             return
         for owner_id in lapsed:
--- a/comfreywharf/ownership/__init__.py
+++ b/comfreywharf/ownership/__init__.py
@@ -20,10 +20,10 @@
 from comfreywharf.ownership.table import OwnershipTable, Right
 from comfreywharf.ownership.terms import LeaseTerms
 from comfreywharf.ownership.witness import Witness
-from comfreywharf.ownership.witnesses import WITNESSES, choose_witnesses
+from comfreywharf.ownership.witnesses import MIN_WITNESSES, choose_witnesses
 
 __all__ = [
-    "WITNESSES",
+    "MIN_WITNESSES",
     "Append",
     "Claim",
     "Denial",
--- a/comfreywharf/ownership/actions.py
+++ b/comfreywharf/ownership/actions.py
@@ -31,7 +31,10 @@
 
 @attrs.frozen
 class SendRenewal(Action):
-    """Send a renewal to a witness; its grant goes to `OwnershipAgent.renewed`."""
+    """Send a renewal to a witness.
+
+    Its grant goes to `OwnershipAgent.renewal_granted`.
+    """
 
     witness: str
     renewal: Renewal
@@ -39,7 +42,7 @@
 
 @attrs.frozen
 class SendClaim(Action):
-    """Send a claim to a witness; its grant goes to `OwnershipAgent.claimed`."""
+    """Send a claim to a witness; its grant goes to `OwnershipAgent.claim_granted`."""
 
     witness: str
     claim: Claim
--- a/comfreywharf/ownership/agent.py
+++ b/comfreywharf/ownership/agent.py
@@ -36,7 +36,7 @@
 CLAIM_PAUSE_LEASES = 1.0
 SCAN_INTERVAL_S = 0.25
 
-_OUTDATED = frozenset({Denial.STALE, Denial.OTHER_VIEW})
+_OUTDATED_DENIALS = frozenset({Denial.STALE, Denial.OTHER_VIEW})
 
 _MOVING = (SlicesMoved, SlicesTaken, MoveCompleted)
 """Records after which a release may have to be requested."""
@@ -163,7 +163,7 @@
             for witness in self.holder.recipients
         ]
 
-    def renewed(self, witness, number, term, now_s):
+    def renewal_granted(self, witness, number, term, now_s):
         """Count a witness's grant of a renewal; return the actions to take."""
         before = self.holder.phase
         self.holder.granted(witness, number, term, now_s)
@@ -194,7 +194,7 @@
         ):
             return []
         witnesses = own_lease.witnesses or self.holder.lease.groups[0]
-        record = self._groups.lease_started(own_lease, witnesses)
+        record = self._groups.lease_started_record(own_lease, witnesses)
         return self._append(Purpose(START, self.holder.generation), record, now_s)
 
     def _replace_witnesses(self, state, now_s):
@@ -235,7 +235,7 @@
 
     # Claims.
 
-    def lapsed(self, state, owner_id, now_s):
+    def lapse_notified(self, state, owner_id, now_s):
         """Handle a witness's notice of a lapsed lease; return the actions to take."""
         owner = state.members.get(owner_id)
         if owner is None or owner_id in self.claims or not owner.witnesses:
@@ -259,7 +259,7 @@
         self.claims[owner_id] = claim
         return self._send_claim(claim, now_s)
 
-    def claimed(self, owner_id, witness, number, term, now_s):
+    def claim_granted(self, owner_id, witness, number, term, now_s):
         """Count a witness's grant of a claim; return the actions to take."""
         claim = self.claims.get(owner_id)
         if claim is None or not claim.granted(witness, number, term, now_s):
@@ -276,7 +276,11 @@
         out, their keys would be served up to two leases later than necessary.
         """
         claim = self.claims.get(owner_id)
-        if denial not in _OUTDATED or claim is None or claim.held_since_s is not None:
+        if (
+            denial not in _OUTDATED_DENIALS
+            or claim is None
+            or claim.held_since_s is not None
+        ):
             return []
         return self._end_claim(claim, now_s)
 
@@ -389,26 +393,28 @@
     def _scan(self, state, now_s):
         """Request awaited releases, and record those that were received."""
         actions = []
-        for key, piece in self.table.awaited(state, now_s):
+        for key, piece in self.table.awaited_releases(state, now_s):
             if key not in self._requested_releases:
                 self._requested_releases.add(key)
                 actions.append(RequestRelease(piece.previous, key))
-        for key in self.table.unrecorded(state):
+        for key in self.table.unrecorded_releases(state):
             actions += self._complete(key, now_s)
         return actions
 
     def awaits_release(self, state, key, now_s):
         """Return whether a release still has to be requested."""
-        return any(key == other for other, _ in self.table.awaited(state, now_s))
+        return any(
+            key == other for other, _ in self.table.awaited_releases(state, now_s)
+        )
 
     def release_request_ended(self, key):
         """Register that a release is no longer being requested."""
         self._requested_releases.discard(key)
 
-    def released(self, key, vouched, now_s):
+    def release_received(self, key, vouched, now_s):
         """Handle an earlier owner's release; return the actions to take."""
         self._requested_releases.discard(key)
-        self.table.released(key, float("-inf") if vouched else now_s)
+        self.table.release_received(key, float("-inf") if vouched else now_s)
         self.rescan()
         return [report("slice_received", service=key.service, start=key.start)]
 
--- a/comfreywharf/ownership/handover.py
+++ b/comfreywharf/ownership/handover.py
@@ -17,7 +17,7 @@
     notify_witnesses: bool = False
 
 
-def decide_release(table, state, request_service, start, epoch, now_s):
+def decide_release(table, state, service, start, epoch, now_s):
     """Decide on the new owner's request for a release.
 
     A release has three conditions. This node has folded the move, so that it has
@@ -28,18 +28,16 @@
     """
     if state.next_offset <= epoch:
         return ReleaseDecision(released=False, retry_after_s=RETRY_S)
-    pieces = state.slices.get(request_service)
+    pieces = state.slices.get(service)
     piece = pieces.at_start(start) if pieces else None
     if piece is None or piece.epoch != epoch:
         return ReleaseDecision(released=False, retry_after_s=OUTDATED_RETRY_S)
-    table.stop_serving(request_service, start)
+    table.stop_serving(service, start)
     if table.holder.lease.acknowledged_portfolio_epoch() < epoch:
         return ReleaseDecision(
             released=False, retry_after_s=RETRY_S, notify_witnesses=True
         )
-    busy_until_s = table.inflight.busy_until_s(
-        request_service, piece.start, piece.end, now_s
-    )
+    busy_until_s = table.inflight.busy_until_s(service, piece.start, piece.end, now_s)
     if busy_until_s > now_s and not table.fenced:
         retry_after_s = min(busy_until_s - now_s, RETRY_S)
         return ReleaseDecision(released=False, retry_after_s=retry_after_s)
--- a/comfreywharf/ownership/table.py
+++ b/comfreywharf/ownership/table.py
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen
-class _Unreleased:
+class _UnreleasedSlice:
     """A slice that moved away and that the new owner hasn't requested yet."""
 
     epoch: int
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen
-class _Used:
+class _LastFence:
     """The fence under which an own slice was last served, and the slice's end."""
 
     end: int
@@ -83,7 +83,7 @@
         self._unreleased = {}
         self._vouched_since_s = {}
         self._newest_slice_epoch = -1
-        self._used = {}
+        self._last_fences = {}
 
     def right_to_serve(self, state, service, key, now_s, remaining_s):
         """Return the `Right` to serve one request that arrived at ``now_s``."""
@@ -136,9 +136,9 @@
         """Return the newest fence of an own slice that may be used, or ``None``."""
         fence = state.fence(piece)
         if self._is_acknowledged(fence):
-            self._used[place] = _Used(piece.end, fence)
+            self._last_fences[place] = _LastFence(piece.end, fence)
             return fence
-        used = self._used.get(place)
+        used = self._last_fences.get(place)
         return used.fence if used is not None and used.end == piece.end else None
 
     def _is_acknowledged(self, fence):
@@ -173,7 +173,7 @@
             return (claim.lease,)
         return None
 
-    def begin(self, right):
+    def begin_request(self, right):
         """Register a request that is about to be forwarded; return its `Right`."""
         if right.reason is not None or right.key_hash == 0:
             return right
@@ -182,7 +182,7 @@
         )
         return attrs.evolve(right, ticket=self.inflight.add(ticket))
 
-    def finish(self, right):
+    def finish_request(self, right):
         """Register that nothing forwarded under a right can still take effect."""
         if right.ticket:
             self.inflight.remove(right.ticket)
@@ -212,19 +212,19 @@
         if after.owner == self._node_id:
             self._newest_slice_epoch = max(self._newest_slice_epoch, after.epoch)
         if not owned_before or after.owner != self._node_id or before.end != after.end:
-            self._used.pop(place, None)
+            self._last_fences.pop(place, None)
         if after.owner == self._node_id and not owned_before:
             self._became_owner(service, before, after, now_s)
         if after.previous == self._node_id and owned_before:
             fence = state.fence(before)
-            self._unreleased[place] = _Unreleased(epoch=after.epoch, fence=fence)
+            self._unreleased[place] = _UnreleasedSlice(epoch=after.epoch, fence=fence)
         elif after.previous != self._node_id:
             self._unreleased.pop(place, None)
         elif place in self._unreleased:
             # The new owner was lost before it requested the slice; another
             # one will request it.
             fence = self._unreleased[place].fence
-            self._unreleased[place] = _Unreleased(epoch=after.epoch, fence=fence)
+            self._unreleased[place] = _UnreleasedSlice(epoch=after.epoch, fence=fence)
 
     def _became_owner(self, service, before, after, now_s):
         """Decide since when the memory of request ids of a new slice is complete.
@@ -243,10 +243,10 @@
             self._vouched_since_s[place] = now_s
         elif not before.owner and self.holder.owns(now_s):
             self._vouched_since_s[place] = ALWAYS_S
-        elif not self._claimed(service, before):
+        elif not self._has_claim_on(service, before):
             self._vouched_since_s[place] = now_s
 
-    def _claimed(self, service, piece):
+    def _has_claim_on(self, service, piece):
         claim = self.claims.get(piece.owner)
         key = SliceKey(service, piece.start, piece.epoch)
         return claim is not None and key in claim.share
@@ -259,7 +259,7 @@
 
     def slices_merged(self, service, start, next_start):
         """Keep the later of the two parts' memory starts for a merged slice."""
-        self._used.pop((service, next_start), None)
+        self._last_fences.pop((service, next_start), None)
         since_s = self._vouched_since_s.pop((service, next_start), ALWAYS_S)
         if (service, start) in self._vouched_since_s:
             kept_s = self._vouched_since_s[(service, start)]
@@ -272,7 +272,7 @@
         other nodes since, so that the memory of request ids may be incomplete.
         """
         self._unreleased.clear()
-        self._used.clear()
+        self._last_fences.clear()
         self._vouched_since_s.clear()
         for service, piece in state.owned_by(self._node_id):
             self._vouched_since_s[(service, piece.start)] = now_s
@@ -283,12 +283,12 @@
         for key in claim.share:
             self._vouched_since_s[(key.service, key.start)] = now_s
 
-    def released(self, key, vouched_since_s):
+    def release_received(self, key, vouched_since_s):
         """Register an earlier owner's release, and how far back its memory goes."""
         self._released.add(key)
         self._vouched_since_s[(key.service, key.start)] = vouched_since_s
 
-    def awaited(self, state, now_s):
+    def awaited_releases(self, state, now_s):
         """Yield ``(key, slice)`` for each slice whose release has to be requested."""
         for service, pieces in state.slices.items():
             for piece in pieces.slices:
@@ -300,7 +300,7 @@
                 if self._serves_next(key, piece, now_s):
                     yield key, piece
 
-    def unrecorded(self, state):
+    def unrecorded_releases(self, state):
         """Yield received releases that are not yet recorded in the log."""
         for key in list(self._released):
             pieces = state.slices.get(key.service)
--- a/comfreywharf/ownership/tests/builders.py
+++ b/comfreywharf/ownership/tests/builders.py
@@ -166,9 +166,9 @@
         right = table.right_to_serve(node.state, SERVICE, key, now_s, wanted_s)
         if right.reason is not None:
             return False
-        right = table.begin(right)
+        right = table.begin_request(right)
         if not right.covered and not self._cover(node, key, right):
-            table.finish(right)
+            table.finish_request(right)
             return False
         until_s = self._held_until_s(node, right) if self.fenced else right.deadline_s
         until_real_s = self.real_s + (until_s - node.now_s()) / node.rate
--- a/comfreywharf/ownership/tests/sim_node.py
+++ b/comfreywharf/ownership/tests/sim_node.py
@@ -142,7 +142,9 @@
             if self.alive(incarnation):
                 number = action.renewal.round
                 self.carry_out(
-                    self.agent.renewed(action.witness, number, grant.term, self.now_s())
+                    self.agent.renewal_granted(
+                        action.witness, number, grant.term, self.now_s()
+                    )
                 )
 
         self.world.send(self.node_id, action.witness, deliver_request)
@@ -168,7 +170,7 @@
                     )
                     return
                 self.carry_out(
-                    self.agent.claimed(
+                    self.agent.claim_granted(
                         claim.owner_id,
                         action.witness,
                         claim.round,
@@ -212,7 +214,7 @@
         def deliver_answer():
             if self.alive(incarnation) and key in self.requested_releases:
                 del self.requested_releases[key]
-                self.carry_out(self.agent.released(key, True, self.now_s()))
+                self.carry_out(self.agent.release_received(key, True, self.now_s()))
 
         self.world.send(self.node_id, previous, deliver_request)
 
@@ -222,7 +224,7 @@
             for m in self.state.members.values()
             if any(self.node_id in group for group in m.witness_groups)
         ]
-        for owner_id in self.witness.lapsed(watched, now_s):
+        for owner_id in self.witness.lapsed_owners(watched, now_s):
             for node_id in self.world.nodes:
                 self.world.send(
                     self.node_id,
@@ -260,7 +262,9 @@
 
     def on_lapsed(self, owner_id):
         if self.caught_up:
-            self.carry_out(self.agent.lapsed(self.state, owner_id, self.now_s()))
+            self.carry_out(
+                self.agent.lapse_notified(self.state, owner_id, self.now_s())
+            )
 
     def on_release(self, key):
         if not self.caught_up:
--- a/comfreywharf/ownership/tests/test_crashed_takers.py
+++ b/comfreywharf/ownership/tests/test_crashed_takers.py
@@ -71,7 +71,7 @@
     agent, now_s = standby.agent, standby.now_s()
     (owner_id,) = agent.claims
     standby.carry_out(agent._end_claim(agent.claims[owner_id], now_s))
-    standby.carry_out(agent.lapsed(standby.state, owner_id, now_s))
+    standby.carry_out(agent.lapse_notified(standby.state, owner_id, now_s))
     assert owner_id in agent.claims
     assert reported_claim_ends(standby, NOTHING_HELD_S) == {0.0}
 
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -29,7 +29,7 @@
     make_world,
     move,
 )
-from comfreywharf.ownership.witness import _Watched
+from comfreywharf.ownership.witness import _WatchedLease
 from comfreywharf.records import SliceMove, fold, key_hash
 
 fold_module = sys.modules[fold.__module__]
@@ -279,7 +279,7 @@
     node.backend_up = True
     node.agent.recover()
     with mock.patch.object(stage.world, "send", lambda *message: None):
-        node.carry_out(node.agent.renewed("", 0, 0, node.now_s()))
+        node.carry_out(node.agent.renewal_granted("", 0, 0, node.now_s()))
         node.carry_out(node.agent.tick(node.state, node.now_s(), True))
     stage.run(1.0)
 
@@ -502,7 +502,7 @@
     ),
     "deadlines in renewals": (
         long_request,
-        lambda: off(_Watched, "held_until_s", lambda self, fences: self.expires_s),
+        lambda: off(_WatchedLease, "held_until_s", lambda self, fences: self.expires_s),
     ),
     "witnesses know the deadline before a forward": (
         uncovered_long_request,
--- a/comfreywharf/ownership/witness.py
+++ b/comfreywharf/ownership/witness.py
@@ -43,7 +43,7 @@
 
 
 @attrs.define(kw_only=True)
-class _Watched:
+class _WatchedLease:
     """One lease: its holder, or the takers of its shares."""
 
     incarnation: int = -1
@@ -93,12 +93,14 @@
         # If fences are checked, no request that an earlier process forwarded
         # outlives its grants, and these ended with the lease. The wait for the
         # longest request isn't needed; it took 7 s after the loss of all nodes.
-        begins = (
+        awaits_requests = (
             view.lease_epoch >= 0
             and view.lease_incarnation != renewal.incarnation
             and not view.checks_fences
         )
-        wait_s = self._wait_s(renewal.owner_id, begins, longest_request_s, now_s)
+        wait_s = self._wait_s(
+            renewal.owner_id, awaits_requests, longest_request_s, now_s
+        )
         # ``vouched`` says that a grant by this witness's earlier process still
         # counts, so that the process granted the lease to no other node. If the
         # witness refused this owner as well, a simultaneous restart of three
@@ -138,8 +140,8 @@
 
     def claim(self, claim, view, longest_request_s, now_s):
         """Answer a standby's claim on a share of a lapsed lease."""
-        begins = not view.checks_fences
-        wait_s = self._wait_s(claim.owner_id, begins, longest_request_s, now_s)
+        awaits_requests = not view.checks_fences
+        wait_s = self._wait_s(claim.owner_id, awaits_requests, longest_request_s, now_s)
         if wait_s > 0:
             return self._deny(Denial.SILENT, wait_s)
         watched = self._lookup(claim.owner_id)
@@ -162,16 +164,18 @@
             watched.term = self._new_term()
         return self._grant_share(watched, claim, now_s)
 
-    def _wait_s(self, owner_id, begins, longest_request_s, now_s):
+    def _wait_s(self, owner_id, awaits_requests, longest_request_s, now_s):
         """Return how long this witness still has to refuse grants of a lease.
 
         After a restart it doesn't know an owner's outstanding deadlines until that
-        owner has renewed with it. A node or process that ``begins`` to act in the
-        owner's place has to wait for the longest possible one.
+        owner has renewed with it. ``awaits_requests`` says that a new process or a
+        taker begins to act in the owner's place, and that requests which were
+        forwarded earlier may outlast their grants; it has to wait for the longest
+        possible deadline.
         """
         until_s = self.silent_until_s
         watched = self._watched.get(owner_id)
-        if begins and (watched is None or not watched.was_held):
+        if awaits_requests and (watched is None or not watched.was_held):
             until_s = max(until_s, self._started_s + longest_request_s)
         return until_s - now_s
 
@@ -214,7 +218,7 @@
             taker.expires_s = now_s
             taker.reach_s = self._terms.expires_s(now_s, claim.reach_s)
 
-    def lapsed(self, owner_ids, now_s):
+    def lapsed_owners(self, owner_ids, now_s):
         """Return those of the given owners whose standbys are to be notified now.
 
         An owner that hasn't renewed since this witness started counts as lapsed
@@ -231,7 +235,7 @@
         watched.notified_s = now_s
         return True
 
-    def forget(self, owner_ids, now_s):
+    def drop_owners_except(self, owner_ids, now_s):
         """Drop the state of owners that are no longer members."""
         for owner_id in set(self._watched) - set(owner_ids):
             watched = self._watched[owner_id]
@@ -246,7 +250,7 @@
     def _lookup(self, owner_id):
         watched = self._watched.get(owner_id)
         if watched is None:
-            watched = _Watched()
+            watched = _WatchedLease()
             self._watched[owner_id] = watched
         return watched
 
--- a/comfreywharf/ownership/witnesses.py
+++ b/comfreywharf/ownership/witnesses.py
@@ -2,9 +2,9 @@
 
 import xxhash
 
-__all__ = ["WITNESSES", "choose_witnesses", "group_size"]
+__all__ = ["MIN_WITNESSES", "choose_witnesses", "group_size"]
 
-WITNESSES = 3
+MIN_WITNESSES = 3
 """The fewest witnesses of a lease: a majority of them survives any single loss."""
 
 
@@ -17,12 +17,12 @@
     (5, 3, 3)
     """
     size = wanted
-    while size > WITNESSES and others < size:
+    while size > MIN_WITNESSES and others < size:
         size -= 2
     return size
 
 
-def choose_witnesses(state, node_id, kept=(), avoided=(), wanted=WITNESSES):
+def choose_witnesses(state, node_id, kept=(), avoided=(), wanted=MIN_WITNESSES):
     """Return the ids of a node's witnesses, or an empty tuple if there are too few.
 
     Nodes in ``kept`` are preferred, nodes in ``avoided`` are excluded. The result has
--- a/comfreywharf/ownership/witnessgroups.py
+++ b/comfreywharf/ownership/witnessgroups.py
@@ -37,7 +37,7 @@
         """Return whether a majority of each group refuses claims on the old epoch."""
         return self._holder.lease.acknowledged_lease_epoch() >= own_lease.lease_epoch
 
-    def lease_started(self, own_lease, witnesses):
+    def lease_started_record(self, own_lease, witnesses):
         """Return the record by which the lease continues with a group."""
         return LeaseStarted(
             record_id=self._make_id(),
@@ -87,14 +87,14 @@
             self._holder.candidates = ()
             acknowledged = self.earlier_acknowledged(own_lease)
             return (
-                self.lease_started(own_lease, own_lease.witnesses)
+                self.lease_started_record(own_lease, own_lease.witnesses)
                 if acknowledged
                 else None
             )
         self._holder.candidates = group = self._better_group(state, own_lease, now_s)
         if not group or not self._holder.granted_by_majority(group, now_s):
             return None
-        return self.lease_started(own_lease, group)
+        return self.lease_started_record(own_lease, group)
 
     def _better_group(self, state, own_lease, now_s):
         """Return a group without unfit witnesses, or a larger one; else ``()``."""
