--- a/comfreywharf/daemon/connections/bound_pool.py
+++ b/comfreywharf/daemon/connections/bound_pool.py
@@ -71,7 +71,7 @@
 
     def exchange(self, sock, method, target, header_lines, body):
         """Send on a connection and return the answer, which confirms others."""
-        asked = self._pool.tracker.asked()
+        asked = self._pool.tracker.request_sent()
 
         def confirm_connections():
             self._pool.answered(sock, asked)
--- a/comfreywharf/daemon/ownership/heartbeat_grants.py
+++ b/comfreywharf/daemon/ownership/heartbeat_grants.py
@@ -147,7 +147,9 @@
         if not right.key_hash:
             return True
         place = right.slice_start
-        return self.book.holds_key(right.service, right.key_hash, now_s, near=place)
+        return self.book.holds_key(
+            right.service, right.key_hash, now_s, slice_start=place
+        )
 
     def refused(self, right):
         """Stop sending requests for a key that the server doesn't hold."""
--- a/comfreywharf/daemon/ownership/range_grants.py
+++ b/comfreywharf/daemon/ownership/range_grants.py
@@ -84,7 +84,7 @@
             return []
         return [
             self._calls.spawn(self._send, backend, process, order)
-            for order in self.book.due(served, boottime_s())
+            for order in self.book.due_orders(served, boottime_s())
         ]
 
     def _reach(self, backend):
@@ -141,7 +141,7 @@
         The refusal then says nothing about the higher fence. Reacquiring the lease
         because of it would interrupt keys that are served under the newer lease.
         """
-        service, start = order.place
+        service, start = order.slice_id
         served = (
             fence
             for name, piece, fence, _ in self._served()
--- a/comfreywharf/daemon/tests/test_crash_detection.py
+++ b/comfreywharf/daemon/tests/test_crash_detection.py
@@ -36,7 +36,7 @@
     node has reported that it holds nothing.
     """
     order = GrantOrder(
-        place=("booking", 0),
+        slice_id=("booking", 0),
         start=0,
         end=1 << 64,
         fence=10,
--- a/comfreywharf/daemon/tests/test_outdated_grants.py
+++ b/comfreywharf/daemon/tests/test_outdated_grants.py
@@ -75,7 +75,7 @@
     """
     grants = make_grants(backend("i-1", 1, FixedAnswerOrders()))
     served = [("booking", PIECE, 10, boottime_s() + 1.5)]
-    (late,) = grants.book.due(served, boottime_s())
+    (late,) = grants.book.due_orders(served, boottime_s())
     serve(grants, 20)
     gevent.joinall(grants.push())
     earlier = grants._node.backend.orders
@@ -103,7 +103,7 @@
     """
     grants = make_grants(backend("i-1", 1, FixedAnswerOrders(GrantAnswer.OUTDATED)))
     served = [("booking", PIECE, 10, boottime_s() + 1.5)]
-    (late,) = grants.book.due(served, boottime_s())
+    (late,) = grants.book.due_orders(served, boottime_s())
     serve(grants, 20)
     grants._send(grants._node.backend, 1, late)
     assert grants._node.leases.reacquired == []
@@ -120,7 +120,7 @@
     until_s = boottime_s() + 1.5
     other = Slice(start=0, end=KEY_SPACE, owner="a", epoch=6)
     served = [("booking", PIECE, 10, until_s), ("lookup", other, 12, until_s)]
-    orders = grants.book.due(served, boottime_s())
+    orders = grants.book.due_orders(served, boottime_s())
     serve_nothing(grants)
     for order in orders:
         grants._send(grants._node.backend, 1, order)
@@ -140,7 +140,7 @@
     earlier = FixedAnswerOrders()
     grants = make_grants(backend("i-1", 1, earlier))
     served = [("booking", PIECE, 10, boottime_s() + 1.5)]
-    (late,) = grants.book.due(served, boottime_s())
+    (late,) = grants.book.due_orders(served, boottime_s())
     serve(grants, 20)
     gevent.joinall(grants.push())
     serve_nothing(grants)
--- a/comfreywharf/ownership/hold_lists.py
+++ b/comfreywharf/ownership/hold_lists.py
@@ -126,7 +126,7 @@
 
 
 @attrs.frozen
-class _Sent:
+class _SentList:
     """The newest list: its connection, whether it was in time, and its ranges."""
 
     connection: object
@@ -143,7 +143,7 @@
 
     book: ListedHoldBook
     capacity: ListCapacity = attrs.Factory(ListCapacity)
-    _sent: _Sent | None = None
+    _sent: _SentList | None = None
     _handovers: list = attrs.Factory(list)
     _release_wanted: bool = False
 
@@ -168,9 +168,9 @@
         if not self._same_connection(sent, report):
             return False
         self.book.lists_received(report.service, report.connection, reported, now_s)
-        whole = {(held.first, held.last, held.fence) for held in report.held}
+        reported_rows = {(held.first, held.last, held.fence) for held in report.held}
         return sent.timely and not all(
-            self._is_settled(candidate, report, whole, now_s)
+            self._is_settled(candidate, report, reported_rows, now_s)
             for candidate in sent.candidates
         )
 
@@ -179,9 +179,9 @@
         """Return whether a report shows that the last list was received."""
         return sent is not None and sent.connection == report.connection
 
-    def _is_settled(self, candidate, report, whole, now_s):
+    def _is_settled(self, candidate, report, reported_rows, now_s):
         numbers = numbers_in(candidate.start, candidate.end)
-        if numbers is None or (*numbers, candidate.fence) in whole:
+        if numbers is None or (*numbers, candidate.fence) in reported_rows:
             return True
         if self.book.is_stopped((report.service, candidate.start), candidate.fence):
             return True
@@ -239,7 +239,7 @@
             return None
         listed = [attrs.evolve(candidate, until_s=until_s) for candidate in candidates]
         rows = self._fill(report, listed, now_s)
-        self._sent = _Sent(
+        self._sent = _SentList(
             connection=report.connection,
             timely=now_s < report.arrived_s + TIMELY_S,
             candidates=tuple(candidate for candidate, _ in rows),
@@ -268,14 +268,14 @@
         return HoldRow(first=first, last=last, fence=candidate.fence, handover=handover)
 
     def _list(self, report, candidate, row, now_s):
-        place = (report.service, candidate.start)
+        slice_id = (report.service, candidate.start)
         self._handovers = [
             released
             for released in self._handovers
             if not _overlap(released, row.first, row.last)
         ]
         self.book.listed(
-            place,
+            slice_id,
             candidate.end,
             candidate.fence,
             report.connection,
--- a/comfreywharf/ownership/holds.py
+++ b/comfreywharf/ownership/holds.py
@@ -61,13 +61,13 @@
 
 @attrs.frozen(kw_only=True)
 class GrantOrder:
-    """A grant to send now. ``place`` is ``(service, slice start)``.
+    """A grant to send now. ``slice_id`` is ``(service, slice start)``.
 
     ``until_s`` is the end of a hold that is granted at once. One that is granted
     later must be shorter, see `hold_s_at`.
     """
 
-    place: tuple[str, int]
+    slice_id: tuple[str, int]
     start: int
     end: int
     fence: int
@@ -120,9 +120,9 @@
 
     def confirmed_until_s(self, value):
         """Return until when the server is known to hold a key by this grant."""
-        away = any(start <= value < end for start, end in self.stopped_ranges)
+        stopped = any(start <= value < end for start, end in self.stopped_ranges)
         inside = self.start <= value < self.end
-        return self.taken_until_s if inside and not away else float("-inf")
+        return self.taken_until_s if inside and not stopped else float("-inf")
 
     def ends_by_s(self, now_s):
         """Return until when the hold may last, including an order in transit.
@@ -143,7 +143,7 @@
 
 @attrs.define
 class HoldBook:
-    """The grants of one backend server, by place.
+    """The grants of one backend server, by ``slice_id``.
 
     All times are by the node's clock. A hold that the server measures by a slow
     clock ends later by `HoldTerms.slow_clock`. The order's ``hold_s`` is shorter by
@@ -180,8 +180,8 @@
         It may also be the same process, so that its holds count until they end.
         """
         self._used_fence = self._highest_fence
-        for place, hold in self._holds.items():
-            self._earlier.setdefault(place[0], []).append(hold)
+        for slice_id, hold in self._holds.items():
+            self._earlier.setdefault(slice_id[0], []).append(hold)
         self._holds.clear()
 
     @property
@@ -193,13 +193,13 @@
         """Return whether an earlier process may have used one of these fences."""
         return any(fence <= self._used_fence for fence in fences)
 
-    def take_handover(self, place, handover):
-        """Store an earlier holder's handover for the next grant of a place."""
+    def take_handover(self, slice_id, handover):
+        """Store an earlier holder's handover for the next grant of a slice."""
         if handover:
-            self._handovers[place] = handover
+            self._handovers[slice_id] = handover
 
-    def due(self, served, now_s):
-        """Return a `GrantOrder` for each place whose grant is missing or ends soon.
+    def due_orders(self, served, now_s):
+        """Return a `GrantOrder` for each slice whose grant is missing or ends soon.
 
         ``served`` yields ``(service, slice, fence, until_s)`` for what this node
         may serve.
@@ -213,12 +213,12 @@
                 orders.append(order)
         return orders
 
-    def _order(self, place, end, fence, until_s, now_s):
-        if self.is_stopped(place, fence):
+    def _order(self, slice_id, end, fence, until_s, now_s):
+        if self.is_stopped(slice_id, fence):
             return None
-        hold = self._holds.get(place)
+        hold = self._holds.get(slice_id)
         if hold is None or hold.fence < fence:
-            hold = self._begin(place, end, fence, now_s)
+            hold = self._begin(slice_id, end, fence, now_s)
         if hold.order_pending or hold.outdated:
             return None
         left_s = hold.taken_until_s - now_s
@@ -232,28 +232,28 @@
         self._highest_fence = max(self._highest_fence, fence)
         hold.possible_until_s = max(hold.possible_until_s, until_s)
         return GrantOrder(
-            place=place,
-            start=place[1],
+            slice_id=slice_id,
+            start=slice_id[1],
             end=end,
             fence=fence,
             lease_until_s=until_s,
             until_s=now_s + hold_s,
             hold_s=hold_s,
-            handover=self._handovers.get(place, ""),
+            handover=self._handovers.get(slice_id, ""),
             terms=self.terms,
         )
 
-    def is_stopped(self, place, fence):
-        """Return whether a place is no longer granted under a fence."""
-        return fence <= self._stopped.get(place, -1) or fence <= self._used_fence
+    def is_stopped(self, slice_id, fence):
+        """Return whether a slice is no longer granted under a fence."""
+        return fence <= self._stopped.get(slice_id, -1) or fence <= self._used_fence
 
-    def _begin(self, place, end, fence, now_s):
-        """Begin a hold; the place's earlier one may continue over another range."""
-        earlier = self._earlier.setdefault(place[0], [])
+    def _begin(self, slice_id, end, fence, now_s):
+        """Begin a hold; the slice's earlier one may continue over another range."""
+        earlier = self._earlier.setdefault(slice_id[0], [])
         earlier[:] = [hold for hold in earlier if hold.ends_s > now_s]
-        if place in self._holds:
-            earlier.append(self._holds[place])
-        hold = self._holds[place] = self._make_hold(place[1], end, fence)
+        if slice_id in self._holds:
+            earlier.append(self._holds[slice_id])
+        hold = self._holds[slice_id] = self._make_hold(slice_id[1], end, fence)
         return hold
 
     @staticmethod
@@ -261,14 +261,16 @@
         return _Hold(start=start, end=end, fence=fence)
 
     def _holds_of(self, service):
-        current = [hold for place, hold in self._holds.items() if place[0] == service]
+        current = [
+            hold for slice_id, hold in self._holds.items() if slice_id[0] == service
+        ]
         return current + self._earlier.get(service, [])
 
     def _overlapping(self, service, start, end):
         """Return every hold that overlaps a range.
 
         A slice that was just split off is still held as a part of the whole. A
-        lookup by its own place would find no hold, and the next owner's server
+        lookup by its own ``slice_id`` would find no hold, and the next owner's server
         would be granted the slice while this one holds it.
         """
         return [hold for hold in self._holds_of(service) if hold.overlaps(start, end)]
@@ -281,7 +283,7 @@
         hold.order_pending = False
         if answer is GrantAnswer.TAKEN:
             hold.taken_until_s = max(hold.taken_until_s, order.until_s)
-            self._handovers.pop(order.place, None)
+            self._handovers.pop(order.slice_id, None)
         elif answer is GrantAnswer.OUTDATED:
             hold.outdated = True
         elif answer is GrantAnswer.LOST:
@@ -292,16 +294,16 @@
 
     def _hold_for(self, order):
         """Return the hold of an order, or ``None`` after a `clear`."""
-        service, start = order.place
-        holds = [self._holds.get(order.place), *self._earlier.get(service, [])]
+        service, start = order.slice_id
+        holds = [self._holds.get(order.slice_id), *self._earlier.get(service, [])]
         for hold in holds:
             if hold and (hold.start, hold.fence) == (start, order.fence):
                 return hold
         return None
 
-    def awaits_answer_at(self, place):
-        """Return whether an answer to the latest grant of a place is awaited."""
-        hold = self._holds.get(place)
+    def awaits_answer_at(self, slice_id):
+        """Return whether an answer to the latest grant of a slice is awaited."""
+        hold = self._holds.get(slice_id)
         return hold is not None and hold.order_pending
 
     def awaits_answer(self, service, start, end):
@@ -312,9 +314,9 @@
         """
         return any(h.order_pending for h in self._overlapping(service, start, end))
 
-    def holds(self, place, fence, now_s):
+    def holds(self, slice_id, fence, now_s):
         """Return whether a grant under this fence lasts for `HoldTerms.shortest_s`."""
-        hold = self._holds.get(place)
+        hold = self._holds.get(slice_id)
         if hold is None or hold.fence != fence:
             return False
         return hold.taken_until_s > now_s + self.terms.shortest_s
@@ -333,8 +335,8 @@
             fence = max(hold.fence for hold in holds)
         for hold in holds:
             hold.stopped_ranges.append((start, end))
-        place = (service, start)
-        self._stopped[place] = max(fence, self._stopped.get(place, -1))
+        slice_id = (service, start)
+        self._stopped[slice_id] = max(fence, self._stopped.get(slice_id, -1))
         return fence
 
     def granted_above(self, service, start, end, fence):
--- a/comfreywharf/ownership/listed_holds.py
+++ b/comfreywharf/ownership/listed_holds.py
@@ -32,43 +32,43 @@
         unknown_s = terms.lease_s * (1 + terms.slow_clock)
         return cls(terms, unknown_until_s=now_s + unknown_s)
 
-    def listed(self, place, end, fence, list_id, until_s, now_s):
-        """Register that a list which is sent now grants a place until ``until_s``.
+    def listed(self, slice_id, end, fence, list_id, until_s, now_s):
+        """Register that a list which is sent now grants a slice until ``until_s``.
 
-        The list carries the place's handover. ``list_id`` is its connection.
+        The list carries the slice's handover. ``list_id`` is its connection.
         """
-        hold = self._holds.get(place)
+        hold = self._holds.get(slice_id)
         if hold is None or hold.fence < fence or hold.end != end:
-            hold = self._begin(place, end, fence, now_s)
+            hold = self._begin(slice_id, end, fence, now_s)
         self._highest_fence = max(self._highest_fence, fence)
         hold.listed_until_s[list_id] = until_s
         hold.possible_until_s = max(hold.possible_until_s, until_s)
         hold.taken_until_s = until_s
-        hold.handover = self.handover_for(place)
+        hold.handover = self.handover_for(slice_id)
 
-    def handover_for(self, place):
-        """Return an earlier holder's handover for the next grant of a place."""
-        return self._handovers.get(place, "")
+    def handover_for(self, slice_id):
+        """Return an earlier holder's handover for the next grant of a slice."""
+        return self._handovers.get(slice_id, "")
 
     def lists_received(self, service, list_id, reported, now_s):
         """Register that the lists on a connection arrived, and what is held now.
 
         ``reported`` are half-open ranges of hashes that the server holds.
         """
-        whole = set(reported)
+        exact_ranges = set(reported)
         for hold in self._holds_of(service):
             if hold.listed_until_s.pop(list_id, None) is not None:
                 self._handover_received((service, hold.start), hold)
-            if (hold.start, hold.end) in whole:
+            if (hold.start, hold.end) in exact_ranges:
                 continue
             if hold.unanswered_until_s > now_s or hold.order_pending:
                 continue
             if not any(hold.overlaps(start, end) for start, end in reported):
                 hold.possible_until_s = hold.taken_until_s = NEVER_S
 
-    def _handover_received(self, place, hold):
-        if hold.handover and self._handovers.get(place) == hold.handover:
-            del self._handovers[place]
+    def _handover_received(self, slice_id, hold):
+        if hold.handover and self._handovers.get(slice_id) == hold.handover:
+            del self._handovers[slice_id]
 
     def adopt(self, service, start, end, fence, now_s):
         """Register a range that an earlier process of this node granted."""
@@ -95,15 +95,18 @@
             if hold.start <= value < hold.end:
                 hold.taken_until_s = NEVER_S
 
-    def holds_key(self, service, value, now_s, near=None):
+    def holds_key(self, service, value, now_s, slice_start=None):
         """Return whether the server holds a key under any fence, and for long enough.
 
         That is for at least `HoldTerms.shortest_s`. A hold ends with the lease that
         it is based on, so that no other server holds the key. A new fence for the key
-        comes with the next list and doesn't affect this. The hold that begins at
-        ``near`` is checked first, since it mostly is the right one.
+        comes with the next list and doesn't affect this. The hold of the
+        slice that starts at ``slice_start`` is checked first, since it mostly is the
+        right one.
         """
-        likely = self._holds.get((service, value if near is None else near))
+        likely = self._holds.get(
+            (service, value if slice_start is None else slice_start)
+        )
         ends_by_s = now_s + self.terms.shortest_s
         if likely is not None and likely.confirmed_until_s(value) > ends_by_s:
             return True
--- a/comfreywharf/ownership/process_tracker.py
+++ b/comfreywharf/ownership/process_tracker.py
@@ -26,7 +26,7 @@
     1
     >>> tracker.leads_to_process("first"), tracker.leads_to_process("second")
     (True, False)
-    >>> tracker.answered("first", tracker.asked())
+    >>> tracker.answered("first", tracker.request_sent())
     >>> tracker.leads_to_process("second")
     True
     >>> tracker.closed("first")
@@ -71,16 +71,16 @@
             self._number += 1
         self._opened[connection] = self._next_event()
 
-    def asked(self):
-        """Register that a request is sent; return its number for `answered`."""
+    def request_sent(self):
+        """Register that a request is sent; return its number, for `answered`."""
         return self._next_event()
 
-    def answered(self, connection, asked):
-        """Register an answer on a connection to the request numbered ``asked``."""
+    def answered(self, connection, request_number):
+        """Register an answer on a connection; `request_sent` numbered its request."""
         if connection not in self._confirmed:
             return
         self._confirmed.update(
-            other for other, opened in self._opened.items() if opened < asked
+            other for other, opened in self._opened.items() if opened < request_number
         )
 
     def closed(self, connection):
--- a/comfreywharf/ownership/table.py
+++ b/comfreywharf/ownership/table.py
@@ -132,13 +132,13 @@
             return Right(reason=Reason.NOT_YET_OWNER)
         return _Basis(fence, (self.holder.lease, *leases))
 
-    def _fence_in_use(self, place, piece, state):
+    def _fence_in_use(self, slice_id, piece, state):
         """Return the newest fence of an own slice that may be used, or ``None``."""
         fence = state.fence(piece)
         if self._is_acknowledged(fence):
-            self._last_fences[place] = _LastFence(piece.end, fence)
+            self._last_fences[slice_id] = _LastFence(piece.end, fence)
             return fence
-        used = self._last_fences.get(place)
+        used = self._last_fences.get(slice_id)
         return used.fence if used is not None and used.end == piece.end else None
 
     def _is_acknowledged(self, fence):
@@ -207,24 +207,28 @@
 
     def slice_changed(self, state, service, before, after, now_s):
         """Register that a record changed a slice."""
-        place = (service, after.start)
+        slice_id = (service, after.start)
         owned_before = before is not None and before.owner == self._node_id
         if after.owner == self._node_id:
             self._newest_slice_epoch = max(self._newest_slice_epoch, after.epoch)
         if not owned_before or after.owner != self._node_id or before.end != after.end:
-            self._last_fences.pop(place, None)
+            self._last_fences.pop(slice_id, None)
         if after.owner == self._node_id and not owned_before:
             self._became_owner(service, before, after, now_s)
         if after.previous == self._node_id and owned_before:
             fence = state.fence(before)
-            self._unreleased[place] = _UnreleasedSlice(epoch=after.epoch, fence=fence)
+            self._unreleased[slice_id] = _UnreleasedSlice(
+                epoch=after.epoch, fence=fence
+            )
         elif after.previous != self._node_id:
-            self._unreleased.pop(place, None)
-        elif place in self._unreleased:
+            self._unreleased.pop(slice_id, None)
+        elif slice_id in self._unreleased:
             # The new owner was lost before it requested the slice; another
             # one will request it.
-            fence = self._unreleased[place].fence
-            self._unreleased[place] = _UnreleasedSlice(epoch=after.epoch, fence=fence)
+            fence = self._unreleased[slice_id].fence
+            self._unreleased[slice_id] = _UnreleasedSlice(
+                epoch=after.epoch, fence=fence
+            )
 
     def _became_owner(self, service, before, after, now_s):
         """Decide since when the memory of request ids of a new slice is complete.
@@ -238,13 +242,13 @@
         would claim a complete memory when it releases such a slice, and the next
         owner would run a booking again that the earlier process had run.
         """
-        place = (service, after.start)
+        slice_id = (service, after.start)
         if before is None:
-            self._vouched_since_s[place] = now_s
+            self._vouched_since_s[slice_id] = now_s
         elif not before.owner and self.holder.owns(now_s):
-            self._vouched_since_s[place] = ALWAYS_S
+            self._vouched_since_s[slice_id] = ALWAYS_S
         elif not self._has_claim_on(service, before):
-            self._vouched_since_s[place] = now_s
+            self._vouched_since_s[slice_id] = now_s
 
     def _has_claim_on(self, service, piece):
         claim = self.claims.get(piece.owner)
--- a/comfreywharf/ownership/tests/incarnation_events.py
+++ b/comfreywharf/ownership/tests/incarnation_events.py
@@ -1,6 +1,11 @@
 """The events that may come next in a world of `incarnation_model`."""
 
-from comfreywharf.ownership.tests.incarnation_parts import LONG_AGO, NAMES, PLACE, other
+from comfreywharf.ownership.tests.incarnation_parts import (
+    LONG_AGO,
+    NAMES,
+    SLICE_RANGE,
+    other,
+)
 
 __all__ = ["Event", "NextEvents"]
 
@@ -172,16 +177,16 @@
 
     def _may_release(self, name):
         book = self._world.nodes[name].book
-        if book.awaits_answer(*PLACE):
+        if book.awaits_answer(*SLICE_RANGE):
             return False
-        over = self._world.now >= book.held_until_s(*PLACE)
+        over = self._world.now >= book.held_until_s(*SLICE_RANGE)
         return over or (
             self._world.nodes[name].announced is not None
             and self._world.incarnations[name]
         )
 
     def _awaits_lost(self, name):
-        return self._world.now < self._world.nodes[name].book.lost_until_s(*PLACE)
+        return self._world.now < self._world.nodes[name].book.lost_until_s(*SLICE_RANGE)
 
     def _tick_events(self):
         renewing = tuple(name for name in NAMES if self._may_renew(name))
--- a/comfreywharf/ownership/tests/incarnation_model.py
+++ b/comfreywharf/ownership/tests/incarnation_model.py
@@ -28,8 +28,8 @@
     LEASE,
     LONG_AGO,
     NAMES,
-    PLACE,
     SERVICE,
+    SLICE_RANGE,
     TERMS,
     UNAWAITED,
     Breach,
@@ -176,7 +176,7 @@
         served = self.served(name)
         if node.book.has_used_fence(fence for _, _, fence, _ in served):
             return True
-        return bool(copy_book(node.book).due(served, self.now))
+        return bool(copy_book(node.book).due_orders(served, self.now))
 
     def will_decide(self, name):
         """Return whether `push` would decide on an order."""
@@ -186,7 +186,7 @@
             book.process_changed()
         served = self.served(name)
         barred = book.has_used_fence(fence for _, _, fence, _ in served)
-        return not barred and bool(book.due(served, self.now))
+        return not barred and bool(book.due_orders(served, self.now))
 
     def push(self, name, number=None, stages=1):
         """Do what `RangeGrants.push` does once a process is reached.
@@ -202,7 +202,7 @@
         if node.book.has_used_fence(fence for _, _, fence, _ in served):
             self._restart_lease(name)
             return
-        for order in node.book.due(served, self.now):
+        for order in node.book.due_orders(served, self.now):
             serial = _free([sending.serial for sending in node.sendings])
             process = node.tracker.process
             node.sendings.append(Sending(order=order, process=process, serial=serial))
@@ -231,7 +231,7 @@
             del node.sendings[index]
             return
         sending.connection = number
-        sending.asked = node.tracker.asked()
+        sending.request_number = node.tracker.request_sent()
         if incarnation and incarnation.number == node.connections[number]:
             arrived = (sending.serial, sending.order.fence, self.now + hold)
             incarnation.inbox = (*incarnation.inbox, arrived)
@@ -266,7 +266,7 @@
     def answer(self, name, index):
         node = self.nodes[name]
         sending = node.sendings.pop(index)
-        node.tracker.answered(sending.connection, sending.asked)
+        node.tracker.answered(sending.connection, sending.request_number)
         node.book.answered(sending.order, sending.answer, self.now)
         if sending.answer is GrantAnswer.OUTDATED:
             self._restart_lease(name)
@@ -386,13 +386,13 @@
     def stop(self, name):
         node = self.nodes[name]
         node.stopped, node.released, node.unreleased_fence = self.epoch, False, -1
-        if node.book.stop(*PLACE, 2 * self.epoch, self.now) is None:
+        if node.book.stop(*SLICE_RANGE, 2 * self.epoch, self.now) is None:
             self.hand_over(name)
 
     def release(self, name):
         node, incarnation = self.nodes[name], self.incarnations[name]
         node.released = True
-        if self.now < node.book.held_until_s(*PLACE):
+        if self.now < node.book.held_until_s(*SLICE_RANGE):
             incarnation.held_until = LONG_AGO
 
     def hand_over(self, name):
--- a/comfreywharf/ownership/tests/incarnation_parts.py
+++ b/comfreywharf/ownership/tests/incarnation_parts.py
@@ -15,7 +15,7 @@
 
 SERVICE = "booking"
 END = 1000
-PLACE = (SERVICE, 0, END)
+SLICE_RANGE = (SERVICE, 0, END)
 LEASE = 2
 TERMS = HoldTerms(
     lease_s=LEASE, longest_s=LEASE, slow_clock=0.0, renew_part=0.5, shortest_s=1
@@ -87,7 +87,7 @@
     process: int
     serial: int
     connection: int = -1
-    asked: int = -1
+    request_number: int = -1
     answer: GrantAnswer | None = None
 
     def copy(self):
@@ -112,7 +112,9 @@
     copied = HoldBook(book.terms, book.unknown_until_s)
     copied._highest_fence = book._highest_fence
     copied._used_fence = book._used_fence
-    copied._holds = {place: copy_hold(hold) for place, hold in book._holds.items()}
+    copied._holds = {
+        slice_id: copy_hold(hold) for slice_id, hold in book._holds.items()
+    }
     copied._earlier = {
         service: [copy_hold(hold) for hold in holds]
         for service, holds in book._earlier.items()
@@ -243,8 +245,8 @@
 
     def _tracker_key(self):
         opened = [(moment, c) for c, moment in self.tracker._opened.items()]
-        asked = [(sending.asked, -sending.serial) for sending in self.sendings]
-        order = tuple(number for _, number in sorted(opened + asked))
+        sent = [(sending.request_number, -sending.serial) for sending in self.sendings]
+        order = tuple(number for _, number in sorted(opened + sent))
         return order, frozenset(self.tracker._confirmed)
 
     def _sending_key(self, sending, now):
--- a/comfreywharf/ownership/tests/list_world.py
+++ b/comfreywharf/ownership/tests/list_world.py
@@ -211,11 +211,13 @@
         """Grant the other node's server what this node's server no longer holds."""
         for piece, fence in list(self.releasing.items()):
             start, end = range_of_numbers(*piece)
-            place = (SERVICE, start, end)
-            held = fence is not None and not self.book.granted_above(*place, fence)
-            if held and self.now_s < self.book.held_until_s(*place):
+            service_range = (SERVICE, start, end)
+            held = fence is not None and not self.book.granted_above(
+                *service_range, fence
+            )
+            if held and self.now_s < self.book.held_until_s(*service_range):
                 continue
-            if self.now_s < self.book.lost_until_s(*place):
+            if self.now_s < self.book.lost_until_s(*service_range):
                 continue
             del self.releasing[piece]
             self._grant_other(piece)
--- a/comfreywharf/ownership/tests/test_holds.py
+++ b/comfreywharf/ownership/tests/test_holds.py
@@ -16,7 +16,7 @@
 
 
 def granted(book, piece=PIECE, fence=10, now_s=NOW_S, answer=GrantAnswer.TAKEN):
-    (order,) = book.due(served(piece, fence, now_s + 1.5), now_s)
+    (order,) = book.due_orders(served(piece, fence, now_s + 1.5), now_s)
     book.answered(order, answer, now_s)
     return order
 
@@ -25,7 +25,7 @@
     """Guards against a server that runs a request after its node's lease was taken
     over: by a server's clock that runs 2% slow, a hold as long as the lease ends too
     late."""
-    (order,) = HoldBook(TERMS).due(served(), NOW_S)
+    (order,) = HoldBook(TERMS).due_orders(served(), NOW_S)
     assert order.hold_s * 1.02 <= 1.5
 
 
@@ -34,14 +34,14 @@
 
     Many slices are due at once, and only a few grants are sent at a time. The last ones
     must not be granted for as long as they were when they were decided on."""
-    (order,) = HoldBook(TERMS).due(served(), NOW_S)
+    (order,) = HoldBook(TERMS).due_orders(served(), NOW_S)
     assert (NOW_S + 0.7 + order.hold_s_at(NOW_S + 0.7) * 1.02) <= NOW_S + 1.5
     assert order.hold_s_at(NOW_S + 1.48) == 0
 
 
 def test_a_hold_is_never_longer_than_the_server_takes():
     """A server refuses a hold that exceeds its limit."""
-    (order,) = HoldBook(TERMS).due(served(until_s=NOW_S + 60), NOW_S)
+    (order,) = HoldBook(TERMS).due_orders(served(until_s=NOW_S + 60), NOW_S)
     assert order.hold_s <= TERMS.longest_s
 
 
@@ -49,16 +49,16 @@
     """Renewals are rare, and are sent while the server still holds the range."""
     book = HoldBook(TERMS)
     granted(book)
-    assert book.due(served(until_s=NOW_S + 1.7), NOW_S + 0.2) == []
-    (order,) = book.due(served(until_s=NOW_S + 2.4), NOW_S + 0.9)
+    assert book.due_orders(served(until_s=NOW_S + 1.7), NOW_S + 0.2) == []
+    (order,) = book.due_orders(served(until_s=NOW_S + 2.4), NOW_S + 0.9)
     assert order.fence == 10
 
 
 def test_nothing_is_sent_twice_while_an_answer_is_awaited():
     """A frozen server isn't sent a grant at each check."""
     book = HoldBook(TERMS)
-    assert len(book.due(served(), NOW_S)) == 1
-    assert book.due(served(), NOW_S + 0.1) == []
+    assert len(book.due_orders(served(), NOW_S)) == 1
+    assert book.due_orders(served(), NOW_S + 0.1) == []
 
 
 def test_a_released_range_is_granted_again_only_under_a_higher_fence():
@@ -69,8 +69,8 @@
     book = HoldBook(TERMS)
     granted(book)
     assert book.stop("booking", 0, 1000, 12, NOW_S) == 10
-    assert book.due(served(until_s=NOW_S + 3), NOW_S + 1.4) == []
-    assert len(book.due(served(fence=14, until_s=NOW_S + 3), NOW_S + 1.4)) == 1
+    assert book.due_orders(served(until_s=NOW_S + 3), NOW_S + 1.4) == []
+    assert len(book.due_orders(served(fence=14, until_s=NOW_S + 3), NOW_S + 1.4)) == 1
 
 
 def test_a_grant_without_an_answer_is_waited_for():
@@ -138,15 +138,15 @@
     granted(book)
     change(book)
     assert book.has_used_fence([14, 10])
-    assert book.due(served(until_s=NOW_S + 3), NOW_S + 0.1) == []
+    assert book.due_orders(served(until_s=NOW_S + 3), NOW_S + 0.1) == []
     assert not book.has_used_fence([12])
-    assert len(book.due(served(fence=12, until_s=NOW_S + 3), NOW_S + 0.1)) == 1
+    assert len(book.due_orders(served(fence=12, until_s=NOW_S + 3), NOW_S + 0.1)) == 1
 
 
 def test_a_fence_counts_as_used_from_when_its_order_is_decided_on():
     """The order may have reached the earlier process, with or without an answer."""
     book = HoldBook(TERMS)
-    book.due(served(), NOW_S)
+    book.due_orders(served(), NOW_S)
     book.process_changed()
     assert book.has_used_fence([10])
 
@@ -176,8 +176,8 @@
     """The server has seen a higher fence, so that a new lease epoch is needed."""
     book = HoldBook(TERMS)
     granted(book, answer=GrantAnswer.OUTDATED)
-    assert book.due(served(until_s=NOW_S + 3), NOW_S + 1.4) == []
-    assert len(book.due(served(fence=12, until_s=NOW_S + 3), NOW_S + 1.4)) == 1
+    assert book.due_orders(served(until_s=NOW_S + 3), NOW_S + 1.4) == []
+    assert len(book.due_orders(served(fence=12, until_s=NOW_S + 3), NOW_S + 1.4)) == 1
 
 
 def test_a_handover_goes_with_the_first_grant_that_is_taken():
@@ -185,10 +185,10 @@
     book = HoldBook(TERMS)
     book.take_handover(("booking", 0), "token")
     assert granted(book, answer=GrantAnswer.LOST).handover == "token"
-    (order,) = book.due(served(until_s=NOW_S + 1.6), NOW_S + 0.1)
+    (order,) = book.due_orders(served(until_s=NOW_S + 1.6), NOW_S + 0.1)
     assert order.handover == "token"
     book.answered(order, GrantAnswer.TAKEN, NOW_S + 0.1)
-    (order,) = book.due(served(until_s=NOW_S + 2.6), NOW_S + 1.1)
+    (order,) = book.due_orders(served(until_s=NOW_S + 2.6), NOW_S + 1.1)
     assert order.handover == ""
 
 
@@ -200,7 +200,7 @@
     slice again."""
     book = HoldBook(TERMS)
     granted(book)
-    (order,) = book.due(served(until_s=NOW_S + 2.4), NOW_S + 0.9)
+    (order,) = book.due_orders(served(until_s=NOW_S + 2.4), NOW_S + 0.9)
     book.stop("booking", 0, 1000, 12, NOW_S + 0.9)
     assert book.awaits_answer("booking", 0, 1000)
     assert book.awaits_answer("booking", 500, 600)
@@ -211,8 +211,8 @@
 def test_a_grant_of_a_slice_that_was_split_meanwhile_is_still_answered():
     """The order's hold isn't the current one when its answer arrives."""
     book = HoldBook(TERMS)
-    (order,) = book.due(served(), NOW_S)
-    (newer,) = book.due(served(attrs.evolve(PIECE, end=500), fence=14), NOW_S)
+    (order,) = book.due_orders(served(), NOW_S)
+    (newer,) = book.due_orders(served(attrs.evolve(PIECE, end=500), fence=14), NOW_S)
     book.answered(order, GrantAnswer.LOST, NOW_S + 0.4)
     book.answered(newer, GrantAnswer.TAKEN, NOW_S + 0.4)
     assert not book.awaits_answer("booking", 0, 1000)
--- a/comfreywharf/ownership/tests/test_incarnation_search.py
+++ b/comfreywharf/ownership/tests/test_incarnation_search.py
@@ -38,7 +38,7 @@
     return "\n".join([found.breach, *found.events, f"{found.states} states"])
 
 
-def confirms_all(self, connection, asked):
+def confirms_all(self, connection, request_number):
     self._confirmed.update(self._opened)
 
 
@@ -52,8 +52,8 @@
 
 
 def process_bars_nothing(self):
-    for place, hold in self._holds.items():
-        self._earlier.setdefault(place[0], []).append(hold)
+    for slice_id, hold in self._holds.items():
+        self._earlier.setdefault(slice_id[0], []).append(hold)
     self._holds.clear()
 
 
@@ -65,11 +65,11 @@
     return order.hold_s
 
 
-def never_awaited(self, *place):
+def never_awaited(self, *service_range):
     return LONG_AGO
 
 
-def no_answer_awaited(self, *place):
+def no_answer_awaited(self, *service_range):
     return False
 
 
--- a/comfreywharf/ownership/tests/test_orders_in_transit.py
+++ b/comfreywharf/ownership/tests/test_orders_in_transit.py
@@ -21,7 +21,7 @@
     sufficient."""
     book = HoldBook(TERMS)
     now_s = 100.0
-    (order,) = book.due([("booking", PIECE, 10, now_s + LEFT_S)], now_s)
+    (order,) = book.due_orders([("booking", PIECE, 10, now_s + LEFT_S)], now_s)
     reported_s = book.all_held_until_s(now_s + WAITED_S)
     book.answered(order, GrantAnswer.LOST, now_s + WAITED_S)
     assert reported_s >= book.all_held_until_s(now_s + WAITED_S)
@@ -41,7 +41,7 @@
     (claim,) = standby.agent.claims.values()
     book = HoldBook(TERMS)
     until_s = claim.lease.until_s()
-    (order,) = book.due([("booking", PIECE, 11, until_s)], standby.now_s())
+    (order,) = book.due_orders([("booking", PIECE, 11, until_s)], standby.now_s())
     world.run(WAITED_S)
     now_s = standby.now_s()
     claim_left_s = claim.lease.until_s() - now_s
--- a/comfreywharf/ownership/tests/test_process_tracker.py
+++ b/comfreywharf/ownership/tests/test_process_tracker.py
@@ -18,7 +18,7 @@
     tracker.opened("old")
     tracker.opened("new")
     assert not tracker.leads_to_process("new")
-    tracker.answered("old", tracker.asked())
+    tracker.answered("old", tracker.request_sent())
     assert tracker.leads_to_process("new")
 
 
@@ -30,9 +30,9 @@
     was sent has to count, not the time at which its answer is read."""
     tracker = ProcessTracker()
     tracker.opened("old")
-    asked = tracker.asked()
+    request_number = tracker.request_sent()
     tracker.opened("new")
-    tracker.answered("old", asked)
+    tracker.answered("old", request_number)
     assert not tracker.leads_to_process("new")
 
 
@@ -44,7 +44,7 @@
     tracker.opened("between")
     tracker.closed("first")
     tracker.opened("second")
-    tracker.answered("second", tracker.asked())
+    tracker.answered("second", tracker.request_sent())
     assert tracker.process == 2
     assert not tracker.leads_to_process("between")
 
@@ -54,7 +54,7 @@
     tracker = ProcessTracker()
     for name in ("known", "unknown", "third"):
         tracker.opened(name)
-    tracker.answered("unknown", tracker.asked())
+    tracker.answered("unknown", tracker.request_sent())
     assert not tracker.leads_to_process("third")
 
 
@@ -99,13 +99,15 @@
         if known:
             connection = known[choice % len(known)]
             if self.accepted_by[connection] == self.process:
-                self.open_requests.append((connection, self.tracker.asked()))
+                self.open_requests.append((connection, self.tracker.request_sent()))
 
     def answer(self, choice):
         """Read an answer, possibly long after it was sent."""
         if self.open_requests:
-            connection, asked = self.open_requests.pop(choice % len(self.open_requests))
-            self.tracker.answered(connection, asked)
+            connection, request_number = self.open_requests.pop(
+                choice % len(self.open_requests)
+            )
+            self.tracker.answered(connection, request_number)
 
     def close(self, choice):
         """Detect that a connection has ended, or close one."""
--- a/comfreywharf/ownership/witness.py
+++ b/comfreywharf/ownership/witness.py
@@ -70,7 +70,9 @@
         return self.expires_s if checks_fences else max(self.expires_s, self.reach_s)
 
     def drop_inactive(self, now_s):
-        for taker_id in [t for t, k in self.takers.items() if not k.active(now_s)]:
+        for taker_id in [
+            t for t, taker in self.takers.items() if not taker.active(now_s)
+        ]:
             del self.takers[taker_id]
 
 
