--- a/comfreywharf/ownership/tests/incarnation_events.py
+++ b/comfreywharf/ownership/tests/incarnation_events.py
@@ -2,7 +2,7 @@
 
 from comfreywharf.ownership.tests.incarnation_parts import (
     LONG_AGO,
-    NAMES,
+    NODE_NAMES,
     SLICE_RANGE,
     other,
 )
@@ -13,13 +13,13 @@
 class Event:
     """A step: a method of the `World`, its arguments, and how many faults it is."""
 
-    __slots__ = ("text", "method", "arguments", "trouble", "both")
+    __slots__ = ("text", "method", "arguments", "fault", "both")
 
-    def __init__(self, text, method, *arguments, trouble=0, both=False):
+    def __init__(self, text, method, *arguments, fault=0, both=False):
         self.text = text
         self.method = method
         self.arguments = arguments
-        self.trouble = trouble
+        self.fault = fault
         self.both = both
 
 
@@ -31,20 +31,20 @@
         self._limits = limits
 
     def __iter__(self):
-        left = self._limits.troubles - self._world.troubles
+        left = self._limits.faults - self._world.faults
         for event in self._all():
-            if event.trouble <= left and self._is_wanted(event):
+            if event.fault <= left and self._is_wanted(event):
                 yield event
 
     def _is_wanted(self, event):
         name = event.arguments[0]
         if event.method == "restart" and not self._limits.restarts:
             return False
-        faultless = name in NAMES and name not in self._limits.detailed
-        return not faultless or not event.trouble or event.method == "move"
+        faultless = name in NODE_NAMES and name not in self._limits.detailed
+        return not faultless or not event.fault or event.method == "move"
 
     def _all(self):
-        for name in NAMES:
+        for name in NODE_NAMES:
             yield from self._node_events(name)
             yield from self._server_events(name)
             yield from self._lease_events(name)
@@ -69,18 +69,18 @@
             yield Event(
                 f"{name} learns of incarnation {incarnation.number}", "announce", name
             )
-        yield Event(f"{name}'s process restarts", "restart", name, trouble=1)
+        yield Event(f"{name}'s process restarts", "restart", name, fault=1)
         yield from self._connection_events(name)
         if self._world.may_push(name):
             yield from self._push_events(name)
-        for index, sending in enumerate(node.sendings):
-            yield from self._sending_events(name, index, sending)
+        for index, delivery in enumerate(node.deliveries):
+            yield from self._delivery_events(name, index, delivery)
 
     def _connection_events(self, name):
         for number in self._world.nodes[name].idle:
             text = f"{name}'s connection {number}"
             if self._world.leads_to_running(name, number):
-                yield Event(f"{text} is reset", "close", name, number, trouble=1)
+                yield Event(f"{text} is reset", "close", name, number, fault=1)
             else:
                 yield Event(f"{text} is found to have ended", "close", name, number)
 
@@ -90,7 +90,7 @@
         if not self._world.will_decide(name):
             yield Event(f"{name} requests a new lease", "push", name)
             return
-        yield Event(f"{name} decides on an order", "push", name, trouble=1)
+        yield Event(f"{name} decides on an order", "push", name, fault=1)
         for number in node.idle:
             if not node.tracker.leads_to_process(number):
                 continue
@@ -100,12 +100,12 @@
                 yield Event(text, "push", name, number)
                 continue
             yield Event(f"{text}, it is answered", "push", name, number, 3)
-            yield Event(f"{text}, it is applied", "push", name, number, 2, trouble=1)
-            yield Event(text, "push", name, number, trouble=1)
+            yield Event(f"{text}, it is applied", "push", name, number, 2, fault=1)
+            yield Event(text, "push", name, number, fault=1)
 
-    def _sending_events(self, name, index, sending):
+    def _delivery_events(self, name, index, delivery):
         node = self._world.nodes[name]
-        if sending.connection < 0:
+        if delivery.connection < 0:
             for number in node.idle:
                 if node.tracker.leads_to_process(number):
                     led = node.connections[number]
@@ -115,11 +115,11 @@
                     )
                     yield Event(text, "send", name, index, number)
             return
-        if sending.answer is not None:
+        if delivery.answer is not None:
             yield Event(f"{name} reads the answer", "answer", name, index)
         lost = f"{name} counts its order as lost"
-        trouble = int(self._world.leads_to_running(name, sending.connection))
-        yield Event(lost, "lose", name, index, trouble=trouble)
+        fault = int(self._world.leads_to_running(name, delivery.connection))
+        yield Event(lost, "lose", name, index, fault=fault)
 
     def _server_events(self, name):
         incarnation = self._world.incarnations[name]
@@ -133,13 +133,13 @@
             return
         if (
             self._world.latest_incarnation[name]
-            < self._limits.incarnations[NAMES.index(name)]
+            < self._limits.incarnations[NODE_NAMES.index(name)]
         ):
             text = f"incarnation {incarnation.number} at {name} crashes"
-            yield Event(text, "crash", name, trouble=1)
+            yield Event(text, "crash", name, fault=1)
         for index in range(len(incarnation.inbox)):
             text = f"incarnation {incarnation.number} at {name} applies an order"
-            yield Event(text, "carry_out", name, index)
+            yield Event(text, "apply_order", name, index)
 
     def _lease_events(self, name):
         node, rival = self._world.nodes[name], other(name)
@@ -163,7 +163,7 @@
         owner, previous = self._world.owner, self._world.previous
         if not previous:
             text = f"the slice moves from {owner}"
-            yield Event(text, "move", owner, trouble=1)
+            yield Event(text, "move", owner, fault=1)
         elif previous != owner and self._world.owns(owner):
             node = self._world.nodes[previous]
             if node.stopped != self._world.epoch and node.held:
@@ -189,12 +189,12 @@
         return self._world.now < self._world.nodes[name].book.lost_until_s(*SLICE_RANGE)
 
     def _tick_events(self):
-        renewing = tuple(name for name in NAMES if self._may_renew(name))
+        renewing = tuple(name for name in NODE_NAMES if self._may_renew(name))
         yield Event("a tick, all leases renewed", "tick", renewing, both=True)
         for name in renewing:
             left = tuple(kept for kept in renewing if kept != name)
             text = f"a tick, {name}'s lease isn't renewed"
-            yield Event(text, "tick", left, both=True, trouble=1)
+            yield Event(text, "tick", left, both=True, fault=1)
 
     def _may_renew(self, name):
         return (
--- a/comfreywharf/ownership/tests/incarnation_model.py
+++ b/comfreywharf/ownership/tests/incarnation_model.py
@@ -16,26 +16,26 @@
 node's new process starts when that of the earlier one is over, and an earlier owner
 releases a slice only if the witnesses of its lease know of the move.
 
-A fault or a delay counts as a trouble. The number of troubles is bounded, as is that of
-steps. An order that is decided on, sent, applied and answered without a delay is one
-step without a trouble.
+A delay and a planned move count as faults as well. The number of faults is bounded, as
+is that of steps. An order that is decided on, sent, applied and answered without delay
+is one step without a fault.
 """
 
 from comfreywharf.ownership.holds import GrantAnswer, HoldBook
 from comfreywharf.ownership.process_tracker import ProcessTracker
 from comfreywharf.ownership.tests.incarnation_events import NextEvents
 from comfreywharf.ownership.tests.incarnation_parts import (
-    LEASE,
+    LEASE_TICKS,
     LONG_AGO,
-    NAMES,
+    NODE_NAMES,
     SERVICE,
     SLICE_RANGE,
     TERMS,
     UNAWAITED,
-    Breach,
     Incarnation,
     Node,
-    Sending,
+    OrderDelivery,
+    Violation,
     copy_book,
     fences,
     other,
@@ -48,7 +48,7 @@
 class World:
     """The state, and the events that may come next.
 
-    `after` returns the world after an event, or raises `Breach`.
+    `after` returns the world after an event, or raises `Violation`.
     """
 
     def __init__(self):
@@ -59,12 +59,12 @@
         self.incarnations = {}
         self.latest_incarnation = {"a": 1, "b": 1}
         self.highest_crashed_fence = -1
-        self.troubles = 0
+        self.faults = 0
         # Until when the witnesses refuse each node's lease to a taker, and until
         # when they refuse it to the node itself because of a taker.
-        self.taker_barred_until = {"a": LEASE, "b": LEASE}
+        self.taker_barred_until = {"a": LEASE_TICKS, "b": LEASE_TICKS}
         self.node_barred_until = {"a": LONG_AGO, "b": LONG_AGO}
-        for epoch, name in enumerate(NAMES, 1):
+        for epoch, name in enumerate(NODE_NAMES, 1):
             node = self.nodes[name] = Node(book=HoldBook(TERMS), lease_epoch=epoch)
             node.tracker.opened(1)
             node.connections[1] = 1
@@ -87,9 +87,9 @@
 
     def after(self, event):
         """Return the world after an event."""
-        names = NAMES if event.both else event.arguments[:1]
+        names = NODE_NAMES if event.both else event.arguments[:1]
         world = self.copy(names)
-        world.troubles += event.trouble
+        world.faults += event.fault
         getattr(world, event.method)(*event.arguments)
         return world
 
@@ -100,7 +100,7 @@
         return node.held and self.now < node.lease_until
 
     def fences(self):
-        epochs = tuple(self.nodes[name].lease_epoch for name in NAMES)
+        epochs = tuple(self.nodes[name].lease_epoch for name in NODE_NAMES)
         return fences(self.epoch, self.owner, other(self.owner), epochs)
 
     def claims(self, name):
@@ -111,12 +111,12 @@
         node = self.nodes[name]
         if not self.owns(name):
             return None
-        free = self.previous in ("", name) or self.claims(name)
+        release_not_awaited = self.previous in ("", name) or self.claims(name)
         if self.owner == name:
-            return self.fences()[0] if free else None
+            return self.fences()[0] if release_not_awaited else None
         if self.previous == name and node.unreleased_fence >= 0:
             return node.unreleased_fence
-        return self.fences()[1] if free and self.claims(name) else None
+        return self.fences()[1] if release_not_awaited and self.claims(name) else None
 
     def served(self, name):
         fence = self.serving_fence(name)
@@ -144,7 +144,7 @@
         if not node.tracker.process:
             for number in node.idle:
                 self._end_connection(name, number)
-        number = _free(node.connections)
+        number = _lowest_unused(node.connections)
         node.connections[number] = self.incarnations[name].number
         node.tracker.opened(number)
         self._answer_unsent(name)
@@ -161,10 +161,10 @@
     def _answer_unsent(self, name):
         """Answer the unsent orders whose target process is no longer known."""
         node = self.nodes[name]
-        for sending in list(node.sendings):
-            if sending.connection < 0 and sending.process != node.tracker.process:
-                node.sendings.remove(sending)
-                node.book.answered(sending.order, GrantAnswer.UNSENT, self.now)
+        for delivery in list(node.deliveries):
+            if delivery.connection < 0 and delivery.process != node.tracker.process:
+                node.deliveries.remove(delivery)
+                node.book.answered(delivery.order, GrantAnswer.UNSENT, self.now)
 
     def may_push(self, name):
         """Return whether `push` would do anything."""
@@ -203,18 +203,20 @@
             self._restart_lease(name)
             return
         for order in node.book.due_orders(served, self.now):
-            serial = _free([sending.serial for sending in node.sendings])
+            serial = _lowest_unused([delivery.serial for delivery in node.deliveries])
             process = node.tracker.process
-            node.sendings.append(Sending(order=order, process=process, serial=serial))
+            node.deliveries.append(
+                OrderDelivery(order=order, process=process, serial=serial)
+            )
             if number is not None:
                 self._send_at_once(name, number, stages)
 
     def _send_at_once(self, name, number, stages):
         node, incarnation = self.nodes[name], self.incarnations[name]
-        index = len(node.sendings) - 1
+        index = len(node.deliveries) - 1
         self.send(name, index, number)
         if stages > 1:
-            self.carry_out(name, len(incarnation.inbox) - 1)
+            self.apply_order(name, len(incarnation.inbox) - 1)
         if stages > 2:
             self.answer(name, index)
 
@@ -224,24 +226,24 @@
 
     def send(self, name, index, number):
         node, incarnation = self.nodes[name], self.incarnations[name]
-        sending = node.sendings[index]
-        hold = self.hold_of(sending.order)
+        delivery = node.deliveries[index]
+        hold = self.hold_of(delivery.order)
         if not hold:
-            node.book.answered(sending.order, GrantAnswer.REFUSED, self.now)
-            del node.sendings[index]
+            node.book.answered(delivery.order, GrantAnswer.REFUSED, self.now)
+            del node.deliveries[index]
             return
-        sending.connection = number
-        sending.request_number = node.tracker.request_sent()
+        delivery.connection = number
+        delivery.request_number = node.tracker.request_sent()
         if incarnation and incarnation.number == node.connections[number]:
-            arrived = (sending.serial, sending.order.fence, self.now + hold)
+            arrived = (delivery.serial, delivery.order.fence, self.now + hold)
             incarnation.inbox = (*incarnation.inbox, arrived)
 
     def lose(self, name, index):
         node = self.nodes[name]
-        sending = node.sendings.pop(index)
-        self._end_connection(name, sending.connection)
-        node.book.answered(sending.order, GrantAnswer.LOST, self.now)
-        self._leave_orders(name, sending.serial)
+        delivery = node.deliveries.pop(index)
+        self._end_connection(name, delivery.connection)
+        node.book.answered(delivery.order, GrantAnswer.LOST, self.now)
+        self._leave_orders(name, delivery.serial)
         self._answer_unsent(name)
 
     def _leave_orders(self, name, serial=None):
@@ -253,27 +255,27 @@
                 for entry in incarnation.inbox
             )
 
-    def _forget_backend(self, name):
+    def _reset_backend(self, name):
         """Start with a new object for the server, which has no connections."""
         node = self.nodes[name]
         node.tracker = ProcessTracker()
         node.connections = {}
-        node.sendings = []
+        node.deliveries = []
         if node.reached_process is not None:
             node.reached_process = "another"
         self._leave_orders(name)
 
     def answer(self, name, index):
         node = self.nodes[name]
-        sending = node.sendings.pop(index)
-        node.tracker.answered(sending.connection, sending.request_number)
-        node.book.answered(sending.order, sending.answer, self.now)
-        if sending.answer is GrantAnswer.OUTDATED:
+        delivery = node.deliveries.pop(index)
+        node.tracker.answered(delivery.connection, delivery.request_number)
+        node.book.answered(delivery.order, delivery.answer, self.now)
+        if delivery.answer is GrantAnswer.OUTDATED:
             self._restart_lease(name)
 
     def refused(self, name):
         node = self.nodes[name]
-        self._forget_backend(name)
+        self._reset_backend(name)
         node.announced = None
         node.book.clear()
         self._surrender(name, LONG_AGO)
@@ -281,7 +283,7 @@
     def announce(self, name):
         node = self.nodes[name]
         if node.announced is not None:
-            self._forget_backend(name)
+            self._reset_backend(name)
             self._surrender(name, node.book.all_held_until_s(self.now))
         node.announced = self.incarnations[name].number
 
@@ -290,7 +292,7 @@
         node, incarnation = self.nodes[name], self.incarnations[name]
         unknown_until = self.now + TERMS.lease_s * (1 + TERMS.slow_clock)
         node.book = HoldBook(TERMS, unknown_until_s=unknown_until)
-        self._forget_backend(name)
+        self._reset_backend(name)
         node.reached_process = None
         node.announced = incarnation.number if incarnation else None
         node.held = node.claims = node.released = False
@@ -309,7 +311,7 @@
         self.latest_incarnation[name] += 1
         self.incarnations[name] = Incarnation(number=self.latest_incarnation[name])
 
-    def carry_out(self, name, index):
+    def apply_order(self, name, index):
         incarnation = self.incarnations[name]
         serial, fence, until = incarnation.inbox[index]
         incarnation.inbox = (
@@ -322,21 +324,21 @@
             incarnation.highest_seen_fence = fence
             if until > self.now:
                 self._take(name, incarnation, fence, until)
-        for sending in self.nodes[name].sendings:
-            if sending.serial == serial:
-                sending.answer = answer
+        for delivery in self.nodes[name].deliveries:
+            if delivery.serial == serial:
+                delivery.answer = answer
 
     def _take(self, name, incarnation, fence, until):
         rival = self.incarnations[other(name)]
         if rival and self.now < rival.held_until:
-            raise Breach(
+            raise Violation(
                 f"incarnation {rival.number} at {other(name)} holds the key as well"
             )
         other_fence = max(
             self.highest_crashed_fence, rival.highest_held_fence if rival else -1
         )
         if fence <= other_fence:
-            raise Breach(
+            raise Violation(
                 f"taken under fence {fence}; another incarnation had {other_fence}"
             )
         incarnation.held_until = until
@@ -361,7 +363,7 @@
     def begin_lease(self, name):
         node = self.nodes[name]
         node.held, node.restarted = True, False
-        node.lease_until = self.taker_barred_until[name] = self.now + LEASE
+        node.lease_until = self.taker_barred_until[name] = self.now + LEASE_TICKS
         node.lease_epoch = self._record()
         node.unreleased_fence = -1
 
@@ -399,14 +401,16 @@
         self.previous = ""
 
     def tick(self, renewing):
-        for name in NAMES:
+        for name in NODE_NAMES:
             node = self.nodes[name]
             if name in renewing:
-                node.lease_until = self.taker_barred_until[name] = self.now + 1 + LEASE
+                node.lease_until = self.taker_barred_until[name] = (
+                    self.now + 1 + LEASE_TICKS
+                )
                 if node.claims:
                     self.node_barred_until[other(name)] = node.lease_until
         self.now += 1
-        for name in NAMES:
+        for name in NODE_NAMES:
             # A claim ends with the lease of its taker.
             if not self.owns(name):
                 self.nodes[name].claims = False
@@ -422,7 +426,7 @@
         now = self.now
         return (
             now,
-            self.troubles,
+            self.faults,
             self.offset,
             self.epoch,
             self.owner,
@@ -439,7 +443,7 @@
         )
 
 
-def _free(numbers):
+def _lowest_unused(numbers):
     """Return the lowest unused number."""
     number = 1
     while number in numbers:
--- a/comfreywharf/ownership/tests/incarnation_parts.py
+++ b/comfreywharf/ownership/tests/incarnation_parts.py
@@ -14,18 +14,22 @@
 from comfreywharf.records.state import ClusterState, Member
 
 SERVICE = "booking"
-END = 1000
-SLICE_RANGE = (SERVICE, 0, END)
-LEASE = 2
+SLICE_END = 1000
+SLICE_RANGE = (SERVICE, 0, SLICE_END)
+LEASE_TICKS = 2
 TERMS = HoldTerms(
-    lease_s=LEASE, longest_s=LEASE, slow_clock=0.0, renew_part=0.5, shortest_s=1
+    lease_s=LEASE_TICKS,
+    longest_s=LEASE_TICKS,
+    slow_clock=0.0,
+    renew_part=0.5,
+    shortest_s=1,
 )
-NAMES = ("a", "b")
+NODE_NAMES = ("a", "b")
 LONG_AGO = float("-inf")
 UNAWAITED = 0
 
 
-class Breach(Exception):
+class Violation(Exception):
     """The rule of sole ownership was violated."""
 
 
@@ -38,11 +42,11 @@
     """
 
     steps: int
-    troubles: int
+    faults: int
     ticks: int = 4
     incarnations: tuple[int, int] = (3, 2)
     connections: int = 2
-    detailed: tuple[str, ...] = NAMES
+    detailed: tuple[str, ...] = NODE_NAMES
     restarts: bool = True
 
 
@@ -66,21 +70,21 @@
             region="",
             lease_epoch=lease_epoch,
         )
-        for name, lease_epoch in zip(NAMES, lease_epochs, strict=True)
+        for name, lease_epoch in zip(NODE_NAMES, lease_epochs, strict=True)
     }
     state = ClusterState(members=members)
-    piece = Slice(start=0, end=END, owner=owner, standby=standby, epoch=epoch)
+    piece = Slice(start=0, end=SLICE_END, owner=owner, standby=standby, epoch=epoch)
     return state.fence(piece), state.takeover_fence(piece)
 
 
 @functools.lru_cache(maxsize=1 << 12)
 def slice_of(epoch):
     """Return the slice that orders are decided for."""
-    return Slice(start=0, end=END, owner="a", epoch=epoch)
+    return Slice(start=0, end=SLICE_END, owner="a", epoch=epoch)
 
 
 @attrs.define(kw_only=True)
-class Sending:
+class OrderDelivery:
     """An order of a node: decided on, then sent on a connection."""
 
     order: object
@@ -183,11 +187,11 @@
     book: HoldBook
     tracker: ProcessTracker = attrs.Factory(ProcessTracker)
     connections: dict = attrs.Factory(dict)
-    sendings: list = attrs.Factory(list)
+    deliveries: list = attrs.Factory(list)
     reached_process: object = None
     announced: int | None = 1
     held: bool = True
-    lease_until: float = LEASE
+    lease_until: float = LEASE_TICKS
     lease_epoch: int = 0
     unreleased_fence: int = -1
     claims: bool = False
@@ -201,7 +205,7 @@
             book=copy_book(self.book),
             tracker=copy_tracker(self.tracker),
             connections=dict(self.connections),
-            sendings=[sending.copy() for sending in self.sendings],
+            deliveries=[delivery.copy() for delivery in self.deliveries],
             reached_process=self.reached_process,
             announced=self.announced,
             held=self.held,
@@ -240,22 +244,24 @@
             book_key(self.book, now),
             self._tracker_key(),
             tuple(self.connections.items()),
-            tuple(self._sending_key(sending, now) for sending in self.sendings),
+            tuple(self._delivery_key(delivery, now) for delivery in self.deliveries),
         )
 
     def _tracker_key(self):
         opened = [(moment, c) for c, moment in self.tracker._opened.items()]
-        sent = [(sending.request_number, -sending.serial) for sending in self.sendings]
+        sent = [
+            (delivery.request_number, -delivery.serial) for delivery in self.deliveries
+        ]
         order = tuple(number for _, number in sorted(opened + sent))
         return order, frozenset(self.tracker._confirmed)
 
-    def _sending_key(self, sending, now):
-        order = sending.order
+    def _delivery_key(self, delivery, now):
+        order = delivery.order
         return (
-            sending.serial,
-            sending.process == self.tracker.process,
-            sending.connection,
-            sending.answer and sending.answer.value,
+            delivery.serial,
+            delivery.process == self.tracker.process,
+            delivery.connection,
+            delivery.answer and delivery.answer.value,
             order.fence,
             order.lease_until_s - now,
             order.until_s - now,
@@ -265,5 +271,5 @@
     @property
     def idle(self):
         """Return the connections on which no answer is awaited."""
-        busy = [sending.connection for sending in self.sendings]
+        busy = [delivery.connection for delivery in self.deliveries]
         return [number for number in self.connections if number not in busy]
--- a/comfreywharf/ownership/tests/incarnation_search.py
+++ b/comfreywharf/ownership/tests/incarnation_search.py
@@ -3,23 +3,26 @@
 import attrs
 
 from comfreywharf.ownership.tests.incarnation_model import World
-from comfreywharf.ownership.tests.incarnation_parts import Breach
+from comfreywharf.ownership.tests.incarnation_parts import Violation
 
-__all__ = ["Found", "search"]
+__all__ = ["SearchResult", "search"]
 
 
 @attrs.define
-class Found:
-    """The number of states that a search found, and the shortest path to a breach."""
+class SearchResult:
+    """The number of states that a search found, and the events of a violation.
+
+    ``events`` is the shortest sequence that leads to the violation, if there is one.
+    """
 
     states: int = 0
-    breach: str = ""
+    violation: str = ""
     events: tuple = ()
 
 
 def search(limits, world_type=World):
-    """Search all worlds within the limits; stop at the first breach."""
-    found = Found(states=1)
+    """Search all worlds within the limits; stop at the first violation."""
+    found = SearchResult(states=1)
     first = world_type()
     seen = {first.key()}
     layer = [(first, None)]
@@ -30,8 +33,8 @@
                 further = (path, event.text)
                 try:
                     after = world.after(event)
-                except Breach as breach:
-                    found.breach, found.events = str(breach), _listed(further)
+                except Violation as violation:
+                    found.violation, found.events = str(violation), _listed(further)
                     return found
                 key = after.key()
                 if key not in seen:
--- a/comfreywharf/ownership/tests/list_world.py
+++ b/comfreywharf/ownership/tests/list_world.py
@@ -94,9 +94,9 @@
     lists: HoldLists = None
 
     def __attrs_post_init__(self):
-        self.begin_node()
+        self.start_node()
 
-    def begin_node(self):
+    def start_node(self):
         """Start the node's process, or restart it while its server keeps running."""
         self.book = ListedHoldBook.of_new_process(TERMS, self.now_s)
         self.lists = HoldLists(self.book)
@@ -135,7 +135,7 @@
         self.epoch += 1
         self.own_pieces = {piece: 2 * self.epoch for piece in self.own_pieces}
 
-    def heartbeat(self, travels_s, answered, kept):
+    def heartbeat(self, delay_s, answered, kept):
         """Send a heartbeat; its answer arrives if ``answered``, or stays in transit.
 
         ``kept`` is false if the server closes the connection afterwards.
@@ -143,19 +143,19 @@
         report = HoldReport(
             service=SERVICE,
             connection=(self.server.incarnation, self.server.connection),
-            arrived_s=self.now_s + travels_s,
+            arrived_s=self.now_s + delay_s,
             held=tuple(
                 HeldRange(first=piece[0], last=piece[1], fence=fence)
                 for piece, (fence, until_s) in self.server.held.items()
                 if self.now_s < until_s
             ),
             released=tuple(
-                ReleasedRange(first=piece[0], last=piece[1], handover=word)
-                for piece, word in self.server.released
+                ReleasedRange(first=piece[0], last=piece[1], handover=handover)
+                for piece, handover in self.server.released
             ),
         )
         sent_s = self.now_s
-        self.now_s += travels_s
+        self.now_s += delay_s
         if self.lists.receive(report, self.now_s):
             self.begin_lease()
         serving = self.serving()
@@ -176,7 +176,7 @@
             self.server.connection += 1
         self._end_releases()
 
-    def answer_comes(self):
+    def deliver_late_answer(self):
         """Apply a late answer; it has no effect if its time is over."""
         if self.in_transit:
             self._take(self.in_transit.pop(0))
--- a/comfreywharf/ownership/tests/test_crashed_takers.py
+++ b/comfreywharf/ownership/tests/test_crashed_takers.py
@@ -76,7 +76,7 @@
     assert reported_claim_ends(standby, NOTHING_HELD_S) == {0.0}
 
 
-def test_what_was_forwarded_without_fences_counts_until_its_deadline():
+def test_claim_lasts_until_the_deadline_of_a_request_forwarded_without_fences():
     """Guards against a request that takes effect at the same time as the next owner's.
 
     A taker's server counts as crashed. Only a server that checks fences stops its work
--- a/comfreywharf/ownership/tests/test_fenced_restart.py
+++ b/comfreywharf/ownership/tests/test_fenced_restart.py
@@ -27,7 +27,7 @@
     return Witness(TERMS, 0.0, 1).renew(renewal, view, LONGEST_S, now_s)
 
 
-def test_a_new_process_of_a_fenced_server_waits_for_no_request():
+def test_new_process_of_a_fenced_server_skips_the_wait_for_the_longest_request():
     """Guards against 8 s without service after all machines lost power.
 
     All processes start at once, and their witnesses have no memory. They must not wait
@@ -39,7 +39,7 @@
     assert renew(checks_fences=True, now_s=after_s).granted
 
 
-def test_without_fences_the_longest_request_is_waited_for():
+def test_new_process_waits_for_the_longest_request_without_fences():
     """Requests that an earlier process forwarded may still take effect."""
     after_s = TERMS.silent_until_s(0.0) + 0.01
     assert not renew(checks_fences=False, now_s=after_s).granted
--- a/comfreywharf/ownership/tests/test_hold_lists.py
+++ b/comfreywharf/ownership/tests/test_hold_lists.py
@@ -20,7 +20,7 @@
 UNTIL_S = NOW_S + 2.0
 
 
-def a_slice(first=0, last=99):
+def make_slice(first=0, last=99):
     start, end = range_of_numbers(first, last)
     return Slice(start=start, end=end, owner="a")
 
@@ -55,27 +55,27 @@
 
     An answer is delayed by 0.5 s. The node must not count the hold from the sending of
     the answer, and the server counts it from the sending of its heartbeat."""
-    decided = make_lists().decide(report(), serving(a_slice()), NOW_S + 0.5)
+    decided = make_lists().decide(report(), serving(make_slice()), NOW_S + 0.5)
     assert NOW_S + decided.hold_s * 1.02 <= UNTIL_S + 1e-9
 
 
 def test_adjacent_ranges_with_one_fence_are_one_row():
     """Guards against answers of more than 4 KiB, which don't count as answers, for a
     server that holds hundreds of slices."""
-    pieces = [a_slice(n, n + 9) for n in (0, 10, 30, 20)]
+    pieces = [make_slice(n, n + 9) for n in (0, 10, 30, 20)]
     assert rows(make_lists().decide(report(), serving(*pieces), NOW_S)) == [(0, 39, 10)]
 
 
-def test_rows_that_dont_fit_are_the_ones_that_arent_held():
+def test_held_ranges_stay_listed_if_not_all_fit():
     """Guards against served keys that become unavailable in favour of others.
 
     There are more ranges than fit in an answer. Ranges that are left out are released,
     so that the choice must not change."""
     lists = make_lists()
     lists.capacity = hold_lists.ListCapacity(max_bytes=50, row_bytes=25)
-    first = serving(a_slice(50, 59), a_slice(80, 89))
+    first = serving(make_slice(50, 59), make_slice(80, 89))
     lists.decide(report(), first, NOW_S)
-    more = serving(a_slice(0, 9), a_slice(50, 59), a_slice(80, 89))
+    more = serving(make_slice(0, 9), make_slice(50, 59), make_slice(80, 89))
     assert rows(lists.decide(report(), more, NOW_S)) == [(50, 59, 10), (80, 89, 10)]
 
 
@@ -85,7 +85,7 @@
     The server has seen a higher fence on one of its keys, and shows this only by the
     ranges in its next heartbeat."""
     lists = make_lists()
-    lists.decide(report(), serving(a_slice(), a_slice(100, 199)), NOW_S)
+    lists.decide(report(), serving(make_slice(), make_slice(100, 199)), NOW_S)
     after = report(arrived_s=NOW_S + 0.87, held=[(0, 99, 10)])
     assert lists.receive(after, NOW_S + 0.87)
 
@@ -97,7 +97,7 @@
     The answer with a new range never arrives, so that the next heartbeat, on another
     connection, doesn't list the range."""
     lists = make_lists()
-    lists.decide(report(), serving(a_slice()), NOW_S)
+    lists.decide(report(), serving(make_slice()), NOW_S)
     after = report(connection=connection, arrived_s=NOW_S + 0.87)
     assert lists.receive(after, NOW_S + 0.87) is (connection == "c")
 
@@ -109,8 +109,8 @@
     arrives in that time. Ranges that can't be served yet must stay in the list, since
     the server releases ranges that are left out."""
     lists = make_lists()
-    lists.decide(report(), serving(a_slice()), NOW_S)
-    halves = (("booking", a_slice(0, 49)), ("booking", a_slice(50, 99)))
+    lists.decide(report(), serving(make_slice()), NOW_S)
+    halves = (("booking", make_slice(0, 49)), ("booking", make_slice(50, 99)))
     decided = lists.decide(report(), serving(pending=halves), NOW_S + 0.1)
     assert rows(decided) == [(0, 99, 10)]
 
@@ -123,7 +123,7 @@
     applied. A range that isn't reported as held may still be granted by such an
     answer."""
     lists = make_lists()
-    lists.decide(report(), serving(a_slice()), NOW_S)
+    lists.decide(report(), serving(make_slice()), NOW_S)
     start, end = range_of_numbers(0, 99)
     lists.book.stop("booking", start, end, 12, NOW_S + 0.9)
     lists.receive(report("another", NOW_S + 0.9), NOW_S + 0.9)
@@ -148,12 +148,15 @@
     lists = make_lists()
     start, _ = range_of_numbers(0, 99)
     lists.book.take_handover(("booking", start), "h")
-    want = (HoldRow(first=0, last=99, fence=10, handover="h"),)
-    assert lists.decide(report(), serving(a_slice()), NOW_S).rows == want
+    expected_rows = (HoldRow(first=0, last=99, fence=10, handover="h"),)
+    assert lists.decide(report(), serving(make_slice()), NOW_S).rows == expected_rows
     lists.receive(report("another", NOW_S + 0.9), NOW_S + 0.9)
-    assert lists.decide(report("another"), serving(a_slice()), NOW_S + 0.9).rows == want
+    assert (
+        lists.decide(report("another"), serving(make_slice()), NOW_S + 0.9).rows
+        == expected_rows
+    )
     lists.receive(report("another", NOW_S + 1, [(0, 99, 10)]), NOW_S + 1)
-    decided = lists.decide(report("another"), serving(a_slice()), NOW_S + 1)
+    decided = lists.decide(report("another"), serving(make_slice()), NOW_S + 1)
     assert decided.rows[0].handover == ""
 
 
@@ -161,23 +164,23 @@
     """Guards against the holds of all keys of a server ending after one lost heartbeat.
 
     A claim that has just begun ends soon, and a list has one hold time for all rows."""
-    short = ("booking", a_slice(100, 199), 11, NOW_S + 0.2)
-    both = serving(a_slice())
+    short = ("booking", make_slice(100, 199), 11, NOW_S + 0.2)
+    both = serving(make_slice())
     both = attrs.evolve(both, served=(*both.served, short))
     decided = make_lists().decide(report(), both, NOW_S)
     assert rows(decided) == [(0, 99, 10)]
 
 
-def test_only_waiting_keys_count_as_changes():
+def test_only_keys_to_grant_or_release_count_as_changes():
     """After an early answer the node can't send another one until the next heartbeat.
     Only keys that have to be granted or released count as changes."""
     lists = make_lists()
-    assert lists.has_changes(report(), serving(a_slice()), NOW_S)
-    lists.decide(report(), serving(a_slice()), NOW_S)
-    assert not lists.has_changes(report(), serving(a_slice(), fence=12), NOW_S + 0.1)
+    assert lists.has_changes(report(), serving(make_slice()), NOW_S)
+    lists.decide(report(), serving(make_slice()), NOW_S)
+    assert not lists.has_changes(report(), serving(make_slice(), fence=12), NOW_S + 0.1)
     assert lists.has_changes(report(), serving(), NOW_S + 0.1)
     lists.book.mark_not_held("booking", range_of_numbers(5, 5)[0] + 1)
-    assert lists.has_changes(report(), serving(a_slice()), NOW_S + 0.1)
+    assert lists.has_changes(report(), serving(make_slice()), NOW_S + 0.1)
 
 
 class ListsMachine(RuleBasedStateMachine):
@@ -197,16 +200,16 @@
             self.world.renew()
 
     @rule(
-        travels_s=st.sampled_from([0.0, 0.0, 0.3, 1.5]),
+        delay_s=st.sampled_from([0.0, 0.0, 0.3, 1.5]),
         answered=st.booleans(),
         kept=st.booleans(),
     )
-    def heartbeat(self, travels_s, answered, kept):
-        self.world.heartbeat(travels_s, answered, kept)
+    def heartbeat(self, delay_s, answered, kept):
+        self.world.heartbeat(delay_s, answered, kept)
 
     @rule()
-    def answer_comes(self):
-        self.world.answer_comes()
+    def deliver_late_answer(self):
+        self.world.deliver_late_answer()
 
     @rule(piece=st.sampled_from(PIECES))
     def move_away(self, piece):
@@ -226,7 +229,7 @@
 
     @rule()
     def restart_node(self):
-        self.world.begin_node()
+        self.world.start_node()
 
     @invariant()
     def no_key_has_two_holders(self):
@@ -257,7 +260,7 @@
     monkeypatch.setattr(hold_lists.HoldLists, "decide", longer)
 
 
-def _take_each_answer_for_received(monkeypatch):
+def _count_every_list_as_received(monkeypatch):
     lists_received = ListedHoldBook.lists_received
 
     def all_lists_received(self, service, list_id, reported, now_s):
@@ -284,13 +287,13 @@
 
 LOST = ("heartbeat", 0.0, False, False)
 TAKEN = ("heartbeat", 0.0, True, True)
-WORLDS = {
+MECHANISMS = {
     "takeover at the end of the lease": (
         _count_from_the_answer,
         [TAKEN, ("pass_time", 2.05), ("take_over",)],
     ),
     "a late answer after a release": (
-        _take_each_answer_for_received,
+        _count_every_list_as_received,
         [
             ("pass_time", 3.0),
             ("renew",),
@@ -298,7 +301,7 @@
             ("pass_time", 0.9),
             ("move_away", PIECES[0]),
             LOST,
-            ("answer_comes",),
+            ("deliver_late_answer",),
         ],
     ),
     "another incarnation": (_reuse_fences, [TAKEN, ("restart_server",), TAKEN]),
@@ -313,10 +316,10 @@
         world.check()
 
 
-@pytest.mark.parametrize("name", WORLDS)
+@pytest.mark.parametrize("name", MECHANISMS)
 def test_each_mechanism_is_needed(name, monkeypatch):
     """The events lead to a violation only if the mechanism is switched off."""
-    switch_off, events = WORLDS[name]
+    switch_off, events = MECHANISMS[name]
     run(events)
     switch_off(monkeypatch)
     with pytest.raises(AssertionError):
--- a/comfreywharf/ownership/tests/test_holds.py
+++ b/comfreywharf/ownership/tests/test_holds.py
@@ -39,7 +39,7 @@
     assert order.hold_s_at(NOW_S + 1.48) == 0
 
 
-def test_a_hold_is_never_longer_than_the_server_takes():
+def test_a_hold_is_never_longer_than_the_server_accepts():
     """A server refuses a hold that exceeds its limit."""
     (order,) = HoldBook(TERMS).due_orders(served(until_s=NOW_S + 60), NOW_S)
     assert order.hold_s <= TERMS.longest_s
@@ -73,7 +73,7 @@
     assert len(book.due_orders(served(fence=14, until_s=NOW_S + 3), NOW_S + 1.4)) == 1
 
 
-def test_a_grant_without_an_answer_is_waited_for():
+def test_release_waits_for_the_end_of_a_grant_without_an_answer():
     """Guards against two servers that hold a key, the first by a hold that began after
     its release.
 
@@ -164,7 +164,7 @@
     assert book.stop("booking", 0, 1000, 12, NOW_S + 0.1) == 10
 
 
-def test_an_order_that_was_never_sent_is_not_waited_for():
+def test_release_doesnt_wait_for_an_order_that_was_never_sent():
     """Its hold ends with the lease, and no late order can arrive."""
     book = HoldBook(TERMS)
     granted(book, answer=GrantAnswer.UNSENT)
@@ -180,7 +180,7 @@
     assert len(book.due_orders(served(fence=12, until_s=NOW_S + 3), NOW_S + 1.4)) == 1
 
 
-def test_a_handover_goes_with_the_first_grant_that_is_taken():
+def test_handover_is_sent_until_a_grant_is_taken():
     """A lost grant is repeated with its handover; a taken one consumes it."""
     book = HoldBook(TERMS)
     book.take_handover(("booking", 0), "token")
@@ -208,7 +208,7 @@
     assert not book.awaits_answer("booking", 0, 1000)
 
 
-def test_a_grant_of_a_slice_that_was_split_meanwhile_is_still_answered():
+def test_answer_to_a_grant_counts_though_the_slice_was_split_meanwhile():
     """The order's hold isn't the current one when its answer arrives."""
     book = HoldBook(TERMS)
     (order,) = book.due_orders(served(), NOW_S)
--- a/comfreywharf/ownership/tests/test_incarnation_search.py
+++ b/comfreywharf/ownership/tests/test_incarnation_search.py
@@ -4,8 +4,8 @@
 17,698 states; ``LOSSES`` 8 steps, 5,092; ``RESTARTS`` 8 steps, 15,123; ``BOTH`` 5
 steps, 8,335.
 
-Three mechanisms aren't needed within the bounds of ``CRASHES``: no breach is found
-with any one of them switched off.
+Three mechanisms aren't needed within the bounds of ``CRASHES``: no violation is
+found with any one of them switched off.
 
 - `HoldBook.clear` bars used fences. Here, the lease always restarts after it.
 - `ProcessTracker.opened` drops older connections. Here, the tracker registers each
@@ -25,33 +25,33 @@
 from comfreywharf.ownership.tests.incarnation_parts import LONG_AGO, Limits
 from comfreywharf.ownership.tests.incarnation_search import search
 
-CRASHES = Limits(steps=7, troubles=2, incarnations=(3, 1), detailed=("a",))
+CRASHES = Limits(steps=7, faults=2, incarnations=(3, 1), detailed=("a",))
 LOSSES = Limits(
-    steps=8, troubles=3, ticks=2, incarnations=(1, 1), connections=1, restarts=False
+    steps=8, faults=3, ticks=2, incarnations=(1, 1), connections=1, restarts=False
 )
-RESTARTS = Limits(steps=8, troubles=3, ticks=2, incarnations=(1, 1), connections=1)
-BOTH = Limits(steps=5, troubles=2)
+RESTARTS = Limits(steps=8, faults=3, ticks=2, incarnations=(1, 1), connections=1)
+BOTH_NODES = Limits(steps=5, faults=2)
 
 
 def describe(found):
     """Return the result of a search as the lines of a message."""
-    return "\n".join([found.breach, *found.events, f"{found.states} states"])
+    return "\n".join([found.violation, *found.events, f"{found.states} states"])
 
 
-def confirms_all(self, connection, request_number):
+def confirm_all(self, connection, request_number):
     self._confirmed.update(self._opened)
 
 
-def leads_all_to_process(self, connection):
+def leads_to_process_if_open(self, connection):
     return connection in self._opened
 
 
-def process_forgets(self):
+def process_changed_without_holds(self):
     self._used_fence = self._highest_fence
     self._holds.clear()
 
 
-def process_bars_nothing(self):
+def process_changed_without_barring(self):
     for slice_id, hold in self._holds.items():
         self._earlier.setdefault(slice_id[0], []).append(hold)
     self._holds.clear()
@@ -61,7 +61,7 @@
     self._surrender(name, LONG_AGO)
 
 
-def sized_when_decided(self, order):
+def hold_as_decided(self, order):
     return order.hold_s
 
 
@@ -76,19 +76,19 @@
 MECHANISMS = {
     "an answer confirms by the order of events": (
         CRASHES,
-        (ProcessTracker, "answered", confirms_all),
+        (ProcessTracker, "answered", confirm_all),
     ),
     "a new connection is unconfirmed": (
         CRASHES,
-        (ProcessTracker, "leads_to_process", leads_all_to_process),
+        (ProcessTracker, "leads_to_process", leads_to_process_if_open),
     ),
     "a changed process bars used fences": (
         CRASHES,
-        (HoldBook, "process_changed", process_bars_nothing),
+        (HoldBook, "process_changed", process_changed_without_barring),
     ),
     "a changed process keeps its holds": (
         CRASHES,
-        (HoldBook, "process_changed", process_forgets),
+        (HoldBook, "process_changed", process_changed_without_holds),
     ),
     "a surrender reports holds": (
         CRASHES,
@@ -104,7 +104,7 @@
     ),
     "a hold is sized when it is sent": (
         LOSSES,
-        (World, "hold_of", sized_when_decided),
+        (World, "hold_of", hold_as_decided),
     ),
 }
 
@@ -115,21 +115,21 @@
         pytest.param(CRASHES, id="crashes"),
         pytest.param(LOSSES, id="losses"),
         pytest.param(RESTARTS, id="restarts"),
-        pytest.param(BOTH, id="both"),
+        pytest.param(BOTH_NODES, id="both"),
     ],
 )
-def test_no_sequence_breaks_the_rule(limits):
+def test_no_sequence_of_events_violates_sole_ownership(limits):
     """Guards against two servers that hold a key, and against an incarnation that holds
     it under a fence that another one had. The message has the shortest sequence of
-    events that leads to such a breach."""
+    events that leads to such a violation."""
     found = search(limits)
-    assert not found.breach, describe(found)
+    assert not found.violation, describe(found)
 
 
 @pytest.mark.parametrize("name", MECHANISMS)
-def test_search_finds_a_breach_without_each_mechanism(name):
-    """With one mechanism switched off, a sequence of events ends in a breach."""
+def test_search_finds_a_violation_without_each_mechanism(name):
+    """With one mechanism switched off, a sequence of events ends in a violation."""
     limits, (owner, method, instead) = MECHANISMS[name]
     with mock.patch.object(owner, method, instead):
         found = search(limits)
-    assert found.breach, describe(found)
+    assert found.violation, describe(found)
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -38,7 +38,7 @@
 LONG_S = 2.9
 
 
-class Stage:
+class Cluster:
     """A world and the nodes that have a role for one key."""
 
     def __init__(self):
@@ -89,7 +89,7 @@
         yield
 
 
-def restarted_witnesses(stage):
+def restarted_witnesses(cluster):
     """Two witnesses restart during a takeover that isn't recorded in the log.
 
     The owner freezes, and its standby takes over and can't reach the log. Two
@@ -97,19 +97,19 @@
     the mechanism both nodes answer, since the restarted witnesses have lost the memory
     of their grants.
     """
-    stage.standby.appends = False
-    stage.owner.frozen = True
-    stage.run(2.0)
-    assert stage.serves(stage.standby)
-    for witness in stage.witnesses[:2]:
-        if witness is not stage.standby:
+    cluster.standby.appends = False
+    cluster.owner.frozen = True
+    cluster.run(2.0)
+    assert cluster.serves(cluster.standby)
+    for witness in cluster.witnesses[:2]:
+        if witness is not cluster.standby:
             witness.restart()
-    stage.owner.frozen = False
-    stage.run(0.6)
-    stage.run(3.0)
+    cluster.owner.frozen = False
+    cluster.run(0.6)
+    cluster.run(3.0)
 
 
-def stale_standby_after_move(stage):
+def stale_standby_after_move(cluster):
     """A standby that hasn't folded a move claims the earlier owner's lease.
 
     A slice moves to a new owner while the standby can't read the log. The earlier
@@ -118,17 +118,17 @@
     owner and the stale standby both answer, since only the portfolio epoch shows the
     witnesses that the claim is based on an outdated assignment.
     """
-    stage.standby.reads_log = False
-    target = stage.spare()
-    stage.plan(target, stage.owner)
-    stage.run(1.0)
-    assert stage.serves(target)
-    stage.owner.frozen = True
-    stage.run(2.5)
-    assert stage.serves(target)
+    cluster.standby.reads_log = False
+    target = cluster.spare()
+    cluster.plan(target, cluster.owner)
+    cluster.run(1.0)
+    assert cluster.serves(target)
+    cluster.owner.frozen = True
+    cluster.run(2.5)
+    assert cluster.serves(target)
 
 
-def unacknowledged_portfolio(stage):
+def unacknowledged_portfolio(cluster):
     """The witnesses haven't folded a move when the owner releases the slice.
 
     Neither the witnesses nor the standby read the log when a slice moves, and the
@@ -137,21 +137,21 @@
     the new owner and the former standby both answer, since the release was sent before
     a majority of the witnesses had learned of the move by the owner's renewals.
     """
-    target = stage.spare()
-    for node in stage.world.nodes.values():
-        node.reads_log = node in (stage.owner, target)
-    stage.isolate(stage.owner)
-    stage.world.cuts.discard((stage.owner.node_id, target.node_id))
-    stage.world.cuts.discard((target.node_id, stage.owner.node_id))
-    stage.plan(target, stage.owner)
-    stage.run(3.0)
-    for node in stage.world.nodes.values():
+    target = cluster.spare()
+    for node in cluster.world.nodes.values():
+        node.reads_log = node in (cluster.owner, target)
+    cluster.isolate(cluster.owner)
+    cluster.world.cuts.discard((cluster.owner.node_id, target.node_id))
+    cluster.world.cuts.discard((target.node_id, cluster.owner.node_id))
+    cluster.plan(target, cluster.owner)
+    cluster.run(3.0)
+    for node in cluster.world.nodes.values():
         node.reads_log = True
-    stage.world.cuts.clear()
-    stage.run(3.0)
+    cluster.world.cuts.clear()
+    cluster.run(3.0)
 
 
-def healed_lapse_after_takeover(stage):
+def healed_lapse_after_takeover(cluster):
     """An owner thaws after its standby took over and gave the share back.
 
     The owner freezes. Its standby takes over, has the takeover recorded and gives the
@@ -160,18 +160,18 @@
     standby: a lapse may be healed without the log only if no other node held the lease
     meanwhile, which the witnesses' terms show.
     """
-    stage.owner.frozen = True
-    stage.run(2.5)
-    assert stage.serves(stage.standby)
-    stage.owner.reads_log = False
-    stage.owner.frozen = False
-    stage.run(1.0)
-    assert stage.serves(stage.standby)
-    stage.owner.reads_log = True
-    stage.run(1.0)
-
-
-def long_request(stage):
+    cluster.owner.frozen = True
+    cluster.run(2.5)
+    assert cluster.serves(cluster.standby)
+    cluster.owner.reads_log = False
+    cluster.owner.frozen = False
+    cluster.run(1.0)
+    assert cluster.serves(cluster.standby)
+    cluster.owner.reads_log = True
+    cluster.run(1.0)
+
+
+def long_request(cluster):
     """An owner is lost while a request longer than its lease runs.
 
     A request with a deadline of almost 3 s is forwarded. The owner's node is lost, and
@@ -179,56 +179,56 @@
     take effect after the new owner's requests, since the lease lapses long before the
     deadline.
     """
-    assert stage.serves(stage.owner, LONG_S)
-    stage.owner.frozen = True
-    stage.run(2.0)
-    stage.run(3.0)
-    assert stage.serves(stage.standby)
+    assert cluster.serves(cluster.owner, LONG_S)
+    cluster.owner.frozen = True
+    cluster.run(2.0)
+    cluster.run(3.0)
+    assert cluster.serves(cluster.standby)
 
 
-def uncovered_long_request(stage):
+def uncovered_long_request(cluster):
     """A long request is forwarded before the witnesses know of its deadline.
 
     The fault is that of `long_request`, but the owner is lost before its next renewal.
     """
-    stage.world.messages.clear()
-    stage.serves(stage.owner, LONG_S)
-    stage.owner.frozen = True
-    stage.world.messages.clear()
-    stage.run(3.5)
+    cluster.world.messages.clear()
+    cluster.serves(cluster.owner, LONG_S)
+    cluster.owner.frozen = True
+    cluster.world.messages.clear()
+    cluster.run(3.5)
 
 
-def busy_at_release(stage):
+def busy_at_release(cluster):
     """A slice moves while a request for it runs.
 
     A request is forwarded, the slice moves, and the release is requested. Without the
     mechanism the slice is released before the request's answer or deadline, and the new
     owner serves while the earlier owner's request may still take effect.
     """
-    target = stage.spare()
-    assert stage.serves(stage.owner, 0.9)
-    stage.plan(target, stage.owner)
-    stage.run(0.5)
-    stage.run(1.5)
-    assert stage.serves(target)
+    target = cluster.spare()
+    assert cluster.serves(cluster.owner, 0.9)
+    cluster.plan(target, cluster.owner)
+    cluster.run(0.5)
+    cluster.run(1.5)
+    assert cluster.serves(target)
 
 
-def unreleased_move(stage):
+def unreleased_move(cluster):
     """A slice moves to a node that folds the move first.
 
     The planner's record reaches the new owner, and the earlier one can't read the log.
     Without the mechanism both answer: the new owner can't know without the release
     whether the earlier one has stopped.
     """
-    stage.owner.reads_log = False
-    stage.plan(stage.spare(), stage.owner)
-    stage.run(1.0)
-    assert stage.serves(stage.owner)
-    stage.owner.reads_log = True
-    stage.run(1.0)
+    cluster.owner.reads_log = False
+    cluster.plan(cluster.spare(), cluster.owner)
+    cluster.run(1.0)
+    assert cluster.serves(cluster.owner)
+    cluster.owner.reads_log = True
+    cluster.run(1.0)
 
 
-def replaced_machine(stage):
+def replaced_machine(cluster):
     """A frozen machine is replaced by a new process under the same id.
 
     A long request runs on the owner's backend server. The machine freezes and is
@@ -236,16 +236,16 @@
     witnesses grant it before the old process's lease is over, and requests of both
     machines take effect at the same time.
     """
-    assert stage.serves(stage.owner, LONG_S)
-    stage.owner.restart()
-    stage.world.forwarded = [
-        attrs.evolve(one, node_id="the old machine") for one in stage.world.forwarded
+    assert cluster.serves(cluster.owner, LONG_S)
+    cluster.owner.restart()
+    cluster.world.forwarded = [
+        attrs.evolve(one, node_id="the old machine") for one in cluster.world.forwarded
     ]
-    stage.run(2.5)
-    stage.run(4.0)
+    cluster.run(2.5)
+    cluster.run(4.0)
 
 
-def backend_lost_under_way(stage):
+def backend_lost_with_a_request_in_flight(cluster):
     """A backend server is lost while a request is in its socket.
 
     A request is forwarded, and the server freezes. Its node gives up the lease, the
@@ -253,16 +253,16 @@
     doesn't include the outstanding deadlines, and the thawed server applies the request
     after the takeover.
     """
-    assert stage.serves(stage.owner, 0.9)
-    node = stage.owner
+    assert cluster.serves(cluster.owner, 0.9)
+    node = cluster.owner
     node.backend_up = False
     node.carry_out(node.agent.surrender(node.state, "backend lost", node.now_s()))
-    stage.run(0.6)
-    stage.run(2.0)
-    assert stage.serves(stage.standby)
+    cluster.run(0.6)
+    cluster.run(2.0)
+    assert cluster.serves(cluster.standby)
 
 
-def surrender_and_recover(stage):
+def surrender_and_recover(cluster):
     """A backend server returns shortly after its node gave up the lease.
 
     The node gives up the lease, the standby takes over, and the backend server
@@ -270,39 +270,39 @@
     counted grants from before the surrender, the recovered owner and its standby would
     both answer.
     """
-    stage.standby.appends = False
-    node = stage.owner
+    cluster.standby.appends = False
+    node = cluster.owner
     node.backend_up = False
     node.carry_out(node.agent.surrender(node.state, "backend lost", node.now_s()))
-    stage.run(0.3)
-    assert stage.serves(stage.standby)
+    cluster.run(0.3)
+    assert cluster.serves(cluster.standby)
     node.backend_up = True
     node.agent.recover()
-    with mock.patch.object(stage.world, "send", lambda *message: None):
+    with mock.patch.object(cluster.world, "send", lambda *message: None):
         node.carry_out(node.agent.renewal_granted("", 0, 0, node.now_s()))
         node.carry_out(node.agent.tick(node.state, node.now_s(), True))
-    stage.run(1.0)
+    cluster.run(1.0)
 
 
-def two_shares(stage):
+def two_shares(cluster):
     """Give the owner a second slice, whose standby is another node."""
-    other = stage.spare()
-    first = stage.piece()
-    pieces = stage.world.folded_log().slices[SERVICE].slices
+    other = cluster.spare()
+    first = cluster.piece()
+    pieces = cluster.world.folded_log().slices[SERVICE].slices
     second = next(piece for piece in pieces if piece.start != first.start)
     change = SliceMove(
         service=SERVICE,
         start=second.start,
         base_epoch=second.epoch,
-        owner=stage.owner.node_id,
+        owner=cluster.owner.node_id,
         standby=other.node_id,
     )
-    move(stage.world, [change])
-    stage.run(1.5)
+    move(cluster.world, [change])
+    cluster.run(1.5)
     return other
 
 
-def share_that_grows(stage):
+def share_that_grows(cluster):
     """A slice gets another standby while two takers hold their shares.
 
     An owner of two slices with different standbys is lost, and both standbys claim its
@@ -310,38 +310,38 @@
     other's slice. Without the mechanism the share follows the fold and includes a slice
     that the other taker still serves, so that both answer.
     """
-    other = two_shares(stage)
-    stage.standby.appends = other.appends = False
-    stage.owner.frozen = True
-    stage.run(2.0)
-    assert stage.serves(stage.standby)
-    stage.standby.reads_log = False
-    stage.plan(stage.owner, other)
-    stage.run(1.0)
-    stage.standby.appends = other.appends = True
-    stage.standby.reads_log = True
-    stage.run(1.0)
-
-
-def two_views(stage):
+    other = two_shares(cluster)
+    cluster.standby.appends = other.appends = False
+    cluster.owner.frozen = True
+    cluster.run(2.0)
+    assert cluster.serves(cluster.standby)
+    cluster.standby.reads_log = False
+    cluster.plan(cluster.owner, other)
+    cluster.run(1.0)
+    cluster.standby.appends = other.appends = True
+    cluster.standby.reads_log = True
+    cluster.run(1.0)
+
+
+def two_views(cluster):
     """A slice gets another standby while the former one holds a claim.
 
     An owner is lost, and its standby claims the lease and can't reach the log. The
     planner assigns another standby, which claims it as well. Without the mechanism both
     standbys answer, since their claims are based on different views of the assignment.
     """
-    stage.standby.appends = False
-    stage.owner.frozen = True
-    stage.run(2.0)
-    assert stage.serves(stage.standby)
-    stage.standby.reads_log = False
-    stage.plan(stage.owner, stage.spare())
-    stage.run(1.5)
-    stage.standby.appends = stage.standby.reads_log = True
-    stage.run(1.0)
-
-
-def takeover_before_release(stage):
+    cluster.standby.appends = False
+    cluster.owner.frozen = True
+    cluster.run(2.0)
+    assert cluster.serves(cluster.standby)
+    cluster.standby.reads_log = False
+    cluster.plan(cluster.owner, cluster.spare())
+    cluster.run(1.5)
+    cluster.standby.appends = cluster.standby.reads_log = True
+    cluster.run(1.0)
+
+
+def takeover_before_release(cluster):
     """A new owner is lost before the earlier one has released the slice.
 
     A slice moves while the earlier owner can't read the log. The new owner is lost, and
@@ -349,17 +349,17 @@
     record drops the fact that a release is still awaited, and the earlier owner and the
     new owner's standby both answer.
     """
-    target = stage.spare()
-    stage.owner.reads_log = False
-    stage.plan(target, stage.standby)
+    target = cluster.spare()
+    cluster.owner.reads_log = False
+    cluster.plan(target, cluster.standby)
     target.frozen = True
-    stage.run(2.5)
-    assert stage.serves(stage.owner)
-    stage.owner.reads_log = True
-    stage.run(1.0)
+    cluster.run(2.5)
+    assert cluster.serves(cluster.owner)
+    cluster.owner.reads_log = True
+    cluster.run(1.0)
 
 
-def stale_taker_of_replaced_witnesses(stage):
+def stale_taker_of_replaced_witnesses(cluster):
     """A witness is replaced while other witnesses don't know of the replacement.
 
     One witness is silent for a long time, and the owner replaces it. Another one
@@ -368,42 +368,42 @@
     mechanism the owner relies on the new witnesses before a majority of the earlier
     ones refuses claims that are based on the earlier epoch, so that both nodes answer.
     """
-    standby = stage.standby
-    lost = next(node for node in stage.witnesses if node is not standby)
-    left = [node for node in stage.witnesses if node is not lost]
+    standby = cluster.standby
+    lost = next(node for node in cluster.witnesses if node is not standby)
+    left = [node for node in cluster.witnesses if node is not lost]
     stale = standby if standby in left else left[0]
     for node in (lost, stale, standby):
         node.reads_log = False
     lost.frozen = True
-    stage.run(1.9)
+    cluster.run(1.9)
     for node in {lost, stale}:
-        stage.world.cuts.add((stage.owner.node_id, node.node_id))
-        stage.world.cuts.add((node.node_id, stage.owner.node_id))
-    stage.run(0.7)
+        cluster.world.cuts.add((cluster.owner.node_id, node.node_id))
+        cluster.world.cuts.add((node.node_id, cluster.owner.node_id))
+    cluster.run(0.7)
     lost.frozen = False
-    stage.run(2.0)
-    for node in stage.world.nodes.values():
+    cluster.run(2.0)
+    for node in cluster.world.nodes.values():
         node.reads_log = True
-    stage.world.cuts.clear()
-    stage.run(1.0)
+    cluster.world.cuts.clear()
+    cluster.run(1.0)
 
 
-def drifting_clocks(stage):
+def drifting_clocks(cluster):
     """An owner's clock runs slower than those of its witnesses.
 
     The owner is partitioned from the others, and the witnesses' clocks reach the end of
     the lease first. Without an allowance for the drift between clocks, the owner still
     answers when its standby has taken over.
     """
-    for node in stage.world.nodes.values():
-        node.set_rate(1.0 if node is stage.owner else 1.2)
-    stage.run(1.0)
-    stage.isolate(stage.owner)
-    stage.run(2.0)
-    stage.world.cuts.clear()
+    for node in cluster.world.nodes.values():
+        node.set_rate(1.0 if node is cluster.owner else 1.2)
+    cluster.run(1.0)
+    cluster.isolate(cluster.owner)
+    cluster.run(2.0)
+    cluster.world.cuts.clear()
 
 
-def early_record(stage):
+def early_record(cluster):
     """A taker's record is late, and the owner's lease has restarted meanwhile.
 
     The owner freezes, and the standby claims its lease. The standby's record is
@@ -412,44 +412,44 @@
     does. A record that is based on an earlier hold of the lease must be refused;
     otherwise it assigns the slice to the taker while the owner still serves it.
     """
-    world = stage.world
-    stage.owner.frozen = True
-    stage.standby.appends = True
+    world = cluster.world
+    cluster.owner.frozen = True
+    cluster.standby.appends = True
     world.log_up = True
     held_up = []
     original = world.append
 
     def hold_up(node, record):
-        if node is stage.standby:
+        if node is cluster.standby:
             held_up.append(record)
         else:
             original(node, record)
 
     with mock.patch.object(world, "append", hold_up):
-        stage.run(2.0)
+        cluster.run(2.0)
         assert held_up
-        stage.standby.frozen = True
-        stage.owner.frozen = False
-        stage.run(3.0)
-        assert stage.serves(stage.owner)
-        stage.owner.reads_log = False
+        cluster.standby.frozen = True
+        cluster.owner.frozen = False
+        cluster.run(3.0)
+        assert cluster.serves(cluster.owner)
+        cluster.owner.reads_log = False
         world.waiting_appends += held_up
         world.append_waiting()
-        stage.standby.frozen = False
-        stage.run(2.0)
-    stage.owner.reads_log = True
-    stage.run(2.0)
+        cluster.standby.frozen = False
+        cluster.run(2.0)
+    cluster.owner.reads_log = True
+    cluster.run(2.0)
 
 
-def ignore_terms(self, granting):
+def heal_despite_other_terms(self, granting):
     self._chart.fire("majority_unbroken")
 
 
-def never_stale(self, watched, claim, view):
+def never_denied(self, watched, claim, view):
     return Denial.NONE
 
 
-def follow_the_fold(self, key, now_s):
+def hold_without_a_fixed_share(self, key, now_s):
     return self.held_since_s is not None and self.lease.held(now_s)
 
 
@@ -473,7 +473,7 @@
     return right_to_serve
 
 
-def forget_earlier_process(original=Witness.renew):
+def ignore_earlier_process(original=Witness.renew):
     def renew(self, renewal, *arguments):
         watched = self._watched.get(renewal.owner_id)
         if watched and watched.incarnation != renewal.incarnation:
@@ -490,7 +490,7 @@
     ),
     "portfolio epoch at the witness": (
         stale_standby_after_move,
-        lambda: off(Witness, "_claim_denial", never_stale),
+        lambda: off(Witness, "_claim_denial", never_denied),
     ),
     "witnesses know the move before a release": (
         unacknowledged_portfolio,
@@ -498,7 +498,7 @@
     ),
     "terms show a taker": (
         healed_lapse_after_takeover,
-        lambda: off(Holder, "_regain", ignore_terms),
+        lambda: off(Holder, "_regain", heal_despite_other_terms),
     ),
     "deadlines in renewals": (
         long_request,
@@ -518,10 +518,10 @@
     ),
     "a new process waits for the old one": (
         replaced_machine,
-        lambda: off(Witness, "renew", forget_earlier_process()),
+        lambda: off(Witness, "renew", ignore_earlier_process()),
     ),
     "a surrender reports what is in flight": (
-        backend_lost_under_way,
+        backend_lost_with_a_request_in_flight,
         lambda: off(InFlight, "all_until_s", lambda self, now_s: now_s),
     ),
     "the lease starts with a record": (
@@ -530,11 +530,11 @@
     ),
     "a claim keeps its share": (
         share_that_grows,
-        lambda: off(HeldClaim, "holds", follow_the_fold),
+        lambda: off(HeldClaim, "holds", hold_without_a_fixed_share),
     ),
     "takers have one view": (
         two_views,
-        lambda: off(Witness, "_claim_denial", never_stale),
+        lambda: off(Witness, "_claim_denial", never_denied),
     ),
     "a takeover awaits the earlier release": (
         takeover_before_release,
@@ -555,20 +555,20 @@
 def test_scenario_keeps_one_owner(name):
     """The sequence ends without two owners, and the key is served in the end."""
     scenario, _ = MECHANISMS[name]
-    stage = Stage()
-    scenario(stage)
-    stage.run(8.0)
-    assert stage.world.served(KEY)
+    cluster = Cluster()
+    scenario(cluster)
+    cluster.run(8.0)
+    assert cluster.world.served(KEY)
 
 
 @pytest.mark.parametrize("name", MECHANISMS)
 def test_scenario_needs_its_mechanism(name):
     """The same sequence ends in two owners if the mechanism is switched off."""
     scenario, switched_off = MECHANISMS[name]
-    stage = Stage()
+    cluster = Cluster()
     with switched_off(), pytest.raises(Violation):
-        scenario(stage)
-        stage.run(2.0)
+        scenario(cluster)
+        cluster.run(2.0)
 
 
 def test_owner_that_receives_no_answers_pauses_its_requests():
@@ -578,12 +578,12 @@
     If it kept sending requests, each one would extend the lease at the witnesses, so
     that no claim would be granted.
     """
-    stage = Stage()
-    for name in stage.world.nodes:
-        if name != stage.owner.node_id:
-            stage.world.cuts.add((name, stage.owner.node_id))
-    stage.run(6.0)
-    assert stage.world.served(KEY)
+    cluster = Cluster()
+    for name in cluster.world.nodes:
+        if name != cluster.owner.node_id:
+            cluster.world.cuts.add((name, cluster.owner.node_id))
+    cluster.run(6.0)
+    assert cluster.world.served(KEY)
 
 
 def test_witnesses_lost_one_after_another_are_replaced():
@@ -592,11 +592,11 @@
     A witness's machine is lost permanently, and later another one's. The first one has
     to be replaced while there still is a majority.
     """
-    stage = Stage()
-    first, second, _ = stage.witnesses
+    cluster = Cluster()
+    first, second, _ = cluster.witnesses
     first.frozen = True
-    stage.run(6.0)
-    assert first.node_id not in stage.world.witnesses_of(KEY)
+    cluster.run(6.0)
+    assert first.node_id not in cluster.world.witnesses_of(KEY)
     second.frozen = True
-    stage.run(2.0)
-    assert stage.world.served(KEY)
+    cluster.run(2.0)
+    assert cluster.world.served(KEY)
--- a/comfreywharf/ownership/tests/test_restarted_memory.py
+++ b/comfreywharf/ownership/tests/test_restarted_memory.py
@@ -7,7 +7,7 @@
 ALWAYS_S = float("-inf")
 
 
-def test_new_process_claims_no_memory_of_an_earlier_ones_requests():
+def test_new_process_reports_its_memory_of_earlier_requests_as_incomplete():
     """Guards against a booking that is sent again and runs a second time at the next
     owner.
 
--- a/comfreywharf/ownership/tests/test_sole_ownership.py
+++ b/comfreywharf/ownership/tests/test_sole_ownership.py
@@ -33,7 +33,7 @@
         return self.world.nodes[self.world.role(role, KEY)]
 
     @rule(duration_s=st.sampled_from([0.05, 0.1, 0.3, 0.7, 1.2, 3.5]))
-    def go_on(self, duration_s):
+    def run_world(self, duration_s):
         self.world.run(duration_s)
 
     @rule(role=roles)
@@ -142,7 +142,7 @@
         move(self.world, [change])
 
     @invariant()
-    def one_owner(self):
+    def no_key_has_two_owners(self):
         if hasattr(self, "world"):
             self.world.check()
 
--- a/comfreywharf/ownership/tests/test_witness_groups.py
+++ b/comfreywharf/ownership/tests/test_witness_groups.py
@@ -30,7 +30,7 @@
     assert world.served(KEY)
 
 
-def test_a_small_deployment_has_three(monkeypatch):
+def test_small_deployment_has_three_witnesses(monkeypatch):
     """With four other members there can't be five witnesses, and four are no better."""
     world = make_world_of_five(monkeypatch, count=5)
     assert len(world.witnesses_of(KEY)) == 3
