--- a/comfreywharf/ownership/hold_lists.py
+++ b/comfreywharf/ownership/hold_lists.py
@@ -201,9 +201,17 @@
         numbers = numbers_in(start, end)
         if numbers is None:
             return ""
-        found = [r for r in self._handovers if _overlap(r, *numbers)]
-        inside = [r for r in found if numbers[0] <= r.first and r.last <= numbers[1]]
-        self._handovers = [r for r in self._handovers if r not in inside]
+        found = [
+            released for released in self._handovers if _overlap(released, *numbers)
+        ]
+        inside = [
+            released
+            for released in found
+            if numbers[0] <= released.first and released.last <= numbers[1]
+        ]
+        self._handovers = [
+            released for released in self._handovers if released not in inside
+        ]
         return found[-1].handover if found else ""
 
     def has_changes(self, report, serving, now_s):
@@ -212,7 +220,8 @@
             return True
         candidates = self._candidates(report.service, serving, now_s)
         if not all(
-            self.book.holds_key(report.service, w.start, now_s) for w in candidates
+            self.book.holds_key(report.service, candidate.start, now_s)
+            for candidate in candidates
         ):
             return True
         listed = self._sent.candidates if self._sent else ()
@@ -220,7 +229,9 @@
         return any(
             now_s < old.until_s
             and old.start not in starts
-            and not any(w.start <= old.start < w.end for w in candidates)
+            and not any(
+                candidate.start <= old.start < candidate.end for candidate in candidates
+            )
             for old in listed
         )
 
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -477,7 +477,7 @@
     def renew(self, renewal, *arguments):
         watched = self._watched.get(renewal.owner_id)
         if watched and watched.incarnation != renewal.incarnation:
-            watched.expires_s = watched.reach_s = float("-inf")
+            watched.expires_s = watched.reach_until_s = float("-inf")
         return original(self, renewal, *arguments)
 
     return renew
--- a/comfreywharf/ownership/witness.py
+++ b/comfreywharf/ownership/witness.py
@@ -31,7 +31,7 @@
     lease_epoch: int
     portfolio_epoch: int
     expires_s: float
-    reach_s: float
+    reach_until_s: float
     round: int
 
     @property
@@ -39,7 +39,7 @@
         return self.lease_epoch, self.portfolio_epoch
 
     def active(self, now_s):
-        return now_s < max(self.expires_s, self.reach_s)
+        return now_s < max(self.expires_s, self.reach_until_s)
 
 
 @attrs.define(kw_only=True)
@@ -50,7 +50,7 @@
     lease_epoch: int = -1
     portfolio_epoch: int = -1
     expires_s: float = NEVER_S
-    reach_s: float = NEVER_S
+    reach_until_s: float = NEVER_S
     round: int = -1
     term: int = 0
     takers: dict[str, _Taker] = attrs.Factory(dict)
@@ -67,7 +67,9 @@
         A backend server that checks fences refuses a request whose grant has lapsed,
         so that no wait beyond the lease is needed.
         """
-        return self.expires_s if checks_fences else max(self.expires_s, self.reach_s)
+        return (
+            self.expires_s if checks_fences else max(self.expires_s, self.reach_until_s)
+        )
 
     def drop_inactive(self, now_s):
         for taker_id in [
@@ -138,7 +140,7 @@
         watched.portfolio_epoch = max(watched.portfolio_epoch, renewal.portfolio_epoch)
         watched.round = renewal.round
         watched.expires_s = self._terms.expires_s(now_s, renewal.lease_s)
-        watched.reach_s = self._terms.expires_s(now_s, renewal.reach_s)
+        watched.reach_until_s = self._terms.expires_s(now_s, renewal.reach_s)
 
     def claim(self, claim, view, longest_request_s, now_s):
         """Answer a standby's claim on a share of a lapsed lease."""
@@ -201,7 +203,7 @@
             lease_epoch=claim.lease_epoch,
             portfolio_epoch=claim.portfolio_epoch,
             expires_s=self._terms.expires_s(now_s, claim.lease_s),
-            reach_s=self._terms.expires_s(now_s, claim.reach_s),
+            reach_until_s=self._terms.expires_s(now_s, claim.reach_s),
             round=claim.round,
         )
         return Grant(granted=True, term=watched.term)
@@ -218,7 +220,7 @@
         if claim.round > taker.round:
             taker.round = claim.round
             taker.expires_s = now_s
-            taker.reach_s = self._terms.expires_s(now_s, claim.reach_s)
+            taker.reach_until_s = self._terms.expires_s(now_s, claim.reach_s)
 
     def lapsed_owners(self, owner_ids, now_s):
         """Return those of the given owners whose standbys are to be notified now.
@@ -246,7 +248,9 @@
                 del self._watched[owner_id]
 
     def _taken_for_s(self, watched, now_s):
-        latest_s = max(max(t.expires_s, t.reach_s) for t in watched.takers.values())
+        latest_s = max(
+            max(t.expires_s, t.reach_until_s) for t in watched.takers.values()
+        )
         return latest_s - now_s
 
     def _lookup(self, owner_id):
