--- a/comfreywharf/ownership/actions.py
+++ b/comfreywharf/ownership/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the ownership decisions request from the daemon."""
+"""Actions that the `OwnershipAgent` requests from the daemon."""
 
 import attrs
 
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class SendUnclaim(Action):
-    """Give a share back to a witness."""
+    """Send a witness the end of a claim, with the deadlines that still count."""
 
     witness: str
     claim: Claim
@@ -58,7 +58,10 @@
 
 @attrs.frozen
 class Purpose:
-    """The reason why a record is appended, passed back with its outcome."""
+    """The reason why a record is appended, passed back with its outcome.
+
+    ``detail`` identifies the lease, claim or slice that the record is for.
+    """
 
     kind: str
     detail: object
@@ -82,12 +85,12 @@
 
 @attrs.frozen
 class Report(Action):
-    """Report an event."""
+    """Report an event to the operators."""
 
     name: str
     fields: dict[str, object]
 
 
 def report(name, /, **fields):
-    """Return a `Report` of a catalogued event."""
+    """Return the `Report` of an event that the event catalogue lists."""
     return Report(name, fields)
--- a/comfreywharf/ownership/agent.py
+++ b/comfreywharf/ownership/agent.py
@@ -1,8 +1,8 @@
 """The decisions of one node about ownership: events in, actions out.
 
-The agent holds the node's lease, its claims on lapsed leases and its table of
-what may be served. It uses no clock, no sockets and no event loop: the daemon
-and the state machine of the tests drive the same code.
+The agent has the state of the node's lease, its claims on lapsed leases and its table
+of the slices that it may serve. It uses no clock, no sockets and no event loop: the
+daemon and the state machine of the tests drive the same code.
 """
 
 from comfreywharf.ownership.actions import (
@@ -41,6 +41,7 @@
 _MOVING = (SlicesMoved, SlicesTaken, MoveCompleted)
 """Records after which a release may have to be requested."""
 
+# The kinds of a `Purpose`.
 START = "start"
 TAKE = "take"
 COMPLETE = "complete"
@@ -49,7 +50,7 @@
 
 
 class OwnershipAgent:
-    """Decide what a node does to own keys exclusively.
+    """Decide when a node renews its lease, takes over slices and releases them.
 
     ``make_id`` returns a unique record id. ``fenced`` says that the backend
     server checks fences.
@@ -95,8 +96,8 @@
     def tick(self, state, now_s, may_hold, forced=False):
         """Return the actions to take now.
 
-        ``may_hold`` says whether the fold may be acted on and a backend server
-        is present; ``forced`` renews before the next interval is over.
+        ``may_hold`` says whether the fold is recent enough to decide on and a backend
+        server is present; ``forced`` renews before the next interval is over.
         """
         actions = []
         if self.holder.tick(now_s):
@@ -113,7 +114,7 @@
         return actions
 
     def rescan(self):
-        """Scan all slices for releases at the next tick."""
+        """Scan all slices for releases to request or to record at the next tick."""
         self._scan_s = float("-inf")
 
     def own_lease(self, state):
@@ -164,7 +165,7 @@
         ]
 
     def renewal_granted(self, witness, number, term, now_s):
-        """Count a witness's grant of a renewal; return the actions to take."""
+        """Register a witness's grant of a renewal; return the actions to take."""
         before = self.holder.phase
         self.holder.granted(witness, number, term, now_s)
         if (before, self.holder.phase) == ("lapsed", "held"):
@@ -209,8 +210,8 @@
     def surrender(self, state, reason, now_s, held_until_s=None):
         """Give up the lease and all shares at once; return the actions to take.
 
-        Forwarded requests may still take effect. The renewal tells the witnesses
-        until when, and they make the standbys wait for that long. ``held_until_s``
+        Forwarded requests may still take effect. The renewal reports to the witnesses
+        until when, and they refuse the standbys' claims until then. ``held_until_s``
         is the end of the last grant that the backend server may have, whichever
         lease it is based on; it delays the standbys as well. It is
         ``NOTHING_HELD_S`` if the server has certainly crashed, and ``None`` if the
@@ -260,7 +261,7 @@
         return self._send_claim(claim, now_s)
 
     def claim_granted(self, owner_id, witness, number, term, now_s):
-        """Count a witness's grant of a claim; return the actions to take."""
+        """Register a witness's grant of a claim; return the actions to take."""
         claim = self.claims.get(owner_id)
         if claim is None or not claim.granted(witness, number, term, now_s):
             return []
@@ -336,7 +337,11 @@
         return all(p and self._node_id in (p.owner, p.previous) for p in pieces)
 
     def _outstanding(self, state, claim):
-        """Return the slices of a claim's share that are not yet recorded in the log."""
+        """Return ``(takes, completions)`` that the log lacks for a claim's share.
+
+        ``takes`` are takeovers to record; ``completions`` are keys of slices whose
+        move from the claimed owner is to be recorded as completed.
+        """
         takes, completions = [], []
         for key in claim.share:
             piece = state.slices[key.service].at_start(key.start)
@@ -352,7 +357,7 @@
         return takes, completions
 
     def _end_claim(self, claim, now_s, recorded=False, held_until_s=None):
-        """Give a share back; requests in flight under it still count."""
+        """End a claim; the witnesses are sent until when it may still have effects."""
         claim.over = True
         del self.claims[claim.owner_id]
         acts_until_s = self._claim_acts_until_s(claim, recorded, now_s, held_until_s)
@@ -368,7 +373,7 @@
         A claim that was never held has none. If its end covered the requests for
         this node's own keys, a busy node would delay its own next claim whenever
         it ends one, and the owner's keys would stay unavailable. ``held_until_s``
-        bounds what the server holds, where this is known; without that bound the
+        is the end of the server's last grant, or ``None``; without that bound the
         keys would be unavailable for up to a lease.
         """
         known_s = self._acts_until_s.get(claim.owner_id, now_s)
@@ -391,7 +396,7 @@
     # Releases.
 
     def _scan(self, state, now_s):
-        """Request awaited releases, and record those that were received."""
+        """Request the awaited releases, and record the received ones in the log."""
         actions = []
         for key, piece in self.table.awaited_releases(state, now_s):
             if key not in self._requested_releases:
@@ -408,11 +413,14 @@
         )
 
     def release_request_ended(self, key):
-        """Register that a release is no longer being requested."""
+        """Register that a release is no longer requested."""
         self._requested_releases.discard(key)
 
     def release_received(self, key, vouched, now_s):
-        """Handle an earlier owner's release; return the actions to take."""
+        """Handle an earlier owner's release; return the actions to take.
+
+        ``vouched`` says that the earlier owner's memory of request ids is complete.
+        """
         self._requested_releases.discard(key)
         self.table.release_received(key, float("-inf") if vouched else now_s)
         self.rescan()
@@ -479,7 +487,7 @@
 
         Between the two states a slice may have moved away and back without a
         record that is folded here. If the earlier memory of request ids still
-        counted as complete, a booking that another owner ran in between would
+        counted as complete, a request that another owner ran in between would
         run a second time. The memory therefore counts as incomplete.
         """
         self.table.lease_began(state, now_s)
--- a/comfreywharf/ownership/claims.py
+++ b/comfreywharf/ownership/claims.py
@@ -1,4 +1,4 @@
-"""Claims: the shares of other nodes' lapsed leases that this node holds."""
+"""Claims on other nodes' lapsed leases, and the slices that they allow to serve."""
 
 import attrs
 
@@ -38,7 +38,7 @@
 
 
 class HeldClaim:
-    """A claim on one owner's lapsed lease.
+    """A claim on one owner's lapsed lease, requested or held.
 
     The share is fixed when the claim begins: a slice that a later record assigns
     to this node may still be served by another taker under the earlier view.
@@ -87,7 +87,7 @@
         )
 
     def granted(self, witness, number, term, now_s):
-        """Count a grant; return whether it gave the first majority."""
+        """Register a witness's grant; return whether it gave the first majority."""
         self.tick(now_s)
         if self.over:
             return False
@@ -98,7 +98,7 @@
         return False
 
     def tick(self, now_s):
-        """Update whether the claim is over, and return it."""
+        """Detect the end of the claim; return whether it is over."""
         if self.held_since_s is not None and not self.lease.held(now_s):
             self.over = True
         elif self.held_since_s is None and now_s > self.began_s + self._terms.lease_s:
--- a/comfreywharf/ownership/handover.py
+++ b/comfreywharf/ownership/handover.py
@@ -10,7 +10,11 @@
 
 @attrs.frozen(kw_only=True)
 class ReleaseDecision:
-    """Whether a slice is released, and if not, when to repeat the request."""
+    """Whether a slice is released, and if not, when to repeat the request.
+
+    ``notify_witnesses`` says that the witnesses first have to be sent a renewal with
+    the portfolio epoch of the move.
+    """
 
     released: bool
     retry_after_s: float = 0.0
--- a/comfreywharf/ownership/hold_lists.py
+++ b/comfreywharf/ownership/hold_lists.py
@@ -32,7 +32,7 @@
 that arrives a second after its heartbeat was sent."""
 
 MAX_HANDOVERS = 256
-"""How many handovers are kept for next owners; most older ones are never requested."""
+"""The most handovers that are kept for next owners; older ones are rarely requested."""
 
 
 @attrs.frozen(kw_only=True)
@@ -138,7 +138,7 @@
 class HoldLists:
     """Decide on the lists for one backend server.
 
-    ``capacity`` says how much fits in one answer.
+    ``capacity`` limits the size of one answer.
     """
 
     book: ListedHoldBook
@@ -176,10 +176,11 @@
 
     @staticmethod
     def _same_connection(sent, report):
-        """Return whether a report shows that the last list was received."""
+        """Return whether a report came on the connection that carried the last list."""
         return sent is not None and sent.connection == report.connection
 
     def _is_settled(self, candidate, report, reported_rows, now_s):
+        """Return whether a listed range was accepted, or needn't be held any more."""
         numbers = numbers_in(candidate.start, candidate.end)
         if numbers is None or (*numbers, candidate.fence) in reported_rows:
             return True
@@ -193,7 +194,7 @@
         )
 
     def release(self):
-        """Have the next heartbeat answered at once, since a range is to be released."""
+        """Have the next heartbeat answered at once, so that it releases a range."""
         self._release_wanted = True
 
     def pop_handover(self, start, end):
@@ -258,7 +259,7 @@
         return HoldList(rows=_joined([row for _, row in rows]), hold_s=hold_s)
 
     def _fill(self, report, candidates, now_s):
-        """Return ``(candidate, row)`` of what fits, and record it as listed."""
+        """Return ``(candidate, row)`` of ranges that fit, and record them as listed."""
         rows, used_bytes = [], 0
         for candidate in candidates:
             row = self._row(report.service, candidate)
--- a/comfreywharf/ownership/holder.py
+++ b/comfreywharf/ownership/holder.py
@@ -1,4 +1,4 @@
-"""The holder of a node's own lease, from the first request to its loss."""
+"""The state of a node's own lease, from the first request to its loss."""
 
 import attrs
 
@@ -30,7 +30,7 @@
 
 
 class Holder:
-    """Decide when to renew, when the node owns, and when it has to stop.
+    """Decide when a node renews its lease, and while it may own slices by it.
 
     A lapse during which no other node held the lease is healed without the log: if
     a majority of the witnesses still has the term that it granted before, no taker
@@ -61,12 +61,15 @@
 
     @property
     def phase(self):
-        """Return the state of the lease's chart."""
+        """Return the state of the lease's state machine, see ``lease.toml``."""
         return self._chart.state
 
     @property
     def generation(self):
-        """Return a number that changes whenever the lease was lost in between."""
+        """Return a number that grows when the lease is gained anew.
+
+        It stays the same when a lapse is healed.
+        """
         return self._generation
 
     @property
@@ -96,9 +99,9 @@
         return now_s >= self.next_round_s
 
     def has_new_epoch(self, epoch, now_s):
-        """Return whether to renew at once, since the witnesses don't know an epoch.
+        """Return whether to renew at once, to send the witnesses a new epoch.
 
-        Nothing is served under an epoch before they know it.
+        Nothing is served under an epoch before they have acknowledged it.
         """
         return (
             self.phase == "held"
@@ -136,7 +139,7 @@
         return self._ending(own_lease, reach_until_s, now_s)
 
     def renewal(self, own_lease, reach_until_s, now_s, extra=False):
-        """Return the renewal to send to each of ``asked`` now.
+        """Return the renewal to send to each of ``recipients`` now.
 
         An ``extra`` renewal doesn't change when the next regular one is due.
         """
@@ -157,17 +160,17 @@
         )
 
     def mark_vouched(self, renewal, witness):
-        """Return a renewal for one witness, marked if its grant still counts."""
+        """Return a renewal for one witness; ``vouched`` if its earlier grant counts."""
         vouched = self._lease.had_grant(witness, renewal.round)
         return attrs.evolve(renewal, vouched=vouched)
 
     @property
     def recipients(self):
-        """Return the witnesses and the candidates for witnesses."""
+        """Return the nodes that get renewals: witnesses, and candidates for them."""
         return tuple(dict.fromkeys((*self._lease.witnesses, *self.candidates)))
 
     def silent_witnesses(self, now_s):
-        """Return those of ``asked`` that have granted nothing for too long."""
+        """Return those of ``recipients`` that have granted nothing for too long."""
         limit_s = now_s - self._terms.replace_witness_after_s
         return {
             witness
@@ -181,12 +184,12 @@
         return 2 * len(granting) > len(group)
 
     def granted(self, witness, number, term, now_s):
-        """Count a grant, and move the chart if it gives a majority."""
+        """Register a grant, and change the state if it gives a majority."""
         if self.phase in ("surrendered", "superseded"):
             return
         # A lapse has to be detected before the grant counts. Otherwise a grant
-        # that arrives after the end would join two holds with a gap between
-        # them, in which a taker may have served.
+        # that arrives after the end would join two periods of the lease with a gap
+        # between them, in which a taker may have served.
         self.tick(now_s)
         self._lease.grant(witness, number, term, now_s)
         if not self._lease.held(now_s):
@@ -201,6 +204,7 @@
         self._known_witness_terms.update(granting)
 
     def _regain(self, granting):
+        """End a lapse: heal it, or start the lease anew if a taker may have had it."""
         unbroken = {
             witness
             for witness, term in granting.items()
@@ -214,7 +218,7 @@
         self._known_witness_terms = {}
 
     def tick(self, now_s):
-        """Detect a lapse; return whether there was one."""
+        """Detect a lapse of the lease; return whether there was one."""
         if self.phase not in ("held", "starting") or self._lease.held(now_s):
             return False
         self._was_started = self.phase == "held"
@@ -222,12 +226,12 @@
         return self._chart.fire("majority_lost")
 
     def start_read_back(self, generation):
-        """Register that the `LeaseStarted` record of a hold was read back."""
+        """Register that the `LeaseStarted` record of a generation was read back."""
         if generation == self._generation and self.phase == "starting":
             self._chart.fire("started")
 
     def surrender(self, own_lease, reach_until_s, now_s, held_until_s=None):
-        """Stop owning at once; return the renewal that ends the lease.
+        """Stop owning slices at once; return the renewal that ends the lease.
 
         It allows a standby to begin before the lease would have lapsed. All grants
         are dropped, including those still in transit: they would count after a
@@ -265,7 +269,7 @@
         self._round_sent_s = float("-inf")
 
     def supersede(self):
-        """Stop permanently, since a newer process uses this node's id."""
+        """Give up the lease permanently, since a newer process uses this node's id."""
         return self._chart.fire("replaced")
 
     def owns(self, now_s):
--- a/comfreywharf/ownership/holds.py
+++ b/comfreywharf/ownership/holds.py
@@ -31,8 +31,8 @@
     """The result of a grant.
 
     ``LOST`` means no answer: the grant may be applied now, later or never.
-    ``UNSENT`` means that the grant wasn't sent: its target process isn't known to
-    be at the address any more, or all connections to it were in use.
+    ``UNSENT`` means that the grant wasn't sent: its target process may no longer be
+    at the address, or all connections to it were in use.
     """
 
     TAKEN = "taken"
@@ -94,7 +94,13 @@
 
 @attrs.define(kw_only=True)
 class _Hold:
-    """A range that the backend server was granted, and the possible ends of it."""
+    """A range that the backend server was granted, and the possible ends of it.
+
+    ``taken_until_s`` is the end that counts as accepted by the server;
+    ``possible_until_s`` is the latest end of all grants. ``lost_until_s`` is the end
+    of grants whose answers were lost, and ``listed_until_s`` has the ends of lists in
+    transit, by connection.
+    """
 
     start: int
     end: int
@@ -119,7 +125,7 @@
         return max([self.lost_until_s, *self.listed_until_s.values()])
 
     def confirmed_until_s(self, value):
-        """Return until when the server is known to hold a key by this grant."""
+        """Return until when the server has confirmed that this grant holds a key."""
         stopped = any(start <= value < end for start, end in self.stopped_ranges)
         inside = self.start <= value < self.end
         return self.taken_until_s if inside and not stopped else float("-inf")
@@ -149,6 +155,9 @@
     clock ends later by `HoldTerms.slow_clock`. The order's ``hold_s`` is shorter by
     as much, so that the hold still ends by ``until_s``.
 
+    ``_earlier`` has the replaced holds that may last, by service; ``_stopped`` has the
+    highest fence under which a slice is no longer granted.
+
     Until ``unknown_until_s`` the server may hold any range from an earlier process
     of this node, which left no record of its grants.
 
@@ -276,7 +285,7 @@
         return [hold for hold in self._holds_of(service) if hold.overlaps(start, end)]
 
     def answered(self, order, answer, now_s):
-        """Process the answer to an order, or its loss."""
+        """Register the answer to an order, or the loss of that answer."""
         hold = self._hold_for(order)
         if hold is None:
             return
@@ -325,8 +334,8 @@
         """Stop granting a range under its present fence; return that fence.
 
         ``None`` means that nothing is held there. ``fence`` is the fence of the
-        move that takes the range away. It is used for the release if this process
-        can't know the fence under which the range is held.
+        move that takes the range away. It is used for the release if an earlier
+        process of this node may have granted the range under another fence.
         """
         holds = self._overlapping(service, start, end)
         if not holds and now_s >= self.unknown_until_s:
@@ -354,7 +363,7 @@
         return max([hold.ends_s for hold in holds] + [self.unknown_until_s])
 
     def all_held_until_s(self, now_s):
-        """Return until when anything may be held."""
+        """Return until when the server may hold any range."""
         holds = list(self._holds.values()) + sum(self._earlier.values(), [])
         ends_s = [hold.ends_by_s(now_s) for hold in holds]
         return max([*ends_s, self.unknown_until_s, now_s])
--- a/comfreywharf/ownership/inflight.py
+++ b/comfreywharf/ownership/inflight.py
@@ -11,7 +11,8 @@
 class Ticket:
     """One forwarded request: its service, key hash and deadline.
 
-    ``long`` marks a deadline for which the witnesses don't make a taker wait yet.
+    ``long`` marks a deadline that the witnesses haven't received yet, so that they
+    wouldn't make a taker wait for it.
     """
 
     service: str
@@ -21,7 +22,9 @@
 
 
 class InFlight:
-    """All tickets of a node; a ticket ends with its request or its deadline.
+    """The tickets of a node's forwarded requests.
+
+    A ticket ends with its request or its deadline.
 
     ``margin_s`` is added to each deadline before it counts as past, since the
     backend server checks the deadline shortly before the effect.
@@ -65,7 +68,7 @@
         return until_s
 
     def expire(self, now_s):
-        """Drop tickets whose deadline is past by the margin."""
+        """Drop tickets whose deadline is past by more than ``margin_s``."""
         past = [
             number
             for number, ticket in self._tickets.items()
--- a/comfreywharf/ownership/listed_holds.py
+++ b/comfreywharf/ownership/listed_holds.py
@@ -51,7 +51,7 @@
         return self._handovers.get(slice_id, "")
 
     def lists_received(self, service, list_id, reported, now_s):
-        """Register that the lists on a connection arrived, and what is held now.
+        """Register that the lists on a connection arrived, and which ranges are held.
 
         ``reported`` are half-open ranges of hashes that the server holds.
         """
--- a/comfreywharf/ownership/lostwitnesses.py
+++ b/comfreywharf/ownership/lostwitnesses.py
@@ -1,4 +1,4 @@
-"""Decide when a node whose witnesses are lost may choose others, and which."""
+"""Decide when a node whose witnesses are lost chooses others, and which ones."""
 
 import attrs
 
@@ -7,13 +7,18 @@
 __all__ = ["LostWitnesses"]
 
 PROBE_AFTER_LEASES = 0.4
+"""How long a majority is missing before the members are probed."""
+
 RESET_AFTER_LEASES = 2.5
-"""Longer than a restart takes. A reset costs `LeaseTerms.reset_wait_s`, 12 s: with a
-shorter time, two nodes whose witnesses restarted a second after them had to wait for
-that long after the loss of all nodes."""
+"""Longer than a restart takes. A reset makes the node wait for
+`LeaseTerms.reset_wait_s`, 12 s. With a shorter time, nodes had to wait for that after
+the loss of all nodes if their witnesses restarted a second after them."""
 
 ANSWER_AGE_LEASES = 0.7
+"""The age up to which an answer shows that its witness isn't lost."""
+
 PROBE_FRESH_S = 3.0
+"""The age up to which the result of a probe counts."""
 
 
 @attrs.define
@@ -43,10 +48,10 @@
         self._probed_s = now_s
 
     def must_wait(self, pending, now_s):
-        """Return whether to wait after a reset of the witnesses.
+        """Return whether to wait with renewals after a reset of the witnesses.
 
         The wait counts from when this process folded the record. An earlier process
-        of this node may have waited already, but its waiting time isn't known.
+        of this node may have waited already, but left no record of when.
         """
         if not pending:
             self._pending_since_s = None
@@ -56,7 +61,11 @@
         return now_s < self._pending_since_s + self.terms.reset_wait_s
 
     def evaluate(self, witnesses, requesting, now_s):
-        """Return ``(wants_probe, wants_reset)`` for a node's current witnesses."""
+        """Return ``(wants_probe, wants_reset)`` for a node's current witnesses.
+
+        ``wants_probe`` says that the members have to be probed, and ``wants_reset``
+        that a majority is lost and other witnesses have to be chosen.
+        """
         if self.terms.stale_after_s is None or not witnesses or not requesting:
             self._no_majority_since_s = None
             return False, False
--- a/comfreywharf/ownership/messages.py
+++ b/comfreywharf/ownership/messages.py
@@ -25,7 +25,7 @@
     """A node's request to hold, or continue to hold, its own lease.
 
     ``lease_s`` of zero gives the lease up. ``reach_s`` is the time from the sending
-    to the latest outstanding deadline. ``round`` grows with each renewal.
+    to the latest deadline of the forwarded requests. ``round`` grows with each renewal.
     ``vouched`` says that an earlier grant of the receiving witness still counts at
     the sending.
     """
@@ -44,7 +44,8 @@
 class Claim:
     """A standby's request for a share of an owner's lapsed lease.
 
-    The two epochs are the owner's epochs in the taker's fold.
+    The two epochs are the owner's epochs in the taker's fold. ``reach_s`` and
+    ``round`` are as in a `Renewal`, for the taker's requests and claims.
     """
 
     owner_id: str
@@ -64,7 +65,7 @@
 
 @attrs.frozen(kw_only=True)
 class Grant:
-    """A witness's answer.
+    """A witness's answer to a renewal or a claim.
 
     ``term`` is the same as long as the witness has neither restarted nor
     granted the lease to anyone else.
@@ -78,7 +79,7 @@
 
 @attrs.frozen(kw_only=True)
 class OwnerView:
-    """An owner according to a witness's own fold."""
+    """The epochs and incarnations of an owner, according to a witness's own fold."""
 
     incarnation: int = -1
     lease_epoch: int = -1
--- a/comfreywharf/ownership/process_tracker.py
+++ b/comfreywharf/ownership/process_tracker.py
@@ -48,17 +48,17 @@
 
     @property
     def process(self):
-        """Return the number of the process; zero if none is known."""
+        """Return the number of the process; zero without a confirmed connection."""
         return self._number if self._confirmed else 0
 
     @property
     def confirmed_count(self):
-        """Return how many connections are known to lead to the process."""
+        """Return how many connections are confirmed to lead to the process."""
         return len(self._confirmed)
 
     @property
     def has_unconfirmed(self):
-        """Return whether any connection isn't known to lead to the process."""
+        """Return whether any connection isn't confirmed to lead to the process."""
         return len(self._opened) > len(self._confirmed)
 
     def opened(self, connection):
@@ -89,7 +89,7 @@
         self._confirmed.discard(connection)
 
     def leads_to_process(self, connection):
-        """Return whether a connection is known to lead to the process."""
+        """Return whether a connection is confirmed to lead to the process."""
         return connection in self._confirmed
 
     def _next_event(self):
--- a/comfreywharf/ownership/quorum.py
+++ b/comfreywharf/ownership/quorum.py
@@ -1,4 +1,4 @@
-"""A lease by majority; each grant counts from when its request was sent."""
+"""A lease that is granted by majority; a grant counts from the request's sending."""
 
 import attrs
 
@@ -30,7 +30,7 @@
     """A lease that a majority of each witness group grants.
 
     There is one group, or two while the witnesses of an owner are replaced. Until
-    a majority of the earlier group knows of the replacement, a taker may still
+    a majority of the earlier group has recorded the replacement, a taker may still
     request grants from it, so that both majorities are needed.
 
     >>> from comfreywharf.ownership.terms import LeaseTerms
@@ -93,7 +93,7 @@
         return witness in self._rounds[number].granting
 
     def grant(self, witness, number, term, now_s):
-        """Count a witness's grant for a round, received at ``now_s``."""
+        """Register a witness's grant for a round, received at ``now_s``."""
         sent_round = self._rounds.get(number)
         if sent_round is None:
             return
@@ -115,7 +115,7 @@
         self._majorities.clear()
 
     def _relied_on_expired_grant(self, sent_round, witness, term, now_s):
-        """Return whether a restarted witness may have relied on an expired grant.
+        """Return whether a restarted witness may have decided by an expired grant.
 
         After that expiry, the witness's earlier process may have granted the lease to
         a taker, so that two nodes would each count this witness. Only an answer that
@@ -140,18 +140,18 @@
         return max(self.until_s(), taker_waits_until_s)
 
     def acknowledged_portfolio_epoch(self):
-        """Return the portfolio epoch that a majority of each group knows of."""
+        """Return the portfolio epoch that a majority of each group has acknowledged."""
         return self._majority("portfolio_epoch", -1)
 
     def acknowledged_lease_epoch(self):
-        """Return the lease epoch that a majority of each group knows of."""
+        """Return the lease epoch that a majority of each group has acknowledged."""
         return self._majority("lease_epoch", -1)
 
     def acknowledged_epoch(self):
         """Return the lowest log offset on which a further granted claim can be based.
 
         Epochs are log offsets. A majority grants no claim that is based on a state
-        of the log from before an epoch of either kind that it knows of.
+        of the log from before an epoch of either kind that it has acknowledged.
         """
         return max(self.acknowledged_lease_epoch(), self.acknowledged_portfolio_epoch())
 
@@ -177,7 +177,7 @@
     def _majority(self, field, missing):
         """Return the largest value of a field that a majority of each group reaches.
 
-        Every request to the node needs it and only a grant changes it, so that it
+        Every request to the node reads it and only a grant changes it, so that it
         is cached until the next grant.
         """
         value = self._majorities.get(field)
--- a/comfreywharf/ownership/slicewatch.py
+++ b/comfreywharf/ownership/slicewatch.py
@@ -1,4 +1,4 @@
-"""Find out what a record changed in a slice; the fold keeps only the new state."""
+"""Compare slices before and after a record; the fold keeps only the new state."""
 
 from comfreywharf.records import SlicesMerged, SliceSplit
 
@@ -6,7 +6,7 @@
 
 
 class SliceWatch:
-    """Keep a copy of the slices, and notify the table of each change."""
+    """Keep a copy of the slices, and notify the `OwnershipTable` of each change."""
 
     def __init__(self, table):
         self._table = table
--- a/comfreywharf/ownership/table.py
+++ b/comfreywharf/ownership/table.py
@@ -17,11 +17,12 @@
     """The permission to serve a request, or the reason for its refusal.
 
     A permission has a fence and a deadline. ``deadline_s`` is on this machine's
-    monotonic clock, which the local backend server shares. ``vouched_since_s`` says
-    since when the memory of request ids is complete for this key. An earlier request
-    may have run on another node without a trace in this memory. ``covered`` is false
-    if a taker wouldn't wait until the deadline; such a request must not be forwarded
-    before the witnesses know of its deadline.
+    monotonic clock, which the local backend server shares. The node keeps a memory of
+    request ids so that no request runs twice; ``vouched_since_s`` says since when it is
+    complete for this key. An earlier request may have run on another node without a
+    trace in this memory. ``covered`` is false if a taker
+    wouldn't wait until the deadline; such a request must not be forwarded before the
+    witnesses have received its deadline.
     """
 
     reason: Reason | None = None
@@ -38,7 +39,7 @@
 
 @attrs.frozen
 class _Basis:
-    """The basis of a right: a fence, and the leases that have to be held."""
+    """What a `Right` is based on: a fence, and the leases that have to be held."""
 
     fence: int
     leases: tuple
@@ -67,10 +68,11 @@
     earlier owner's release; by the earlier owner until the new one requests that
     release; and by a taker, under its claim on the owner's lapsed lease.
 
-    An owner uses a fence only once a majority of its witnesses knows of the record that
-    raised it. Otherwise they could grant a claim on the earlier state, and the taker's
-    server would be granted the key under a lower fence than the owner's. Until then the
-    owner continues under its earlier fence, or waits if it had none for this range.
+    An owner uses a fence only once a majority of its witnesses has acknowledged the
+    record that raised it. Otherwise they could grant a claim on the earlier state, and
+    the taker's server would be granted the key under a lower fence than the owner's.
+    Until then the owner continues under its earlier fence, or waits if it had none for
+    this range.
     """
 
     def __init__(self, node_id, holder, inflight, fenced=False):
@@ -146,7 +148,7 @@
         return fence <= 2 * self.holder.lease.acknowledged_epoch()
 
     def newest_epoch(self, lease_epoch):
-        """Return the epoch that the witnesses must know before all is served."""
+        """Return the epoch to be acknowledged before all slices can be served."""
         return max(lease_epoch, self._newest_slice_epoch)
 
     def _taker_basis(self, state, key, piece, now_s):
@@ -231,16 +233,16 @@
             )
 
     def _became_owner(self, service, before, after, now_s):
-        """Decide since when the memory of request ids of a new slice is complete.
+        """Set since when the memory of request ids of a new slice is complete.
 
         A slice without an earlier owner has no earlier requests, and the memory of a
         takeover began with its claim. For any other slice, earlier requests are not
-        known until a release hands the memory over.
+        recorded here until a release hands the memory over.
 
         A process that starts folds the log from its beginning, including slices that
         were assigned to an earlier process of its node. If these counted as new, it
-        would claim a complete memory when it releases such a slice, and the next
-        owner would run a booking again that the earlier process had run.
+        would report a complete memory when it releases such a slice, and the next
+        owner would run a request again that the earlier process had run.
         """
         slice_id = (service, after.start)
         if before is None:
@@ -251,6 +253,7 @@
             self._vouched_since_s[slice_id] = now_s
 
     def _has_claim_on(self, service, piece):
+        """Return whether a slice is in the share of a claim of this node."""
         claim = self.claims.get(piece.owner)
         key = SliceKey(service, piece.start, piece.epoch)
         return claim is not None and key in claim.share
@@ -262,7 +265,7 @@
             self._vouched_since_s[(service, at)] = since_s
 
     def slices_merged(self, service, start, next_start):
-        """Keep the later of the two parts' memory starts for a merged slice."""
+        """Count the memory of a merged slice from the later of its parts' starts."""
         self._last_fences.pop((service, next_start), None)
         since_s = self._vouched_since_s.pop((service, next_start), ALWAYS_S)
         if (service, start) in self._vouched_since_s:
@@ -288,7 +291,7 @@
             self._vouched_since_s[(key.service, key.start)] = now_s
 
     def release_received(self, key, vouched_since_s):
-        """Register an earlier owner's release, and how far back its memory goes."""
+        """Register a release, and since when the earlier owner's memory is complete."""
         self._released.add(key)
         self._vouched_since_s[(key.service, key.start)] = vouched_since_s
 
@@ -315,6 +318,7 @@
                 yield key
 
     def _serves_next(self, key, piece, now_s):
+        """Return whether this node serves a slice once its release is received."""
         if not self.holder.owns(now_s):
             return False
         if piece.owner == self._node_id:
--- a/comfreywharf/ownership/terms.py
+++ b/comfreywharf/ownership/terms.py
@@ -13,8 +13,9 @@
     """The duration of a lease, as counted by its holder and by its witness.
 
     ``drift`` bounds how much faster one machine's monotonic clock runs than
-    another's, as a fraction. Both sides allow for it: the holder counts a shorter
-    time from the sending of its request, the witness a longer one from the receipt.
+    another's, as a fraction. Holder and witness both allow for it: the holder counts a
+    shorter time from the sending of its request, the witness a longer one from the
+    receipt.
     The proof of sole ownership doesn't hold for clocks that exceed the bound. A
     witness that was silent for ``replace_witness_after_s`` is replaced.
     ``witnesses`` is the number of witnesses of a lease, if there are enough other
@@ -53,6 +54,6 @@
     def silent_until_s(self, started_s):
         """Return until when a restarted witness grants nothing.
 
-        It has lost the memory of its grants; all of them have lapsed by then.
+        It has lost all records of its earlier grants; they have lapsed by then.
         """
         return started_s + self.lease_s * (1 + self.drift) ** 2
--- a/comfreywharf/ownership/witness.py
+++ b/comfreywharf/ownership/witness.py
@@ -1,4 +1,4 @@
-"""The witness, which keeps in memory who holds which lease until when.
+"""The witness, which keeps in memory which node holds which lease until when.
 
 Each node's lease has at least three witnesses, and a majority of them decides. A
 witness stores nothing durably; durable state is in the log. It may lose its memory,
@@ -62,7 +62,7 @@
         return self.round >= 0 or bool(self.takers)
 
     def held_until_s(self, checks_fences):
-        """Return until when the owner, or its forwarded requests, may still act.
+        """Return until when the owner may serve, or its requests may take effect.
 
         A backend server that checks fences refuses a request whose grant has lapsed,
         so that no wait beyond the lease is needed.
@@ -79,7 +79,7 @@
 
 
 class Witness:
-    """Decide on renewals and claims.
+    """Decide on renewals and claims of the leases that this node is a witness of.
 
     ``start_number`` differs with each start of the process. ``longest_request_s``
     is the longest time to a deadline that any owner may have outstanding.
@@ -95,8 +95,9 @@
     def renew(self, renewal, view, longest_request_s, now_s):
         """Answer an owner's request for its own lease."""
         # If fences are checked, no request that an earlier process forwarded
-        # outlives its grants, and these ended with the lease. The wait for the
-        # longest request isn't needed; it took 7 s after the loss of all nodes.
+        # outlives its grants, and these ended with the lease. A wait for the
+        # longest request would only delay the start after the loss of all
+        # nodes, by 7 s.
         awaits_requests = (
             view.lease_epoch >= 0
             and view.lease_incarnation != renewal.incarnation
@@ -124,7 +125,8 @@
                 return self._deny(Denial.OLD_ROUND)
         else:
             # The earlier incarnation may be a frozen machine that was replaced.
-            # It may act until its lease and its deadlines are over.
+            # It may serve until its lease is over, and its forwarded requests
+            # may take effect until their deadlines.
             held_until_s = watched.held_until_s(view.checks_fences)
             if now_s < held_until_s:
                 return self._deny(Denial.HELD, held_until_s - now_s)
@@ -171,7 +173,7 @@
     def _wait_s(self, owner_id, awaits_requests, longest_request_s, now_s):
         """Return how long this witness still has to refuse grants of a lease.
 
-        After a restart it doesn't know an owner's outstanding deadlines until that
+        After a restart it has no record of an owner's outstanding deadlines until that
         owner has renewed with it. ``awaits_requests`` says that a new process or a
         taker begins to act in the owner's place, and that requests which were
         forwarded earlier may outlast their grants; it has to wait for the longest
@@ -240,7 +242,10 @@
         return True
 
     def drop_owners_except(self, owner_ids, now_s):
-        """Drop the state of owners that are no longer members."""
+        """Drop the state of all other owners, once nothing of theirs may take effect.
+
+        ``owner_ids`` are the members of the cluster.
+        """
         for owner_id in set(self._watched) - set(owner_ids):
             watched = self._watched[owner_id]
             watched.drop_inactive(now_s)
--- a/comfreywharf/ownership/witnessgroups.py
+++ b/comfreywharf/ownership/witnessgroups.py
@@ -11,7 +11,7 @@
 
 
 class WitnessGroups:
-    """Decide on the group of witnesses for a node's own lease.
+    """Choose the witnesses for a node's own lease, and replace lost or unfit ones.
 
     ``holder`` is the `Holder` of that lease; its ``candidates`` are set here.
     """
@@ -81,7 +81,7 @@
         would leave none, and the keys of a healthy node would have no owner. The new
         group is recorded only once a majority of it grants the lease, so that the
         lease has no gap. The earlier group receives renewals as well until a majority
-        of it knows the new epoch.
+        of it has acknowledged the new epoch.
         """
         if own_lease.earlier_witnesses:
             self._holder.candidates = ()
@@ -108,5 +108,5 @@
 
 
 def _leaving(state):
-    """Return the nodes that are about to leave, which are unfit as witnesses."""
+    """Return the draining nodes; they are about to leave, and unfit as witnesses."""
     return {m.node_id for m in state.members.values() if m.draining}
