--- a/comfreywharf/ownership/tests/builders.py
+++ b/comfreywharf/ownership/tests/builders.py
@@ -1,4 +1,4 @@
-"""A simulation for the ownership decisions: nodes, clocks, messages, a log.
+"""A simulated cluster for tests of ownership: nodes, clocks, messages and a log.
 
 Nothing here decides on ownership. The simulation carries messages between the agents
 and witnesses of the product, which may arrive late, twice, reordered or not at all,
@@ -28,7 +28,7 @@
 
 
 class Violation(AssertionError):
-    """Two nodes may act for one key at the same time."""
+    """Two nodes may serve one key, or run requests for it, at the same time."""
 
 
 @attrs.frozen
@@ -88,7 +88,7 @@
         self.waiting_appends = []
 
     def send(self, source, target, deliver):
-        """Send a message, unless the link is cut."""
+        """Send a message, unless the link is cut; a slow sender's arrives later."""
         if (source, target) in self.cuts or target not in self.nodes:
             return
         due_real_s = self.real_s + self.slow_s.get(source, 0.0)
@@ -176,7 +176,7 @@
         return True
 
     def _held_until_s(self, node, right):
-        """Return when the grant ends that a backend server has for a request."""
+        """Return when the grant ends under which a backend server runs a request."""
         serving = node.agent.table.serving(node.state, node.now_s())
         return next(
             until_s
@@ -200,7 +200,10 @@
         ]
 
     def _cover(self, node, key, right):
-        """Notify the witnesses of a long deadline, as the daemon does."""
+        """Send a long deadline to the witnesses; return whether they received it.
+
+        The daemon does the same before it forwards such a request.
+        """
         node.tick(forced=True)
         self.deliver_due()
         now_s = node.now_s()
@@ -214,8 +217,8 @@
         for old in self.forwarded:
             if old.key == new.key and old.node_id != new.node_id:
                 raise Violation(
-                    f"{new.node_id} serves {new.key!r} at {self.real_s:.2f} s; "
-                    f"{old.node_id} may still act until {old.until_real_s:.2f} s"
+                    f"{new.node_id} serves {new.key!r} at {self.real_s:.2f} s, but "
+                    f"requests at {old.node_id} may run until {old.until_real_s:.2f} s"
                 )
         self.forwarded.append(new)
 
--- a/comfreywharf/ownership/tests/incarnation_events.py
+++ b/comfreywharf/ownership/tests/incarnation_events.py
@@ -11,7 +11,10 @@
 
 
 class Event:
-    """A step: a method of the `World`, its arguments, and how many faults it is."""
+    """A step: a method of the `World`, its arguments, and the faults it counts as.
+
+    ``both`` says that it may change both nodes, not only the one in its arguments.
+    """
 
     __slots__ = ("text", "method", "arguments", "fault", "both")
 
@@ -67,7 +70,9 @@
                 )
         if incarnation and node.announced != incarnation.number:
             yield Event(
-                f"{name} learns of incarnation {incarnation.number}", "announce", name
+                f"{name} receives the heartbeat of incarnation {incarnation.number}",
+                "announce",
+                name,
             )
         yield Event(f"{name}'s process restarts", "restart", name, fault=1)
         yield from self._connection_events(name)
--- a/comfreywharf/ownership/tests/incarnation_model.py
+++ b/comfreywharf/ownership/tests/incarnation_model.py
@@ -14,7 +14,7 @@
 A server doesn't record the fence of a release: if it did, it would refuse an order that
 arrives after a release under a higher fence. As with the witnesses, the lease of a
 node's new process starts when that of the earlier one is over, and an earlier owner
-releases a slice only if the witnesses of its lease know of the move.
+releases a slice only if the witnesses of its lease have acknowledged the move.
 
 A delay and a planned move count as faults as well. The number of faults is bounded, as
 is that of steps. An order that is decided on, sent, applied and answered without delay
--- a/comfreywharf/ownership/tests/incarnation_parts.py
+++ b/comfreywharf/ownership/tests/incarnation_parts.py
@@ -30,7 +30,7 @@
 
 
 class Violation(Exception):
-    """The rule of sole ownership was violated."""
+    """Two servers hold the key, or one takes it under no higher fence than another."""
 
 
 @attrs.frozen(kw_only=True)
@@ -79,7 +79,7 @@
 
 @functools.lru_cache(maxsize=1 << 12)
 def slice_of(epoch):
-    """Return the slice that orders are decided for."""
+    """Return the model's only slice, at an epoch."""
     return Slice(start=0, end=SLICE_END, owner="a", epoch=epoch)
 
 
--- a/comfreywharf/ownership/tests/list_world.py
+++ b/comfreywharf/ownership/tests/list_world.py
@@ -105,7 +105,7 @@
         self.own_pieces = {piece: 2 * self.epoch for piece in self.own_pieces}
 
     def pass_time(self, duration_s):
-        """Advance the time; the lease continues."""
+        """Advance the time, without a renewal of the lease."""
         self.now_s += duration_s
 
     def renew(self):
--- a/comfreywharf/ownership/tests/test_acknowledged_fences.py
+++ b/comfreywharf/ownership/tests/test_acknowledged_fences.py
@@ -1,4 +1,4 @@
-"""No fence is used before the witnesses know of the record that raised it."""
+"""No fence is used before the witnesses have acknowledged the record that raised it."""
 
 import pytest
 
@@ -76,9 +76,9 @@
 
     A lease restarts, and its record is written. The owner is partitioned before its
     next renewal, and the others read the log with a delay of a lease. The owner must
-    not use the fence as soon as its record is read back: the witnesses learn of the new
-    lease epoch only by the next renewal, and until then grant a claim on the earlier
-    one, whose takeover fence is lower."""
+    not use the fence as soon as its record is read back: the witnesses receive the
+    new lease epoch only by the next renewal, and until then grant a claim on the
+    earlier one, whose takeover fence is lower."""
     world = make_world(fenced=True)
     owner = owner_of(world)
     before = fence_of(world, owner)
@@ -183,7 +183,7 @@
 
 @pytest.mark.parametrize("change", CHANGES)
 def test_taker_has_a_lower_fence_without_the_wait_for_witnesses(change, monkeypatch):
-    """Each change requires the wait."""
+    """Each change would otherwise give the owner a higher fence than its taker."""
     monkeypatch.setattr(QuorumLease, "acknowledged_epoch", lambda self: 1 << 60)
     owned, taken = fences_around_a_change(change)
     assert -1 < taken < owned
@@ -193,8 +193,8 @@
 def test_witnesses_learn_of_a_change_at_once_in_one_round(change):
     """Guards against keys that are unavailable for a quarter of a lease after a split.
 
-    A record raises the fence of a slice that its owner keeps. The witnesses must not
-    learn of it only by the next regular renewal."""
+    A record raises the fence of a slice that its owner keeps. The owner must
+    send the new epoch to the witnesses before the next regular renewal is due."""
     world = make_world(fenced=True)
     owner = owner_of(world)
     while owner.agent.holder.renewal_due(owner.now_s() + 3 * STEP_S):
@@ -240,8 +240,8 @@
     """Guards against a server that is granted a key under a lower fence than before.
 
     Two slices are merged, served, and split again at the same place. The owner is
-    partitioned, so that the witnesses don't learn of it. The owner must not continue
-    under the fence that it last used for that place."""
+    partitioned, so that the witnesses don't receive the new epoch. The owner must not
+    continue under the fence that it last used for a slice with that start."""
     world = make_world(fenced=True)
     owner = owner_of(world)
     piece = piece_of(world)
--- a/comfreywharf/ownership/tests/test_hold_lists.py
+++ b/comfreywharf/ownership/tests/test_hold_lists.py
@@ -1,4 +1,4 @@
-"""Lists in answers to heartbeats; each test guards against a fault in them."""
+"""Lists of ranges in answers to heartbeats."""
 
 import attrs
 import pytest
--- a/comfreywharf/ownership/tests/test_holds.py
+++ b/comfreywharf/ownership/tests/test_holds.py
@@ -1,4 +1,4 @@
-"""The holds of a backend server; each test guards against a fault in them."""
+"""The holds of a backend server, and the grants and releases that change them."""
 
 import attrs
 import pytest
--- a/comfreywharf/ownership/tests/test_lost_witnesses.py
+++ b/comfreywharf/ownership/tests/test_lost_witnesses.py
@@ -80,9 +80,9 @@
     """Guards against two servers that hold a key.
 
     A taker and two witnesses are partitioned from the log and from the owner, and the
-    owner chooses other witnesses. It must not serve at once: the earlier two don't know
-    of the record, and grant the claim until their fold is stale; the last grant lasts
-    for a lease."""
+    owner chooses other witnesses. It must not serve at once: the earlier two haven't
+    folded the record, and grant the claim until their fold is stale; the last grant
+    lasts for a lease."""
     lost = LostWitnesses(TERMS)
     last_grant_s = 50.0 + TERMS.stale_after_s * (1 + TERMS.drift)
     claim_ends_s = TERMS.expires_s(last_grant_s, TERMS.lease_s)
@@ -92,7 +92,7 @@
 
 
 def test_new_process_starts_the_wait_again():
-    """It isn't known when the earlier process folded the record."""
+    """The earlier process left no record of when it folded the reset."""
     first, second = LostWitnesses(TERMS), LostWitnesses(TERMS)
     first.must_wait(True, 50.0)
     assert second.must_wait(True, 61.0)
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -84,7 +84,7 @@
 
 @contextmanager
 def off(target, name, replacement):
-    """Switch one mechanism off."""
+    """Replace one attribute, which switches a mechanism off."""
     with mock.patch.object(target, name, replacement):
         yield
 
@@ -135,7 +135,7 @@
     earlier owner can reach only the new one. It releases the slice and its lease
     lapses, and the stale standby claims it from stale witnesses. Without the mechanism
     the new owner and the former standby both answer, since the release was sent before
-    a majority of the witnesses had learned of the move by the owner's renewals.
+    a majority of the witnesses had acknowledged the move in the owner's renewals.
     """
     target = cluster.spare()
     for node in cluster.world.nodes.values():
@@ -187,7 +187,7 @@
 
 
 def uncovered_long_request(cluster):
-    """A long request is forwarded before the witnesses know of its deadline.
+    """A long request is forwarded before the witnesses have received its deadline.
 
     The fault is that of `long_request`, but the owner is lost before its next renewal.
     """
@@ -217,8 +217,8 @@
     """A slice moves to a node that folds the move first.
 
     The planner's record reaches the new owner, and the earlier one can't read the log.
-    Without the mechanism both answer: the new owner can't know without the release
-    whether the earlier one has stopped.
+    Without the mechanism both answer: only the release shows the new owner that
+    the earlier one has stopped.
     """
     cluster.owner.reads_log = False
     cluster.plan(cluster.spare(), cluster.owner)
@@ -360,7 +360,7 @@
 
 
 def stale_taker_of_replaced_witnesses(cluster):
-    """A witness is replaced while other witnesses don't know of the replacement.
+    """A witness is replaced while other witnesses haven't folded the replacement.
 
     One witness is silent for a long time, and the owner replaces it. Another one
     neither reads the log nor receives messages of the owner. The silent one returns,
@@ -492,11 +492,11 @@
         stale_standby_after_move,
         lambda: off(Witness, "_claim_denial", never_denied),
     ),
-    "witnesses know the move before a release": (
+    "witnesses acknowledge the move before a release": (
         unacknowledged_portfolio,
         lambda: off(QuorumLease, "acknowledged_portfolio_epoch", lambda self: 1 << 60),
     ),
-    "terms show a taker": (
+    "a changed term shows that a taker had the lease": (
         healed_lapse_after_takeover,
         lambda: off(Holder, "_regain", heal_despite_other_terms),
     ),
@@ -504,11 +504,11 @@
         long_request,
         lambda: off(_WatchedLease, "held_until_s", lambda self, fences: self.expires_s),
     ),
-    "witnesses know the deadline before a forward": (
+    "witnesses receive the deadline before a forward": (
         uncovered_long_request,
         lambda: off(OwnershipTable, "right_to_serve", always_covered()),
     ),
-    "a release waits for what is in flight": (
+    "a release waits for requests in flight": (
         busy_at_release,
         lambda: off(InFlight, "busy_until_s", lambda self, *range_and_now: 0.0),
     ),
@@ -520,7 +520,7 @@
         replaced_machine,
         lambda: off(Witness, "renew", ignore_earlier_process()),
     ),
-    "a surrender reports what is in flight": (
+    "a surrender reports the deadlines of requests in flight": (
         backend_lost_with_a_request_in_flight,
         lambda: off(InFlight, "all_until_s", lambda self, now_s: now_s),
     ),
@@ -540,7 +540,7 @@
         takeover_before_release,
         lambda: off(fold_module, "_awaited_after_take", lambda *arguments: ""),
     ),
-    "earlier witnesses count until they know the new epoch": (
+    "earlier witnesses count until they acknowledge the new epoch": (
         stale_taker_of_replaced_witnesses,
         lambda: off(fold_module, "_earlier_witnesses", lambda *arguments: ()),
     ),
--- a/comfreywharf/ownership/tests/test_orders_in_transit.py
+++ b/comfreywharf/ownership/tests/test_orders_in_transit.py
@@ -1,4 +1,4 @@
-"""Until when a server may hold a range by an order in transit."""
+"""The end that is reported for the holds of a server with an order in transit."""
 
 from comfreywharf.ownership import SendUnclaim
 from comfreywharf.ownership.holds import GrantAnswer, HoldBook, HoldTerms
--- a/comfreywharf/ownership/tests/test_process_tracker.py
+++ b/comfreywharf/ownership/tests/test_process_tracker.py
@@ -1,6 +1,6 @@
 """Which connections lead to one process.
 
-Each test has a way in which two processes could be mistaken for one.
+Each test guards against two processes that are taken for one.
 """
 
 from hypothesis import given, settings, strategies as st
--- a/comfreywharf/ownership/tests/test_restarted_memory.py
+++ b/comfreywharf/ownership/tests/test_restarted_memory.py
@@ -1,4 +1,4 @@
-"""What a new process of a node reports on requests that an earlier one ran."""
+"""The memory of request ids that a new process of a node reports."""
 
 from comfreywharf.ownership.tests.builders import KEYS, SERVICE, make_world
 from comfreywharf.records import key_hash
--- a/comfreywharf/ownership/tests/test_restarted_witnesses.py
+++ b/comfreywharf/ownership/tests/test_restarted_witnesses.py
@@ -1,4 +1,4 @@
-"""Witnesses that restart while an owner is healthy: what they grant and what counts."""
+"""Witnesses that restart: which requests they grant, and which grants count."""
 
 import pytest
 
@@ -15,8 +15,8 @@
     nodes were lost.
 
     Two of an owner's three witnesses are killed and restart at once. Each refuses
-    requests until all that it might have granted is over. It must not refuse the owner,
-    which knows what the witness granted to it."""
+    requests until all grants of its earlier process have ended. It must not refuse the
+    owner, whose renewals say that such a grant still counts."""
     world = make_world()
     key = KEYS[0]
     owner = world.role("owner", key)
@@ -30,7 +30,7 @@
 
 
 def test_restarted_witness_grants_no_taker_sooner():
-    """A grant to the owner is no grant to a taker: the witness refuses all others."""
+    """Only the owner is granted the lease early: the witness refuses all takers."""
     world = make_world()
     key = KEYS[0]
     owner, standby = world.role("owner", key), world.role("standby", key)
