--- a/comfreywharf/ownership/tests/incarnation_events.py
+++ b/comfreywharf/ownership/tests/incarnation_events.py
@@ -34,9 +34,9 @@
         self._limits = limits
 
     def __iter__(self):
-        left = self._limits.faults - self._world.faults
+        remaining_faults = self._limits.faults - self._world.faults
         for event in self._all():
-            if event.fault <= left and self._is_wanted(event):
+            if event.fault <= remaining_faults and self._is_wanted(event):
                 yield event
 
     def _is_wanted(self, event):
@@ -99,8 +99,10 @@
         for number in node.idle:
             if not node.tracker.leads_to_process(number):
                 continue
-            led = node.connections[number]
-            text = f"{name} sends an order on connection {number} to incarnation {led}"
+            target = node.connections[number]
+            text = (
+                f"{name} sends an order on connection {number} to incarnation {target}"
+            )
             if not self._world.leads_to_running(name, number):
                 yield Event(text, "push", name, number)
                 continue
@@ -113,10 +115,10 @@
         if delivery.connection < 0:
             for number in node.idle:
                 if node.tracker.leads_to_process(number):
-                    led = node.connections[number]
+                    target = node.connections[number]
                     text = (
                         f"{name} sends its order on connection {number} "
-                        f"to incarnation {led}"
+                        f"to incarnation {target}"
                     )
                     yield Event(text, "send", name, index, number)
             return
@@ -184,8 +186,8 @@
         book = self._world.nodes[name].book
         if book.awaits_answer(*SLICE_RANGE):
             return False
-        over = self._world.now >= book.held_until_s(*SLICE_RANGE)
-        return over or (
+        all_ended = self._world.now >= book.held_until_s(*SLICE_RANGE)
+        return all_ended or (
             self._world.nodes[name].announced is not None
             and self._world.incarnations[name]
         )
@@ -197,9 +199,9 @@
         renewing = tuple(name for name in NODE_NAMES if self._may_renew(name))
         yield Event("a tick, all leases renewed", "tick", renewing, both=True)
         for name in renewing:
-            left = tuple(kept for kept in renewing if kept != name)
+            others = tuple(node for node in renewing if node != name)
             text = f"a tick, {name}'s lease isn't renewed"
-            yield Event(text, "tick", left, both=True, fault=1)
+            yield Event(text, "tick", others, both=True, fault=1)
 
     def _may_renew(self, name):
         return (
--- a/comfreywharf/ownership/tests/test_incarnation_search.py
+++ b/comfreywharf/ownership/tests/test_incarnation_search.py
@@ -1,8 +1,8 @@
 """Exhaustive searches of a model of servers that crash and restart.
 
 Each search covers every sequence of events within its bounds: ``CRASHES`` 7 steps,
-17,698 states; ``LOSSES`` 8 steps, 5,092; ``RESTARTS`` 8 steps, 15,123; ``BOTH`` 5
-steps, 8,335.
+17,698 states; ``LOSSES`` 8 steps, 5,092; ``RESTARTS`` 8 steps, 15,123;
+``BOTH_NODES`` 5 steps, 8,335.
 
 Three mechanisms aren't needed within the bounds of ``CRASHES``: no violation is
 found with any one of them switched off.
