--- a/comfreywharf/ownership/actions.py
+++ b/comfreywharf/ownership/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the ownership decisions request from the daemon."""
+"""Actions that the `OwnershipAgent` requests from the daemon."""
 
 import attrs
 
@@ -31,7 +31,10 @@
 
 @attrs.frozen
 class SendRenewal(Action):
-    """Send a renewal to a witness; its grant goes to `OwnershipAgent.renewed`."""
+    """Send a renewal to a witness.
+
+    Its grant goes to `OwnershipAgent.renewal_granted`.
+    """
 
     witness: str
     renewal: Renewal
@@ -39,7 +42,7 @@
 
 @attrs.frozen
 class SendClaim(Action):
-    """Send a claim to a witness; its grant goes to `OwnershipAgent.claimed`."""
+    """Send a claim to a witness; its grant goes to `OwnershipAgent.claim_granted`."""
 
     witness: str
     claim: Claim
@@ -47,7 +50,7 @@
 
 @attrs.frozen
 class SendUnclaim(Action):
-    """Give a share back to a witness."""
+    """Send a witness the end of a claim, with the deadlines that still count."""
 
     witness: str
     claim: Claim
@@ -55,7 +58,10 @@
 
 @attrs.frozen
 class Purpose:
-    """The reason why a record is appended, passed back with its outcome."""
+    """The reason why a record is appended, passed back with its outcome.
+
+    ``detail`` identifies the lease, claim or slice that the record is for.
+    """
 
     kind: str
     detail: object
@@ -79,12 +85,12 @@
 
 @attrs.frozen
 class Report(Action):
-    """Report an event."""
+    """Report an event to the operators."""
 
     name: str
     fields: dict[str, object]
 
 
 def report(name, /, **fields):
-    """Return a `Report` of a catalogued event."""
+    """Return the `Report` of an event that the event catalogue lists."""
     return Report(name, fields)
--- a/comfreywharf/ownership/agent.py
+++ b/comfreywharf/ownership/agent.py
@@ -1,8 +1,8 @@
 """The decisions of one node about ownership: events in, actions out.
 
-The agent holds the node's lease, its claims on lapsed leases and its table of
-what may be served. It uses no clock, no sockets and no event loop: the daemon
-and the state machine of the tests drive the same code.
+The agent has the state of the node's lease, its claims on lapsed leases and its table
+of the slices that it may serve. It uses no clock, no sockets and no event loop: the
+daemon and the state machine of the tests drive the same code.
 """
 
 from comfreywharf.ownership.actions import (
@@ -36,11 +36,12 @@
 CLAIM_PAUSE_LEASES = 1.0
 SCAN_INTERVAL_S = 0.25
 
-_OUTDATED = frozenset({Denial.STALE, Denial.OTHER_VIEW})
+_OUTDATED_DENIALS = frozenset({Denial.STALE, Denial.OTHER_VIEW})
 
 _MOVING = (SlicesMoved, SlicesTaken, MoveCompleted)
 """Records after which a release may have to be requested."""
 
+# The kinds of a `Purpose`.
 START = "start"
 TAKE = "take"
 COMPLETE = "complete"
@@ -49,7 +50,7 @@
 
 
 class OwnershipAgent:
-    """Decide what a node does to own keys exclusively.
+    """Decide when a node renews its lease, takes over slices and releases them.
 
     ``make_id`` returns a unique record id. ``fenced`` says that the backend
     server checks fences.
@@ -95,8 +96,8 @@
     def tick(self, state, now_s, may_hold, forced=False):
         """Return the actions to take now.
 
-        ``may_hold`` says whether the fold may be acted on and a backend server
-        is present; ``forced`` renews before the next interval is over.
+        ``may_hold`` says whether the fold is recent enough to decide on and a backend
+        server is present; ``forced`` renews before the next interval is over.
         """
         actions = []
         if self.holder.tick(now_s):
@@ -113,10 +114,10 @@
         return actions
 
     def rescan(self):
-        """Scan all slices for releases at the next tick."""
+        """Scan all slices for releases to request or to record at the next tick."""
         self._scan_s = float("-inf")
 
-    def own(self, state):
+    def own_lease(self, state):
         """Return this node's lease according to the fold."""
         member = state.members.get(self._node_id)
         if member is None:
@@ -131,38 +132,40 @@
         )
 
     def _renew(self, state, now_s, may_hold, forced):
-        own = self.own(state)
-        if own.incarnation > self._incarnation:
+        own_lease = self.own_lease(state)
+        if own_lease.incarnation > self._incarnation:
             if self.holder.supersede():
-                return [report("superseded", incarnation=own.incarnation)]
+                return [report("superseded", incarnation=own_lease.incarnation)]
             return []
-        if not may_hold or own.incarnation < self._incarnation:
+        if not may_hold or own_lease.incarnation < self._incarnation:
             return []
         if self.holder.majority_overdue(now_s):
             reach_until_s = self.inflight.all_until_s(now_s)
-            ending = self.holder.pause(own, reach_until_s, now_s)
-            return [SendRenewal(witness, ending) for witness in self.holder.asked]
-        if self._groups.lost.must_wait(own.reset_pending, now_s):
+            ending = self.holder.pause(own_lease, reach_until_s, now_s)
+            return [SendRenewal(witness, ending) for witness in self.holder.recipients]
+        if self._groups.lost.must_wait(own_lease.reset_pending, now_s):
             return []
         forced = forced and self.holder.may_request(now_s)
-        regular = forced or self.holder.due(now_s)
-        newest_epoch = self.table.newest_epoch(own.lease_epoch)
+        regular = forced or self.holder.renewal_due(now_s)
+        newest_epoch = self.table.newest_epoch(own_lease.lease_epoch)
         if not regular and not self.holder.has_new_epoch(newest_epoch, now_s):
             return []
-        witnesses = own.witnesses or self._groups.choose(state)
+        witnesses = own_lease.witnesses or self._groups.choose(state)
         if not witnesses or self.holder.phase in ("surrendered", "superseded"):
             return []
-        groups = [witnesses, own.earlier_witnesses]
+        groups = [witnesses, own_lease.earlier_witnesses]
         self.holder.use_witnesses([group for group in groups if group])
         reach_until_s = self.inflight.reach_until_s(now_s)
-        renewal = self.holder.renewal(own, reach_until_s, now_s, extra=not regular)
+        renewal = self.holder.renewal(
+            own_lease, reach_until_s, now_s, extra=not regular
+        )
         return [
-            SendRenewal(witness, self.holder.vouched(renewal, witness))
-            for witness in self.holder.asked
+            SendRenewal(witness, self.holder.mark_vouched(renewal, witness))
+            for witness in self.holder.recipients
         ]
 
-    def renewed(self, witness, number, term, now_s):
-        """Count a witness's grant of a renewal; return the actions to take."""
+    def renewal_granted(self, witness, number, term, now_s):
+        """Register a witness's grant of a renewal; return the actions to take."""
         before = self.holder.phase
         self.holder.granted(witness, number, term, now_s)
         if (before, self.holder.phase) == ("lapsed", "held"):
@@ -171,40 +174,44 @@
         return []
 
     def _reset_witnesses(self, state, now_s, may_hold):
-        own = self.own(state)
-        may_hold = may_hold and own.incarnation == self._incarnation
-        wants_probe, record = self._groups.replace_lost(state, own, may_hold, now_s)
+        own_lease = self.own_lease(state)
+        may_hold = may_hold and own_lease.incarnation == self._incarnation
+        wants_probe, record = self._groups.replace_lost(
+            state, own_lease, may_hold, now_s
+        )
         if wants_probe:
             return [ProbeMembers()]
         if record is None:
             return []
-        return self._append(Purpose(RESET, own.lease_epoch), record, now_s)
+        return self._append(Purpose(RESET, own_lease.lease_epoch), record, now_s)
 
     def _start(self, state, now_s):
         """Append the record of a new lease once a majority has granted it."""
         if self.holder.phase != "starting":
             return []
-        own = self.own(state)
-        if own.earlier_witnesses and not self._groups.earlier_acknowledged(own):
+        own_lease = self.own_lease(state)
+        if own_lease.earlier_witnesses and not self._groups.earlier_acknowledged(
+            own_lease
+        ):
             return []
-        witnesses = own.witnesses or self.holder.lease.groups[0]
-        record = self._groups.lease_started(own, witnesses)
-        return self._append(Purpose(START, self.holder.continuity), record, now_s)
+        witnesses = own_lease.witnesses or self.holder.lease.groups[0]
+        record = self._groups.lease_started_record(own_lease, witnesses)
+        return self._append(Purpose(START, self.holder.generation), record, now_s)
 
     def _replace_witnesses(self, state, now_s):
         if not self.holder.owns(now_s):
             return []
-        own = self.own(state)
-        record = self._groups.replace_unfit(state, own, now_s)
+        own_lease = self.own_lease(state)
+        record = self._groups.replace_unfit(state, own_lease, now_s)
         if record is None:
             return []
-        return self._append(Purpose(WITNESSES, own.lease_epoch), record, now_s)
+        return self._append(Purpose(WITNESSES, own_lease.lease_epoch), record, now_s)
 
     def surrender(self, state, reason, now_s, held_until_s=None):
         """Give up the lease and all shares at once; return the actions to take.
 
-        Forwarded requests may still take effect. The renewal tells the witnesses
-        until when, and they make the standbys wait for that long. ``held_until_s``
+        Forwarded requests may still take effect. The renewal reports to the witnesses
+        until when, and they refuse the standbys' claims until then. ``held_until_s``
         is the end of the last grant that the backend server may have, whichever
         lease it is based on; it delays the standbys as well. It is
         ``NOTHING_HELD_S`` if the server has certainly crashed, and ``None`` if the
@@ -215,7 +222,7 @@
         witnesses = self.holder.lease.witnesses
         reach_until_s = self.inflight.all_until_s(now_s)
         renewal = self.holder.surrender(
-            self.own(state), reach_until_s, now_s, held_until_s
+            self.own_lease(state), reach_until_s, now_s, held_until_s
         )
         actions = [report("lease_surrendered", reason=reason)]
         actions += [SendRenewal(witness, renewal) for witness in witnesses]
@@ -229,7 +236,7 @@
 
     # Claims.
 
-    def lapsed(self, state, owner_id, now_s):
+    def lapse_notified(self, state, owner_id, now_s):
         """Handle a witness's notice of a lapsed lease; return the actions to take."""
         owner = state.members.get(owner_id)
         if owner is None or owner_id in self.claims or not owner.witnesses:
@@ -253,8 +260,8 @@
         self.claims[owner_id] = claim
         return self._send_claim(claim, now_s)
 
-    def claimed(self, owner_id, witness, number, term, now_s):
-        """Count a witness's grant of a claim; return the actions to take."""
+    def claim_granted(self, owner_id, witness, number, term, now_s):
+        """Register a witness's grant of a claim; return the actions to take."""
         claim = self.claims.get(owner_id)
         if claim is None or not claim.granted(witness, number, term, now_s):
             return []
@@ -270,7 +277,11 @@
         out, their keys would be served up to two leases later than necessary.
         """
         claim = self.claims.get(owner_id)
-        if denial not in _OUTDATED or claim is None or claim.held_since_s is not None:
+        if (
+            denial not in _OUTDATED_DENIALS
+            or claim is None
+            or claim.held_since_s is not None
+        ):
             return []
         return self._end_claim(claim, now_s)
 
@@ -284,7 +295,7 @@
             # If an owner and its standby are each granted by some witnesses,
             # neither gets a majority and each blocks the other. The standby
             # pauses for long enough that a live owner can renew its lease.
-            if claim.lease.terms_now(now_s):
+            if claim.lease.witness_terms(now_s):
                 pause_s = CLAIM_PAUSE_LEASES * self._terms.lease_s
                 self._claim_not_before_s[claim.owner_id] = now_s + pause_s
             return self._end_claim(claim, now_s)
@@ -326,7 +337,11 @@
         return all(p and self._node_id in (p.owner, p.previous) for p in pieces)
 
     def _outstanding(self, state, claim):
-        """Return the slices of a claim's share that are not yet recorded in the log."""
+        """Return ``(takes, completions)`` that the log lacks for a claim's share.
+
+        ``takes`` are takeovers to record; ``completions`` are keys of slices whose
+        move from the claimed owner is to be recorded as completed.
+        """
         takes, completions = [], []
         for key in claim.share:
             piece = state.slices[key.service].at_start(key.start)
@@ -342,7 +357,7 @@
         return takes, completions
 
     def _end_claim(self, claim, now_s, recorded=False, held_until_s=None):
-        """Give a share back; requests in flight under it still count."""
+        """End a claim; the witnesses are sent until when it may still have effects."""
         claim.over = True
         del self.claims[claim.owner_id]
         acts_until_s = self._claim_acts_until_s(claim, recorded, now_s, held_until_s)
@@ -358,7 +373,7 @@
         A claim that was never held has none. If its end covered the requests for
         this node's own keys, a busy node would delay its own next claim whenever
         it ends one, and the owner's keys would stay unavailable. ``held_until_s``
-        bounds what the server holds, where this is known; without that bound the
+        is the end of the server's last grant, or ``None``; without that bound the
         keys would be unavailable for up to a lease.
         """
         known_s = self._acts_until_s.get(claim.owner_id, now_s)
@@ -381,28 +396,33 @@
     # Releases.
 
     def _scan(self, state, now_s):
-        """Request awaited releases, and record those that were received."""
+        """Request the awaited releases, and record the received ones in the log."""
         actions = []
-        for key, piece in self.table.awaited(state, now_s):
+        for key, piece in self.table.awaited_releases(state, now_s):
             if key not in self._requested_releases:
                 self._requested_releases.add(key)
                 actions.append(RequestRelease(piece.previous, key))
-        for key in self.table.unrecorded(state):
+        for key in self.table.unrecorded_releases(state):
             actions += self._complete(key, now_s)
         return actions
 
     def awaits_release(self, state, key, now_s):
         """Return whether a release still has to be requested."""
-        return any(key == other for other, _ in self.table.awaited(state, now_s))
+        return any(
+            key == other for other, _ in self.table.awaited_releases(state, now_s)
+        )
 
     def release_request_ended(self, key):
-        """Register that a release is no longer being requested."""
+        """Register that a release is no longer requested."""
         self._requested_releases.discard(key)
 
-    def released(self, key, vouched, now_s):
-        """Handle an earlier owner's release; return the actions to take."""
+    def release_received(self, key, vouched, now_s):
+        """Handle an earlier owner's release; return the actions to take.
+
+        ``vouched`` says that the earlier owner's memory of request ids is complete.
+        """
         self._requested_releases.discard(key)
-        self.table.released(key, float("-inf") if vouched else now_s)
+        self.table.release_received(key, float("-inf") if vouched else now_s)
         self.rescan()
         return [report("slice_received", service=key.service, start=key.start)]
 
@@ -448,11 +468,11 @@
             return self._end_claim(claim, now_s) if claim else []
         return []
 
-    def _started(self, state, continuity, outcome, now_s):
-        if continuity != self.holder.continuity or self.holder.phase != "starting":
+    def _started(self, state, generation, outcome, now_s):
+        if generation != self.holder.generation or self.holder.phase != "starting":
             return []
         self.table.lease_began(state, now_s)
-        self.holder.start_read_back(continuity)
+        self.holder.start_read_back(generation)
         self.rescan()
         return [report("lease_started", offset=outcome.offset)]
 
@@ -467,7 +487,7 @@
 
         Between the two states a slice may have moved away and back without a
         record that is folded here. If the earlier memory of request ids still
-        counted as complete, a booking that another owner ran in between would
+        counted as complete, a request that another owner ran in between would
         run a second time. The memory therefore counts as incomplete.
         """
         self.table.lease_began(state, now_s)
--- a/comfreywharf/ownership/hold_lists.py
+++ b/comfreywharf/ownership/hold_lists.py
@@ -32,7 +32,7 @@
 that arrives a second after its heartbeat was sent."""
 
 MAX_HANDOVERS = 256
-"""How many handovers are kept for next owners; most older ones are never requested."""
+"""The most handovers that are kept for next owners; older ones are rarely requested."""
 
 
 @attrs.frozen(kw_only=True)
@@ -126,7 +126,7 @@
 
 
 @attrs.frozen
-class _Sent:
+class _SentList:
     """The newest list: its connection, whether it was in time, and its ranges."""
 
     connection: object
@@ -138,12 +138,12 @@
 class HoldLists:
     """Decide on the lists for one backend server.
 
-    ``capacity`` says how much fits in one answer.
+    ``capacity`` limits the size of one answer.
     """
 
     book: ListedHoldBook
     capacity: ListCapacity = attrs.Factory(ListCapacity)
-    _sent: _Sent | None = None
+    _sent: _SentList | None = None
     _handovers: list = attrs.Factory(list)
     _release_wanted: bool = False
 
@@ -168,20 +168,21 @@
         if not self._same_connection(sent, report):
             return False
         self.book.lists_received(report.service, report.connection, reported, now_s)
-        whole = {(held.first, held.last, held.fence) for held in report.held}
+        reported_rows = {(held.first, held.last, held.fence) for held in report.held}
         return sent.timely and not all(
-            self._is_settled(candidate, report, whole, now_s)
+            self._is_settled(candidate, report, reported_rows, now_s)
             for candidate in sent.candidates
         )
 
     @staticmethod
     def _same_connection(sent, report):
-        """Return whether a report shows that the last list was received."""
+        """Return whether a report came on the connection that carried the last list."""
         return sent is not None and sent.connection == report.connection
 
-    def _is_settled(self, candidate, report, whole, now_s):
+    def _is_settled(self, candidate, report, reported_rows, now_s):
+        """Return whether a listed range was accepted, or needn't be held any more."""
         numbers = numbers_in(candidate.start, candidate.end)
-        if numbers is None or (*numbers, candidate.fence) in whole:
+        if numbers is None or (*numbers, candidate.fence) in reported_rows:
             return True
         if self.book.is_stopped((report.service, candidate.start), candidate.fence):
             return True
@@ -193,7 +194,7 @@
         )
 
     def release(self):
-        """Have the next heartbeat answered at once, since a range is to be released."""
+        """Have the next heartbeat answered at once, so that it releases a range."""
         self._release_wanted = True
 
     def pop_handover(self, start, end):
@@ -201,9 +202,17 @@
         numbers = numbers_in(start, end)
         if numbers is None:
             return ""
-        found = [r for r in self._handovers if _overlap(r, *numbers)]
-        inside = [r for r in found if numbers[0] <= r.first and r.last <= numbers[1]]
-        self._handovers = [r for r in self._handovers if r not in inside]
+        found = [
+            released for released in self._handovers if _overlap(released, *numbers)
+        ]
+        inside = [
+            released
+            for released in found
+            if numbers[0] <= released.first and released.last <= numbers[1]
+        ]
+        self._handovers = [
+            released for released in self._handovers if released not in inside
+        ]
         return found[-1].handover if found else ""
 
     def has_changes(self, report, serving, now_s):
@@ -212,7 +221,8 @@
             return True
         candidates = self._candidates(report.service, serving, now_s)
         if not all(
-            self.book.holds_key(report.service, w.start, now_s) for w in candidates
+            self.book.holds_key(report.service, candidate.start, now_s)
+            for candidate in candidates
         ):
             return True
         listed = self._sent.candidates if self._sent else ()
@@ -220,7 +230,9 @@
         return any(
             now_s < old.until_s
             and old.start not in starts
-            and not any(w.start <= old.start < w.end for w in candidates)
+            and not any(
+                candidate.start <= old.start < candidate.end for candidate in candidates
+            )
             for old in listed
         )
 
@@ -239,7 +251,7 @@
             return None
         listed = [attrs.evolve(candidate, until_s=until_s) for candidate in candidates]
         rows = self._fill(report, listed, now_s)
-        self._sent = _Sent(
+        self._sent = _SentList(
             connection=report.connection,
             timely=now_s < report.arrived_s + TIMELY_S,
             candidates=tuple(candidate for candidate, _ in rows),
@@ -247,7 +259,7 @@
         return HoldList(rows=_joined([row for _, row in rows]), hold_s=hold_s)
 
     def _fill(self, report, candidates, now_s):
-        """Return ``(candidate, row)`` of what fits, and record it as listed."""
+        """Return ``(candidate, row)`` of ranges that fit, and record them as listed."""
         rows, used_bytes = [], 0
         for candidate in candidates:
             row = self._row(report.service, candidate)
@@ -268,14 +280,14 @@
         return HoldRow(first=first, last=last, fence=candidate.fence, handover=handover)
 
     def _list(self, report, candidate, row, now_s):
-        place = (report.service, candidate.start)
+        slice_id = (report.service, candidate.start)
         self._handovers = [
             released
             for released in self._handovers
             if not _overlap(released, row.first, row.last)
         ]
         self.book.listed(
-            place,
+            slice_id,
             candidate.end,
             candidate.fence,
             report.connection,
--- a/comfreywharf/ownership/holder.py
+++ b/comfreywharf/ownership/holder.py
@@ -1,4 +1,4 @@
-"""The holder of a node's own lease, from the first request to its loss."""
+"""The state of a node's own lease, from the first request to its loss."""
 
 import attrs
 
@@ -30,7 +30,7 @@
 
 
 class Holder:
-    """Decide when to renew, when the node owns, and when it has to stop.
+    """Decide when a node renews its lease, and while it may own slices by it.
 
     A lapse during which no other node held the lease is healed without the log: if
     a majority of the witnesses still has the term that it granted before, no taker
@@ -45,8 +45,8 @@
         self._terms = terms
         self._chart = Chart(_CHART)
         self._lease = QuorumLease(terms, [()])
-        self._known_terms = {}
-        self._continuity = 0
+        self._known_witness_terms = {}
+        self._generation = 0
         self._was_started = False
         self._round_sent_s = float("-inf")
         self._sent_epoch = -1
@@ -61,13 +61,16 @@
 
     @property
     def phase(self):
-        """Return the state of the lease's chart."""
+        """Return the state of the lease's state machine, see ``lease.toml``."""
         return self._chart.state
 
     @property
-    def continuity(self):
-        """Return a number that changes whenever the lease was lost in between."""
-        return self._continuity
+    def generation(self):
+        """Return a number that grows when the lease is gained anew.
+
+        It stays the same when a lapse is healed.
+        """
+        return self._generation
 
     @property
     def lease(self):
@@ -89,16 +92,16 @@
         """Return when the next round of renewals is due."""
         return self._round_sent_s + self._terms.renew_interval_s
 
-    def due(self, now_s):
+    def renewal_due(self, now_s):
         """Return whether it is time to renew."""
         if not self.may_request(now_s):
             return False
         return now_s >= self.next_round_s
 
     def has_new_epoch(self, epoch, now_s):
-        """Return whether to renew at once, since the witnesses don't know an epoch.
+        """Return whether to renew at once, to send the witnesses a new epoch.
 
-        Nothing is served under an epoch before they know it.
+        Nothing is served under an epoch before they have acknowledged it.
         """
         return (
             self.phase == "held"
@@ -123,7 +126,7 @@
             return False
         return self._majority_due_s is not None and now_s >= self._majority_due_s
 
-    def pause(self, own, reach_until_s, now_s):
+    def pause(self, own_lease, reach_until_s, now_s):
         """Pause requests for a while; return the renewal that ends the lease.
 
         Answers that are still in transit no longer count, since the witnesses
@@ -133,39 +136,41 @@
         self._paused_until_s = now_s + PAUSE_LEASES * self._terms.lease_s
         timeout_s = MAJORITY_TIMEOUT_LEASES * self._terms.lease_s
         self._majority_due_s = self._paused_until_s + timeout_s
-        return self._ending(own, reach_until_s, now_s)
+        return self._ending(own_lease, reach_until_s, now_s)
 
-    def renewal(self, own, reach_until_s, now_s, extra=False):
-        """Return the renewal to send to each of ``asked`` now.
+    def renewal(self, own_lease, reach_until_s, now_s, extra=False):
+        """Return the renewal to send to each of ``recipients`` now.
 
         An ``extra`` renewal doesn't change when the next regular one is due.
         """
         if not extra:
             self._round_sent_s = now_s
-        self._sent_epoch = max(own.lease_epoch, own.portfolio_epoch)
+        self._sent_epoch = max(own_lease.lease_epoch, own_lease.portfolio_epoch)
         if self._majority_due_s is None:
             self._majority_due_s = now_s + MAJORITY_TIMEOUT_LEASES * self._terms.lease_s
         self._requested_since_s = {
             witness: self._requested_since_s.get(witness, now_s)
-            for witness in self.asked
+            for witness in self.recipients
         }
         number = self._lease.begin_round(
-            now_s, reach_until_s, own.portfolio_epoch, own.lease_epoch
+            now_s, reach_until_s, own_lease.portfolio_epoch, own_lease.lease_epoch
+        )
+        return self._message(
+            own_lease, self._terms.lease_s, reach_until_s - now_s, number
         )
-        return self._message(own, self._terms.lease_s, reach_until_s - now_s, number)
 
-    def vouched(self, renewal, witness):
-        """Return a renewal for one witness, marked if its grant still counts."""
-        vouched = self._lease.vouches_for(witness, renewal.round)
+    def mark_vouched(self, renewal, witness):
+        """Return a renewal for one witness; ``vouched`` if its earlier grant counts."""
+        vouched = self._lease.had_grant(witness, renewal.round)
         return attrs.evolve(renewal, vouched=vouched)
 
     @property
-    def asked(self):
-        """Return the witnesses and the candidates for witnesses."""
+    def recipients(self):
+        """Return the nodes that get renewals: witnesses, and candidates for them."""
         return tuple(dict.fromkeys((*self._lease.witnesses, *self.candidates)))
 
-    def silent(self, now_s):
-        """Return those of ``asked`` that have granted nothing for too long."""
+    def silent_witnesses(self, now_s):
+        """Return those of ``recipients`` that have granted nothing for too long."""
         limit_s = now_s - self._terms.replace_witness_after_s
         return {
             witness
@@ -179,53 +184,54 @@
         return 2 * len(granting) > len(group)
 
     def granted(self, witness, number, term, now_s):
-        """Count a grant, and move the chart if it gives a majority."""
+        """Register a grant, and change the state if it gives a majority."""
         if self.phase in ("surrendered", "superseded"):
             return
         # A lapse has to be detected before the grant counts. Otherwise a grant
-        # that arrives after the end would join two holds with a gap between
-        # them, in which a taker may have served.
+        # that arrives after the end would join two periods of the lease with a gap
+        # between them, in which a taker may have served.
         self.tick(now_s)
         self._lease.grant(witness, number, term, now_s)
         if not self._lease.held(now_s):
             return
-        granting = self._lease.terms_now(now_s)
+        granting = self._lease.witness_terms(now_s)
         if self.phase == "lapsed":
             self._regain(granting)
         elif self.phase == "acquiring":
             self._chart.fire("majority")
-            self._continuity += 1
-            self._known_terms = {}
-        self._known_terms.update(granting)
+            self._generation += 1
+            self._known_witness_terms = {}
+        self._known_witness_terms.update(granting)
 
     def _regain(self, granting):
+        """End a lapse: heal it, or start the lease anew if a taker may have had it."""
         unbroken = {
             witness
             for witness, term in granting.items()
-            if self._known_terms.get(witness) == term
+            if self._known_witness_terms.get(witness) == term
         }
         if self._was_started and self._lease.majority_of(unbroken):
             self._chart.fire("majority_unbroken")
             return
         self._chart.fire("majority_broken")
-        self._continuity += 1
-        self._known_terms = {}
+        self._generation += 1
+        self._known_witness_terms = {}
 
     def tick(self, now_s):
-        """Detect a lapse; return whether there was one."""
+        """Detect a lapse of the lease; return whether there was one."""
         if self.phase not in ("held", "starting") or self._lease.held(now_s):
             return False
         self._was_started = self.phase == "held"
         self._majority_due_s = now_s + self._terms.lease_s
         return self._chart.fire("majority_lost")
 
-    def start_read_back(self, continuity):
-        """Register that the `LeaseStarted` record of a hold was read back."""
-        if continuity == self._continuity and self.phase == "starting":
+    def start_read_back(self, generation):
+        """Register that the `LeaseStarted` record of a generation was read back."""
+        if generation == self._generation and self.phase == "starting":
             self._chart.fire("started")
 
-    def surrender(self, own, reach_until_s, now_s, held_until_s=None):
-        """Stop owning at once; return the renewal that ends the lease.
+    def surrender(self, own_lease, reach_until_s, now_s, held_until_s=None):
+        """Stop owning slices at once; return the renewal that ends the lease.
 
         It allows a standby to begin before the lease would have lapsed. All grants
         are dropped, including those still in transit: they would count after a
@@ -236,18 +242,18 @@
         self._chart.fire("surrender")
         self._lease.reset()
         held_s = 0.0 if held_until_s is None else max(0.0, held_until_s - now_s)
-        return self._ending(own, reach_until_s, now_s, held_s)
+        return self._ending(own_lease, reach_until_s, now_s, held_s)
 
-    def _ending(self, own, reach_until_s, now_s, held_s=0.0):
+    def _ending(self, own_lease, reach_until_s, now_s, held_s=0.0):
         number = self._lease.next_number()
-        return self._message(own, held_s, reach_until_s - now_s, number)
+        return self._message(own_lease, held_s, reach_until_s - now_s, number)
 
-    def _message(self, own, lease_s, reach_s, number):
+    def _message(self, own_lease, lease_s, reach_s, number):
         return Renewal(
             owner_id=self._node_id,
             incarnation=self._incarnation,
-            lease_epoch=own.lease_epoch,
-            portfolio_epoch=own.portfolio_epoch,
+            lease_epoch=own_lease.lease_epoch,
+            portfolio_epoch=own_lease.portfolio_epoch,
             lease_s=lease_s,
             reach_s=max(0.0, reach_s),
             round=number,
@@ -263,7 +269,7 @@
         self._round_sent_s = float("-inf")
 
     def supersede(self):
-        """Stop permanently, since a newer process uses this node's id."""
+        """Give up the lease permanently, since a newer process uses this node's id."""
         return self._chart.fire("replaced")
 
     def owns(self, now_s):
--- a/comfreywharf/ownership/process_tracker.py
+++ b/comfreywharf/ownership/process_tracker.py
@@ -26,7 +26,7 @@
     1
     >>> tracker.leads_to_process("first"), tracker.leads_to_process("second")
     (True, False)
-    >>> tracker.answered("first", tracker.asked())
+    >>> tracker.answered("first", tracker.request_sent())
     >>> tracker.leads_to_process("second")
     True
     >>> tracker.closed("first")
@@ -48,17 +48,17 @@
 
     @property
     def process(self):
-        """Return the number of the process; zero if none is known."""
+        """Return the number of the process; zero without a confirmed connection."""
         return self._number if self._confirmed else 0
 
     @property
     def confirmed_count(self):
-        """Return how many connections are known to lead to the process."""
+        """Return how many connections are confirmed to lead to the process."""
         return len(self._confirmed)
 
     @property
     def has_unconfirmed(self):
-        """Return whether any connection isn't known to lead to the process."""
+        """Return whether any connection isn't confirmed to lead to the process."""
         return len(self._opened) > len(self._confirmed)
 
     def opened(self, connection):
@@ -71,16 +71,16 @@
             self._number += 1
         self._opened[connection] = self._next_event()
 
-    def asked(self):
-        """Register that a request is sent; return its number for `answered`."""
+    def request_sent(self):
+        """Register that a request is sent; return its number, for `answered`."""
         return self._next_event()
 
-    def answered(self, connection, asked):
-        """Register an answer on a connection to the request numbered ``asked``."""
+    def answered(self, connection, request_number):
+        """Register an answer on a connection; `request_sent` numbered its request."""
         if connection not in self._confirmed:
             return
         self._confirmed.update(
-            other for other, opened in self._opened.items() if opened < asked
+            other for other, opened in self._opened.items() if opened < request_number
         )
 
     def closed(self, connection):
@@ -89,7 +89,7 @@
         self._confirmed.discard(connection)
 
     def leads_to_process(self, connection):
-        """Return whether a connection is known to lead to the process."""
+        """Return whether a connection is confirmed to lead to the process."""
         return connection in self._confirmed
 
     def _next_event(self):
--- a/comfreywharf/ownership/table.py
+++ b/comfreywharf/ownership/table.py
@@ -17,11 +17,12 @@
     """The permission to serve a request, or the reason for its refusal.
 
     A permission has a fence and a deadline. ``deadline_s`` is on this machine's
-    monotonic clock, which the local backend server shares. ``vouched_since_s`` says
-    since when the memory of request ids is complete for this key. An earlier request
-    may have run on another node without a trace in this memory. ``covered`` is false
-    if a taker wouldn't wait until the deadline; such a request must not be forwarded
-    before the witnesses know of its deadline.
+    monotonic clock, which the local backend server shares. The node keeps a memory of
+    request ids so that no request runs twice; ``vouched_since_s`` says since when it is
+    complete for this key. An earlier request may have run on another node without a
+    trace in this memory. ``covered`` is false if a taker
+    wouldn't wait until the deadline; such a request must not be forwarded before the
+    witnesses have received its deadline.
     """
 
     reason: Reason | None = None
@@ -38,14 +39,14 @@
 
 @attrs.frozen
 class _Basis:
-    """The basis of a right: a fence, and the leases that have to be held."""
+    """What a `Right` is based on: a fence, and the leases that have to be held."""
 
     fence: int
     leases: tuple
 
 
 @attrs.frozen
-class _Unreleased:
+class _UnreleasedSlice:
     """A slice that moved away and that the new owner hasn't requested yet."""
 
     epoch: int
@@ -53,7 +54,7 @@
 
 
 @attrs.frozen
-class _Used:
+class _LastFence:
     """The fence under which an own slice was last served, and the slice's end."""
 
     end: int
@@ -67,10 +68,11 @@
     earlier owner's release; by the earlier owner until the new one requests that
     release; and by a taker, under its claim on the owner's lapsed lease.
 
-    An owner uses a fence only once a majority of its witnesses knows of the record that
-    raised it. Otherwise they could grant a claim on the earlier state, and the taker's
-    server would be granted the key under a lower fence than the owner's. Until then the
-    owner continues under its earlier fence, or waits if it had none for this range.
+    An owner uses a fence only once a majority of its witnesses has acknowledged the
+    record that raised it. Otherwise they could grant a claim on the earlier state, and
+    the taker's server would be granted the key under a lower fence than the owner's.
+    Until then the owner continues under its earlier fence, or waits if it had none for
+    this range.
     """
 
     def __init__(self, node_id, holder, inflight, fenced=False):
@@ -83,7 +85,7 @@
         self._unreleased = {}
         self._vouched_since_s = {}
         self._newest_slice_epoch = -1
-        self._used = {}
+        self._last_fences = {}
 
     def right_to_serve(self, state, service, key, now_s, remaining_s):
         """Return the `Right` to serve one request that arrived at ``now_s``."""
@@ -132,13 +134,13 @@
             return Right(reason=Reason.NOT_YET_OWNER)
         return _Basis(fence, (self.holder.lease, *leases))
 
-    def _fence_in_use(self, place, piece, state):
+    def _fence_in_use(self, slice_id, piece, state):
         """Return the newest fence of an own slice that may be used, or ``None``."""
         fence = state.fence(piece)
         if self._is_acknowledged(fence):
-            self._used[place] = _Used(piece.end, fence)
+            self._last_fences[slice_id] = _LastFence(piece.end, fence)
             return fence
-        used = self._used.get(place)
+        used = self._last_fences.get(slice_id)
         return used.fence if used is not None and used.end == piece.end else None
 
     def _is_acknowledged(self, fence):
@@ -146,7 +148,7 @@
         return fence <= 2 * self.holder.lease.acknowledged_epoch()
 
     def newest_epoch(self, lease_epoch):
-        """Return the epoch that the witnesses must know before all is served."""
+        """Return the epoch to be acknowledged before all slices can be served."""
         return max(lease_epoch, self._newest_slice_epoch)
 
     def _taker_basis(self, state, key, piece, now_s):
@@ -173,7 +175,7 @@
             return (claim.lease,)
         return None
 
-    def begin(self, right):
+    def begin_request(self, right):
         """Register a request that is about to be forwarded; return its `Right`."""
         if right.reason is not None or right.key_hash == 0:
             return right
@@ -182,7 +184,7 @@
         )
         return attrs.evolve(right, ticket=self.inflight.add(ticket))
 
-    def finish(self, right):
+    def finish_request(self, right):
         """Register that nothing forwarded under a right can still take effect."""
         if right.ticket:
             self.inflight.remove(right.ticket)
@@ -207,46 +209,51 @@
 
     def slice_changed(self, state, service, before, after, now_s):
         """Register that a record changed a slice."""
-        place = (service, after.start)
+        slice_id = (service, after.start)
         owned_before = before is not None and before.owner == self._node_id
         if after.owner == self._node_id:
             self._newest_slice_epoch = max(self._newest_slice_epoch, after.epoch)
         if not owned_before or after.owner != self._node_id or before.end != after.end:
-            self._used.pop(place, None)
+            self._last_fences.pop(slice_id, None)
         if after.owner == self._node_id and not owned_before:
             self._became_owner(service, before, after, now_s)
         if after.previous == self._node_id and owned_before:
             fence = state.fence(before)
-            self._unreleased[place] = _Unreleased(epoch=after.epoch, fence=fence)
+            self._unreleased[slice_id] = _UnreleasedSlice(
+                epoch=after.epoch, fence=fence
+            )
         elif after.previous != self._node_id:
-            self._unreleased.pop(place, None)
-        elif place in self._unreleased:
+            self._unreleased.pop(slice_id, None)
+        elif slice_id in self._unreleased:
             # The new owner was lost before it requested the slice; another
             # one will request it.
-            fence = self._unreleased[place].fence
-            self._unreleased[place] = _Unreleased(epoch=after.epoch, fence=fence)
+            fence = self._unreleased[slice_id].fence
+            self._unreleased[slice_id] = _UnreleasedSlice(
+                epoch=after.epoch, fence=fence
+            )
 
     def _became_owner(self, service, before, after, now_s):
-        """Decide since when the memory of request ids of a new slice is complete.
+        """Set since when the memory of request ids of a new slice is complete.
 
         A slice without an earlier owner has no earlier requests, and the memory of a
         takeover began with its claim. For any other slice, earlier requests are not
-        known until a release hands the memory over.
+        recorded here until a release hands the memory over.
 
         A process that starts folds the log from its beginning, including slices that
         were assigned to an earlier process of its node. If these counted as new, it
-        would claim a complete memory when it releases such a slice, and the next
-        owner would run a booking again that the earlier process had run.
+        would report a complete memory when it releases such a slice, and the next
+        owner would run a request again that the earlier process had run.
         """
-        place = (service, after.start)
+        slice_id = (service, after.start)
         if before is None:
-            self._vouched_since_s[place] = now_s
+            self._vouched_since_s[slice_id] = now_s
         elif not before.owner and self.holder.owns(now_s):
-            self._vouched_since_s[place] = ALWAYS_S
-        elif not self._claimed(service, before):
-            self._vouched_since_s[place] = now_s
+            self._vouched_since_s[slice_id] = ALWAYS_S
+        elif not self._has_claim_on(service, before):
+            self._vouched_since_s[slice_id] = now_s
 
-    def _claimed(self, service, piece):
+    def _has_claim_on(self, service, piece):
+        """Return whether a slice is in the share of a claim of this node."""
         claim = self.claims.get(piece.owner)
         key = SliceKey(service, piece.start, piece.epoch)
         return claim is not None and key in claim.share
@@ -258,8 +265,8 @@
             self._vouched_since_s[(service, at)] = since_s
 
     def slices_merged(self, service, start, next_start):
-        """Keep the later of the two parts' memory starts for a merged slice."""
-        self._used.pop((service, next_start), None)
+        """Count the memory of a merged slice from the later of its parts' starts."""
+        self._last_fences.pop((service, next_start), None)
         since_s = self._vouched_since_s.pop((service, next_start), ALWAYS_S)
         if (service, start) in self._vouched_since_s:
             kept_s = self._vouched_since_s[(service, start)]
@@ -272,7 +279,7 @@
         other nodes since, so that the memory of request ids may be incomplete.
         """
         self._unreleased.clear()
-        self._used.clear()
+        self._last_fences.clear()
         self._vouched_since_s.clear()
         for service, piece in state.owned_by(self._node_id):
             self._vouched_since_s[(service, piece.start)] = now_s
@@ -283,12 +290,12 @@
         for key in claim.share:
             self._vouched_since_s[(key.service, key.start)] = now_s
 
-    def released(self, key, vouched_since_s):
-        """Register an earlier owner's release, and how far back its memory goes."""
+    def release_received(self, key, vouched_since_s):
+        """Register a release, and since when the earlier owner's memory is complete."""
         self._released.add(key)
         self._vouched_since_s[(key.service, key.start)] = vouched_since_s
 
-    def awaited(self, state, now_s):
+    def awaited_releases(self, state, now_s):
         """Yield ``(key, slice)`` for each slice whose release has to be requested."""
         for service, pieces in state.slices.items():
             for piece in pieces.slices:
@@ -300,7 +307,7 @@
                 if self._serves_next(key, piece, now_s):
                     yield key, piece
 
-    def unrecorded(self, state):
+    def unrecorded_releases(self, state):
         """Yield received releases that are not yet recorded in the log."""
         for key in list(self._released):
             pieces = state.slices.get(key.service)
@@ -311,6 +318,7 @@
                 yield key
 
     def _serves_next(self, key, piece, now_s):
+        """Return whether this node serves a slice once its release is received."""
         if not self.holder.owns(now_s):
             return False
         if piece.owner == self._node_id:
--- a/comfreywharf/ownership/tests/test_vouching.py
+++ b/comfreywharf/ownership/tests/test_restarted_witnesses.py
@@ -1,4 +1,4 @@
-"""Witnesses that restart while an owner is healthy: what they grant and what counts."""
+"""Witnesses that restart: which requests they grant, and which grants count."""
 
 import pytest
 
@@ -15,8 +15,8 @@
     nodes were lost.
 
     Two of an owner's three witnesses are killed and restart at once. Each refuses
-    requests until all that it might have granted is over. It must not refuse the owner,
-    which knows what the witness granted to it."""
+    requests until all grants of its earlier process have ended. It must not refuse the
+    owner, whose renewals say that such a grant still counts."""
     world = make_world()
     key = KEYS[0]
     owner = world.role("owner", key)
@@ -30,7 +30,7 @@
 
 
 def test_restarted_witness_grants_no_taker_sooner():
-    """A grant to the owner is no grant to a taker: the witness refuses all others."""
+    """Only the owner is granted the lease early: the witness refuses all takers."""
     world = make_world()
     key = KEYS[0]
     owner, standby = world.role("owner", key), world.role("standby", key)
@@ -60,7 +60,7 @@
     for witness in GROUP:
         lease.grant(witness, first, term=1, now_s=10.1)
     second = lease.begin_round(10.9, 0.0, 0)
-    assert lease.vouches_for("a", second)
+    assert lease.had_grant("a", second)
     for witness in GROUP:
         lease.grant(witness, second, term=term, now_s=received_s)
     assert lease.held(11.1) is held
--- a/comfreywharf/ownership/witness.py
+++ b/comfreywharf/ownership/witness.py
@@ -1,4 +1,4 @@
-"""The witness, which keeps in memory who holds which lease until when.
+"""The witness, which keeps in memory which node holds which lease until when.
 
 Each node's lease has at least three witnesses, and a majority of them decides. A
 witness stores nothing durably; durable state is in the log. It may lose its memory,
@@ -31,7 +31,7 @@
     lease_epoch: int
     portfolio_epoch: int
     expires_s: float
-    reach_s: float
+    reach_until_s: float
     round: int
 
     @property
@@ -39,18 +39,18 @@
         return self.lease_epoch, self.portfolio_epoch
 
     def active(self, now_s):
-        return now_s < max(self.expires_s, self.reach_s)
+        return now_s < max(self.expires_s, self.reach_until_s)
 
 
 @attrs.define(kw_only=True)
-class _Watched:
+class _WatchedLease:
     """One lease: its holder, or the takers of its shares."""
 
     incarnation: int = -1
     lease_epoch: int = -1
     portfolio_epoch: int = -1
     expires_s: float = NEVER_S
-    reach_s: float = NEVER_S
+    reach_until_s: float = NEVER_S
     round: int = -1
     term: int = 0
     takers: dict[str, _Taker] = attrs.Factory(dict)
@@ -62,20 +62,24 @@
         return self.round >= 0 or bool(self.takers)
 
     def held_until_s(self, checks_fences):
-        """Return until when the owner, or its forwarded requests, may still act.
+        """Return until when the owner may serve, or its requests may take effect.
 
         A backend server that checks fences refuses a request whose grant has lapsed,
         so that no wait beyond the lease is needed.
         """
-        return self.expires_s if checks_fences else max(self.expires_s, self.reach_s)
+        return (
+            self.expires_s if checks_fences else max(self.expires_s, self.reach_until_s)
+        )
 
     def drop_inactive(self, now_s):
-        for taker_id in [t for t, k in self.takers.items() if not k.active(now_s)]:
+        for taker_id in [
+            t for t, taker in self.takers.items() if not taker.active(now_s)
+        ]:
             del self.takers[taker_id]
 
 
 class Witness:
-    """Decide on renewals and claims.
+    """Decide on renewals and claims of the leases that this node is a witness of.
 
     ``start_number`` differs with each start of the process. ``longest_request_s``
     is the longest time to a deadline that any owner may have outstanding.
@@ -91,14 +95,17 @@
     def renew(self, renewal, view, longest_request_s, now_s):
         """Answer an owner's request for its own lease."""
         # If fences are checked, no request that an earlier process forwarded
-        # outlives its grants, and these ended with the lease. The wait for the
-        # longest request isn't needed; it took 7 s after the loss of all nodes.
-        begins = (
+        # outlives its grants, and these ended with the lease. A wait for the
+        # longest request would only delay the start after the loss of all
+        # nodes, by 7 s.
+        awaits_requests = (
             view.lease_epoch >= 0
             and view.lease_incarnation != renewal.incarnation
             and not view.checks_fences
         )
-        wait_s = self._wait_s(renewal.owner_id, begins, longest_request_s, now_s)
+        wait_s = self._wait_s(
+            renewal.owner_id, awaits_requests, longest_request_s, now_s
+        )
         # ``vouched`` says that a grant by this witness's earlier process still
         # counts, so that the process granted the lease to no other node. If the
         # witness refused this owner as well, a simultaneous restart of three
@@ -118,7 +125,8 @@
                 return self._deny(Denial.OLD_ROUND)
         else:
             # The earlier incarnation may be a frozen machine that was replaced.
-            # It may act until its lease and its deadlines are over.
+            # It may serve until its lease is over, and its forwarded requests
+            # may take effect until their deadlines.
             held_until_s = watched.held_until_s(view.checks_fences)
             if now_s < held_until_s:
                 return self._deny(Denial.HELD, held_until_s - now_s)
@@ -134,12 +142,12 @@
         watched.portfolio_epoch = max(watched.portfolio_epoch, renewal.portfolio_epoch)
         watched.round = renewal.round
         watched.expires_s = self._terms.expires_s(now_s, renewal.lease_s)
-        watched.reach_s = self._terms.expires_s(now_s, renewal.reach_s)
+        watched.reach_until_s = self._terms.expires_s(now_s, renewal.reach_s)
 
     def claim(self, claim, view, longest_request_s, now_s):
         """Answer a standby's claim on a share of a lapsed lease."""
-        begins = not view.checks_fences
-        wait_s = self._wait_s(claim.owner_id, begins, longest_request_s, now_s)
+        awaits_requests = not view.checks_fences
+        wait_s = self._wait_s(claim.owner_id, awaits_requests, longest_request_s, now_s)
         if wait_s > 0:
             return self._deny(Denial.SILENT, wait_s)
         watched = self._lookup(claim.owner_id)
@@ -162,16 +170,18 @@
             watched.term = self._new_term()
         return self._grant_share(watched, claim, now_s)
 
-    def _wait_s(self, owner_id, begins, longest_request_s, now_s):
+    def _wait_s(self, owner_id, awaits_requests, longest_request_s, now_s):
         """Return how long this witness still has to refuse grants of a lease.
 
-        After a restart it doesn't know an owner's outstanding deadlines until that
-        owner has renewed with it. A node or process that ``begins`` to act in the
-        owner's place has to wait for the longest possible one.
+        After a restart it has no record of an owner's outstanding deadlines until that
+        owner has renewed with it. ``awaits_requests`` says that a new process or a
+        taker begins to act in the owner's place, and that requests which were
+        forwarded earlier may outlast their grants; it has to wait for the longest
+        possible deadline.
         """
         until_s = self.silent_until_s
         watched = self._watched.get(owner_id)
-        if begins and (watched is None or not watched.was_held):
+        if awaits_requests and (watched is None or not watched.was_held):
             until_s = max(until_s, self._started_s + longest_request_s)
         return until_s - now_s
 
@@ -195,7 +205,7 @@
             lease_epoch=claim.lease_epoch,
             portfolio_epoch=claim.portfolio_epoch,
             expires_s=self._terms.expires_s(now_s, claim.lease_s),
-            reach_s=self._terms.expires_s(now_s, claim.reach_s),
+            reach_until_s=self._terms.expires_s(now_s, claim.reach_s),
             round=claim.round,
         )
         return Grant(granted=True, term=watched.term)
@@ -212,9 +222,9 @@
         if claim.round > taker.round:
             taker.round = claim.round
             taker.expires_s = now_s
-            taker.reach_s = self._terms.expires_s(now_s, claim.reach_s)
+            taker.reach_until_s = self._terms.expires_s(now_s, claim.reach_s)
 
-    def lapsed(self, owner_ids, now_s):
+    def lapsed_owners(self, owner_ids, now_s):
         """Return those of the given owners whose standbys are to be notified now.
 
         An owner that hasn't renewed since this witness started counts as lapsed
@@ -231,8 +241,11 @@
         watched.notified_s = now_s
         return True
 
-    def forget(self, owner_ids, now_s):
-        """Drop the state of owners that are no longer members."""
+    def drop_owners_except(self, owner_ids, now_s):
+        """Drop the state of all other owners, once nothing of theirs may take effect.
+
+        ``owner_ids`` are the members of the cluster.
+        """
         for owner_id in set(self._watched) - set(owner_ids):
             watched = self._watched[owner_id]
             watched.drop_inactive(now_s)
@@ -240,13 +253,15 @@
                 del self._watched[owner_id]
 
     def _taken_for_s(self, watched, now_s):
-        latest_s = max(max(t.expires_s, t.reach_s) for t in watched.takers.values())
+        latest_s = max(
+            max(t.expires_s, t.reach_until_s) for t in watched.takers.values()
+        )
         return latest_s - now_s
 
     def _lookup(self, owner_id):
         watched = self._watched.get(owner_id)
         if watched is None:
-            watched = _Watched()
+            watched = _WatchedLease()
             self._watched[owner_id] = watched
         return watched
 
