--- a/comfreywharf_dev/standins/backend.py
+++ b/comfreywharf_dev/standins/backend.py
@@ -36,7 +36,14 @@
 
 @attrs.define(kw_only=True)
 class Profile:
-    """The properties of the server, and the faults that it has at present."""
+    """The properties of the server, and the faults that it has at present.
+
+    The server announces ``announced_port``, or ``port`` if that is 0. For the first
+    ``cold_s`` seconds, work takes ``cold_factor`` times as long. While ``failing``,
+    all requests but uploads and downloads get status 500, and the health report says
+    so unless ``health_lies`` is set. ``load_frozen`` is the busy fraction that the
+    load report gives; if it is negative, the report gives the real one.
+    """
 
     name: str
     service: str
@@ -70,7 +77,7 @@
 
 
 class Ledger:
-    """Append-only lines of JSON.
+    """Append-only lines of JSON; without a path, nothing is written.
 
     Each line is written by one call, so that processes that share the file don't
     interleave their lines.
@@ -81,7 +88,7 @@
         self._file = os.open(path, flags, 0o644) if path else None
 
     def append(self, **effect):
-        """Write one effect."""
+        """Write one line with the given fields."""
         if self._file is not None:
             os.write(self._file, orjson.dumps(effect) + b"\n")
 
@@ -149,7 +156,7 @@
         )
 
     def _cancel(self, request):
-        """Prevent an attempt's effect; answer whether it had one before."""
+        """Prevent an attempt's effect; answer whether it was applied before."""
         message = orjson.loads(request.read_body())
         attempt = message.get("attempt") or message["request_id"]
         _remember(self._cancelled, attempt, self._clock())
@@ -221,14 +228,24 @@
         return work_ms * factor / 1000
 
     def _refusal(self, request, attempt):
-        """Return the refusal of a request that may not take effect, or ``None``."""
+        """Return the answer that refuses a request, or ``None`` if it may be run.
+
+        A request is refused if it was cancelled, after its deadline, or, if this server
+        checks fences, without a valid grant for its key hash and fence.
+        """
         if attempt in self._cancelled:
             return Answer(409, {"error": "cancelled"}, {"Comfreywharf-Not-Run": "1"})
         deadline_ms = int(request.header("Comfreywharf-Deadline-Ms", "0"))
         if deadline_ms and self._clock() * 1000 > deadline_ms:
-            return Answer(504, {"error": "too late"}, {"Comfreywharf-Not-Run": "1"})
+            return Answer(
+                504, {"error": "deadline passed"}, {"Comfreywharf-Not-Run": "1"}
+            )
         if self.profile.checks_fences and not self._fence_holds(request):
-            return Answer(409, {"error": "fence"}, {"Comfreywharf-Not-Run": "1"})
+            return Answer(
+                409,
+                {"error": "no valid grant for this fence"},
+                {"Comfreywharf-Not-Run": "1"},
+            )
         return None
 
     def _fence_holds(self, request):
--- a/comfreywharf_dev/standins/cluster.py
+++ b/comfreywharf_dev/standins/cluster.py
@@ -350,7 +350,7 @@
         return http_json(self.plans[node_id].operator_port, "GET", "/status")[2]
 
     def state(self, node_id):
-        """Return a node's folded state as a document."""
+        """Return the state that a node folded from the log, as a document."""
         return http_json(self.plans[node_id].operator_port, "GET", "/state")[2]
 
     def call(self, node_id, path, key=None, method="POST", **headers):
@@ -374,9 +374,9 @@
         return self.slice_of(seen_by, service, key)["owner"]
 
     def slice_of(self, seen_by, service, key):
-        """Return the slice that holds a key in the state of the node ``seen_by``.
+        """Return the slice that contains a key in the state of the node ``seen_by``.
 
-        Raises `KeyError` if no slice holds it.
+        Raises `KeyError` if no slice contains it.
         """
         value = key_hash(key.encode())
         for piece in self.state(seen_by)["slices"][service]["slices"]:
@@ -385,7 +385,7 @@
         raise KeyError(key)
 
     def wait_owned(self, service, timeout_s=START_TIMEOUT_S):
-        """Wait until each slice of a service has an owner, and is served.
+        """Wait until each slice of a service has an owner that serves it.
 
         Every node then has the owners in its state, and each owner holds its lease.
         """
@@ -528,7 +528,7 @@
 def wait_until(condition, timeout_s):
     """Wait until a condition holds.
 
-    Raises `TimeoutError` after ``timeout_s`` seconds. The limit only stops a wait
+    Raises `TimeoutError` after ``timeout_s`` seconds. The timeout only ends a wait
     that has failed: no check depends on how soon the condition holds.
     """
     end_s = boottime_s() + timeout_s
@@ -537,6 +537,8 @@
             if condition():
                 return
         except (OSError, TypeError):
+            # A process that is starting or stopping refuses connections, or gives an
+            # answer without the document that the condition indexes.
             pass
         time.sleep(0.05)
     raise TimeoutError(f"condition did not hold within {timeout_s} s")
--- a/comfreywharf_dev/standins/deployments.py
+++ b/comfreywharf_dev/standins/deployments.py
@@ -1,4 +1,4 @@
-"""The deployments of the brief, scaled to loopback."""
+"""A deployment like Riga's on loopback: two services in three failure domains."""
 
 from comfreywharf.records import ServiceConfig
 from comfreywharf_dev.standins.cluster import NodePlan
@@ -9,7 +9,10 @@
 
 
 def riga_plans(booking=7, files=3, **fields):
-    """Return plans for Riga's booking and workshop files, over three domains."""
+    """Return the plans of Riga's nodes, spread over three failure domains.
+
+    ``booking`` and ``files`` are the numbers of nodes of the services of that name.
+    """
     plans = []
     for service, count in (("booking", booking), ("files", files)):
         for index in range(count):
--- a/comfreywharf_dev/standins/faultproxy.py
+++ b/comfreywharf_dev/standins/faultproxy.py
@@ -30,6 +30,7 @@
 CONNECT_TIMEOUT_S = 2.0
 UNKNOWN_SOURCE = "?"
 RESET_LINGER = struct.pack("ii", 1, 0)
+"""The SO_LINGER value of 0 seconds, with which closing a socket sends a TCP reset."""
 
 
 class Mode(StrEnum):
@@ -85,7 +86,7 @@
         self.opened.set()
 
     def set(self, *, mode, delay_s, bytes_per_s, lose_answers):
-        """Replace the faults; held bytes are delivered unless they stay on hold."""
+        """Replace the faults; held bytes are delivered unless ``mode`` is ``HOLD``."""
         self.mode = mode
         self.delay_s = delay_s
         self.bytes_per_s = bytes_per_s
@@ -110,7 +111,7 @@
 
 
 class _Connection:
-    """The two sockets of one proxied connection."""
+    """The sockets of one proxied connection: to its source and to its target."""
 
     def __init__(self, near, far, link):
         self.near = near
@@ -125,7 +126,7 @@
             _reset(sock)
 
     def close_target(self):
-        """Reset the connection to the target and keep the near side open."""
+        """Reset the connection to the target and keep the source's open."""
         self.target_closed = True
         _reset(self.far)
 
@@ -281,12 +282,12 @@
 
 
 def _propagate_failure(connection, flow):
-    """Reset the other side too, after any hold, unless the connection is half open."""
+    """Reset both sides, after any hold, unless the connection is half open."""
     flow.opened.wait()
     if not connection.target_closed:
         connection.reset()
         return
-    # The near side of a half-open connection may still write: discard its bytes.
+    # The source of a half-open connection may still write: discard its bytes.
     try:
         while connection.near.recv(CHUNK_BYTES):
             pass
@@ -350,7 +351,7 @@
         return self._post("/reset", document)["connections"]
 
     def half_open(self, source, target):
-        """Drop the target's side of a link's connections; return how many."""
+        """Reset only the target's side of a link's connections; return how many."""
         document = {"source": source, "target": target}
         return self._post("/half-open", document)["connections"]
 
--- a/comfreywharf_dev/standins/fleet.py
+++ b/comfreywharf_dev/standins/fleet.py
@@ -30,7 +30,7 @@
 
 STREAM = "comfreywharf"
 CLOSED_PORT = 1
-"""A port without a listener, as the log's address of a node that is cut off."""
+"""A port without a listener, given as the log's port to nodes that are cut off."""
 
 
 def wait_for(condition, timeout_s=10.0):
@@ -155,7 +155,10 @@
         return self._server.server_port
 
     def start(self, node_id, *, cut=False, seeds=(), announce=True, **parts):
-        """Start a node; with ``cut`` it can't reach the log."""
+        """Start a node; with ``cut`` it can't reach the log.
+
+        ``parts`` selects the greenlets, as in `FleetNode.start`.
+        """
         port = CLOSED_PORT if cut else self.log_port
         addresses = [Address("127.0.0.1", node.server.port) for node in seeds]
         node = FleetNode(node_id, port, addresses)
--- a/comfreywharf_dev/standins/platform_server.py
+++ b/comfreywharf_dev/standins/platform_server.py
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class Run:
-    """One request that a server ran."""
+    """A request that a server started to run."""
 
     request_id: str
     key: int
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class TakenGrant:
-    """One grant that an incarnation of a server accepted."""
+    """A grant that an incarnation of a server accepted."""
 
     incarnation: ServerIncarnation
     first: int
@@ -47,13 +47,14 @@
 
 
 class PlatformServer:
-    """A server that holds keys by grants and adds each run to a shared ledger.
+    """A server that holds granted ranges of keys, and adds runs to a shared ledger.
 
     Each request takes ``work_s`` seconds; while ``may_finish`` is cleared, none
     finishes. The next ``lose_grants`` grant requests take effect ``grant_delay_s``
     seconds late and are never answered. ``taken`` lists the grants that all its
     incarnations accepted, and ``misdirected`` counts the requests for keys that it
-    didn't hold. While ``heartbeats_off`` is set, it sends no heartbeats.
+    didn't hold. Answers carry ``answer_id``, if it is set, as the id of the attempt.
+    While ``heartbeats_off`` is set, the server sends no heartbeats.
 
     With ``uses_hold_lists`` it refuses grant and release requests; the answers to its
     heartbeats list the ranges that it holds. The next ``lose_answers`` of these
@@ -160,7 +161,7 @@
 
     @property
     def heartbeats_sent(self):
-        """Return how many heartbeats the present incarnation began to send."""
+        """Return how many heartbeats the present incarnation has attempted to send."""
         return self._sequence
 
     def taken_by_this_incarnation(self):
@@ -308,7 +309,7 @@
         return True
 
     def _drop(self, first, last):
-        """Remove a range from what is held, splitting ranges that overlap it."""
+        """Remove a range from the held ranges, and split those that overlap it."""
         kept = []
         for held in self.held:
             if held.first < first:
--- a/comfreywharf_dev/standins/socket_owner.py
+++ b/comfreywharf_dev/standins/socket_owner.py
@@ -16,11 +16,17 @@
 SOCK_DIAG_BY_FAMILY = 20
 NLM_F_REQUEST = 1
 ANY = 0xFFFFFFFF
+"""All connection states, or any cookie of a socket."""
+
 HEADER = struct.Struct("=IHHII")
 REQUEST = struct.Struct("=BBBBI")
 PORTS = struct.Struct(">HH")
 REST_OF_ID = struct.Struct("=III")
+"""The interface and the two halves of the cookie, after a socket's addresses."""
+
 INODE_OFFSET = HEADER.size + 68
+"""The offset of ``idiag_inode`` in an answer (``struct inet_diag_msg``)."""
+
 LOOPBACK = socket.inet_aton("127.0.0.1") + bytes(12)
 
 
--- a/comfreywharf_dev/standins/tests/test_requests.py
+++ b/comfreywharf_dev/standins/tests/test_requests.py
@@ -74,7 +74,7 @@
 
 
 def raw(port, data):
-    """Send bytes and return all that comes back until the end of the stream."""
+    """Send bytes, end the sending side, and return all bytes of the answer."""
     with socket.create_connection(("127.0.0.1", port), timeout=10) as sock:
         sock.sendall(data)
         sock.shutdown(socket.SHUT_WR)
@@ -98,7 +98,7 @@
 
 
 def test_an_id_reused_for_another_request_is_refused(cluster):
-    """A request id with another path is refused, not answered from memory."""
+    """A request id with another path is refused and doesn't get the first answer."""
     book(cluster, "files-1", "vesta", "reused")
     again = resend(cluster, "files-1", "vesta", "reused", "/booking/book?other=1")
     assert again[:2] == (409, "request-id-reused")
@@ -123,7 +123,11 @@
 
 
 def test_the_outcome_is_unknown_if_the_server_crashes_while_working(cluster):
-    """The outcome is unknown if the server crashes while it runs the request."""
+    """The outcome is unknown if the server crashes while it runs the request.
+
+    Guards against reporting the request as not run because it had no effect: the node
+    can't tell whether it had one. The server is killed while it works.
+    """
     owner = owner_of(cluster, "k")
     request = (
         b"POST /booking/book?work_ms=2000 HTTP/1.1\r\nHost: x\r\n"
@@ -227,6 +231,7 @@
 
 
 def raw_until_close(port, data):
+    """Send bytes, keep the sending side open, and return all bytes of the answer."""
     with socket.create_connection(("127.0.0.1", port), timeout=10) as sock:
         sock.sendall(data)
         parts = []
@@ -343,9 +348,9 @@
 def test_a_request_is_not_run_again_after_its_owner_node_crashed(cluster):
     """A request that ran isn't run again by the next owner.
 
-    The memory of request ids is lost with the owner's node, so that a resend to the
-    standby that took the key over looks new. The node crashes while the server works,
-    and the caller sends the request again.
+    Guards against a standby that runs a resend of a request that the lost owner ran.
+    The ids of requests that were run are lost with the owner's node. The node crashes
+    while the server works, and the caller sends the request again.
     """
     owner = owner_of(cluster, "vesta")
     process = cluster.plans[owner].node_process
