--- a/comfreywharf_dev/standins/backend.py
+++ b/comfreywharf_dev/standins/backend.py
@@ -24,7 +24,7 @@
 from geventhttpclient import HTTPClient
 
 from comfreywharf.clock import boottime_s
-from comfreywharf_dev.standins.wsgi import Answer, Streamed, serve_forever
+from comfreywharf_dev.standins.wsgi import Answer, StreamedBody, serve_forever
 
 __all__ = ["BackendServer", "Grant", "Ledger", "Profile"]
 
@@ -126,9 +126,10 @@
         return self._serve(request)
 
     def _health(self, request):
-        well = self.profile.health_lies or not self.profile.failing
+        reports_healthy = self.profile.health_lies or not self.profile.failing
         return Answer(
-            200 if well else 503, {"healthy": well, "draining": self.draining}
+            200 if reports_healthy else 503,
+            {"healthy": reports_healthy, "draining": self.draining},
         )
 
     def _load(self, request):
@@ -240,7 +241,7 @@
             return Answer(
                 504, {"error": "deadline passed"}, {"Comfreywharf-Not-Run": "1"}
             )
-        if self.profile.checks_fences and not self._fence_holds(request):
+        if self.profile.checks_fences and not self._has_valid_fence(request):
             return Answer(
                 409,
                 {"error": "no valid grant for this fence"},
@@ -248,7 +249,7 @@
             )
         return None
 
-    def _fence_holds(self, request):
+    def _has_valid_fence(self, request):
         text = request.header("Comfreywharf-Key-Hash")
         if not text:
             return True
@@ -304,7 +305,7 @@
 def _download(request):
     length = int(request.query.get("bytes", "0"))
     end = min(length, int(request.query.get("cut", length)))
-    return Answer(200, Streamed(length, _parts(end)))
+    return Answer(200, StreamedBody(length, _parts(end)))
 
 
 def _parts(length):
--- a/comfreywharf_dev/standins/wsgi.py
+++ b/comfreywharf_dev/standins/wsgi.py
@@ -8,7 +8,7 @@
 
 from comfreywharf.clock import boottime_s
 
-__all__ = ["Answer", "Request", "Streamed", "make_server", "serve_forever"]
+__all__ = ["Answer", "Request", "StreamedBody", "make_server", "serve_forever"]
 
 
 @attrs.define
@@ -30,7 +30,7 @@
 
 
 @attrs.define
-class Streamed:
+class StreamedBody:
     """A body in parts, with its announced length.
 
     The connection is closed early if the parts have fewer bytes than that.
@@ -46,7 +46,7 @@
             sent += len(part)
             yield part
         if sent < self.length:
-            request.cut()
+            request.close_connection()
 
 
 class Request:
@@ -67,7 +67,7 @@
         """Return the whole body."""
         return self.environ["wsgi.input"].read()
 
-    def cut(self):
+    def close_connection(self):
         """Close the connection at once, without an answer."""
         sock = self.environ["standin.socket"]
         sock.shutdown(socket.SHUT_RDWR)
@@ -91,10 +91,10 @@
         request = Request(environ)
         answer = application(request)
         if answer.status is None:
-            request.cut()
+            request.close_connection()
             start_response("500 Cut", [])
             return [b""]
-        if isinstance(answer.body, Streamed):
+        if isinstance(answer.body, StreamedBody):
             length = str(answer.body.length)
             start_response("200 Answer", [("Content-Length", length)])
             return answer.body.send(request)
