--- a/comfreywharf_dev/standins/logservice.py
+++ b/comfreywharf_dev/standins/logservice.py
@@ -22,7 +22,7 @@
 
 MAX_RECORDS = 200_000
 MAX_RECORD_BYTES = 256 * 1024
-MAX_BATCH = 500
+MAX_BATCH_RECORDS = 500
 
 
 @attrs.define(kw_only=True)
@@ -168,7 +168,7 @@
     def _read(self, stream, request):
         self.reads += 1
         start = int(request.query.get("from", "0"))
-        limit = min(int(request.query.get("limit", "100")), MAX_BATCH)
+        limit = min(int(request.query.get("limit", "100")), MAX_BATCH_RECORDS)
         wait_s = min(int(request.query.get("wait_ms", "0")), 30_000) / 1000
         if start >= stream.next and wait_s:
             stream.record_appended.wait(wait_s)
