--- a/comfreywharf_dev/failures/tests/test_partitions.py
+++ b/comfreywharf_dev/failures/tests/test_partitions.py
@@ -82,7 +82,7 @@
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
             for peer in survivors:
-                cluster.faults.change(owner, peer, Direction.BACK, mode=Mode.HOLD)
+                cluster.faults.set_flow(owner, peer, Direction.BACK, mode=Mode.HOLD)
             callers.wait_served()
             cluster.faults.heal()
             callers.wait_served()
--- a/comfreywharf_dev/standins/faultproxy.py
+++ b/comfreywharf_dev/standins/faultproxy.py
@@ -113,22 +113,22 @@
 class _Connection:
     """The sockets of one proxied connection: to its source and to its target."""
 
-    def __init__(self, near, far, link):
-        self.near = near
-        self.far = far
+    def __init__(self, source_sock, target_sock, link):
+        self.source_sock = source_sock
+        self.target_sock = target_sock
         self.link = link
         self.bytes_lost = False
         self.target_closed = False
 
     def reset(self):
         """Close both sides with a TCP reset."""
-        for sock in (self.near, self.far):
+        for sock in (self.source_sock, self.target_sock):
             _reset(sock)
 
     def close_target(self):
         """Reset the connection to the target and keep the source's open."""
         self.target_closed = True
-        _reset(self.far)
+        _reset(self.target_sock)
 
 
 def _reset(sock):
@@ -178,10 +178,10 @@
     def _set_faults(self, documents):
         for fault in cattrs.structure(documents, list[Fault]):
             flow = self.flow(fault.source, fault.target, fault.direction)
-            self._change(flow, fault)
+            self._set_flow(flow, fault)
         return {"faults": len(documents)}
 
-    def _change(self, flow, fault):
+    def _set_flow(self, flow, fault):
         flow.set(
             mode=fault.mode,
             delay_s=fault.delay_s,
@@ -197,7 +197,7 @@
     def _heal(self, _document):
         for (source, target, direction), flow in self._flows.items():
             fault = Fault(source=source, target=target, direction=direction)
-            self._change(flow, fault)
+            self._set_flow(flow, fault)
         return {"healed": True}
 
     def _reset_link(self, document):
@@ -223,32 +223,32 @@
     def _flows_of(self, link):
         return [self.flow(*link, direction) for direction in Direction]
 
-    def _serve(self, listener, near, address):
-        near.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    def _serve(self, listener, source_sock, address):
+        source_sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         source = listener.source or self._source_of(address[1], listener.port)
         link = (source, listener.target)
         there, back = self._flows_of(link)
         # A cut also delays the packets that open the connection to the target.
         there.opened.wait()
         try:
-            far = socket.create_connection(
+            target_sock = socket.create_connection(
                 ("127.0.0.1", listener.target_port), CONNECT_TIMEOUT_S
             )
         except OSError:
-            _reset(near)
+            _reset(source_sock)
             return
-        far.settimeout(None)
-        far.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection = _Connection(near, far, link)
+        target_sock.settimeout(None)
+        target_sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        connection = _Connection(source_sock, target_sock, link)
         self._connections.add(connection)
         pumps = [
-            gevent.spawn(_pump, connection, near, far, there),
-            gevent.spawn(_pump, connection, far, near, back),
+            gevent.spawn(_pump, connection, source_sock, target_sock, there),
+            gevent.spawn(_pump, connection, target_sock, source_sock, back),
         ]
         gevent.joinall(pumps)
         self._connections.discard(connection)
-        near.close()
-        far.close()
+        source_sock.close()
+        target_sock.close()
 
     def _source_of(self, port, listener_port):
         """Return the registered process that holds a local port."""
@@ -289,7 +289,7 @@
         return
     # The source of a half-open connection may still write: discard its bytes.
     try:
-        while connection.near.recv(CHUNK_BYTES):
+        while connection.source_sock.recv(CHUNK_BYTES):
             pass
     except OSError:
         pass
@@ -333,13 +333,13 @@
         back = [(one, source, Direction.BACK, {"mode": mode}) for one in targets]
         self._post_faults(there + back)
 
-    def change(self, source, target, direction, **what):
+    def set_flow(self, source, target, direction, **fields):
         """Set fields of one direction's `Flow`; the others get their defaults."""
-        self._post_faults([(source, target, direction, what)])
+        self._post_faults([(source, target, direction, fields)])
 
     def lose_answers(self, source, target, count):
         """Lose the next ``count`` answers of a link after their requests arrived."""
-        self.change(source, target, Direction.BACK, lose_answers=count)
+        self.set_flow(source, target, Direction.BACK, lose_answers=count)
 
     def heal(self):
         """Lift every fault."""
@@ -361,8 +361,8 @@
 
     def _post_faults(self, changes):
         documents = [
-            {"source": source, "target": target, "direction": direction, **what}
-            for source, target, direction, what in changes
+            {"source": source, "target": target, "direction": direction, **fields}
+            for source, target, direction, fields in changes
         ]
         self._post("/faults", documents)
 
--- a/comfreywharf_dev/standins/tests/test_faultproxy.py
+++ b/comfreywharf_dev/standins/tests/test_faultproxy.py
@@ -106,7 +106,7 @@
     echo, control, port = setup
     sock = connect(port)
     send_and_receive(sock, b"one")
-    control.change("a", "b", direction, mode=Mode.HOLD)
+    control.set_flow("a", "b", direction, mode=Mode.HOLD)
     sock.sendall(b"two")
     assert receives_nothing(sock)
     assert (b"two" in echo.received) == (direction is Direction.BACK)
@@ -163,7 +163,7 @@
 def test_a_delayed_link_delivers_late(setup):
     """The answer on a delayed link arrives late."""
     _, control, port = setup
-    control.change("a", "b", Direction.BACK, delay_s=0.3)
+    control.set_flow("a", "b", Direction.BACK, delay_s=0.3)
     slow = connect(port)
     slow.sendall(b"slow")
     gevent.sleep(0.05)
