--- a/comfreywharf_dev/failures/tests/builders.py
+++ b/comfreywharf_dev/failures/tests/builders.py
@@ -172,7 +172,7 @@
 
 
 def _is_running(cluster, request_id):
-    return any(request_id in cluster.running(one) for one in cluster.plans)
+    return any(request_id in cluster.running_requests(one) for one in cluster.plans)
 
 
 def violations(cluster, results=()):
--- a/comfreywharf_dev/failures/tests/test_replacements.py
+++ b/comfreywharf_dev/failures/tests/test_replacements.py
@@ -115,7 +115,7 @@
             survivors = node_ids_except(cluster, node_id)
             with Callers(cluster, KEYS, node_ids=survivors) as callers:
                 cluster.terminate_node(node_id)
-                cluster.remove_stopped(node_id)
+                cluster.remove_stopped_node(node_id)
                 callers.wait_served()
             results += callers.results
         for node_id in cluster.plans:
--- a/comfreywharf_dev/standins/cluster.py
+++ b/comfreywharf_dev/standins/cluster.py
@@ -108,7 +108,7 @@
         self._proxied = proxied
         self._proxy_port = 0
         self._proxy_process = None
-        self._reserved = []
+        self._reserved_sockets = []
         self._block_sockets = []
         self._ports_left = []
 
@@ -204,7 +204,7 @@
         wait_listening(self._proxy_port)
         self.faults = FaultControl(self._proxy_port)
 
-    def remove_stopped(self, node_id):
+    def remove_stopped_node(self, node_id):
         """Wait for a node's process to exit, kill its server, and drop its plan."""
         plan = self.plans.pop(node_id)
         plan.node_process.wait(START_TIMEOUT_S)
@@ -308,7 +308,7 @@
         """Set the fault switches of a backend server."""
         http_json(self.plans[node_id].server_port, "POST", "/switches", switches)
 
-    def running(self, node_id):
+    def running_requests(self, node_id):
         """Return the ids of the requests that a backend server runs."""
         return http_json(self.plans[node_id].server_port, "GET", "/running")[2]
 
@@ -397,7 +397,7 @@
         wait_until(
             lambda: all(
                 self._member_count(node_id, service) >= count
-                for node_id in self._running()
+                for node_id in self._running_node_ids()
             ),
             timeout_s,
         )
@@ -416,13 +416,13 @@
         wait_until(lambda: self._all_standbys_ready(service), timeout_s)
 
     def _all_standbys_ready(self, service):
-        running = self._running()
+        running = self._running_node_ids()
         pieces = self.state(running[0])["slices"][service]["slices"]
         return all(piece["standby"] for piece in pieces) and all(
             self.status(node_id)["lease"] == "held" for node_id in running
         )
 
-    def _running(self):
+    def _running_node_ids(self):
         """Return the ids of the nodes whose processes are running."""
         return [
             plan.node_id
@@ -431,14 +431,16 @@
         ]
 
     def _all_served(self, service):
-        running = self._running()
-        served = sum(self.status(n)["serving"].get(service, 0) for n in running)
+        running = self._running_node_ids()
+        served = sum(
+            self.status(node_id)["serving"].get(service, 0) for node_id in running
+        )
         return served == len(self.state(running[0])["slices"][service]["slices"])
 
     def _all_owned(self, service):
         for node_id in self.plans:
             pieces = self.state(node_id)["slices"].get(service)
-            if not pieces or not all(p["owner"] for p in pieces["slices"]):
+            if not pieces or not all(piece["owner"] for piece in pieces["slices"]):
                 return False
         return True
 
@@ -486,7 +488,7 @@
             port = self._ports_left.pop(0)
             sock = _bind(port)
             if sock is not None:
-                self._reserved.append(sock)
+                self._reserved_sockets.append(sock)
                 return port
 
     def _reserve_block(self):
@@ -499,8 +501,8 @@
                 return
 
     def _release_ports(self):
-        while self._reserved:
-            self._reserved.pop().close()
+        while self._reserved_sockets:
+            self._reserved_sockets.pop().close()
 
 
 def _bind(port):
