--- a/comfreywharf/platform/tests/test_incarnations.py
+++ b/comfreywharf/platform/tests/test_incarnations.py
@@ -23,9 +23,9 @@
     gevent.sleep(2.0)
     server.heartbeats_off = False
     wait_for(lambda: deployment.nodes[name].backend is not None)
-    wait_for(lambda: server.taken_by_this_incarnation())
+    wait_for(lambda: server.grants_of_this_incarnation())
     wait_for(deployment.each_key_has_one_holder)
-    assert repeated_fences(server.taken) == []
+    assert repeated_fences(server.accepted_grants) == []
 
 
 def test_a_server_that_restarted_under_its_id_can_leave(deployment):
@@ -39,7 +39,7 @@
     server = deployment.servers[name]
     wait_for(lambda: server.heartbeats_sent > 10)
     server.restart_as(server.instance)
-    wait_for(lambda: server.taken_by_this_incarnation())
+    wait_for(lambda: server.grants_of_this_incarnation())
     wait_for(deployment.each_key_has_one_holder)
     server.state = "draining"
     wait_for(lambda: deployment.nodes[name].closed_to_new_work, timeout_s=4.0)
@@ -103,13 +103,13 @@
     """
     name = deployment.holder(7)
     server = deployment.servers[name]
-    before = max(grant.fence for grant in server.taken)
+    before = max(grant.fence for grant in server.accepted_grants)
     server.reset_connections()
     for _ in range(100):
         gevent.sleep(0.02)
         assert len(deployment.holders(7)) <= 1
     wait_for(deployment.each_key_has_one_holder)
-    assert any(grant.fence > before for grant in server.taken)
+    assert any(grant.fence > before for grant in server.accepted_grants)
     assert server.refused_grants == 0
 
 
--- a/comfreywharf/platform/tests/test_lists.py
+++ b/comfreywharf/platform/tests/test_lists.py
@@ -79,11 +79,11 @@
     """
     name = deployment.holder(7)
     server = deployment.servers[name]
-    before = max(taken.fence for taken in server.taken)
+    before = max(grant.fence for grant in server.accepted_grants)
     server.restart_as(server.instance)
     assert is_served(deployment)
     wait_for(deployment.each_key_has_one_holder)
-    assert all(taken.fence > before for taken in server.taken_by_this_incarnation())
+    assert all(grant.fence > before for grant in server.grants_of_this_incarnation())
 
 
 def test_a_restarted_node_continues_beside_its_running_server(deployment):
--- a/comfreywharf_dev/failures/invariants.py
+++ b/comfreywharf_dev/failures/invariants.py
@@ -10,8 +10,8 @@
 import attrs
 
 __all__ = [
+    "AcceptedGrant",
     "Effect",
-    "GrantTaken",
     "Rule",
     "CallResult",
     "CallOutcome",
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class GrantTaken:
+class AcceptedGrant:
     """A grant that a backend server accepted, of hashes ``start <= hash < end``."""
 
     at_s: float
--- a/comfreywharf_dev/failures/tests/builders.py
+++ b/comfreywharf_dev/failures/tests/builders.py
@@ -9,10 +9,10 @@
 
 from comfreywharf_dev.failures.callers import book
 from comfreywharf_dev.failures.invariants import (
+    AcceptedGrant,
     CallOutcome,
     CallResult,
     Effect,
-    GrantTaken,
     find_violations,
 )
 from comfreywharf_dev.standins.cluster import Cluster
@@ -51,7 +51,7 @@
 
 
 def grant(server, fence, start=0, end=10):
-    return GrantTaken(
+    return AcceptedGrant(
         at_s=0.0,
         server=server,
         start=start,
@@ -178,5 +178,5 @@
 def violations(cluster, results=()):
     """Return the violations of the invariants in the cluster's ledgers."""
     effects = [cattrs.structure(line, Effect) for line in cluster.effects()]
-    grants = [cattrs.structure(line, GrantTaken) for line in cluster.grants()]
+    grants = [cattrs.structure(line, AcceptedGrant) for line in cluster.grants()]
     return find_violations(effects, results, grants)
--- a/comfreywharf_dev/standins/platform_server.py
+++ b/comfreywharf_dev/standins/platform_server.py
@@ -13,7 +13,7 @@
 from comfreywharf.membership.incarnations import ServerIncarnation
 from comfreywharf.platform.durations import duration_s
 
-__all__ = ["HEARTBEAT_S", "PlatformServer", "Run", "TakenGrant", "post"]
+__all__ = ["HEARTBEAT_S", "AcceptedGrant", "PlatformServer", "Run", "post"]
 
 HEARTBEAT_S = 0.2
 
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class TakenGrant:
+class AcceptedGrant:
     """A grant that an incarnation of a server accepted."""
 
     incarnation: ServerIncarnation
@@ -51,8 +51,8 @@
 
     Each request takes ``work_s`` seconds; while ``may_finish`` is cleared, none
     finishes. The next ``lose_grants`` grant requests take effect ``grant_delay_s``
-    seconds late and are never answered. ``taken`` lists the grants that all its
-    incarnations accepted, and ``misdirected`` counts the requests for keys that it
+    seconds late and are never answered. ``accepted_grants`` lists the grants that all
+    its incarnations accepted, and ``misdirected`` counts the requests for keys that it
     didn't hold. Answers carry ``answer_id``, if it is set, as the id of the attempt.
     While ``heartbeats_off`` is set, the server sends no heartbeats.
 
@@ -87,7 +87,7 @@
         self.held = []
         self.refused_grants = 0
         self.misdirected = 0
-        self.taken = []
+        self.accepted_grants = []
         self.state = "ready"
         self.heartbeats_off = False
         self._highest_fences = [-1] * 65536
@@ -164,9 +164,13 @@
         """Return how many heartbeats the present incarnation has attempted to send."""
         return self._sequence
 
-    def taken_by_this_incarnation(self):
+    def grants_of_this_incarnation(self):
         """Return the grants that the present incarnation accepted."""
-        return [grant for grant in self.taken if grant.incarnation == self.incarnation]
+        return [
+            grant
+            for grant in self.accepted_grants
+            if grant.incarnation == self.incarnation
+        ]
 
     def holds(self, key):
         """Return whether the server holds a key now."""
@@ -261,7 +265,9 @@
             self._highest_fences[first : last + 1] = [fence] * (last - first + 1)
             listed.append(_HeldRange(first, last, fence, until_s))
             self.received_handovers.append(handover)
-            self.taken.append(TakenGrant(self.incarnation, first, last, fence))
+            self.accepted_grants.append(
+                AcceptedGrant(self.incarnation, first, last, fence)
+            )
         keys = {key for held in listed for key in range(held.first, held.last + 1)}
         for held in self.held:
             gone = [k for k in range(held.first, held.last + 1) if k not in keys]
@@ -305,7 +311,7 @@
         self._drop(first, last)
         until_s = arrived_s + duration_s(fields["hold_time"])
         self.held.append(_HeldRange(first, last, fence, until_s))
-        self.taken.append(TakenGrant(self.incarnation, first, last, fence))
+        self.accepted_grants.append(AcceptedGrant(self.incarnation, first, last, fence))
         return True
 
     def _drop(self, first, last):
