--- a/comfreywharf_dev/standins/platform_store.py
+++ b/comfreywharf_dev/standins/platform_store.py
@@ -105,20 +105,20 @@
         return _respond(start_response, 404, b"")
 
     def _append(self, topic, body, start_response):
-        offset = topic.append(_records(body))
+        offset = topic.append(_parse_records(body))
         if self.fault == "lost":
             gevent.sleep(UNANSWERED_S)
         fields = {"offset": offset, "endPosition": topic.end}
         return _respond(start_response, 200, orjson.dumps(fields))
 
 
-def _records(body):
-    records, place = [], 0
-    while place < len(body):
-        (size,) = _LENGTH.unpack_from(body, place)
-        place += _LENGTH.size
-        records.append(body[place : place + size])
-        place += size
+def _parse_records(body):
+    records, position = [], 0
+    while position < len(body):
+        (size,) = _LENGTH.unpack_from(body, position)
+        position += _LENGTH.size
+        records.append(body[position : position + size])
+        position += size
     return records
 
 
--- a/comfreywharf_dev/standins/socket_owner.py
+++ b/comfreywharf_dev/standins/socket_owner.py
@@ -40,8 +40,8 @@
     with socket.socket(socket.AF_NETLINK, socket.SOCK_RAW, NETLINK_SOCK_DIAG) as link:
         link.send(header + body)
         answer = link.recv(8192)
-    _, kind, _, _, _ = HEADER.unpack_from(answer)
-    if kind != SOCK_DIAG_BY_FAMILY:
+    _, message_type, _, _, _ = HEADER.unpack_from(answer)
+    if message_type != SOCK_DIAG_BY_FAMILY:
         return 0
     return struct.unpack_from("=I", answer, INODE_OFFSET)[0]
 
