--- a/comfreywharf_dev/failures/callers.py
+++ b/comfreywharf_dev/failures/callers.py
@@ -17,7 +17,7 @@
 PAUSE_S = 0.01
 MAX_ATTEMPTS = 3
 SERVED_TIMEOUT_S = 20.0
-"""Timeout of a failed wait; benchmarks measure how soon keys are served again."""
+"""How long a wait lasts before it fails; no test depends on a shorter time."""
 
 
 def book(
@@ -88,7 +88,7 @@
 
     >>> with Callers(cluster, keys) as callers:  # doctest: +SKIP
     ...     cluster.kill_node("booking-1")
-    ...     callers.wait_accepted("calendar-1")
+    ...     callers.wait_served(["calendar-1"])
     """
 
     def __init__(self, cluster, keys, *, count=4, node_ids=None, timeout_ms=2000):
--- a/comfreywharf_dev/failures/tests/test_invariants.py
+++ b/comfreywharf_dev/failures/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The checker of invariants, on ledgers that break one rule each."""
+"""The checks of the invariants, on ledgers that break one rule each."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -43,7 +43,7 @@
         [],
         [],
     ),
-    "ledger order hides it": (
+    "older owner after newer, ledger not in order of time": (
         Rule.ONE_OWNER,
         [effect(3, "a", 4, "r3"), effect(1, "a", 4, "r1"), effect(2, "b", 6, "r2")],
         [],
