--- a/comfreywharf_dev/standins/tests/test_poison.py
+++ b/comfreywharf_dev/standins/tests/test_poison.py
@@ -75,7 +75,7 @@
             )
         if service == "booking":
             cluster.wait_owned(service)
-        beside = [
+        in_flight = [
             pool.submit(send_harmless, cluster, service, number, 300)
             for number in range(HARMLESS_REQUESTS)
         ]
@@ -86,7 +86,7 @@
             assert (status, reason) == (503, "quarantined")
             assert int(headers["Retry-After"]) > 0
         assert 1 <= len(crashed(cluster)) <= 3
-        for number, first in enumerate(beside):
+        for number, first in enumerate(in_flight):
             first.result()
             again = (cluster, service, number, 300)
             wait_until(lambda again=again: send_harmless(*again)[0] == 200, WAIT_S)
--- a/comfreywharf_dev/standins/tests/test_requests.py
+++ b/comfreywharf_dev/standins/tests/test_requests.py
@@ -45,9 +45,9 @@
 
 def resend(cluster, node_id, key, request_id, path="/booking/book", **headers):
     """Send a request that may have been sent before."""
-    words = {"Comfreywharf-Request-Id": request_id, **headers}
-    status, answered, body = cluster.call(node_id, path, key=key, **words)
-    return status, answered.get("Comfreywharf-Reason", ""), body
+    sent_headers = {"Comfreywharf-Request-Id": request_id, **headers}
+    status, answer_headers, body = cluster.call(node_id, path, key=key, **sent_headers)
+    return status, answer_headers.get("Comfreywharf-Reason", ""), body
 
 
 def restart_server(cluster, node_id):
@@ -73,7 +73,7 @@
     wait_until(lambda: http_json(port, "GET", "/load")[2]["busy_fraction"] == 0, 20)
 
 
-def raw(port, data):
+def send_bytes(port, data):
     """Send bytes, end the sending side, and return all bytes of the answer."""
     with socket.create_connection(("127.0.0.1", port), timeout=10) as sock:
         sock.sendall(data)
@@ -223,14 +223,14 @@
     port = cluster.plans[node_id].caller_port
     path = b"GET /files/download?bytes=3000000&cut=1000000 HTTP/1.1\r\nHost: x\r\n\r\n"
     try:
-        data = raw_until_close(port, path)
+        data = send_bytes_kept_open(port, path)
     except ConnectionResetError:
         return
     head, body = data.split(b"\r\n\r\n", 1)
     assert b"Content-Length: 3000000" in head and len(body) < 3_000_000
 
 
-def raw_until_close(port, data):
+def send_bytes_kept_open(port, data):
     """Send bytes, keep the sending side open, and return all bytes of the answer."""
     with socket.create_connection(("127.0.0.1", port), timeout=10) as sock:
         sock.sendall(data)
@@ -298,7 +298,7 @@
     """Bad input gets a specific error, and the node keeps serving other requests."""
     data, status, reason = BAD_INPUT[name]
     port = cluster.plans["booking-1"].caller_port
-    answer = raw(port, data)
+    answer = send_bytes(port, data)
     head = answer.split(b"\r\n\r\n", 1)[0].decode("latin-1")
     assert head.split(" ")[1] == str(status)
     assert not reason or f"Comfreywharf-Reason: {reason}" in head
@@ -317,7 +317,7 @@
 )
 def test_a_bad_peer_is_disconnected_and_the_node_keeps_serving(cluster, data):
     """Data that isn't a call of this version closes only its own connection."""
-    assert raw(cluster.plans["booking-1"].peer_port, data) == b""
+    assert send_bytes(cluster.plans["booking-1"].peer_port, data) == b""
     status, headers, _ = cluster.call("booking-1", "/booking/look", "k", "GET")
     assert (status, headers.get("Comfreywharf-Reason", "")) == (200, "")
 
--- a/comfreywharf_dev/standins/tests/test_streaming.py
+++ b/comfreywharf_dev/standins/tests/test_streaming.py
@@ -21,12 +21,14 @@
 
 @pytest.fixture(scope="module")
 def cluster(tmp_path_factory):
-    with Cluster(tmp_path_factory.mktemp("s"), riga_plans(booking=1, files=1)) as it:
-        it.submit(riga_services())
+    with Cluster(
+        tmp_path_factory.mktemp("s"), riga_plans(booking=1, files=1)
+    ) as running:
+        running.submit(riga_services())
         wait_until(
-            lambda: it.call("booking-1", "/files/look", method="GET")[0] == 200, 20
+            lambda: running.call("booking-1", "/files/look", method="GET")[0] == 200, 20
         )
-        yield it
+        yield running
 
 
 class PeakMemory:
@@ -50,7 +52,7 @@
         return int(fields["VmHWM"].split()[0])
 
 
-def start(cluster, head):
+def open_request(cluster, head):
     port = cluster.plans[NODES[0]].caller_port
     sock = socket.create_connection(("127.0.0.1", port), timeout=60)
     lines = [head, "Host: x", "Connection: close", "Comfreywharf-Timeout-Ms: 60000"]
@@ -66,7 +68,7 @@
     the next hop does, and so runs out of memory.
     """
     peak = PeakMemory(cluster)
-    with start(cluster, "POST /files/upload HTTP/1.1") as sock:
+    with open_request(cluster, "POST /files/upload HTTP/1.1") as sock:
         if chunked:
             sock.sendall(b"Transfer-Encoding: chunked\r\n\r\n")
         else:
@@ -87,7 +89,7 @@
     peak = PeakMemory(cluster)
     received = 0
     head = f"GET /files/download?bytes={SIZE_BYTES} HTTP/1.1"
-    with start(cluster, head) as sock:
+    with open_request(cluster, head) as sock:
         sock.sendall(b"\r\n")
         while part := sock.recv(MB):
             received += len(part)
@@ -104,7 +106,7 @@
     """
     peak = PeakMemory(cluster)
     server = cluster.plans["files-1"].server_process
-    with start(cluster, "POST /files/upload HTTP/1.1") as sock:
+    with open_request(cluster, "POST /files/upload HTTP/1.1") as sock:
         sock.sendall(b"Content-Length: %d\r\n\r\n" % SIZE_BYTES)
         os.kill(server.pid, signal.SIGSTOP)
         sock.settimeout(1.0)
--- a/comfreywharf_dev/standins/tests/test_wrong_reports.py
+++ b/comfreywharf_dev/standins/tests/test_wrong_reports.py
@@ -12,7 +12,7 @@
 
 @pytest.fixture(scope="module")
 def cluster(tmp_path_factory):
-    folder = tmp_path_factory.mktemp("lying-servers")
+    folder = tmp_path_factory.mktemp("wrong-reports")
     with Cluster(folder, riga_plans(booking=0, files=3)) as running:
         running.submit(riga_services())
         running.wait_members("files", 3)
@@ -25,7 +25,7 @@
     assert http_json(port, "POST", "/switches", switches)[0] == 200
 
 
-def served(cluster, via):
+def send_requests(cluster, via):
     """Send requests through a node; return the statuses and the answering servers."""
     answers = [cluster.call(via, "/files/look", method="GET") for _ in range(REQUESTS)]
     statuses = [status for status, _, _ in answers]
@@ -43,7 +43,7 @@
     switch(cluster, "files-2", failing=True, health_lies=True)
     port = cluster.plans["files-2"].server_port
     assert http_json(port, "GET", "/health")[2]["healthy"] is True
-    statuses, _ = served(cluster, "files-1")
+    statuses, _ = send_requests(cluster, "files-1")
     switch(cluster, "files-2", failing=False, health_lies=False)
     assert statuses.count(500) < REQUESTS / 6
 
@@ -58,7 +58,7 @@
     switch(cluster, "files-3", slow_factor=30.0, load_frozen=0.0)
     port = cluster.plans["files-3"].server_port
     assert http_json(port, "GET", "/load")[2]["busy_fraction"] == 0
-    _, servers = served(cluster, "files-2")
+    _, servers = send_requests(cluster, "files-2")
     switch(cluster, "files-3", slow_factor=1.0, load_frozen=-1.0)
     assert len(servers) == REQUESTS
     assert servers.count("server-files-3") < REQUESTS / 6
