--- a/comfreywharf_dev/failures/tests/builders.py
+++ b/comfreywharf_dev/failures/tests/builders.py
@@ -108,7 +108,7 @@
     The witnesses of a node depend on the order in which nodes announced themselves,
     and so on the machine's load. A node that loses two of its three witnesses has no
     lease until one of them is back or replaced. That is a known limit, covered by
-    `test_two_witnesses_lost_and_replaced`.
+    `test_owners_serve_again_after_two_witnesses_are_replaced`.
     """
     members = cluster.state(seen_by)["members"]
     groups = {name: set(member["witnesses"]) for name, member in members.items()}
--- a/comfreywharf_dev/failures/tests/test_clocks.py
+++ b/comfreywharf_dev/failures/tests/test_clocks.py
@@ -16,7 +16,7 @@
 HOUR_S = 3600.0
 
 
-def test_wall_clock_jumps_while_the_node_runs(tmp_path):
+def test_a_jumping_wall_clock_does_not_affect_leases_or_deadlines(tmp_path):
     """Leases and deadlines don't depend on the wall clock.
 
     Guards against two owners, or keys that no node serves, when a lease or a deadline
@@ -33,7 +33,7 @@
         assert violations(cluster, callers.results) == []
 
 
-def test_replaced_node_with_a_clock_behind(tmp_path):
+def test_a_replaced_node_with_a_clock_behind_serves_again(tmp_path):
     """A VM that is replaced by one with a clock behind serves again.
 
     Guards against a replaced node that never owns a slice: if its incarnation comes
--- a/comfreywharf_dev/failures/tests/test_log_faults.py
+++ b/comfreywharf_dev/failures/tests/test_log_faults.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("fault", LOG_FAULTS)
-def test_owner_killed_while_the_log_fails(tmp_path, fault):
+def test_a_killed_owners_keys_are_served_while_the_log_fails(tmp_path, fault):
     """A lost owner's keys are served again while the log fails.
 
     Guards against a takeover that waits for a record, so that the keys are unavailable
@@ -48,7 +48,7 @@
         assert violations(cluster, callers.results) == []
 
 
-def test_one_node_is_cut_off_from_the_log(tmp_path):
+def test_a_node_cut_off_from_the_log_keeps_serving(tmp_path):
     """A node that is cut off from the log only keeps serving its keys.
 
     Guards against a healthy server's keys becoming unavailable because its node needs
--- a/comfreywharf_dev/failures/tests/test_owner_losses.py
+++ b/comfreywharf_dev/failures/tests/test_owner_losses.py
@@ -41,7 +41,7 @@
         assert violations(cluster, callers.results) == []
 
 
-def test_owner_frozen_then_resumed(tmp_path):
+def test_a_resumed_owner_runs_no_request_it_had_received(tmp_path):
     """A node that resumes after its lease expired runs no request it had received.
 
     Guards against two servers that book the same calendar. The owner's node freezes, a
@@ -63,7 +63,9 @@
 
 
 @pytest.mark.parametrize("checks_fences", [False, True])
-def test_only_the_backend_server_frozen(tmp_path, checks_fences):
+def test_a_frozen_servers_request_has_no_effect_after_a_takeover(
+    tmp_path, checks_fences
+):
     """A request in a frozen server's socket has no effect after the takeover.
 
     Guards against a node that releases a key while a forwarded request can still be
@@ -85,7 +87,7 @@
         assert violations(cluster, [*callers.results, late]) == []
 
 
-def test_node_and_backend_server_frozen(tmp_path):
+def test_a_resumed_vm_owns_nothing_after_its_lease_expired(tmp_path):
     """A VM that resumes after its lease expired owns nothing.
 
     Guards against two servers that book the same calendar. A request runs at the
@@ -107,7 +109,7 @@
         assert violations(cluster, [*callers.results, late]) == []
 
 
-def test_witness_killed_during_a_takeover(tmp_path):
+def test_a_takeover_completes_though_a_witness_is_lost(tmp_path):
     """A takeover completes though one of the owner's witnesses is lost as well.
 
     Guards against a standby that waits for a witness that doesn't come back, so that
@@ -133,7 +135,7 @@
     return cluster.state(node_id)["members"][node_id]["witnesses"]
 
 
-def test_planner_killed_during_a_takeover(tmp_path):
+def test_a_takeover_completes_though_the_planner_is_lost(tmp_path):
     """A takeover completes and planning continues though the planner is lost.
 
     Guards against a takeover that needs the planner to name the next owner, so that
@@ -158,7 +160,7 @@
         assert violations(cluster, callers.results) == []
 
 
-def test_two_witnesses_lost_and_replaced(tmp_path):
+def test_owners_serve_again_after_two_witnesses_are_replaced(tmp_path):
     """Owners whose witnesses were lost serve again when those are replaced.
 
     Guards against a lease that waits for grants which no witness has any more, so that
@@ -181,7 +183,7 @@
         assert violations(cluster, callers.results) == []
 
 
-def test_owner_frozen_and_its_standby_killed(tmp_path):
+def test_a_frozen_owners_keys_are_served_though_its_standby_is_lost(tmp_path):
     """Keys are served again when the standby of a frozen owner is lost as well.
 
     Guards against an owner that resumes as if its lease were valid, so that there are
--- a/comfreywharf_dev/failures/tests/test_partitions.py
+++ b/comfreywharf_dev/failures/tests/test_partitions.py
@@ -16,7 +16,7 @@
 pytestmark = pytest.mark.processes
 
 
-def test_failure_domain_cut(tmp_path):
+def test_a_failure_domain_that_is_cut_off_stops_serving(tmp_path):
     """A failure domain that is cut off stops serving; others take its keys over.
 
     Guards against an owner inside that serves after its lease because it can't be
@@ -46,7 +46,7 @@
     return [one.node_id for one in plans if one.failure_domain == failure_domain]
 
 
-def test_one_way_cut_of_an_owner(tmp_path):
+def test_an_owner_that_cannot_send_is_replaced(tmp_path):
     """An owner that receives but can't send is replaced.
 
     Guards against an owner that extends its lease on any message it receives rather
@@ -69,7 +69,7 @@
         assert violations(cluster, [*callers.results, *inside.results]) == []
 
 
-def test_one_way_cut_of_the_renewals_answers(tmp_path):
+def test_an_owner_without_answers_to_renewals_stops_in_time(tmp_path):
     """An owner stops in time if its renewals arrive, but not the answers to them.
 
     Guards against an owner that treats a sent renewal as granted, so that two servers
@@ -90,7 +90,7 @@
         assert violations(cluster, callers.results) == []
 
 
-def test_connections_reset_and_half_open(tmp_path):
+def test_broken_connections_cause_no_second_effect(tmp_path):
     """Connections that break under load lose answers, but cause no second effect.
 
     Guards against a lost answer that is treated as a request that wasn't run, so that
--- a/comfreywharf_dev/failures/tests/test_replacements.py
+++ b/comfreywharf_dev/failures/tests/test_replacements.py
@@ -18,7 +18,7 @@
 pytestmark = pytest.mark.processes
 
 
-def test_graceful_stop_under_load(tmp_path):
+def test_a_planned_stop_refuses_no_request(tmp_path):
     """A planned stop aborts and refuses no request, and its keys stay available.
 
     Guards against errors at each deployment: the node must not close its ports or
@@ -45,7 +45,7 @@
         assert violations(cluster, results) == []
 
 
-def test_planned_stop_during_a_log_outage(tmp_path):
+def test_a_planned_stop_during_a_log_outage_aborts_no_request(tmp_path):
     """A node that stops while the log is down aborts no request.
 
     Guards against a node that waits for the log without end, and against one that
@@ -93,7 +93,7 @@
     return sum(1 for one in cluster.effects() if one["server"] == name)
 
 
-def test_all_nodes_replaced_one_after_another(tmp_path):
+def test_configuration_and_owners_survive_replacing_every_vm(tmp_path):
     """The configuration and the keys' owners survive the replacement of every VM.
 
     Guards against durable state that is kept in nodes only, so that a new fleet has no
@@ -123,7 +123,7 @@
         assert violations(cluster, results) == []
 
 
-def test_backend_server_crashes_and_restarts(tmp_path):
+def test_a_server_crash_affects_only_requests_in_progress(tmp_path):
     """The crash of a backend server affects only its requests in progress.
 
     Guards against a node that keeps its lease for a server that doesn't answer, so
