--- a/comfreywharf_dev/failures/callers.py
+++ b/comfreywharf_dev/failures/callers.py
@@ -17,7 +17,7 @@
 PAUSE_S = 0.01
 MAX_ATTEMPTS = 3
 SERVED_TIMEOUT_S = 20.0
-"""How long a wait lasts before it fails; no test depends on a shorter time."""
+"""Timeout of a wait; benchmarks measure how soon keys are served again."""
 
 
 def book(
@@ -48,10 +48,10 @@
     port = cluster.plans[node_id].caller_port
     fields = {}
     try:
-        status, answered, document = http_json(
+        status, answer_headers, document = http_json(
             port, "POST", path, headers=headers, timeout_s=CALL_TIMEOUT_S
         )
-        fields = _fields(status, answered, document)
+        fields = _result_fields(status, answer_headers, document)
     except (OSError, HTTPParseError) as error:
         fields = {"outcome": CallOutcome.NO_ANSWER, "reason": repr(error)}
     return CallResult(
@@ -64,7 +64,7 @@
     )
 
 
-def _fields(status, headers, document):
+def _result_fields(status, headers, document):
     outcome = CallOutcome(headers.get("Comfreywharf-Outcome", "nothing"))
     accepted = outcome is CallOutcome.ANSWERED and status == 200
     echo = document if accepted and isinstance(document, dict) else {}
--- a/comfreywharf_dev/failures/invariants.py
+++ b/comfreywharf_dev/failures/invariants.py
@@ -171,12 +171,12 @@
     attempts = defaultdict(list)
     for one in results:
         attempts[one.request_id].append(one)
-    for request_id, ones in attempts.items():
-        outcomes = {one.outcome for one in ones}
+    for request_id, request_results in attempts.items():
+        outcomes = {one.outcome for one in request_results}
         if outcomes == {CallOutcome.NOT_RUN} and request_id in applied:
-            yield Violation(rule=Rule.NOT_RUN_IS_PROVED, evidence=str(ones))
-        if any(one.accepted for one in ones) and request_id not in applied:
-            yield Violation(rule=Rule.ANSWERED_IS_DONE, evidence=str(ones))
+            yield Violation(rule=Rule.NOT_RUN_IS_PROVED, evidence=str(request_results))
+        if any(one.accepted for one in request_results) and request_id not in applied:
+            yield Violation(rule=Rule.ANSWERED_IS_DONE, evidence=str(request_results))
 
 
 def _find_mismatched_answers(results):
--- a/comfreywharf_dev/failures/tests/test_log_faults.py
+++ b/comfreywharf_dev/failures/tests/test_log_faults.py
@@ -79,8 +79,8 @@
         cluster.set_log_switches(lose_answers=1)
         for call in [BackgroundCall(submit, cluster, one) for one in patches]:
             call.get()
-        wait_until(lambda: len(versions(cluster, "next_offset")) == 1, 20)
-        wait_until(lambda: versions(cluster, "config_version") == {2}, 20)
+        wait_until(lambda: len(status_values(cluster, "next_offset")) == 1, 20)
+        wait_until(lambda: status_values(cluster, "config_version") == {2}, 20)
         winners = {winner(cluster, node_id) for node_id in cluster.plans}
         assert len(winners) == 1
         for node_id in cluster.plans:
@@ -109,7 +109,7 @@
     raise TimeoutError("three answers of the log service were lost")
 
 
-def versions(cluster, field):
+def status_values(cluster, field):
     return {cluster.status(node_id)[field] for node_id in cluster.plans}
 
 
--- a/comfreywharf_dev/failures/tests/test_owner_losses.py
+++ b/comfreywharf_dev/failures/tests/test_owner_losses.py
@@ -20,7 +20,7 @@
 
 pytestmark = pytest.mark.processes
 
-LONG_MS = 4000
+LONG_TIMEOUT_MS = 4000
 PAST_A_LEASE_S = 2.5
 """Longer than a lease of 1 s; nothing depends on how much longer."""
 
@@ -53,7 +53,7 @@
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
             cluster.freeze_node(owner)
-            held = BackgroundCall(book, cluster, owner, key, timeout_ms=LONG_MS)
+            held = BackgroundCall(book, cluster, owner, key, timeout_ms=LONG_TIMEOUT_MS)
             callers.wait_served()
             cluster.resume_node(owner)
             late = held.get()
@@ -198,7 +198,7 @@
         with Callers(cluster, KEYS, node_ids=survivors) as callers:
             callers.wait_served()
             cluster.freeze_node(owner)
-            held = BackgroundCall(book, cluster, owner, key, timeout_ms=LONG_MS)
+            held = BackgroundCall(book, cluster, owner, key, timeout_ms=LONG_TIMEOUT_MS)
             cluster.kill_vm(standby)
             time.sleep(PAST_A_LEASE_S)
             cluster.resume_node(owner)
