--- a/comfreywharf_dev/soak/faults.py
+++ b/comfreywharf_dev/soak/faults.py
@@ -53,7 +53,7 @@
 
     @property
     def resource(self):
-        """Return the node id, which stands for the VM."""
+        """Return the node id, which identifies the VM."""
         return self.node_id
 
 
@@ -153,7 +153,7 @@
 
 
 class LinkFault(Fault):
-    """A fault of links; one at a time, since all links are healed together."""
+    """A fault of links; only one at a time, since `end` lifts those of all links."""
 
     resource = "links"
 
@@ -216,7 +216,10 @@
 
 @attrs.frozen
 class LogFault(Fault):
-    """A fault of the log service, as names and values of its switches."""
+    """A fault of the log service: the switches to set, and those that lift it.
+
+    Both are pairs of a switch's name and value.
+    """
 
     switches: tuple
     healthy: tuple
--- a/comfreywharf_dev/soak/plan.py
+++ b/comfreywharf_dev/soak/plan.py
@@ -40,7 +40,7 @@
 def draw_faults(seed, node_ids, count, duration_s):
     """Return each `ScheduledFault` of a run, the earliest first.
 
-    They may overlap, but never two of the same VM, of the links, or of the log.
+    Faults may overlap, but not two of the same VM, two of links, or two of the log.
 
     >>> schedule = draw_faults(1, ("a", "b"), count=5, duration_s=10.0)
     >>> schedule == draw_faults(1, ("a", "b"), count=5, duration_s=10.0)
