--- a/comfreywharf_dev/losses/table.py
+++ b/comfreywharf_dev/losses/table.py
@@ -18,8 +18,8 @@
 class Losses:
     """Counts of lost requests by ``(service, decision, reason)`` and time window.
 
-    Windows are ``window_s`` seconds long. Resends are counted by the reason of the
-    attempt before, and lines of decisions whose JSON is invalid as unreadable.
+    Windows are ``window_s`` seconds long. ``resends`` counts them by the reason of the
+    previous attempt, and ``unreadable`` the lines of decisions with invalid JSON.
     """
 
     window_s: float = 2.0
@@ -29,7 +29,7 @@
     unreadable: int = 0
 
     def add(self, at_s, line):
-        """Count one line's fields; ``at_s`` is its time in seconds, or ``None``."""
+        """Count one line's fields; ``at_s`` is its time in seconds, if it has one."""
         decision = line.get("decision")
         if decision == "sent_again":
             self.resends[line.get("after", "")] += 1
