--- a/comfreywharf_dev/events/check.py
+++ b/comfreywharf_dev/events/check.py
@@ -20,6 +20,7 @@
 
 GROUPS = {1: "node", 2: "log and configuration", 3: "ownership", 4: "requests"}
 GROUPS |= {5: "backend servers", 6: "planner"}
+"""The subject of the events with numbers from 100 times the key."""
 
 LINE_FIELDS = frozenset({"node", "run", "seq", "clock", "repeats"})
 """Fields that every line of the log has."""
@@ -66,9 +67,9 @@
 
 
 def check_calls(calls, catalogue):
-    """Return findings for events that only the calls or only the catalogue have.
+    """Return findings for events that only the calls or only the catalogue has.
 
-    Calls whose fields differ from the catalogue are findings too.
+    Calls whose fields differ from those in the catalogue are findings too.
     """
     findings = []
     for call in calls:
