--- a/comfreywharf_dev/demo/caller.py
+++ b/comfreywharf_dev/demo/caller.py
@@ -67,7 +67,7 @@
         self._node_ids.remove(node_id)
 
     def add_node(self, node_id):
-        """Send to a node that is running again."""
+        """Send again to a node that was restarted."""
         self._node_ids.append(node_id)
 
     def book(self, key):
