--- a/comfreywharf_dev/soak/__main__.py
+++ b/comfreywharf_dev/soak/__main__.py
@@ -13,7 +13,7 @@
 
 
 @app.default
-def play(
+def run_seeds(
     *, seeds: str = "1-50", nodes: int = 6, faults: int = 10, folder: Path = FOLDER
 ):
     """Run the seeds one after the other; exit with 1 if an invariant was broken.
@@ -33,21 +33,21 @@
     size = RunSize(nodes=nodes, slices=2 * nodes, faults=faults)
     failed_runs = 0
     for seed in range(int(first), int(last or first) + 1):
-        outcome = run_seed(seed, folder / str(seed), size)
-        failed_runs += not outcome.passed
-        _print(outcome)
+        result = run_seed(seed, folder / str(seed), size)
+        failed_runs += not result.passed
+        _print(result)
     sys.exit(1 if failed_runs else 0)
 
 
-def _print(outcome):
-    verdict = "kept" if outcome.passed else "BROKEN"
-    print(f"seed {outcome.seed}: {verdict}, {outcome.answered} answered", flush=True)
-    if outcome.passed:
+def _print(result):
+    verdict = "kept" if result.passed else "BROKEN"
+    print(f"seed {result.seed}: {verdict}, {result.answered} answered", flush=True)
+    if result.passed:
         return
-    for one in outcome.schedule:
+    for one in result.schedule:
         print(f"  {one.begin_s:6.2f} to {one.end_s:6.2f} s  {one.fault}")
-    for found in outcome.found:
-        print(f"  {found}")
+    for problem in result.problems:
+        print(f"  {problem}")
 
 
 if __name__ == "__main__":
--- a/comfreywharf_dev/soak/run.py
+++ b/comfreywharf_dev/soak/run.py
@@ -14,7 +14,7 @@
 )
 from comfreywharf_dev.soak.plan import draw_faults
 
-__all__ = ["Outcome", "RunSize", "actions_in_order", "run_seed"]
+__all__ = ["RunResult", "RunSize", "actions_in_order", "run_seed"]
 
 ALL_SERVED_TIMEOUT_S = 30.0
 """A run fails if some key isn't served within this time after the last fault."""
@@ -35,22 +35,22 @@
 
 
 @attrs.frozen(kw_only=True)
-class Outcome:
+class RunResult:
     """The result of a run: its faults, and the problems that were found."""
 
     seed: int
     schedule: tuple
-    found: tuple = ()
+    problems: tuple = ()
     answered: int = 0
 
     @property
     def passed(self):
         """Return whether no problem was found."""
-        return not self.found
+        return not self.problems
 
 
 def run_seed(seed, folder, size=None):
-    """Do one run and return its `Outcome`; keep the folder if the run failed."""
+    """Do one run and return its `RunResult`; keep the folder if the run failed."""
     size = size or RunSize()
     shutil.rmtree(folder, ignore_errors=True)
     with running_cluster(
@@ -63,17 +63,17 @@
     ) as cluster:
         node_ids = tuple(cluster.plans)
         schedule = draw_faults(seed, node_ids, size.faults, size.duration_s)
-        results, found = _run_faults(cluster, schedule, size)
-        found += [str(one) for one in violations(cluster, results)]
-    outcome = Outcome(
+        results, problems = _run_faults(cluster, schedule, size)
+        problems += [str(one) for one in violations(cluster, results)]
+    result = RunResult(
         seed=seed,
         schedule=tuple(schedule),
-        found=tuple(found),
+        problems=tuple(problems),
         answered=sum(one.accepted for one in results),
     )
-    if outcome.passed:
+    if result.passed:
         shutil.rmtree(folder)
-    return outcome
+    return result
 
 
 def _run_faults(cluster, schedule, size):
