--- a/comfreywharf_dev/losses/table.py
+++ b/comfreywharf_dev/losses/table.py
@@ -52,15 +52,15 @@
     """Return the `Losses` in lines of text; lines without a decision are skipped."""
     losses = Losses(window_s=window_s)
     for text in lines:
-        place = text.find("{")
-        if place < 0 or '"decision"' not in text:
+        json_start = text.find("{")
+        if json_start < 0 or '"decision"' not in text:
             continue
         try:
-            fields = orjson.loads(text[place:])
+            fields = orjson.loads(text[json_start:])
         except orjson.JSONDecodeError:
             losses.unreadable += 1
             continue
-        losses.add(_time_s(text[:place]), fields)
+        losses.add(_time_s(text[:json_start]), fields)
     return losses
 
 
