--- a/comfreywharf_dev/events/check.py
+++ b/comfreywharf_dev/events/check.py
@@ -39,7 +39,7 @@
     ``open_fields`` is true if the call has fields other than plain keywords.
     """
 
-    place: str
+    location: str
     name: str | None
     fields: frozenset[str]
     open_fields: bool
@@ -53,7 +53,7 @@
             literal = isinstance(first, ast.Constant) and isinstance(first.value, str)
             names = [keyword.arg for keyword in node.keywords]
             yield Call(
-                place=f"{path}:{node.lineno}",
+                location=f"{path}:{node.lineno}",
                 name=first.value if literal else None,
                 fields=frozenset(name for name in names if name),
                 open_fields=None in names or len(node.args) > 1,
@@ -75,14 +75,16 @@
     for call in calls:
         kind = catalogue.get(call.name)
         if call.name is None:
-            findings.append(f"{call.place}: the event's name isn't a literal string")
+            findings.append(f"{call.location}: the event's name isn't a literal string")
         elif kind is None:
-            findings.append(f"{call.place}: {call.name} isn't in the catalogue")
+            findings.append(f"{call.location}: {call.name} isn't in the catalogue")
         elif call.open_fields:
-            findings.append(f"{call.place}: {call.name}: fields aren't plain keywords")
+            findings.append(
+                f"{call.location}: {call.name}: fields aren't plain keywords"
+            )
         elif call.fields != set(kind.fields):
             findings.append(
-                f"{call.place}: {call.name} has {sorted(call.fields)}; "
+                f"{call.location}: {call.name} has {sorted(call.fields)}; "
                 f"expected {sorted(kind.fields)}"
             )
     used = {call.name for call in calls}
