--- a/comfreywharf_dev/demo/main.py
+++ b/comfreywharf_dev/demo/main.py
@@ -52,7 +52,7 @@
         self._caller = Caller(cluster)
         self._ring_buffers = []
         self._servers = {}
-        self._lost = ""
+        self._lost_node_id = ""
 
     def run(self):
         """Run all steps."""
@@ -61,7 +61,7 @@
             self._book()
             self._kill_an_owner()
             self._replace_the_machine()
-            self._drain_a_server()
+            self._stop_a_node()
         except (TimeoutError, OSError) as error:
             self._printer.check(False, f"the step failed: {error}")
         self._check_ledger()
@@ -106,7 +106,7 @@
         printer.step(f"The machine of {node_id} in {domain} crashes")
         self._fetch_ring_buffers()
         self._kill(node_id)
-        self._lost = node_id
+        self._lost_node_id = node_id
         keys = [
             key for key, key_server in self._servers.items() if key_server == server
         ]
@@ -124,21 +124,25 @@
 
     def _replace_the_machine(self):
         printer, cluster = self._printer, self._cluster
-        printer.step(f"A new machine takes the place of {self._lost}")
-        cluster.start_node(self._lost)
-        cluster.start_server(self._lost)
-        wait_until(lambda: cluster.status(self._lost)["lease"] == "held", WAIT_S)
+        printer.step(f"A new machine takes the place of {self._lost_node_id}")
+        cluster.start_node(self._lost_node_id)
+        cluster.start_server(self._lost_node_id)
+        wait_until(
+            lambda: cluster.status(self._lost_node_id)["lease"] == "held", WAIT_S
+        )
         cluster.wait_owned("booking")
-        self._caller.add_node(self._lost)
+        self._caller.add_node(self._lost_node_id)
         again = [self._caller.book(key) for key in self._servers]
         self._check_answers(again, "bookings")
         self._servers = {answer.key: answer.server for answer in again}
 
-    def _drain_a_server(self):
+    def _stop_a_node(self):
         printer = self._printer
         owners = Counter(self._servers.values())
         server = next(
-            key_server for key_server in owners if key_server != f"server-{self._lost}"
+            key_server
+            for key_server in owners
+            if key_server != f"server-{self._lost_node_id}"
         )
         node_id = server.removeprefix("server-")
         printer.step(f"{node_id} is stopped as planned, while callers go on")
@@ -195,8 +199,8 @@
         complete = not gaps.intersection(self._nodes)
         printer.check(complete, f"{len(events)} events; no running node's are missing")
         takers = [event for event in events if event.name == "takeover"]
-        shown = {event.fields["owner"] for event in takers} >= {self._lost}
-        printer.check(shown, f"it shows who took over from {self._lost}")
+        shown = {event.fields["owner"] for event in takers} >= {self._lost_node_id}
+        printer.check(shown, f"it shows who took over from {self._lost_node_id}")
         printed = [event for event in events if event.name in PRINTED_KINDS]
         for line in render_text(printed).splitlines():
             printer.print_line(line)
