--- a/comfreywharf_dev/standins/cluster.py
+++ b/comfreywharf_dev/standins/cluster.py
@@ -38,7 +38,11 @@
 
 @attrs.define(kw_only=True)
 class NodePlan:
-    """A node and the backend server beside it: names, ports, processes."""
+    """A node and the backend server beside it: names, ports, processes.
+
+    The ``proxied`` ports are those of the fault proxy, and 0 without one. A node whose
+    ``wall_offset_s`` isn't 0 runs with a wall clock that is shifted by this offset.
+    """
 
     node_id: str
     service: str
--- a/comfreywharf_dev/standins/logservice.py
+++ b/comfreywharf_dev/standins/logservice.py
@@ -27,7 +27,10 @@
 
 @attrs.define(kw_only=True)
 class Switches:
-    """The present faults and limits of the service."""
+    """The present faults and limits of the service.
+
+    ``lose_answers`` counts the appends that are still to be written but not answered.
+    """
 
     down: bool = False
     slow_s: float = 0.0
--- a/comfreywharf_dev/standins/platform_server.py
+++ b/comfreywharf_dev/standins/platform_server.py
@@ -90,6 +90,7 @@
         self.accepted_grants = []
         self.state = "ready"
         self.heartbeats_off = False
+        # The highest accepted fence of each key; keys are 0 to 65535.
         self._highest_fences = [-1] * 65536
         self.born_ms = 1_000
         self._sequence = 0
--- a/comfreywharf_dev/standins/wsgi.py
+++ b/comfreywharf_dev/standins/wsgi.py
@@ -74,6 +74,8 @@
 
 
 class _Handler(pywsgi.WSGIHandler):
+    """Adds the socket to the environment, and sends small answers without delay."""
+
     def __init__(self, sock, address, server, rfile=None):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         super().__init__(sock, address, server, rfile)
