--- a/comfreywharf_dev/standins/tests/test_requests.py
+++ b/comfreywharf_dev/standins/tests/test_requests.py
@@ -212,14 +212,14 @@
     assert len(effects_of(cluster, "twice")) == 1
 
 
-@pytest.mark.parametrize("through_owner", [True, False])
-def test_a_truncated_answer_is_recognizable(cluster, through_owner):
+@pytest.mark.parametrize("beside_server", [True, False])
+def test_a_truncated_answer_is_recognizable(cluster, beside_server):
     """A truncated answer can be recognized by the caller.
 
     Guards against forwarding the end of the server's connection, in the middle of a
     long answer, as the end of the answer: half a file would be stored as the whole.
     """
-    node_id = "files-1" if through_owner else "booking-1"
+    node_id = "files-1" if beside_server else "booking-1"
     port = cluster.plans[node_id].caller_port
     path = b"GET /files/download?bytes=3000000&cut=1000000 HTTP/1.1\r\nHost: x\r\n\r\n"
     try:
