--- a/comfreywharf_dev/events/check.py
+++ b/comfreywharf_dev/events/check.py
@@ -20,6 +20,7 @@
 
 GROUPS = {1: "node", 2: "log and configuration", 3: "ownership", 4: "requests"}
 GROUPS |= {5: "backend servers", 6: "planner"}
+"""The subject of the events with numbers from 100 times the key."""
 
 LINE_FIELDS = frozenset({"node", "run", "seq", "clock", "repeats"})
 """Fields that every line of the log has."""
@@ -38,7 +39,7 @@
     ``open_fields`` is true if the call has fields other than plain keywords.
     """
 
-    place: str
+    location: str
     name: str | None
     fields: frozenset[str]
     open_fields: bool
@@ -52,7 +53,7 @@
             literal = isinstance(first, ast.Constant) and isinstance(first.value, str)
             names = [keyword.arg for keyword in node.keywords]
             yield Call(
-                place=f"{path}:{node.lineno}",
+                location=f"{path}:{node.lineno}",
                 name=first.value if literal else None,
                 fields=frozenset(name for name in names if name),
                 open_fields=None in names or len(node.args) > 1,
@@ -66,22 +67,24 @@
 
 
 def check_calls(calls, catalogue):
-    """Return findings for events that only the calls or only the catalogue have.
+    """Return findings for events that only the calls or only the catalogue has.
 
-    Calls whose fields differ from the catalogue are findings too.
+    Calls whose fields differ from those in the catalogue are findings too.
     """
     findings = []
     for call in calls:
         kind = catalogue.get(call.name)
         if call.name is None:
-            findings.append(f"{call.place}: the event's name isn't a literal string")
+            findings.append(f"{call.location}: the event's name isn't a literal string")
         elif kind is None:
-            findings.append(f"{call.place}: {call.name} isn't in the catalogue")
+            findings.append(f"{call.location}: {call.name} isn't in the catalogue")
         elif call.open_fields:
-            findings.append(f"{call.place}: {call.name}: fields aren't plain keywords")
+            findings.append(
+                f"{call.location}: {call.name}: fields aren't plain keywords"
+            )
         elif call.fields != set(kind.fields):
             findings.append(
-                f"{call.place}: {call.name} has {sorted(call.fields)}; "
+                f"{call.location}: {call.name} has {sorted(call.fields)}; "
                 f"expected {sorted(kind.fields)}"
             )
     used = {call.name for call in calls}
--- a/comfreywharf_dev/failures/tests/builders.py
+++ b/comfreywharf_dev/failures/tests/builders.py
@@ -9,10 +9,10 @@
 
 from comfreywharf_dev.failures.callers import book
 from comfreywharf_dev.failures.invariants import (
+    AcceptedGrant,
     CallOutcome,
     CallResult,
     Effect,
-    GrantTaken,
     find_violations,
 )
 from comfreywharf_dev.standins.cluster import Cluster
@@ -51,7 +51,7 @@
 
 
 def grant(server, fence, start=0, end=10):
-    return GrantTaken(
+    return AcceptedGrant(
         at_s=0.0,
         server=server,
         start=start,
@@ -108,7 +108,7 @@
     The witnesses of a node depend on the order in which nodes announced themselves,
     and so on the machine's load. A node that loses two of its three witnesses has no
     lease until one of them is back or replaced. That is a known limit, covered by
-    `test_two_witnesses_lost_and_replaced`.
+    `test_owners_serve_again_after_two_witnesses_are_replaced`.
     """
     members = cluster.state(seen_by)["members"]
     groups = {name: set(member["witnesses"]) for name, member in members.items()}
@@ -172,11 +172,11 @@
 
 
 def _is_running(cluster, request_id):
-    return any(request_id in cluster.running(one) for one in cluster.plans)
+    return any(request_id in cluster.running_requests(one) for one in cluster.plans)
 
 
 def violations(cluster, results=()):
     """Return the violations of the invariants in the cluster's ledgers."""
     effects = [cattrs.structure(line, Effect) for line in cluster.effects()]
-    grants = [cattrs.structure(line, GrantTaken) for line in cluster.grants()]
+    grants = [cattrs.structure(line, AcceptedGrant) for line in cluster.grants()]
     return find_violations(effects, results, grants)
--- a/comfreywharf_dev/failures/tests/test_log_faults.py
+++ b/comfreywharf_dev/failures/tests/test_log_faults.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("fault", LOG_FAULTS)
-def test_owner_killed_while_the_log_fails(tmp_path, fault):
+def test_a_killed_owners_keys_are_served_while_the_log_fails(tmp_path, fault):
     """A lost owner's keys are served again while the log fails.
 
     Guards against a takeover that waits for a record, so that the keys are unavailable
@@ -48,7 +48,7 @@
         assert violations(cluster, callers.results) == []
 
 
-def test_one_node_is_cut_off_from_the_log(tmp_path):
+def test_a_node_cut_off_from_the_log_keeps_serving(tmp_path):
     """A node that is cut off from the log only keeps serving its keys.
 
     Guards against a healthy server's keys becoming unavailable because its node needs
@@ -79,8 +79,8 @@
         cluster.set_log_switches(lose_answers=1)
         for call in [BackgroundCall(submit, cluster, one) for one in patches]:
             call.get()
-        wait_until(lambda: len(versions(cluster, "next_offset")) == 1, 20)
-        wait_until(lambda: versions(cluster, "config_version") == {2}, 20)
+        wait_until(lambda: len(status_values(cluster, "next_offset")) == 1, 20)
+        wait_until(lambda: status_values(cluster, "config_version") == {2}, 20)
         winners = {winner(cluster, node_id) for node_id in cluster.plans}
         assert len(winners) == 1
         for node_id in cluster.plans:
@@ -109,7 +109,7 @@
     raise TimeoutError("three answers of the log service were lost")
 
 
-def versions(cluster, field):
+def status_values(cluster, field):
     return {cluster.status(node_id)[field] for node_id in cluster.plans}
 
 
--- a/comfreywharf_dev/standins/cluster.py
+++ b/comfreywharf_dev/standins/cluster.py
@@ -38,7 +38,11 @@
 
 @attrs.define(kw_only=True)
 class NodePlan:
-    """A node and the backend server beside it: names, ports, processes."""
+    """A node and the backend server beside it: names, ports, processes.
+
+    The ``proxied`` ports are those of the fault proxy, and 0 without one. A node whose
+    ``wall_offset_s`` isn't 0 runs with a wall clock that is shifted by this offset.
+    """
 
     node_id: str
     service: str
@@ -108,7 +112,7 @@
         self._proxied = proxied
         self._proxy_port = 0
         self._proxy_process = None
-        self._reserved = []
+        self._reserved_sockets = []
         self._block_sockets = []
         self._ports_left = []
 
@@ -204,7 +208,7 @@
         wait_listening(self._proxy_port)
         self.faults = FaultControl(self._proxy_port)
 
-    def remove_stopped(self, node_id):
+    def remove_stopped_node(self, node_id):
         """Wait for a node's process to exit, kill its server, and drop its plan."""
         plan = self.plans.pop(node_id)
         plan.node_process.wait(START_TIMEOUT_S)
@@ -308,7 +312,7 @@
         """Set the fault switches of a backend server."""
         http_json(self.plans[node_id].server_port, "POST", "/switches", switches)
 
-    def running(self, node_id):
+    def running_requests(self, node_id):
         """Return the ids of the requests that a backend server runs."""
         return http_json(self.plans[node_id].server_port, "GET", "/running")[2]
 
@@ -350,7 +354,7 @@
         return http_json(self.plans[node_id].operator_port, "GET", "/status")[2]
 
     def state(self, node_id):
-        """Return a node's folded state as a document."""
+        """Return the state that a node folded from the log, as a document."""
         return http_json(self.plans[node_id].operator_port, "GET", "/state")[2]
 
     def call(self, node_id, path, key=None, method="POST", **headers):
@@ -374,9 +378,9 @@
         return self.slice_of(seen_by, service, key)["owner"]
 
     def slice_of(self, seen_by, service, key):
-        """Return the slice that holds a key in the state of the node ``seen_by``.
+        """Return the slice that contains a key in the state of the node ``seen_by``.
 
-        Raises `KeyError` if no slice holds it.
+        Raises `KeyError` if no slice contains it.
         """
         value = key_hash(key.encode())
         for piece in self.state(seen_by)["slices"][service]["slices"]:
@@ -385,7 +389,7 @@
         raise KeyError(key)
 
     def wait_owned(self, service, timeout_s=START_TIMEOUT_S):
-        """Wait until each slice of a service has an owner, and is served.
+        """Wait until each slice of a service has an owner that serves it.
 
         Every node then has the owners in its state, and each owner holds its lease.
         """
@@ -397,7 +401,7 @@
         wait_until(
             lambda: all(
                 self._member_count(node_id, service) >= count
-                for node_id in self._running()
+                for node_id in self._running_node_ids()
             ),
             timeout_s,
         )
@@ -416,13 +420,13 @@
         wait_until(lambda: self._all_standbys_ready(service), timeout_s)
 
     def _all_standbys_ready(self, service):
-        running = self._running()
+        running = self._running_node_ids()
         pieces = self.state(running[0])["slices"][service]["slices"]
         return all(piece["standby"] for piece in pieces) and all(
             self.status(node_id)["lease"] == "held" for node_id in running
         )
 
-    def _running(self):
+    def _running_node_ids(self):
         """Return the ids of the nodes whose processes are running."""
         return [
             plan.node_id
@@ -431,14 +435,16 @@
         ]
 
     def _all_served(self, service):
-        running = self._running()
-        served = sum(self.status(n)["serving"].get(service, 0) for n in running)
+        running = self._running_node_ids()
+        served = sum(
+            self.status(node_id)["serving"].get(service, 0) for node_id in running
+        )
         return served == len(self.state(running[0])["slices"][service]["slices"])
 
     def _all_owned(self, service):
         for node_id in self.plans:
             pieces = self.state(node_id)["slices"].get(service)
-            if not pieces or not all(p["owner"] for p in pieces["slices"]):
+            if not pieces or not all(piece["owner"] for piece in pieces["slices"]):
                 return False
         return True
 
@@ -486,7 +492,7 @@
             port = self._ports_left.pop(0)
             sock = _bind(port)
             if sock is not None:
-                self._reserved.append(sock)
+                self._reserved_sockets.append(sock)
                 return port
 
     def _reserve_block(self):
@@ -499,8 +505,8 @@
                 return
 
     def _release_ports(self):
-        while self._reserved:
-            self._reserved.pop().close()
+        while self._reserved_sockets:
+            self._reserved_sockets.pop().close()
 
 
 def _bind(port):
@@ -528,7 +534,7 @@
 def wait_until(condition, timeout_s):
     """Wait until a condition holds.
 
-    Raises `TimeoutError` after ``timeout_s`` seconds. The limit only stops a wait
+    Raises `TimeoutError` after ``timeout_s`` seconds. The timeout only ends a wait
     that has failed: no check depends on how soon the condition holds.
     """
     end_s = boottime_s() + timeout_s
@@ -537,6 +543,8 @@
             if condition():
                 return
         except (OSError, TypeError):
+            # A process that is starting or stopping refuses connections, or gives an
+            # answer without the document that the condition indexes.
             pass
         time.sleep(0.05)
     raise TimeoutError(f"condition did not hold within {timeout_s} s")
--- a/comfreywharf_dev/standins/logservice.py
+++ b/comfreywharf_dev/standins/logservice.py
@@ -22,12 +22,15 @@
 
 MAX_RECORDS = 200_000
 MAX_RECORD_BYTES = 256 * 1024
-MAX_BATCH = 500
+MAX_BATCH_RECORDS = 500
 
 
 @attrs.define(kw_only=True)
 class Switches:
-    """The present faults and limits of the service."""
+    """The present faults and limits of the service.
+
+    ``lose_answers`` counts the appends that are still to be written but not answered.
+    """
 
     down: bool = False
     slow_s: float = 0.0
@@ -168,7 +171,7 @@
     def _read(self, stream, request):
         self.reads += 1
         start = int(request.query.get("from", "0"))
-        limit = min(int(request.query.get("limit", "100")), MAX_BATCH)
+        limit = min(int(request.query.get("limit", "100")), MAX_BATCH_RECORDS)
         wait_s = min(int(request.query.get("wait_ms", "0")), 30_000) / 1000
         if start >= stream.next and wait_s:
             stream.record_appended.wait(wait_s)
--- a/comfreywharf_dev/standins/tests/test_requests.py
+++ b/comfreywharf_dev/standins/tests/test_requests.py
@@ -45,9 +45,9 @@
 
 def resend(cluster, node_id, key, request_id, path="/booking/book", **headers):
     """Send a request that may have been sent before."""
-    words = {"Comfreywharf-Request-Id": request_id, **headers}
-    status, answered, body = cluster.call(node_id, path, key=key, **words)
-    return status, answered.get("Comfreywharf-Reason", ""), body
+    sent_headers = {"Comfreywharf-Request-Id": request_id, **headers}
+    status, answer_headers, body = cluster.call(node_id, path, key=key, **sent_headers)
+    return status, answer_headers.get("Comfreywharf-Reason", ""), body
 
 
 def restart_server(cluster, node_id):
@@ -73,8 +73,8 @@
     wait_until(lambda: http_json(port, "GET", "/load")[2]["busy_fraction"] == 0, 20)
 
 
-def raw(port, data):
-    """Send bytes and return all that comes back until the end of the stream."""
+def send_bytes(port, data):
+    """Send bytes, end the sending side, and return all bytes of the answer."""
     with socket.create_connection(("127.0.0.1", port), timeout=10) as sock:
         sock.sendall(data)
         sock.shutdown(socket.SHUT_WR)
@@ -98,7 +98,7 @@
 
 
 def test_an_id_reused_for_another_request_is_refused(cluster):
-    """A request id with another path is refused, not answered from memory."""
+    """A request id with another path is refused and doesn't get the first answer."""
     book(cluster, "files-1", "vesta", "reused")
     again = resend(cluster, "files-1", "vesta", "reused", "/booking/book?other=1")
     assert again[:2] == (409, "request-id-reused")
@@ -123,7 +123,11 @@
 
 
 def test_the_outcome_is_unknown_if_the_server_crashes_while_working(cluster):
-    """The outcome is unknown if the server crashes while it runs the request."""
+    """The outcome is unknown if the server crashes while it runs the request.
+
+    Guards against reporting the request as not run because it had no effect: the node
+    can't tell whether it had one. The server is killed while it works.
+    """
     owner = owner_of(cluster, "k")
     request = (
         b"POST /booking/book?work_ms=2000 HTTP/1.1\r\nHost: x\r\n"
@@ -208,25 +212,26 @@
     assert len(effects_of(cluster, "twice")) == 1
 
 
-@pytest.mark.parametrize("through_owner", [True, False])
-def test_a_truncated_answer_is_recognizable(cluster, through_owner):
+@pytest.mark.parametrize("beside_server", [True, False])
+def test_a_truncated_answer_is_recognizable(cluster, beside_server):
     """A truncated answer can be recognized by the caller.
 
     Guards against forwarding the end of the server's connection, in the middle of a
     long answer, as the end of the answer: half a file would be stored as the whole.
     """
-    node_id = "files-1" if through_owner else "booking-1"
+    node_id = "files-1" if beside_server else "booking-1"
     port = cluster.plans[node_id].caller_port
     path = b"GET /files/download?bytes=3000000&cut=1000000 HTTP/1.1\r\nHost: x\r\n\r\n"
     try:
-        data = raw_until_close(port, path)
+        data = send_bytes_kept_open(port, path)
     except ConnectionResetError:
         return
     head, body = data.split(b"\r\n\r\n", 1)
     assert b"Content-Length: 3000000" in head and len(body) < 3_000_000
 
 
-def raw_until_close(port, data):
+def send_bytes_kept_open(port, data):
+    """Send bytes, keep the sending side open, and return all bytes of the answer."""
     with socket.create_connection(("127.0.0.1", port), timeout=10) as sock:
         sock.sendall(data)
         parts = []
@@ -293,7 +298,7 @@
     """Bad input gets a specific error, and the node keeps serving other requests."""
     data, status, reason = BAD_INPUT[name]
     port = cluster.plans["booking-1"].caller_port
-    answer = raw(port, data)
+    answer = send_bytes(port, data)
     head = answer.split(b"\r\n\r\n", 1)[0].decode("latin-1")
     assert head.split(" ")[1] == str(status)
     assert not reason or f"Comfreywharf-Reason: {reason}" in head
@@ -312,7 +317,7 @@
 )
 def test_a_bad_peer_is_disconnected_and_the_node_keeps_serving(cluster, data):
     """Data that isn't a call of this version closes only its own connection."""
-    assert raw(cluster.plans["booking-1"].peer_port, data) == b""
+    assert send_bytes(cluster.plans["booking-1"].peer_port, data) == b""
     status, headers, _ = cluster.call("booking-1", "/booking/look", "k", "GET")
     assert (status, headers.get("Comfreywharf-Reason", "")) == (200, "")
 
@@ -343,9 +348,9 @@
 def test_a_request_is_not_run_again_after_its_owner_node_crashed(cluster):
     """A request that ran isn't run again by the next owner.
 
-    The memory of request ids is lost with the owner's node, so that a resend to the
-    standby that took the key over looks new. The node crashes while the server works,
-    and the caller sends the request again.
+    Guards against a standby that runs a resend of a request that the lost owner ran.
+    The ids of requests that were run are lost with the owner's node. The node crashes
+    while the server works, and the caller sends the request again.
     """
     owner = owner_of(cluster, "vesta")
     process = cluster.plans[owner].node_process
