--- a/comfreywharf_dev/bench/__main__.py
+++ b/comfreywharf_dev/bench/__main__.py
@@ -30,7 +30,10 @@
         return
     unknown = sorted(set(names) - set(found))
     if unknown:
-        print(f"unknown: {', '.join(unknown)}; known: {', '.join(sorted(found))}")
+        print(
+            f"unknown benchmarks: {', '.join(unknown)}; "
+            f"known: {', '.join(sorted(found))}"
+        )
         sys.exit(2)
     passed = [_run_and_print(name, found[name]) for name in names or sorted(found)]
     sys.exit(0 if all(passed) else 1)
--- a/comfreywharf_dev/bench/capacity.py
+++ b/comfreywharf_dev/bench/capacity.py
@@ -349,7 +349,7 @@
     return orjson.loads(MEASURED.read_bytes()) if MEASURED.exists() else {}
 
 
-app = App(name="capacity", help="Work out docs/CAPACITY.md from measured slopes.")
+app = App(name="capacity", help="Compute docs/CAPACITY.md from measured slopes.")
 
 
 @app.command(name="take")
--- a/comfreywharf_dev/bench/control_cost.py
+++ b/comfreywharf_dev/bench/control_cost.py
@@ -124,7 +124,9 @@
             try:
                 samples.append(_grow_and_measure(cluster, size))
             except TimeoutError as error:
-                logging.error("not started with %d nodes: %s", size, error)
+                logging.error(
+                    "cluster of %d nodes not started in time: %s", size, error
+                )
                 break
     yield from _figures(samples)
 
@@ -186,6 +188,7 @@
 
 
 def _difference(before, after):
+    """Return the payload and the wire bytes between two counts of traffic."""
     payload, segments = 0, 0
     for name, one in after.items():
         earlier = before.get(name, {})
--- a/comfreywharf_dev/bench/gossip.py
+++ b/comfreywharf_dev/bench/gossip.py
@@ -39,7 +39,11 @@
 
 @attrs.frozen(kw_only=True)
 class Variant:
-    """One variant of how records spread."""
+    """One variant of how records spread.
+
+    With ``sparse``, all nodes but `READERS` rarely read the log; with ``cut``, all but
+    `CUT_READERS` can't reach it.
+    """
 
     name: str
     gossip: bool = True
@@ -71,7 +75,7 @@
 
 
 class SparseNode(FleetNode):
-    """A node that notifies peers of each record and queries peers that have more."""
+    """A node that notifies peers of each record and queries peers with more records."""
 
     def __init__(self, node_id, log_port):
         super().__init__(node_id, log_port)
@@ -172,6 +176,7 @@
 
 
 def _change_repeatedly(nodes):
+    """Make the changes, and yield the time until each is in force, in seconds."""
     for version in range(CHANGES):
         began_s = boottime_s()
         nodes[0].follower.append(make_patch(version, queue_length=version))
--- a/comfreywharf_dev/bench/list_cost.py
+++ b/comfreywharf_dev/bench/list_cost.py
@@ -1,6 +1,6 @@
 """Cost of a heartbeat and of the list of ranges in its answer, by number of ranges.
 
-Adjacent ranges have different fences, so that none share a row of the list. For the
+Adjacent ranges have different fences, so that each has its own row of the list. For the
 figures with ``_alike`` all ranges have the same fence and are adjacent.
 """
 
--- a/comfreywharf_dev/bench/load_choice.py
+++ b/comfreywharf_dev/bench/load_choice.py
@@ -1,8 +1,9 @@
-"""Choice among servers that aren't divided by key: one of three ten times slower.
+"""Choice of a server for a service that isn't divided by key, with one slow server.
 
 Four ingress nodes, each with its own measurements, send to three servers at 40% of
-the three servers' capacity. The choosers are compared with and without ejection of
-slow servers. The ratio is the p99 latency with a slow server over that without one.
+the three servers' capacity; one server is ten times slower. The choosers are compared
+with and without ejection of slow servers. The ratio is the p99 latency with a slow
+server over that without one.
 """
 
 import random
--- a/comfreywharf_dev/bench/load_cost.py
+++ b/comfreywharf_dev/bench/load_cost.py
@@ -1,4 +1,4 @@
-"""Processor time per request of the decisions on load."""
+"""Processor time per request of each kind of decision that depends on load."""
 
 import random
 import time
--- a/comfreywharf_dev/bench/load_goodput.py
+++ b/comfreywharf_dev/bench/load_goodput.py
@@ -108,6 +108,10 @@
 
 
 def _since_spike(reached, wanted):
+    """Return the seconds after the spike until enough is reached in each second.
+
+    The last two seconds are left out: no new callers start in them.
+    """
     last = len(wanted) - 3
     second = last
     while (
--- a/comfreywharf_dev/bench/load_model.py
+++ b/comfreywharf_dev/bench/load_model.py
@@ -50,7 +50,11 @@
 
 @attrs.frozen
 class Outcome:
-    """The outcome of one request; ``retry_after_s`` is set for refused requests."""
+    """The outcome of one request.
+
+    ``good`` means answered within the deadline; ``retry_after_s`` is set for refused
+    requests.
+    """
 
     good: bool
     refused: bool
--- a/comfreywharf_dev/bench/path_cost.py
+++ b/comfreywharf_dev/bench/path_cost.py
@@ -34,6 +34,8 @@
 PEAK_CONCURRENCY = 32
 HALF_PEAK_CONCURRENCY = 64
 STALL_MS = 40.0
+"""The delay that Nagle's algorithm and delayed acknowledgements cause together."""
+
 KEYS = 64
 INGRESS, OWNER = "files-2", "booking-1"
 
--- a/comfreywharf_dev/bench/placement.py
+++ b/comfreywharf_dev/bench/placement.py
@@ -130,6 +130,7 @@
 
 
 def _takeovers_without_notice():
+    """Return the takeovers after a domain's loss if the planner isn't notified."""
     trace = attrs.evolve(make_trace(LARGE, domain_loss), duration_s=400.0)
     off = Replay(
         trace, step_s=LARGE_STEP_S, switches=Switches(notice_takeovers=False)
--- a/comfreywharf_dev/bench/placement_baselines.py
+++ b/comfreywharf_dev/bench/placement_baselines.py
@@ -15,7 +15,7 @@
 
 
 def at_once(service):
-    """Return a policy that at once moves whatever brings each server to the mean.
+    """Return a policy that immediately moves slices until all loads are near the mean.
 
     It gets the same smoothed rates, splits and pins as the product's policy, but it
     has no waiting times and no limits on churn.
--- a/comfreywharf_dev/bench/placement_cost.py
+++ b/comfreywharf_dev/bench/placement_cost.py
@@ -197,6 +197,7 @@
 
 
 def _allocated(build):
+    """Return the memory that the result of ``build()`` takes, in MiB."""
     gc.collect()
     tracemalloc.start()
     kept = build()
--- a/comfreywharf_dev/bench/placement_replay.py
+++ b/comfreywharf_dev/bench/placement_replay.py
@@ -46,6 +46,8 @@
 
 COLD_S = 30.0
 COLD_CAPACITY = 0.2
+"""The capacity of a cold server, as a fraction of that of a warm one."""
+
 WARM_UP_S = 60.0
 """The first seconds of a replay, before loads are known, aren't measured."""
 
--- a/comfreywharf_dev/bench/placement_traces.py
+++ b/comfreywharf_dev/bench/placement_traces.py
@@ -144,9 +144,10 @@
 
 
 def _base(deployment, rng, exponent):
-    """Return positions in the hash space and popularities of all keys.
+    """Return the positions of all keys in the hash space, and their popularities.
 
-    The head of the distribution is cut off, so that no key exceeds a server's capacity.
+    Popularities follow Zipf's law without the first ranks, so that no key exceeds a
+    server's capacity.
     """
     positions = np.sort(
         rng.integers(0, KEY_SPACE - 1, deployment.keys, dtype=np.int64, endpoint=True)
@@ -168,7 +169,10 @@
 
 
 def _hot_periods(deployment, rng, count, length_s, duration_s, shares):
-    """Return hot keys that are replaced by others every ``length_s``."""
+    """Return hot keys that are replaced by others every ``length_s``.
+
+    ``shares`` is the range of `HotKeyPeriod.share`.
+    """
     periods = []
     from_s = 60.0
     while from_s < duration_s:
--- a/comfreywharf_dev/bench/planned_stop.py
+++ b/comfreywharf_dev/bench/planned_stop.py
@@ -32,7 +32,7 @@
 
 
 def run():
-    """Return refusals, cuts, late work, the p99 of the gaps, and violations."""
+    """Return the requests cut or refused, late effects, the p99 gap, and violations."""
     gaps_ms, lost, late, booking_outcomes = [], 0, 0, []
     with tempfile.TemporaryDirectory(prefix="comfreywharf-stop-") as folder:
         plans = riga_plans(booking=NODES, files=0)
@@ -109,6 +109,7 @@
 
 
 def _late_effects(cluster, stopped, stopped_s):
+    """Return the number of effects that began too late after the stop."""
     name = cluster.plans[stopped].server_name
     limit_s = stopped_s + NO_NEW_WORK_AFTER_S
     return sum(
--- a/comfreywharf_dev/bench/processes.py
+++ b/comfreywharf_dev/bench/processes.py
@@ -42,11 +42,11 @@
 
 
 def bind_low_port():
-    """Return a socket bound to a port below those of outgoing connections.
+    """Return a socket bound to a port below the range of ephemeral ports.
 
-    A port chosen by the system may be reused for an outgoing connection of any
-    process, between its release here and its use by a new process. The new process
-    then fails at its start; the more processes, the more often.
+    An ephemeral port may be reused for an outgoing connection of any process, between
+    its release here and its use by a new process. The new process then fails to start;
+    this happens more often the more processes run.
 
     Raises `OSError` if no port was free in `BIND_TRIES` tries.
     """
--- a/comfreywharf_dev/bench/report.py
+++ b/comfreywharf_dev/bench/report.py
@@ -276,7 +276,7 @@
     return values
 
 
-app = App(name="report", help="Write one page of what the benchmarks measured.")
+app = App(name="report", help="Write a page with the results of the benchmarks.")
 
 
 @app.default
--- a/comfreywharf_dev/bench/server_loop_servers.py
+++ b/comfreywharf_dev/bench/server_loop_servers.py
@@ -1,4 +1,4 @@
-"""Servers with short answers and increasingly cheap loops, for `server_loop`."""
+"""Servers that send a short answer with less and less work, for `server_loop`."""
 
 from cyclopts import App
 from gevent import pywsgi
@@ -88,7 +88,10 @@
         sock.sendall(head + ANSWER)
 
 
-app = App(name="bench-server-loop", help="Servers that answer by ever cheaper loops.")
+app = App(
+    name="bench-server-loop",
+    help="A server that sends a short answer, in one of several ways.",
+)
 
 
 @app.default
--- a/comfreywharf_dev/bench/slopes.py
+++ b/comfreywharf_dev/bench/slopes.py
@@ -46,7 +46,8 @@
     """Return the larger of the line's value at ``x`` and the largest measured value.
 
     A cost that falls with size is an artefact of the measuring machine (more
-    processes than cores), and a falling line would give far too low values far out.
+    processes than cores), and a falling line would give far too low values at large
+    sizes.
 
     >>> extrapolate([(1, 3.0), (2, 5.0)], 10)
     21.0
--- a/comfreywharf_dev/bench/snapshots.py
+++ b/comfreywharf_dev/bench/snapshots.py
@@ -35,7 +35,7 @@
 
 
 def run():
-    """Encode and load the state of all nodes, and fold records into it."""
+    """Encode and load the state of a cluster, and fold records into it."""
     state = _make_state()
     began_s = time.perf_counter()
     copied = state.copy()
--- a/comfreywharf_dev/bench/state_size.py
+++ b/comfreywharf_dev/bench/state_size.py
@@ -127,7 +127,7 @@
 
 
 def build_memory(count):
-    """Return the memory of ``count`` answered requests."""
+    """Return an `AnswerMemory` that holds ``count`` answered requests."""
     memory = AnswerMemory(MemoryLimits(entries=count, total_bytes=1 << 40))
     for index in range(count):
         key = RequestKey(SERVICE, key_hash(b"%d" % index), f"{index:032x}")
--- a/comfreywharf_dev/losses/__init__.py
+++ b/comfreywharf_dev/losses/__init__.py
@@ -1,1 +1,1 @@
-"""Tables of refused and unknown requests, from the decision lines of nodes."""
+"""Tables of refused and unknown requests, from the decisions that nodes log."""
