--- a/comfreywharf_dev/bench/__main__.py
+++ b/comfreywharf_dev/bench/__main__.py
@@ -4,7 +4,7 @@
 
 from cyclopts import App
 
-from comfreywharf_dev.bench.runner import find, run_one
+from comfreywharf_dev.bench.runner import find_benchmarks, run_benchmark
 
 __all__ = ["app"]
 
@@ -24,7 +24,7 @@
     list_names
         Only print the names.
     """
-    found = find()
+    found = find_benchmarks()
     if list_names:
         print("\n".join(sorted(found)))
         return
@@ -40,7 +40,7 @@
 
 
 def _run_and_print(name, function):
-    record = run_one(name, function)
+    record = run_benchmark(name, function)
     load = f"load {record.load_before:.1f} to {record.load_after:.1f}"
     stolen = f"{record.stolen_fraction:.0%} stolen"
     print(
--- a/comfreywharf_dev/bench/runner.py
+++ b/comfreywharf_dev/bench/runner.py
@@ -16,7 +16,13 @@
 from comfreywharf.clock import boottime_s
 from comfreywharf_dev.bench.figures import CheckedFigure, check_figures, read_bounds
 
-__all__ = ["BOUNDS_FOLDER", "OUTPUT_FOLDER", "Record", "find", "run_one"]
+__all__ = [
+    "BOUNDS_FOLDER",
+    "OUTPUT_FOLDER",
+    "Record",
+    "find_benchmarks",
+    "run_benchmark",
+]
 
 BOUNDS_FOLDER = Path("bounds")
 OUTPUT_FOLDER = Path("run/bench")
@@ -55,15 +61,15 @@
 
     def encoded(self):
         """Return the record as bytes of JSON."""
-        document = attrs.asdict(self, value_serializer=_plain)
+        document = attrs.asdict(self, value_serializer=_serialize_value)
         return orjson.dumps(document, option=orjson.OPT_INDENT_2)
 
 
-def _plain(instance, field, value):
+def _serialize_value(instance, field, value):
     return value.value if isinstance(value, Enum) else value
 
 
-def find():
+def find_benchmarks():
     """Return the benchmarks by name, as functions without arguments.
 
     A module that can't be imported becomes a benchmark that fails, so that the
@@ -77,7 +83,7 @@
         try:
             module = importlib.import_module(name)
         except ImportError as error:
-            found[module_info.name] = partial(_fail, error)
+            found[module_info.name] = partial(_raise_error, error)
             continue
         run = getattr(module, "run", None)
         if run is not None and run.__module__ == module.__name__:
@@ -85,11 +91,11 @@
     return found
 
 
-def _fail(error):
+def _raise_error(error):
     raise error
 
 
-def run_one(name, run, bounds_folder=BOUNDS_FOLDER):
+def run_benchmark(name, run, bounds_folder=BOUNDS_FOLDER):
     """Run a benchmark and return its `Record`; an exception is stored as its error."""
     bounds = read_bounds(bounds_folder, name)
     load_before = os.getloadavg()[0]
--- a/comfreywharf_dev/bench/tests/test_figures.py
+++ b/comfreywharf_dev/bench/tests/test_figures.py
@@ -16,7 +16,7 @@
     check_figures,
     read_bounds,
 )
-from comfreywharf_dev.bench.runner import run_one
+from comfreywharf_dev.bench.runner import run_benchmark
 
 numbers = st.floats(allow_nan=False, allow_infinity=False)
 
@@ -59,7 +59,7 @@
     def run():
         raise OSError("no such port")
 
-    record = run_one("path", run, bounds_folder=tmp_path)
+    record = run_benchmark("path", run, bounds_folder=tmp_path)
     assert not record.passed
     assert "no such port" in record.error
     assert record.write(tmp_path).exists()
