--- a/comfreywharf_dev/bench/placement.py
+++ b/comfreywharf_dev/bench/placement.py
@@ -11,7 +11,10 @@
 
 from comfreywharf.placement import Switches, policy_for
 from comfreywharf_dev.bench.figures import Figure
-from comfreywharf_dev.bench.placement_baselines import at_once, replay_hash_ring
+from comfreywharf_dev.bench.placement_baselines import (
+    immediate_policy,
+    replay_hash_ring,
+)
 from comfreywharf_dev.bench.placement_replay import Replay, ReplayResult
 from comfreywharf_dev.bench.placement_traces import (
     AHMEDABAD,
@@ -58,7 +61,9 @@
     traces = [make_trace(deployment, build, number) for number in range(seeds)]
     name = f"{deployment.name}_{build.__name__}"
     product = _mean([Replay(trace).run() for trace in traces])
-    immediate = _mean([Replay(trace, make_policy=at_once).run() for trace in traces])
+    immediate = _mean(
+        [Replay(trace, make_policy=immediate_policy).run() for trace in traces]
+    )
     ring = _mean([replay_hash_ring(trace) for trace in traces])
     return [
         *_figures(name, product),
@@ -148,9 +153,9 @@
 
 
 def _with_and_without(name, trace, field, **off):
-    with_it = getattr(Replay(trace).run(), field)
+    with_mechanism = getattr(Replay(trace).run(), field)
     without = getattr(Replay(trace, **off).run(), field)
     return [
-        Figure(name=f"{name}_on_{field}", value=float(with_it), unit=""),
+        Figure(name=f"{name}_on_{field}", value=float(with_mechanism), unit=""),
         Figure(name=f"{name}_off_{field}", value=float(without), unit=""),
     ]
--- a/comfreywharf_dev/bench/placement_baselines.py
+++ b/comfreywharf_dev/bench/placement_baselines.py
@@ -9,12 +9,12 @@
 from comfreywharf.placement.budget import ChurnBudget
 from comfreywharf_dev.bench.placement_replay import COLD_S, TAKEOVER_S, Tally
 
-__all__ = ["at_once", "replay_hash_ring"]
+__all__ = ["immediate_policy", "replay_hash_ring"]
 
 POINTS_PER_SERVER = 100
 
 
-def at_once(service):
+def immediate_policy(service):
     """Return a policy that immediately moves slices until all loads are near the mean.
 
     It gets the same smoothed rates, splits and pins as the product's policy, but it
@@ -77,19 +77,19 @@
                 lost |= {event.node_id} if event.kind == "stop" else set()
         if serving != before:
             owners = _reassign(trace, tally, now_s, serving, lost, owners, share)
-        names, places = np.unique(owners, return_inverse=True)
-        sums = np.bincount(places, weights=rates)
+        names, indices = np.unique(owners, return_inverse=True)
+        sums = np.bincount(indices, weights=rates)
         loads = dict.fromkeys(serving, 0.0)
         loads.update(zip(names.tolist(), sums.tolist(), strict=True))
         cold = {n for n in serving if now_s - started_s[n] < COLD_S}
-        tally.step(now_s, step_s, loads, cold)
+        tally.add_step(now_s, step_s, loads, cold)
     return tally.result()
 
 
 def _reassign(trace, tally, now_s, serving, lost, owners, share):
-    later = _Ring(sorted(serving)).owners(trace.positions)
-    changed = later != owners
+    new_owners = _Ring(sorted(serving)).owners(trace.positions)
+    changed = new_owners != owners
     taken = changed & np.isin(owners, list(lost))
-    tally.lost(TAKEOVER_S, float(share[taken].sum()))
-    tally.moved(now_s, float(share[changed & ~taken].sum()))
-    return later
+    tally.add_unavailable(TAKEOVER_S, float(share[taken].sum()))
+    tally.add_move(now_s, float(share[changed & ~taken].sum()))
+    return new_owners
--- a/comfreywharf_dev/bench/placement_cost.py
+++ b/comfreywharf_dev/bench/placement_cost.py
@@ -80,17 +80,19 @@
         unit="us",
         points=tuple(points),
     )
-    yield Figure(name="loss_round_ms", value=1e3 * _loss_s(cluster), unit="ms")
+    yield Figure(name="loss_round_ms", value=1e3 * _loss_round_s(cluster), unit="ms")
     yield Figure(
         name="state_mib",
-        value=_allocated(lambda: _state_with_rates(cluster)),
+        value=_allocated_mib(lambda: _state_with_rates(cluster)),
         unit="MiB",
     )
     rates = rates_per_report(MEMBERS)
     usual, full = _encoded(_report(rates)), _encoded(_report(SLICES // MEMBERS))
-    report_s = _reports_s(state, usual)
+    report_s = _apply_report_s(state, usual)
     yield Figure(name="report_us", value=1e6 * report_s, unit="us", note="to take one")
-    yield Figure(name="full_report_us", value=1e6 * _reports_s(state, full), unit="us")
+    yield Figure(
+        name="full_report_us", value=1e6 * _apply_report_s(state, full), unit="us"
+    )
     yield Figure(name="report_bytes", value=len(usual), unit="bytes")
     yield Figure(name="full_report_bytes", value=len(full), unit="bytes")
     reports_per_s = MEMBERS / report_interval_s(MEMBERS)
@@ -181,7 +183,7 @@
     return (time.process_time() - start_s) / ROUNDS
 
 
-def _loss_s(cluster):
+def _loss_round_s(cluster):
     """Return the processor time of the round after the loss of a domain, in seconds.
 
     This round replaces the standbys in the lost domain.
@@ -196,7 +198,7 @@
     return time.process_time() - start_s
 
 
-def _allocated(build):
+def _allocated_mib(build):
     """Return the memory that the result of ``build()`` takes, in MiB."""
     gc.collect()
     tracemalloc.start()
@@ -225,7 +227,7 @@
     return buffer.getvalue()
 
 
-def _reports_s(state, data):
+def _apply_report_s(state, data):
     """Return the processor time to decode and apply one report, in seconds."""
     start_s = time.process_time()
     for _ in range(REPORTS):
--- a/comfreywharf_dev/bench/placement_replay.py
+++ b/comfreywharf_dev/bench/placement_replay.py
@@ -88,7 +88,7 @@
         self.unavailable_s = 0.0
         self.max_slices = 0
 
-    def step(self, now_s, step_s, loads, cold):
+    def add_step(self, now_s, step_s, loads, cold):
         """Add a step; ``loads`` are by serving node, ``cold`` are the cold nodes."""
         total = sum(loads.values())
         if now_s < WARM_UP_S or total <= 0:
@@ -98,14 +98,14 @@
             limit = self._capacity * (COLD_CAPACITY if node_id in cold else 1.0)
             self.unavailable_s += step_s * max(0.0, load - limit) / total
 
-    def moved(self, now_s, share):
+    def add_move(self, now_s, share):
         """Add a planned move of a share of the load."""
         if now_s >= WARM_UP_S:
             self.churn += share
             self.moves += 1
             self.unavailable_s += HAND_OVER_S * share
 
-    def lost(self, seconds, share):
+    def add_unavailable(self, seconds, share):
         """Add a share of the load that was unavailable for some seconds."""
         self.unavailable_s += seconds * share
 
@@ -248,10 +248,10 @@
         for piece in self._pieces:
             if piece.owner and piece.owner not in self._meters:
                 if piece.standby in self._meters:
-                    self._tally.lost(TAKEOVER_S, self._share(piece))
+                    self._tally.add_unavailable(TAKEOVER_S, self._share(piece))
                     taken[piece.owner, piece.standby].append(piece)
                 else:
-                    self._tally.lost(self._step_s, self._share(piece))
+                    self._tally.add_unavailable(self._step_s, self._share(piece))
         for (owner, taker), pieces in taken.items():
             self._append_takes(owner, taker, pieces)
 
@@ -294,8 +294,8 @@
     def _slice_rates(self):
         """Return the requests per second of each slice, by its start."""
         starts = np.array([piece.start for piece in self._pieces], dtype=np.int64)
-        places = np.searchsorted(starts, self.trace.positions, side="right") - 1
-        sums = np.bincount(places, weights=self._key_rates, minlength=len(starts))
+        indices = np.searchsorted(starts, self.trace.positions, side="right") - 1
+        sums = np.bincount(indices, weights=self._key_rates, minlength=len(starts))
         return dict(zip(starts.tolist(), sums.tolist(), strict=True))
 
     def _share(self, piece):
@@ -358,7 +358,7 @@
         for move in record.moves:
             piece = pieces.at_start(move.start)
             if piece.owner and piece.owner != move.owner:
-                self._tally.moved(self._now_s, self._share(piece))
+                self._tally.add_move(self._now_s, self._share(piece))
 
     def _measure(self):
         rates = self._slice_rates()
@@ -368,5 +368,5 @@
             if piece.owner in loads:
                 loads[piece.owner] += rates[piece.start]
         cold = {n for n in loads if self._now_s - self._started_s[n] < COLD_S}
-        self._tally.step(self._now_s, self._step_s, loads, cold)
+        self._tally.add_step(self._now_s, self._step_s, loads, cold)
         self._tally.max_slices = max(self._tally.max_slices, len(self._pieces))
--- a/comfreywharf_dev/bench/placement_traces.py
+++ b/comfreywharf_dev/bench/placement_traces.py
@@ -143,7 +143,7 @@
     return keys, *columns
 
 
-def _base(deployment, rng, exponent):
+def _positions_and_popularity(deployment, rng, exponent):
     """Return the positions of all keys in the hash space, and their popularities.
 
     Popularities follow Zipf's law without the first ranks, so that no key exceeds a
@@ -158,7 +158,7 @@
 
 
 def _trace(name, deployment, rng, **fields):
-    positions, popularity = _base(deployment, rng, exponent=0.8)
+    positions, popularity = _positions_and_popularity(deployment, rng, exponent=0.8)
     return LoadTrace(
         name=name,
         deployment=deployment,
--- a/comfreywharf_dev/bench/tests/test_placement.py
+++ b/comfreywharf_dev/bench/tests/test_placement.py
@@ -19,7 +19,7 @@
 from comfreywharf_dev.bench.runner import BOUNDS_FOLDER
 
 BOUNDS = read_bounds(BOUNDS_FOLDER, "placement")
-CUT_S = 1200.0
+SHORT_DURATION_S = 1200.0
 COARSE = attrs.evolve(RIGA, service=attrs.evolve(RIGA.service, slices=16))
 
 
@@ -71,7 +71,7 @@
     name, field, deployment, build, off
 ):
     """A replay is within its bound with a mechanism and breaks it without."""
-    trace = attrs.evolve(make_trace(deployment, build), duration_s=CUT_S)
+    trace = attrs.evolve(make_trace(deployment, build), duration_s=SHORT_DURATION_S)
     bound = BOUNDS[f"{name}_on_{field}"]
     assert bound.holds(getattr(Replay(trace).run(), field))
     assert not bound.holds(getattr(Replay(trace, **off).run(), field))
