--- a/comfreywharf_dev/bench/load_choice.py
+++ b/comfreywharf_dev/bench/load_choice.py
@@ -10,7 +10,12 @@
 
 from comfreywharf.load import Ejector, LeastInFlight, MemberLoad, RoundRobin, TwoChoices
 from comfreywharf_dev.bench.figures import Figure
-from comfreywharf_dev.bench.load_model import Clock, ModelServer, arrivals, percentile
+from comfreywharf_dev.bench.load_model import (
+    Clock,
+    ModelServer,
+    percentile,
+    schedule_arrivals,
+)
 
 __all__ = ["run"]
 
@@ -78,7 +83,7 @@
     for _ in range(INGRESS_NODES):
         node = _Ingress(clock, rng, servers, chooser, ejects)
         nodes.append(node)
-        arrivals(clock, rng, rate, 0.0, SECONDS, node.send)
+        schedule_arrivals(clock, rng, rate, 0.0, SECONDS, node.send)
     clock.run(SECONDS + 5.0)
     return percentile([s for node in nodes for s in node.latencies_s], 0.99)
 
--- a/comfreywharf_dev/bench/load_cost.py
+++ b/comfreywharf_dev/bench/load_cost.py
@@ -22,7 +22,7 @@
 MEMBERS = 8
 
 
-def _microseconds(call):
+def _request_us(call):
     start_s = time.process_time()
     for number in range(REQUESTS):
         call(number)
@@ -88,7 +88,7 @@
         "fingerprint": _fingerprint,
     }
     return [
-        Figure(name=name, value=_microseconds(make()), unit="us")
+        Figure(name=name, value=_request_us(make()), unit="us")
         for name, make in parts.items()
     ]
 
--- a/comfreywharf_dev/bench/load_fairness.py
+++ b/comfreywharf_dev/bench/load_fairness.py
@@ -8,11 +8,16 @@
 import random
 
 from comfreywharf_dev.bench.figures import Figure
-from comfreywharf_dev.bench.load_model import Clock, ModelServer, arrivals, percentile
+from comfreywharf_dev.bench.load_model import (
+    Clock,
+    ModelServer,
+    percentile,
+    schedule_arrivals,
+)
 
 __all__ = ["run"]
 
-SHARE = 0.4
+NEIGHBOURS_LOAD = 0.4
 HOT_LOAD_FACTOR = 10.0
 NEIGHBOURS = 20
 SECONDS = 10.0
@@ -20,7 +25,7 @@
 TIMEOUT_S = 0.8
 
 
-def _neighbours(hot, fair):
+def _measure_neighbours(hot, fair):
     """Return the p99 latency in seconds and the refused fraction of the neighbours."""
     clock, rng = Clock(), random.Random(4)
     server = ModelServer(clock, rng)
@@ -37,10 +42,10 @@
 
         server.send(rng.randrange(NEIGHBOURS), TIMEOUT_S, on_outcome)
 
-    rate = SHARE * server.capacity_per_s
-    arrivals(clock, rng, rate, 0.0, SECONDS, send_neighbour)
+    rate = NEIGHBOURS_LOAD * server.capacity_per_s
+    schedule_arrivals(clock, rng, rate, 0.0, SECONDS, send_neighbour)
     if hot:
-        arrivals(
+        schedule_arrivals(
             clock,
             rng,
             HOT_LOAD_FACTOR * rate,
@@ -56,8 +61,8 @@
     """Return the figures."""
     figures = []
     for fair, name in ((True, ""), (False, "_without")):
-        alone_s, _ = _neighbours(hot=False, fair=fair)
-        with_hot_key_s, refused = _neighbours(hot=True, fair=fair)
+        alone_s, _ = _measure_neighbours(hot=False, fair=fair)
+        with_hot_key_s, refused = _measure_neighbours(hot=True, fair=fair)
         figures.append(
             Figure(
                 name=f"neighbours_p99_ratio{name}",
--- a/comfreywharf_dev/bench/load_goodput.py
+++ b/comfreywharf_dev/bench/load_goodput.py
@@ -10,7 +10,7 @@
 import attrs
 
 from comfreywharf_dev.bench.figures import Figure
-from comfreywharf_dev.bench.load_model import Clock, ModelServer, arrivals
+from comfreywharf_dev.bench.load_model import Clock, ModelServer, schedule_arrivals
 
 __all__ = ["run"]
 
@@ -46,7 +46,7 @@
     def send():
         server.send(rng.randrange(KEYS), TIMEOUT_S, lambda o: good.append(o.good))
 
-    arrivals(clock, rng, load * server.capacity_per_s, 0.0, SECONDS, send)
+    schedule_arrivals(clock, rng, load * server.capacity_per_s, 0.0, SECONDS, send)
     clock.run(SECONDS)
     return sum(good) / SECONDS
 
@@ -71,7 +71,7 @@
             self.done(outcome.good)
             return
         pause_s = HASTY_RETRY_PAUSE_S if self.hasty else max(outcome.retry_after_s, 0.1)
-        self.clock.at(self.clock.now_s + pause_s, self.send)
+        self.clock.call_at(self.clock.now_s + pause_s, self.send)
 
 
 def _recovery_s(admission, hasty):
@@ -84,38 +84,46 @@
     clock, rng = Clock(), random.Random(2)
     server = _server(clock, rng, admission)
     seconds = int(RECOVERY_END_S)
-    asked, well, good_answers = [0] * seconds, [0] * seconds, [0] * seconds
+    new_callers, good_first_tries, good_answers = (
+        [0] * seconds,
+        [0] * seconds,
+        [0] * seconds,
+    )
 
     def send_new_caller():
         second = int(clock.now_s)
-        asked[second] += 1
+        new_callers[second] += 1
         caller = _Caller(clock, server, rng.randrange(KEYS), hasty, None)
 
         def done(good):
             good_answers[int(clock.now_s)] += good
-            well[second] += good and caller.tries == 1
+            good_first_tries[second] += good and caller.tries == 1
 
         caller.done = done
         caller.send()
 
     base = BASE_LOAD * server.capacity_per_s
-    arrivals(clock, rng, base, 0.0, RECOVERY_END_S - 2, send_new_caller)
+    schedule_arrivals(clock, rng, base, 0.0, RECOVERY_END_S - 2, send_new_caller)
     spike = (3.0 - BASE_LOAD) * server.capacity_per_s
-    arrivals(clock, rng, spike, SPIKE_START_S, SPIKE_END_S, send_new_caller)
+    schedule_arrivals(clock, rng, spike, SPIKE_START_S, SPIKE_END_S, send_new_caller)
     clock.run(RECOVERY_END_S)
     base_count = [base] * seconds
-    return _since_spike(good_answers, base_count), _since_spike(well, asked)
+    return _recovered_after_s(good_answers, base_count), _recovered_after_s(
+        good_first_tries, new_callers
+    )
 
 
-def _since_spike(reached, wanted):
-    """Return the seconds after the spike until enough is reached in each second.
+def _recovered_after_s(counts, expected):
+    """Return the time from the spike's end until the counts stay high, in seconds.
 
-    The last two seconds are left out: no new callers start in them.
+    A count is high from `RECOVERED_FRACTION` of the expected one. The last two seconds
+    are left out, since no new callers start in them.
     """
-    last = len(wanted) - 3
+    last = len(expected) - 3
     second = last
     while (
-        second >= SPIKE_END_S and reached[second] >= RECOVERED_FRACTION * wanted[second]
+        second >= SPIKE_END_S
+        and counts[second] >= RECOVERED_FRACTION * expected[second]
     ):
         second -= 1
     return second + 1 - SPIKE_END_S
--- a/comfreywharf_dev/bench/load_model.py
+++ b/comfreywharf_dev/bench/load_model.py
@@ -23,7 +23,7 @@
 from comfreywharf.load.fairqueue import Ticket
 from comfreywharf.load.limits import ConcurrencyLimit
 
-__all__ = ["Clock", "ModelServer", "Outcome", "arrivals", "percentile"]
+__all__ = ["Clock", "ModelServer", "Outcome", "schedule_arrivals", "percentile"]
 
 TICK_S = 0.05
 
@@ -36,7 +36,7 @@
         self._due = []
         self._order = itertools.count()
 
-    def at(self, time_s, call):
+    def call_at(self, time_s, call):
         """Schedule ``call()`` for a simulated time."""
         heapq.heappush(self._due, (time_s, next(self._order), call))
 
@@ -68,7 +68,7 @@
     A started request keeps its slot until it is done, even if its deadline passes, as
     in the stand-in backend server. Service times are multiplied by ``slow_factor``.
     While the server is cold, that is, until it has given ``cold_answers`` good
-    answers, each other request in flight adds the fraction ``crowding`` to them.
+    answers, each other request in flight adds the fraction ``contention`` to them.
     """
 
     def __init__(self, clock, rng, *, slots=12, mean_s=0.01, queue_length=256):
@@ -76,7 +76,7 @@
             ConcurrencyLimit(slots), queue_length, random.Random(rng.random())
         )
         self.slow_factor = 1.0
-        self.crowding = 0.0
+        self.contention = 0.0
         self.cold_answers = 0
         self._clock = clock
         self._rng = rng
@@ -97,13 +97,13 @@
         self._execute(decide(self.state, Arrived(ticket), now_s))
         if self.state.waiting and not self._ticking:
             self._ticking = True
-            self._clock.at(now_s + TICK_S, self._tick)
+            self._clock.call_at(now_s + TICK_S, self._tick)
 
     def _tick(self):
         self._execute(decide(self.state, TimePassed(), self._clock.now_s))
         self._ticking = bool(self.state.waiting)
         if self._ticking:
-            self._clock.at(self._clock.now_s + TICK_S, self._tick)
+            self._clock.call_at(self._clock.now_s + TICK_S, self._tick)
 
     def _execute(self, actions):
         for action in actions:
@@ -117,10 +117,10 @@
     def _begin(self, ticket):
         work_s = self._rng.expovariate(1 / self._mean_s) * self.slow_factor
         if self.cold_answers > 0:
-            work_s *= 1 + self.crowding * (len(self.state.in_flight) - 1)
+            work_s *= 1 + self.contention * (len(self.state.in_flight) - 1)
         end_s = self._clock.now_s + work_s
         good = end_s <= ticket.deadline_s
-        self._clock.at(end_s, lambda: self._finish(ticket, good))
+        self._clock.call_at(end_s, lambda: self._finish(ticket, good))
 
     def _finish(self, ticket, good):
         self.cold_answers -= good
@@ -130,17 +130,17 @@
         self._execute(decide(self.state, Finished(ticket, result), self._clock.now_s))
 
 
-def arrivals(clock, rng, rate_per_s, start_s, end_s, send):
+def schedule_arrivals(clock, rng, rate_per_s, start_s, end_s, send):
     """Call ``send()`` at exponentially distributed intervals with a mean rate."""
 
-    def next_one():
+    def arrive():
         if clock.now_s >= start_s:
             send()
         again_s = max(clock.now_s, start_s) + rng.expovariate(rate_per_s)
         if again_s < end_s:
-            clock.at(again_s, next_one)
+            clock.call_at(again_s, arrive)
 
-    clock.at(start_s + rng.expovariate(rate_per_s), next_one)
+    clock.call_at(start_s + rng.expovariate(rate_per_s), arrive)
 
 
 def percentile(values, fraction):
--- a/comfreywharf_dev/bench/load_ramp.py
+++ b/comfreywharf_dev/bench/load_ramp.py
@@ -8,7 +8,7 @@
 
 from comfreywharf.load.limits import WARM_ROUNDS
 from comfreywharf_dev.bench.figures import Figure
-from comfreywharf_dev.bench.load_model import Clock, ModelServer, arrivals
+from comfreywharf_dev.bench.load_model import Clock, ModelServer, schedule_arrivals
 
 __all__ = ["run"]
 
@@ -16,14 +16,14 @@
 SECONDS = 5.0
 TIMEOUT_S = 0.2
 COLD_ANSWERS = 400
-CROWDING = 1.0
+CONTENTION = 1.0
 
 
 def _good_answers(ramp):
     clock, rng = Clock(), random.Random(5)
     server = ModelServer(clock, rng)
     server.cold_answers = COLD_ANSWERS
-    server.crowding = CROWDING
+    server.contention = CONTENTION
     if not ramp:
         for _ in range(server.state.limit.slots * WARM_ROUNDS):
             server.state.limit.answered()
@@ -32,7 +32,7 @@
     def send():
         server.send(rng.randrange(50), TIMEOUT_S, lambda o: good.append(o.good))
 
-    arrivals(clock, rng, LOAD * server.capacity_per_s, 0.0, SECONDS, send)
+    schedule_arrivals(clock, rng, LOAD * server.capacity_per_s, 0.0, SECONDS, send)
     clock.run(SECONDS + 1.0)
     return sum(good)
 
