--- a/comfreywharf_dev/bench/generator.py
+++ b/comfreywharf_dev/bench/generator.py
@@ -22,7 +22,7 @@
 
 MAX_REQUESTS = 200_000
 MAX_SECONDS = 60.0
-LOWEST_US, HIGHEST_US, DIGITS = 1, 60_000_000, 3
+LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS = 1, 60_000_000, 3
 
 
 @attrs.frozen(kw_only=True)
@@ -49,7 +49,7 @@
     """Numbers of requests by status, and a histogram of their durations."""
 
     def __init__(self):
-        self.histogram = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+        self.histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
         self.statuses = Counter()
         self.sent = 0
 
--- a/comfreywharf_dev/bench/list_cost.py
+++ b/comfreywharf_dev/bench/list_cost.py
@@ -19,7 +19,7 @@
 __all__ = ["run"]
 
 SIZES = (20, 200, 2000)
-WIDTH = 32
+RANGE_WIDTH = 32
 HEARTBEATS = 20
 LEASE_S = 2.0
 INTERVAL_S = 0.87
@@ -74,7 +74,9 @@
 def _serving(size, fences, until_s):
     served = []
     for index in range(size):
-        start, end = range_of_numbers(index * WIDTH, (index + 1) * WIDTH - 1)
+        start, end = range_of_numbers(
+            index * RANGE_WIDTH, (index + 1) * RANGE_WIDTH - 1
+        )
         piece = Slice(start=start, end=end, owner="a")
         served.append(("booking", piece, 10 + index % fences, until_s))
     return Serving(served=tuple(served), pending=(), lease_until_s=until_s)
--- a/comfreywharf_dev/bench/path_cost.py
+++ b/comfreywharf_dev/bench/path_cost.py
@@ -14,12 +14,17 @@
 
 from comfreywharf.clock import boottime_s
 from comfreywharf_dev.bench.figures import Figure
-from comfreywharf_dev.bench.generator import DIGITS, HIGHEST_US, LOWEST_US, Load
+from comfreywharf_dev.bench.generator import (
+    HIGHEST_US,
+    LOWEST_US,
+    SIGNIFICANT_DIGITS,
+    Load,
+)
 from comfreywharf_dev.bench.processes import (
     PlainCluster,
     Processes,
     free_port,
-    generate,
+    generate_load,
     processor_s,
 )
 from comfreywharf_dev.bench.slopes import fit_line
@@ -128,13 +133,13 @@
         self.load = Load(port=chain.port, path=chain.path, keys=chain.keys)
         self.points = {name: [] for name in chain.pids}
         self.peaks_per_s = []
-        self.half_peak = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
-        self.single = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+        self.half_peak = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
+        self.single = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
         self.not_answered = 0
 
-    def generate(self, processes=1, **fields):
+    def generate_load(self, processes=1, **fields):
         """Run a load on the chain and return the result documents."""
-        documents = generate(attrs.evolve(self.load, **fields), processes)
+        documents = generate_load(attrs.evolve(self.load, **fields), processes)
         self.not_answered += sum(_not_answered(document) for document in documents)
         return documents
 
@@ -155,7 +160,7 @@
 
 
 def _warm_up(measured):
-    (document,) = measured.generate(seconds=0.5, rate_per_s=200.0)
+    (document,) = measured.generate_load(seconds=0.5, rate_per_s=200.0)
     if not document["statuses"].get("200"):
         raise ValueError(
             f"no status 200 from port {measured.chain.port} in the warm-up: "
@@ -168,7 +173,9 @@
     for rate_per_s in RATES_PER_S:
         before_s = {name: processor_s(pid) for name, pid in pids.items()}
         start_s = boottime_s()
-        (document,) = measured.generate(seconds=RATE_SECONDS, rate_per_s=rate_per_s)
+        (document,) = measured.generate_load(
+            seconds=RATE_SECONDS, rate_per_s=rate_per_s
+        )
         elapsed_s = boottime_s() - start_s
         done_per_s = document["statuses"].get("200", 0) / elapsed_s
         for name, pid in pids.items():
@@ -177,27 +184,27 @@
 
 
 def _measure_single(measured):
-    _add(measured.single, measured.generate(seconds=1.0, concurrency=1))
+    _add_histograms(measured.single, measured.generate_load(seconds=1.0, concurrency=1))
 
 
 def _measure_peak(measured):
-    documents = measured.generate(
+    documents = measured.generate_load(
         processes=2, seconds=PEAK_SECONDS, concurrency=PEAK_CONCURRENCY
     )
     measured.peaks_per_s.append(sum(one["rate_per_s"] for one in documents))
 
 
 def _measure_half_peak(measured):
-    documents = measured.generate(
+    documents = measured.generate_load(
         processes=2,
         seconds=RATE_SECONDS,
         rate_per_s=measured.peak_per_s / 2,
         concurrency=HALF_PEAK_CONCURRENCY,
     )
-    _add(measured.half_peak, documents)
+    _add_histograms(measured.half_peak, documents)
 
 
-def _add(histogram, documents):
+def _add_histograms(histogram, documents):
     for document in documents:
         histogram.decode_and_add(document["histogram"])
 
--- a/comfreywharf_dev/bench/processes.py
+++ b/comfreywharf_dev/bench/processes.py
@@ -21,7 +21,7 @@
     "bind_low_port",
     "Processes",
     "free_port",
-    "generate",
+    "generate_load",
     "processor_s",
 ]
 
@@ -93,7 +93,7 @@
         return process.pid
 
 
-def generate(load, processes=1):
+def generate_load(load, processes=1):
     """Run a load with one or several generator processes; return their documents.
 
     The processes share the load: each has its part of the rate and of the
--- a/comfreywharf_dev/bench/server_loop.py
+++ b/comfreywharf_dev/bench/server_loop.py
@@ -19,7 +19,7 @@
 from comfreywharf_dev.bench.processes import (
     Processes,
     free_port,
-    generate,
+    generate_load,
     processor_s,
 )
 
@@ -75,7 +75,7 @@
         seconds=SECONDS,
     )
     before_s = processor_s(pid)
-    (document,) = generate(load)
+    (document,) = generate_load(load)
     return (processor_s(pid) - before_s) / document["statuses"]["200"] * 1e6
 
 
--- a/comfreywharf_dev/bench/socket_audit.py
+++ b/comfreywharf_dev/bench/socket_audit.py
@@ -15,7 +15,7 @@
 import orjson
 from gevent import socket
 
-__all__ = ["Connection", "connections_here", "write_audit"]
+__all__ = ["Connection", "established_connections", "write_audit"]
 
 TCP_INFO_BYTES = 256
 COUNTERS_OFFSET = 120
@@ -40,7 +40,7 @@
     segments: int
 
 
-def connections_here():
+def established_connections():
     """Return the established TCP connections of this process."""
     found = (
         _describe(candidate) for candidate in gc.get_objects() if _is_socket(candidate)
@@ -73,7 +73,7 @@
 
 def write_audit(path):
     """Write the connections as JSON, atomically."""
-    document = [attrs.asdict(connection) for connection in connections_here()]
+    document = [attrs.asdict(connection) for connection in established_connections()]
     with open(f"{path}.part", "wb") as file:
         file.write(orjson.dumps(document))
     os.replace(f"{path}.part", path)
--- a/comfreywharf_dev/bench/tests/test_nodelay.py
+++ b/comfreywharf_dev/bench/tests/test_nodelay.py
@@ -7,7 +7,7 @@
 
 from comfreywharf.records import ServiceConfig
 from comfreywharf_dev.bench.processes import AuditedCluster
-from comfreywharf_dev.bench.socket_audit import connections_here
+from comfreywharf_dev.bench.socket_audit import established_connections
 from comfreywharf_dev.standins.deployments import riga_plans
 
 pytestmark = pytest.mark.processes
@@ -69,8 +69,8 @@
     with closing(socket.create_server(("127.0.0.1", 0))) as server:
         with closing(socket.create_connection(server.getsockname())) as client:
             name = "{}:{}".format(*client.getsockname())
-            (found,) = [one for one in connections_here() if one.local == name]
+            (found,) = [one for one in established_connections() if one.local == name]
             assert not found.nodelay
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            (found,) = [one for one in connections_here() if one.local == name]
+            (found,) = [one for one in established_connections() if one.local == name]
             assert found.nodelay
