--- a/comfreywharf_dev/bench/capacity.py
+++ b/comfreywharf_dev/bench/capacity.py
@@ -21,7 +21,7 @@
 from comfreywharf_dev.bench.runner import OUTPUT_FOLDER
 from comfreywharf_dev.bench.slopes import extrapolate, fit_line
 
-__all__ = ["MEASURED", "PAGE", "Deployment", "render", "take"]
+__all__ = ["MEASURED", "PAGE", "DesignSize", "render", "take"]
 
 MEASURED = Path("docs/capacity.json")
 PAGE = Path("docs/CAPACITY.md")
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Deployment:
+class DesignSize:
     """The size to design for, and assumptions where the requirements give no value."""
 
     nodes: int = 640
@@ -111,9 +111,9 @@
 class PageNumbers:
     """The numbers of the page, computed from the stored figures."""
 
-    def __init__(self, measured, deployment):
+    def __init__(self, measured, size):
         self._measured = measured
-        self._deployment = deployment
+        self._size = size
         self.numbers = {}
 
     def figure(self, name):
@@ -133,7 +133,7 @@
 
     def compute(self):
         """Compute all numbers and return them by name."""
-        for name, value in attrs.asdict(self._deployment).items():
+        for name, value in attrs.asdict(self._size).items():
             self.put(**{name: value})
         self._requests()
         self._control()
@@ -143,7 +143,7 @@
         return self.numbers
 
     def _requests(self):
-        size = self._deployment
+        size = self._size
         ingress_us, owner_us = (
             self.figure(f"path_cost.{name}_us") for name in ("ingress", "owner")
         )
@@ -181,7 +181,7 @@
         self.put(lean_direct_us=lean_us, lean_direct_per_s=1e6 / lean_us)
 
     def _control(self):
-        size = self._deployment
+        size = self._size
         limits = {
             "core": size.core_limit,
             "rss_mib": size.memory_limit_mib,
@@ -219,7 +219,7 @@
         )
 
     def _roles(self):
-        size = self._deployment
+        size = self._size
         slice_bytes = self.figure("state_size.slice_bytes")
         member_bytes = self.figure("state_size.member_bytes")
         peer_bytes = self.figure("state_size.peer_connection_bytes")
@@ -252,7 +252,7 @@
         self._memory()
 
     def _planner(self):
-        size = self._deployment
+        size = self._size
         round_ms = self.figure("state_size.plan_round_ms")
         report_us = self.figure("state_size.load_report_us")
         round_s = round_interval_s(size.slices)
@@ -268,7 +268,7 @@
         )
 
     def _memory(self):
-        size = self._deployment
+        size = self._size
         entry_bytes = self.figure("state_size.remembered_bytes")
         limits = MemoryLimits()
         wanted = size.node_requests_per_s * limits.age_s
@@ -282,7 +282,7 @@
         )
 
     def _log(self):
-        size = self._deployment
+        size = self._size
         record_bytes = self.figure("state_size.announcement_bytes")
         fold_us = self.figure("state_size.announcement_fold_us")
         # A restart writes an announcement and a lease. Its slices move away
@@ -341,7 +341,7 @@
 
 def render(measured, template):
     """Return the page for stored figures; raises `KeyError` if one is missing."""
-    numbers = PageNumbers(measured, Deployment()).compute()
+    numbers = PageNumbers(measured, DesignSize()).compute()
     return Template(template).substitute(numbers)
 
 
