--- a/comfreywharf_dev/bench/figures.py
+++ b/comfreywharf_dev/bench/figures.py
@@ -82,9 +82,9 @@
         text = f"{self.benchmark}.{figure.name} = {figure.value:.4g} {figure.unit}"
         if self.bound is None:
             return text
-        word = self.bound.comparison.value.replace("_", " ")
+        comparison = self.bound.comparison.value.replace("_", " ")
         verdict = "ok" if self.passed else "FAILED"
-        return f"{text} ({word} {self.bound.limit:g}: {verdict})"
+        return f"{text} ({comparison} {self.bound.limit:g}: {verdict})"
 
 
 def read_bounds(folder, benchmark):
@@ -101,11 +101,15 @@
 
 
 def _bound(path, name, entry):
-    words = [comparison.value for comparison in Comparison]
-    if not isinstance(entry, dict) or len(entry) != 1 or next(iter(entry)) not in words:
-        raise BoundError(f"{path}: [{name}] is {entry!r}; expected one of {words}")
-    word, limit = next(iter(entry.items()))
-    return Bound(limit=float(limit), comparison=Comparison(word))
+    allowed = [comparison.value for comparison in Comparison]
+    if (
+        not isinstance(entry, dict)
+        or len(entry) != 1
+        or next(iter(entry)) not in allowed
+    ):
+        raise BoundError(f"{path}: [{name}] is {entry!r}; expected one of {allowed}")
+    kind, limit = next(iter(entry.items()))
+    return Bound(limit=float(limit), comparison=Comparison(kind))
 
 
 def check_figures(benchmark, figures, bounds):
--- a/comfreywharf_dev/bench/planned_stop.py
+++ b/comfreywharf_dev/bench/planned_stop.py
@@ -33,7 +33,7 @@
 
 def run():
     """Return the requests cut or refused, late effects, the p99 gap, and violations."""
-    gaps_ms, lost, late, booking_outcomes = [], 0, 0, []
+    gaps_ms, not_answered, late_effects, booking_outcomes = [], 0, 0, []
     with tempfile.TemporaryDirectory(prefix="comfreywharf-stop-") as folder:
         plans = riga_plans(booking=NODES, files=0)
         with Cluster(folder, plans) as cluster:
@@ -44,26 +44,31 @@
                 lines, stopped_s = _stop_one(cluster, stopped)
                 booking_outcomes += lines
                 gaps_ms += _gaps_ms(lines, stopped_s)
-                late += _late_effects(cluster, stopped, stopped_s)
+                late_effects += _late_effects(cluster, stopped, stopped_s)
                 _restart(cluster, stopped)
             effects = [Effect(**fields) for fields in cluster.effects()]
-    lost = sum(1 for one in booking_outcomes if one.outcome is not CallOutcome.ANSWERED)
+    not_answered = sum(
+        1 for one in booking_outcomes if one.outcome is not CallOutcome.ANSWERED
+    )
     return _figures(
-        sorted(gaps_ms), lost, late, find_violations(effects, booking_outcomes)
+        sorted(gaps_ms),
+        not_answered,
+        late_effects,
+        find_violations(effects, booking_outcomes),
     )
 
 
-def _figures(gaps_ms, lost, late, violations):
+def _figures(gaps_ms, not_answered, late_effects, violations):
     note = f"{len(gaps_ms)} keys over {STOPS} stops"
     p99 = gaps_ms[min(len(gaps_ms) - 1, int(0.99 * len(gaps_ms)))]
     points = tuple(
         ((rank + 1) / len(gaps_ms), value) for rank, value in enumerate(gaps_ms)
     )
     return [
-        Figure(name="cut_or_refused", value=lost, unit="count", note=note),
+        Figure(name="cut_or_refused", value=not_answered, unit="count", note=note),
         Figure(
             name="work_after_2_s",
-            value=late,
+            value=late_effects,
             unit="count",
             note="effects at a stopping server that began later than that",
         ),
--- a/comfreywharf_dev/bench/report.py
+++ b/comfreywharf_dev/bench/report.py
@@ -15,7 +15,7 @@
 
 from comfreywharf_dev.bench.control_cost import TARGET_NODES
 from comfreywharf_dev.bench.numbers import show
-from comfreywharf_dev.bench.report_plots import bars, lines
+from comfreywharf_dev.bench.report_plots import bar_plot, line_plot
 from comfreywharf_dev.bench.runner import OUTPUT_FOLDER
 
 __all__ = ["COMMITTED", "PAGE", "Row", "render", "rows_of", "write"]
@@ -148,7 +148,7 @@
             series["last committed"] = last
         unit = next(iter(plot.values())).unit
         labels = [trace.replace("_", "\n") for trace in traces]
-        yield bars(f"{deployment.title()}: {measure}", unit, labels, series)
+        yield bar_plot(f"{deployment.title()}: {measure}", unit, labels, series)
 
 
 def _value_of(row):
@@ -164,7 +164,7 @@
         for row in rows.get(benchmark, ()):
             if len(row.points) > 1:
                 title = f"{benchmark}: {row.name}"
-                yield lines(title, "", row.unit, {row.name: row.points}, row.limit)
+                yield line_plot(title, "", row.unit, {row.name: row.points}, row.limit)
 
 
 def _path_plots(rows):
@@ -177,12 +177,12 @@
         chain: [_value_or_none(by_name, f"{prefix}{name}_us") for name in names]
         for chain, prefix in chains.items()
     }
-    yield bars("Processor time of one request", "µs", names, series)
+    yield bar_plot("Processor time of one request", "µs", names, series)
     points = {
         name: [(x, y / 1e4) for x, y in by_name[f"{name}_us"].points]
         for name in ("ingress", "owner", "server")
     }
-    yield lines("Processor time over rate", "requests/s", "% of a core", points)
+    yield line_plot("Processor time over rate", "requests/s", "% of a core", points)
 
 
 def _value_or_none(by_name, name):
@@ -207,9 +207,9 @@
             limit = limits[0].limit if limits else None
             series = {"mean node": points[0].points}
             if limits and limits[0].value is not None:
-                far = (TARGET_NODES, limits[0].value)
-                series["extrapolated"] = [points[0].points[-1], far]
-            yield lines(title, "nodes", points[0].unit, series, limit)
+                extrapolated = (TARGET_NODES, limits[0].value)
+                series["extrapolated"] = [points[0].points[-1], extrapolated]
+            yield line_plot(title, "nodes", points[0].unit, series, limit)
 
 
 def _benchmark_table(record, rows):
--- a/comfreywharf_dev/bench/report_plots.py
+++ b/comfreywharf_dev/bench/report_plots.py
@@ -5,7 +5,7 @@
 import matplotlib
 from matplotlib.figure import Figure as Canvas
 
-__all__ = ["bars", "lines"]
+__all__ = ["bar_plot", "line_plot"]
 
 WIDTH_IN, HEIGHT_IN = 6.4, 3.4
 COLOURS = ("#1b6ca8", "#d1803c", "#5b8c5a", "#8a5a8c", "#9a9a9a", "#c0504d")
@@ -19,7 +19,7 @@
 matplotlib.rcParams["font.size"] = 9
 
 
-def bars(title, unit, categories, series):
+def bar_plot(title, unit, categories, series):
     """Return grouped bars: ``series`` maps a name to a value for each category.
 
     A value of ``None`` leaves a gap.
@@ -27,9 +27,11 @@
     canvas, axes = _canvas(title, unit)
     width = BAR_SHARE / max(1, len(series))
     for index, (name, values) in enumerate(series.items()):
-        places = [n - BAR_SHARE / 2 + (index + 0.5) * width for n in range(len(values))]
+        positions = [
+            n - BAR_SHARE / 2 + (index + 0.5) * width for n in range(len(values))
+        ]
         heights = [value or 0.0 for value in values]
-        drawn = axes.bar(places, heights, width, label=name, color=_colour(index))
+        drawn = axes.bar(positions, heights, width, label=name, color=_colour(index))
         labels = ["" if value is None else f"{value:.3g}" for value in values]
         axes.bar_label(drawn, labels, padding=2, fontsize=7)
     axes.set_xticks(range(len(categories)), categories)
@@ -39,7 +41,7 @@
     return _svg(canvas)
 
 
-def lines(title, x_label, unit, series, limit=None):
+def line_plot(title, x_label, unit, series, limit=None):
     """Return lines: ``series`` maps a name to points ``(x, y)``."""
     canvas, axes = _canvas(title, unit)
     for index, (name, points) in enumerate(series.items()):
--- a/comfreywharf_dev/bench/state_size.py
+++ b/comfreywharf_dev/bench/state_size.py
@@ -46,7 +46,7 @@
 
 SLICE_COUNTS = (1_000, 4_000, 10_000)
 MEMBER_COUNTS = (160, 320, 640)
-MEMORY_COUNTS = (2_000, 8_000, 20_000)
+ANSWER_COUNTS = (2_000, 8_000, 20_000)
 CONNECTION_COUNTS = (0, 200, 400, 800)
 MOVES_PER_RECORD = 500
 LOOKUPS = 20_000
@@ -68,7 +68,7 @@
             raise ValueError(f"{type(record).__name__} refused: {result.refusal}")
 
 
-def announced(index, incarnation=1):
+def make_announcement(index, incarnation=1):
     """Return the announcement of the node with an index."""
     return NodeAnnounced(
         record_id=f"{index:032x}-{incarnation}",
@@ -97,7 +97,7 @@
         )
     )
     for index in range(members):
-        log.append(announced(index))
+        log.append(make_announcement(index))
     log.append(PlannerTermStarted(record_id="term", node_id="node-000", base_term=0))
     moves = _even_moves(log.state)
     for first in range(0, len(moves), MOVES_PER_RECORD):
@@ -126,7 +126,7 @@
     ]
 
 
-def build_memory(count):
+def build_answer_memory(count):
     """Return an `AnswerMemory` that holds ``count`` answered requests."""
     memory = AnswerMemory(MemoryLimits(entries=count, total_bytes=1 << 40))
     for index in range(count):
@@ -179,7 +179,10 @@
     )
     yield _slope(
         "remembered_bytes",
-        [(n, allocated_bytes(lambda n=n: build_memory(n))) for n in MEMORY_COUNTS],
+        [
+            (n, allocated_bytes(lambda n=n: build_answer_memory(n)))
+            for n in ANSWER_COUNTS
+        ],
         "bytes",
         "a request id with two headers and a body of 64 bytes",
     )
@@ -209,13 +212,13 @@
         unit="us",
         note="of processor time, 10,000 slices",
     )
-    record = encode_record(announced(0, incarnation=2))
+    record = encode_record(make_announcement(0, incarnation=2))
     yield Figure(
         name="announcement_bytes", value=len(record), unit="bytes", note="encoded"
     )
     yield Figure(
         name="announcement_fold_us",
-        value=_fold_us([announced(i, 2) for i in range(640)], state) / 640,
+        value=_fold_us([make_announcement(i, 2) for i in range(640)], state) / 640,
         unit="us",
         note="to decode and fold one",
     )
@@ -224,12 +227,12 @@
 
 def _planner_times(state):
     """Yield the planner's processor times at 640 nodes and 10,000 slices."""
-    planned = PlanningState.begin(0.0)
+    planning_state = PlanningState.begin(0.0)
     reports = _reports(state)
 
     def apply_reports():
         for report in reports:
-            planning.decide(planned, LoadReported(report=report), 1.0)
+            planning.decide(planning_state, LoadReported(report=report), 1.0)
 
     yield Figure(
         name="load_report_us",
@@ -238,10 +241,10 @@
         note="for the planner to take one, all of a node's slices in it",
     )
     due = RoundDue(cluster=state)
-    planning.decide(planned, due, 1.5)
+    planning.decide(planning_state, due, 1.5)
     yield Figure(
         name="plan_round_ms",
-        value=_processor_us(lambda: planning.decide(planned, due, 2.0)) / 1000,
+        value=_processor_us(lambda: planning.decide(planning_state, due, 2.0)) / 1000,
         unit="ms",
         note="of the planner at 640 nodes and 10,000 slices",
     )
@@ -287,17 +290,19 @@
             ("caller_connection_bytes", plan.caller_port),
             ("peer_connection_bytes", plan.peer_port),
         ):
-            yield _slope(name, _opened(process, port), "bytes", "of resident memory")
+            yield _slope(
+                name, _rss_by_connections(process, port), "bytes", "of resident memory"
+            )
 
 
-def _opened(process, port):
-    opened, points = [], []
+def _rss_by_connections(process, port):
+    sockets, points = [], []
     for count in CONNECTION_COUNTS:
-        while len(opened) < count:
-            opened.append(socket.create_connection(("127.0.0.1", port)))
+        while len(sockets) < count:
+            sockets.append(socket.create_connection(("127.0.0.1", port)))
         time.sleep(SETTLE_S)
         points.append((count, _rss(process)))
-    for sock in opened:
+    for sock in sockets:
         with closing(sock):
             pass
     return points
--- a/comfreywharf_dev/bench/tests/test_report.py
+++ b/comfreywharf_dev/bench/tests/test_report.py
@@ -21,10 +21,10 @@
 
 def test_broken_bounds_are_listed_before_the_first_section(template):
     """Only a figure that breaks its bound is named before the first section."""
-    broken, _, _ = report.render([path_cost(2.0)], {}, template).partition("<h2>")
-    well, _, _ = report.render([path_cost(1.5)], {}, template).partition("<h2>")
-    assert "path_cost.cost_ratio" in broken
-    assert "path_cost.cost_ratio" not in well
+    broken_head, _, _ = report.render([path_cost(2.0)], {}, template).partition("<h2>")
+    passing_head, _, _ = report.render([path_cost(1.5)], {}, template).partition("<h2>")
+    assert "path_cost.cost_ratio" in broken_head
+    assert "path_cost.cost_ratio" not in passing_head
 
 
 def test_changes_are_relative_to_the_committed_figures(template):
