--- a/comfreywharf_dev/bench/control_cost.py
+++ b/comfreywharf_dev/bench/control_cost.py
@@ -138,7 +138,10 @@
 
 
 def measure(cluster, window_s=WINDOW_S):
-    """Return the `Sample` of a cluster over ``window_s`` seconds."""
+    """Return the `Sample` of a cluster over ``window_s`` seconds.
+
+    Traffic is measured only at some of the nodes, evenly spaced.
+    """
     audited = list(cluster.plans)[:: max(1, len(cluster.plans) // 8)]
     pids = [plan.node_process.pid for plan in cluster.plans.values()]
     traffic_before = {
--- a/comfreywharf_dev/bench/placement.py
+++ b/comfreywharf_dev/bench/placement.py
@@ -153,6 +153,10 @@
 
 
 def _with_and_without(name, trace, field, **off):
+    """Return a result of a replay with a mechanism, and without it.
+
+    ``off`` are the arguments of `Replay` that disable the mechanism.
+    """
     with_mechanism = getattr(Replay(trace).run(), field)
     without = getattr(Replay(trace, **off).run(), field)
     return [
--- a/comfreywharf_dev/bench/placement_replay.py
+++ b/comfreywharf_dev/bench/placement_replay.py
@@ -126,7 +126,8 @@
 class Replay:
     """A replay of one trace with one planner in simulated time.
 
-    ``step_s`` is the time between two planning rounds, in seconds.
+    ``step_s`` is the time between two planning rounds, in seconds. ``planning_fields``
+    are passed to `PlanningState.begin`.
     """
 
     def __init__(self, trace, seed=1, step_s=2.0, **planning_fields):
--- a/comfreywharf_dev/bench/socket_audit.py
+++ b/comfreywharf_dev/bench/socket_audit.py
@@ -22,6 +22,7 @@
 """Offset in bytes of ``tcpi_bytes_acked`` in Linux's ``struct tcp_info``."""
 
 _COUNTERS = struct.Struct("=QQII")
+"""Acknowledged and received bytes, then sent and received segments."""
 
 
 @attrs.frozen(kw_only=True)
