--- a/comfreywharf_dev/bench/snapshots.py
+++ b/comfreywharf_dev/bench/snapshots.py
@@ -40,16 +40,16 @@
     began_s = time.perf_counter()
     copied = state.copy()
     steps_s = [time.perf_counter() - began_s]
-    pieces = []
+    chunks = []
     sections = encode_sections(copied)
     while True:
         step_began_s = time.perf_counter()
-        piece = next(sections, None)
-        if piece is None:
+        chunk = next(sections, None)
+        if chunk is None:
             break
-        pieces.append(piece)
+        chunks.append(chunk)
         steps_s.append(time.perf_counter() - step_began_s)
-    parts = make_parts(b"".join(pieces), "bench", state.next_offset)
+    parts = make_parts(b"".join(chunks), "bench", state.next_offset)
     encoded_s = time.perf_counter() - began_s
     began_s = time.perf_counter()
     assembler = SnapshotAssembler()
