--- a/comfreywharf_dev/bench/capacity.py
+++ b/comfreywharf_dev/bench/capacity.py
@@ -135,14 +135,14 @@
         """Compute all numbers and return them by name."""
         for name, value in attrs.asdict(self._size).items():
             self.put(**{name: value})
-        self._requests()
-        self._control()
-        self._roles()
-        self._log()
-        self.put(conditions=self._conditions(), history=self._history())
+        self._compute_requests()
+        self._compute_control()
+        self._compute_roles()
+        self._compute_log()
+        self.put(conditions=self._condition_rows(), history=self._history_rows())
         return self.numbers
 
-    def _requests(self):
+    def _compute_requests(self):
         size = self._size
         ingress_us, owner_us = (
             self.figure(f"path_cost.{name}_us") for name in ("ingress", "owner")
@@ -180,7 +180,7 @@
         lean_us += self.figure("server_loop.lean_headers_us")
         self.put(lean_direct_us=lean_us, lean_direct_per_s=1e6 / lean_us)
 
-    def _control(self):
+    def _compute_control(self):
         size = self._size
         limits = {
             "core": size.core_limit,
@@ -218,7 +218,7 @@
             ),
         )
 
-    def _roles(self):
+    def _compute_roles(self):
         size = self._size
         slice_bytes = self.figure("state_size.slice_bytes")
         member_bytes = self.figure("state_size.member_bytes")
@@ -248,26 +248,26 @@
             * size.node_requests_per_s
             / 1e6,
         )
-        self._planner()
-        self._memory()
+        self._compute_planner()
+        self._compute_answer_memory()
 
-    def _planner(self):
+    def _compute_planner(self):
         size = self._size
         round_ms = self.figure("state_size.plan_round_ms")
         report_us = self.figure("state_size.load_report_us")
         round_s = round_interval_s(size.slices)
         report_s = report_interval_s(size.nodes)
         reports_per_s = size.nodes / report_s
-        spent = round_ms / 1000 / round_s + reports_per_s * report_us / 1e6
+        planner_cores = round_ms / 1000 / round_s + reports_per_s * report_us / 1e6
         self.put(
             plan_round_ms=round_ms,
             plan_round_s=round_s,
             report_interval_s=report_s,
             reports_per_s=reports_per_s,
-            planner_core=100 * spent,
+            planner_core=100 * planner_cores,
         )
 
-    def _memory(self):
+    def _compute_answer_memory(self):
         size = self._size
         entry_bytes = self.figure("state_size.remembered_bytes")
         limits = MemoryLimits()
@@ -281,7 +281,7 @@
             remembered_wanted_mib=wanted * entry_bytes / MEBIBYTE,
         )
 
-    def _log(self):
+    def _compute_log(self):
         size = self._size
         record_bytes = self.figure("state_size.announcement_bytes")
         fold_us = self.figure("state_size.announcement_fold_us")
@@ -313,14 +313,14 @@
             / size.log_appends_per_s,
         )
 
-    def _conditions(self):
+    def _condition_rows(self):
         rows = [
             [name, *(show(v) for v in self._measured[name]["conditions"].values())]
             for name in BENCHMARKS
         ]
         return table_rows(rows)
 
-    def _history(self):
+    def _history_rows(self):
         rows = [
             [
                 entry["after"],
--- a/comfreywharf_dev/bench/placement_replay.py
+++ b/comfreywharf_dev/bench/placement_replay.py
@@ -249,10 +249,10 @@
         for piece in self._pieces:
             if piece.owner and piece.owner not in self._meters:
                 if piece.standby in self._meters:
-                    self._tally.add_unavailable(TAKEOVER_S, self._share(piece))
+                    self._tally.add_unavailable(TAKEOVER_S, self._load_share(piece))
                     taken[piece.owner, piece.standby].append(piece)
                 else:
-                    self._tally.add_unavailable(self._step_s, self._share(piece))
+                    self._tally.add_unavailable(self._step_s, self._load_share(piece))
         for (owner, taker), pieces in taken.items():
             self._append_takes(owner, taker, pieces)
 
@@ -299,7 +299,7 @@
         sums = np.bincount(indices, weights=self._key_rates, minlength=len(starts))
         return dict(zip(starts.tolist(), sums.tolist(), strict=True))
 
-    def _share(self, piece):
+    def _load_share(self, piece):
         return self._rates[piece.start] / sum(self._rates.values())
 
     def _send_reports(self):
@@ -359,7 +359,7 @@
         for move in record.moves:
             piece = pieces.at_start(move.start)
             if piece.owner and piece.owner != move.owner:
-                self._tally.add_move(self._now_s, self._share(piece))
+                self._tally.add_move(self._now_s, self._load_share(piece))
 
     def _measure(self):
         rates = self._slice_rates()
