--- a/comfreywharf_dev/bench/load_cost.py
+++ b/comfreywharf_dev/bench/load_cost.py
@@ -1,4 +1,4 @@
-"""Processor time per request of each kind of decision that depends on load."""
+"""Processor time per request of several parts of `comfreywharf.load`."""
 
 import random
 import time
