--- a/comfreywharf_dev/bench/__main__.py
+++ b/comfreywharf_dev/bench/__main__.py
@@ -4,7 +4,7 @@
 
 from cyclopts import App
 
-from comfreywharf_dev.bench.runner import find, run_one
+from comfreywharf_dev.bench.runner import find_benchmarks, run_benchmark
 
 __all__ = ["app"]
 
@@ -24,20 +24,23 @@
     list_names
         Only print the names.
     """
-    found = find()
+    found = find_benchmarks()
     if list_names:
         print("\n".join(sorted(found)))
         return
     unknown = sorted(set(names) - set(found))
     if unknown:
-        print(f"unknown: {', '.join(unknown)}; known: {', '.join(sorted(found))}")
+        print(
+            f"unknown benchmarks: {', '.join(unknown)}; "
+            f"known: {', '.join(sorted(found))}"
+        )
         sys.exit(2)
     passed = [_run_and_print(name, found[name]) for name in names or sorted(found)]
     sys.exit(0 if all(passed) else 1)
 
 
 def _run_and_print(name, function):
-    record = run_one(name, function)
+    record = run_benchmark(name, function)
     load = f"load {record.load_before:.1f} to {record.load_after:.1f}"
     stolen = f"{record.stolen_fraction:.0%} stolen"
     print(
--- a/comfreywharf_dev/bench/control_cost.py
+++ b/comfreywharf_dev/bench/control_cost.py
@@ -124,7 +124,9 @@
             try:
                 samples.append(_grow_and_measure(cluster, size))
             except TimeoutError as error:
-                logging.error("not started with %d nodes: %s", size, error)
+                logging.error(
+                    "cluster of %d nodes not started in time: %s", size, error
+                )
                 break
     yield from _figures(samples)
 
@@ -136,7 +138,10 @@
 
 
 def measure(cluster, window_s=WINDOW_S):
-    """Return the `Sample` of a cluster over ``window_s`` seconds."""
+    """Return the `Sample` of a cluster over ``window_s`` seconds.
+
+    Traffic is measured only at some of the nodes, evenly spaced.
+    """
     audited = list(cluster.plans)[:: max(1, len(cluster.plans) // 8)]
     pids = [plan.node_process.pid for plan in cluster.plans.values()]
     traffic_before = {
@@ -186,6 +191,7 @@
 
 
 def _difference(before, after):
+    """Return the payload and the wire bytes between two counts of traffic."""
     payload, segments = 0, 0
     for name, one in after.items():
         earlier = before.get(name, {})
--- a/comfreywharf_dev/bench/load_choice.py
+++ b/comfreywharf_dev/bench/load_choice.py
@@ -1,15 +1,21 @@
-"""Choice among servers that aren't divided by key: one of three ten times slower.
+"""Choice of a server for a service that isn't divided by key, with one slow server.
 
 Four ingress nodes, each with its own measurements, send to three servers at 40% of
-the three servers' capacity. The choosers are compared with and without ejection of
-slow servers. The ratio is the p99 latency with a slow server over that without one.
+the three servers' capacity; one server is ten times slower. The choosers are compared
+with and without ejection of slow servers. The ratio is the p99 latency with a slow
+server over that without one.
 """
 
 import random
 
 from comfreywharf.load import Ejector, LeastInFlight, MemberLoad, RoundRobin, TwoChoices
 from comfreywharf_dev.bench.figures import Figure
-from comfreywharf_dev.bench.load_model import Clock, ModelServer, arrivals, percentile
+from comfreywharf_dev.bench.load_model import (
+    Clock,
+    ModelServer,
+    percentile,
+    schedule_arrivals,
+)
 
 __all__ = ["run"]
 
@@ -77,7 +83,7 @@
     for _ in range(INGRESS_NODES):
         node = _Ingress(clock, rng, servers, chooser, ejects)
         nodes.append(node)
-        arrivals(clock, rng, rate, 0.0, SECONDS, node.send)
+        schedule_arrivals(clock, rng, rate, 0.0, SECONDS, node.send)
     clock.run(SECONDS + 5.0)
     return percentile([s for node in nodes for s in node.latencies_s], 0.99)
 
--- a/comfreywharf_dev/bench/placement.py
+++ b/comfreywharf_dev/bench/placement.py
@@ -11,7 +11,10 @@
 
 from comfreywharf.placement import Switches, policy_for
 from comfreywharf_dev.bench.figures import Figure
-from comfreywharf_dev.bench.placement_baselines import at_once, replay_hash_ring
+from comfreywharf_dev.bench.placement_baselines import (
+    immediate_policy,
+    replay_hash_ring,
+)
 from comfreywharf_dev.bench.placement_replay import Replay, ReplayResult
 from comfreywharf_dev.bench.placement_traces import (
     AHMEDABAD,
@@ -58,7 +61,9 @@
     traces = [make_trace(deployment, build, number) for number in range(seeds)]
     name = f"{deployment.name}_{build.__name__}"
     product = _mean([Replay(trace).run() for trace in traces])
-    immediate = _mean([Replay(trace, make_policy=at_once).run() for trace in traces])
+    immediate = _mean(
+        [Replay(trace, make_policy=immediate_policy).run() for trace in traces]
+    )
     ring = _mean([replay_hash_ring(trace) for trace in traces])
     return [
         *_figures(name, product),
@@ -130,6 +135,7 @@
 
 
 def _takeovers_without_notice():
+    """Return the takeovers after a domain's loss if the planner isn't notified."""
     trace = attrs.evolve(make_trace(LARGE, domain_loss), duration_s=400.0)
     off = Replay(
         trace, step_s=LARGE_STEP_S, switches=Switches(detect_takeovers=False)
@@ -147,9 +153,13 @@
 
 
 def _with_and_without(name, trace, field, **off):
-    with_it = getattr(Replay(trace).run(), field)
+    """Return a result of a replay with a mechanism, and without it.
+
+    ``off`` are the arguments of `Replay` that disable the mechanism.
+    """
+    with_mechanism = getattr(Replay(trace).run(), field)
     without = getattr(Replay(trace, **off).run(), field)
     return [
-        Figure(name=f"{name}_on_{field}", value=float(with_it), unit=""),
+        Figure(name=f"{name}_on_{field}", value=float(with_mechanism), unit=""),
         Figure(name=f"{name}_off_{field}", value=float(without), unit=""),
     ]
--- a/comfreywharf_dev/bench/snapshots.py
+++ b/comfreywharf_dev/bench/snapshots.py
@@ -35,21 +35,21 @@
 
 
 def run():
-    """Encode and load the state of all nodes, and fold records into it."""
+    """Encode and load the state of a cluster, and fold records into it."""
     state = _make_state()
     began_s = time.perf_counter()
     copied = state.copy()
     steps_s = [time.perf_counter() - began_s]
-    pieces = []
+    chunks = []
     sections = encode_sections(copied)
     while True:
         step_began_s = time.perf_counter()
-        piece = next(sections, None)
-        if piece is None:
+        chunk = next(sections, None)
+        if chunk is None:
             break
-        pieces.append(piece)
+        chunks.append(chunk)
         steps_s.append(time.perf_counter() - step_began_s)
-    parts = make_parts(b"".join(pieces), "bench", state.next_offset)
+    parts = make_parts(b"".join(chunks), "bench", state.next_offset)
     encoded_s = time.perf_counter() - began_s
     began_s = time.perf_counter()
     assembler = SnapshotAssembler()
