--- a/comfreywharf_dev/bench/control_cost.py
+++ b/comfreywharf_dev/bench/control_cost.py
@@ -98,7 +98,7 @@
 
     def _free_port(self):
         sock = bind_low_port()
-        self._reserved.append(sock)
+        self._reserved_sockets.append(sock)
         return sock.getsockname()[1]
 
     def start_server(self, node_id):
--- a/comfreywharf_dev/bench/load_choice.py
+++ b/comfreywharf_dev/bench/load_choice.py
@@ -50,7 +50,7 @@
         member = self._chooser.choose(usable, self._rng)
         probe = self._ejector.is_ejected(member.node_id)
         member.begin()
-        self._ejector.begun(member, now_s)
+        self._ejector.record_sent(member, now_s)
         server = self._servers[self._members.index(member)]
         server.send(
             None, TIMEOUT_S, lambda o: self._on_outcome(member, probe, now_s, o)
--- a/comfreywharf_dev/bench/load_cost.py
+++ b/comfreywharf_dev/bench/load_cost.py
@@ -66,7 +66,7 @@
     def call(number):
         chosen = chooser.choose(ejector.usable(members, number), rng)
         chosen.begin()
-        ejector.begun(chosen, number)
+        ejector.record_sent(chosen, number)
         chosen.finish(0.01, False)
         ejector.record_outcome(chosen, members, 0.01, False, number, False)
 
