--- a/comfreywharf/daemon/operating/assignments.py
+++ b/comfreywharf/daemon/operating/assignments.py
@@ -39,12 +39,12 @@
         for changed_slice in result.changed:
             self._reasons[changed_slice] = _Reason(offset, text)
 
-    def text(self, service, piece):
+    def text(self, service, slice_):
         """Return why a slice has its owner."""
-        if not piece.owner:
+        if not slice_.owner:
             return "no backend server of the service could be given it yet"
-        reason = self._reasons.get((service, piece.start))
-        if reason is None or reason.offset != piece.epoch:
+        reason = self._reasons.get((service, slice_.start))
+        if reason is None or reason.offset != slice_.epoch:
             return "assigned before this node began to read the log"
         return reason.text
 
--- a/comfreywharf/daemon/operating/metering.py
+++ b/comfreywharf/daemon/operating/metering.py
@@ -52,8 +52,8 @@
         if not call.request.key or not (unserved or outages):
             return
         state = self._node.follower.state
-        piece = state.slice_at(service, key_hash(call.request.key))
-        start = piece.start if piece else 0
+        slice_ = state.slice_at(service, key_hash(call.request.key))
+        start = slice_.start if slice_ else 0
         if unserved:
             outages.refused(service, start, call.began_s, now_s)
         elif reply.outcome == Outcome.ANSWERED:
--- a/comfreywharf/daemon/operating/operators.py
+++ b/comfreywharf/daemon/operating/operators.py
@@ -303,7 +303,7 @@
 
 def _count_standby(state, node_id):
     return sum(
-        piece.standby == node_id
-        for pieces in state.slices.values()
-        for piece in pieces.slices
+        slice_.standby == node_id
+        for slice_map in state.slices.values()
+        for slice_ in slice_map.slices
     )
--- a/comfreywharf/daemon/operating/views.py
+++ b/comfreywharf/daemon/operating/views.py
@@ -26,10 +26,10 @@
 def node_documents(state):
     """Return a `NodeDocument` for each node, by id."""
     owned, standby, awaited = Counter(), Counter(), Counter()
-    for pieces in state.slices.values():
-        owned.update(piece.owner for piece in pieces.slices)
-        standby.update(piece.standby for piece in pieces.slices)
-        awaited.update(piece.previous for piece in pieces.slices)
+    for slice_map in state.slices.values():
+        owned.update(slice_.owner for slice_ in slice_map.slices)
+        standby.update(slice_.standby for slice_ in slice_map.slices)
+        awaited.update(slice_.previous for slice_ in slice_map.slices)
     return [
         NodeDocument(
             node_id=member.node_id,
@@ -62,40 +62,40 @@
 
 def _service_document(state, service):
     members = [m for m in state.members.values() if m.service == service.name]
-    pieces = []
+    slices = []
     if service.divided_by_key and service.name in state.slices:
-        pieces = state.slices[service.name].slices
+        slices = state.slices[service.name].slices
     return ServiceDocument(
         name=service.name,
         divided_by_key=service.divided_by_key,
         nodes=len(members),
         draining_nodes=sum(member.draining for member in members),
-        slices=len(pieces),
-        unowned_slices=sum(not piece.owner for piece in pieces),
-        moving_slices=sum(bool(piece.previous) for piece in pieces),
-        without_standby=sum(not piece.standby for piece in pieces),
+        slices=len(slices),
+        unowned_slices=sum(not slice_.owner for slice_ in slices),
+        moving_slices=sum(bool(slice_.previous) for slice_ in slices),
+        without_standby=sum(not slice_.standby for slice_ in slices),
     )
 
 
 def owner_document(state, reasons, service, key_hash):
     """Return the `OwnerDocument` of a hash, or ``None`` if no slice contains it."""
-    piece = state.slice_at(service, key_hash)
-    if piece is None:
+    slice_ = state.slice_at(service, key_hash)
+    if slice_ is None:
         return None
     return OwnerDocument(
         service=service,
         key_hash=key_hash,
-        slice_start=piece.start,
-        slice_end=piece.end,
-        owner=piece.owner,
-        owner_domain=_domain(state, piece.owner),
-        standby=piece.standby,
-        standby_domain=_domain(state, piece.standby),
-        previous=piece.previous,
-        since_offset=piece.epoch,
-        fence=state.fence(piece),
-        config_version=_version_at(state, piece.epoch),
-        reason=reasons.text(service, piece),
+        slice_start=slice_.start,
+        slice_end=slice_.end,
+        owner=slice_.owner,
+        owner_domain=_domain(state, slice_.owner),
+        standby=slice_.standby,
+        standby_domain=_domain(state, slice_.standby),
+        previous=slice_.previous,
+        since_offset=slice_.epoch,
+        fence=state.fence(slice_),
+        config_version=_version_at(state, slice_.epoch),
+        reason=reasons.text(service, slice_),
     )
 
 
--- a/comfreywharf/daemon/ownership/fenced_grants.py
+++ b/comfreywharf/daemon/ownership/fenced_grants.py
@@ -100,15 +100,15 @@
         served = list(node.leases.table.serving(node.follower.state, now_s))
         message = [
             {
-                "start": piece.start,
-                "end": piece.end,
+                "start": slice_.start,
+                "end": slice_.end,
                 "fence": fence,
                 "expires_monotonic_ms": int(until_s * 1000),
             }
-            for _, piece, fence, until_s in served
+            for _, slice_, fence, until_s in served
         ]
         if node.backend.grant(orjson.dumps(message)):
             self._pushed = {
-                (service, piece.start): _Pushed(fence, until_s)
-                for service, piece, fence, until_s in served
+                (service, slice_.start): _Pushed(fence, until_s)
+                for service, slice_, fence, until_s in served
             }
--- a/comfreywharf/daemon/ownership/key_grants.py
+++ b/comfreywharf/daemon/ownership/key_grants.py
@@ -77,12 +77,12 @@
 
     def release(self, service, start, timeout_s):
         """Return the handover of a slice that moves away, or ``None`` if pending."""
-        pieces = self._node.follower.state.slices.get(service)
-        piece = pieces.at_start(start) if pieces else None
-        if piece is None:
+        slice_map = self._node.follower.state.slices.get(service)
+        slice_ = slice_map.at_start(start) if slice_map else None
+        if slice_ is None:
             return ""
-        slice_range = (service, start, piece.end)
-        fence = self.book.stop(*slice_range, 2 * piece.epoch, boottime_s())
+        slice_range = (service, start, slice_.end)
+        fence = self.book.stop(*slice_range, 2 * slice_.epoch, boottime_s())
         if fence is None:
             return ""
         pending_release = self._releases.get(slice_range)
--- a/comfreywharf/daemon/ownership/lease_calls.py
+++ b/comfreywharf/daemon/ownership/lease_calls.py
@@ -76,9 +76,9 @@
     def _hand_over(self, request, handover, now_s):
         node = self._node
         service, start = request.service_name, request.slice_start
-        piece = node.follower.state.slices[service].at_start(start)
+        slice_ = node.follower.state.slices[service].at_start(start)
         answers, more = node.memory.export_answers(
-            service, piece.start, piece.end, request.skip, now_s
+            service, slice_.start, slice_.end, request.skip, now_s
         )
         since_s = node.leases.table.vouched_since_s(service, start)
         if not more:
--- a/comfreywharf/daemon/ownership/planner.py
+++ b/comfreywharf/daemon/ownership/planner.py
@@ -115,7 +115,7 @@
 
     def _run_round(self, now_s):
         state = self._node.follower.state
-        slice_count = sum(len(pieces.slices) for pieces in state.slices.values())
+        slice_count = sum(len(slice_map.slices) for slice_map in state.slices.values())
         self._next_round_s = now_s + round_interval_s(slice_count)
         for _ in range(MAX_PLANNING_PASSES):
             event = RoundDue(cluster=state)
--- a/comfreywharf/daemon/ownership/range_grants.py
+++ b/comfreywharf/daemon/ownership/range_grants.py
@@ -144,8 +144,8 @@
         service, start = order.slice_id
         served = (
             fence
-            for name, piece, fence, _ in self._served()
-            if name == service and piece.start < order.end and start < piece.end
+            for name, slice_, fence, _ in self._served()
+            if name == service and slice_.start < order.end and start < slice_.end
         )
         return (
             order.fence <= self._superseded_fence
--- a/comfreywharf/daemon/ownership/witnessing.py
+++ b/comfreywharf/daemon/ownership/witnessing.py
@@ -134,10 +134,10 @@
 def takers_of(state, owner_id):
     """Return the nodes that may claim a share of an owner's expired lease."""
     takers = set()
-    for pieces in state.slices.values():
-        for piece in pieces.slices:
-            if piece.owner == owner_id:
-                takers.add(piece.standby)
-            if piece.previous == owner_id:
-                takers.update((piece.owner, piece.standby))
+    for slice_map in state.slices.values():
+        for slice_ in slice_map.slices:
+            if slice_.owner == owner_id:
+                takers.add(slice_.standby)
+            if slice_.previous == owner_id:
+                takers.update((slice_.owner, slice_.standby))
     return takers - {"", owner_id}
--- a/comfreywharf/daemon/stopping.py
+++ b/comfreywharf/daemon/stopping.py
@@ -69,9 +69,9 @@
 def _has_slices(node):
     node_id = node.settings.node_id
     return any(
-        node_id in (piece.owner, piece.previous)
-        for pieces in node.follower.state.slices.values()
-        for piece in pieces.slices
+        node_id in (slice_.owner, slice_.previous)
+        for slice_map in node.follower.state.slices.values()
+        for slice_ in slice_map.slices
     )
 
 
--- a/comfreywharf/daemon/tests/operator_builders.py
+++ b/comfreywharf/daemon/tests/operator_builders.py
@@ -95,12 +95,12 @@
     moves = tuple(
         SliceMove(
             service="booking",
-            start=piece.start,
-            base_epoch=piece.epoch,
+            start=slice_.start,
+            base_epoch=slice_.epoch,
             owner="booking-1",
             standby="booking-2",
         )
-        for piece in follower.state.slices["booking"].slices
+        for slice_ in follower.state.slices["booking"].slices
     )
     follower.append(SlicesMoved(record_id="moved", term=1, moves=moves))
     return port, follower
--- a/comfreywharf/daemon/tests/test_operators.py
+++ b/comfreywharf/daemon/tests/test_operators.py
@@ -48,8 +48,8 @@
     that it has kept for the slice then belongs to an older record.
     """
     port, follower = make_port()
-    pieces = follower.state.slices["booking"]
-    pieces.replace(attrs.evolve(pieces.at_start(0), epoch=99))
+    slice_map = follower.state.slices["booking"]
+    slice_map.replace(attrs.evolve(slice_map.at_start(0), epoch=99))
     _, owner = send_request(port, "GET", "/owner", query="service=booking&key_hash=0")
     assert "before this node began" in owner["reason"]
 
--- a/comfreywharf/daemon/tests/test_outdated_grants.py
+++ b/comfreywharf/daemon/tests/test_outdated_grants.py
@@ -11,7 +11,7 @@
 from comfreywharf.ownership.listed_holds import ListedHoldBook
 from comfreywharf.records import KEY_SPACE, Slice
 
-PIECE = Slice(start=0, end=KEY_SPACE, owner="a", epoch=5)
+SLICE = Slice(start=0, end=KEY_SPACE, owner="a", epoch=5)
 TERMS = HoldTerms(lease_s=1.5, longest_s=10.0)
 
 
@@ -51,7 +51,7 @@
     """Let the node serve its slice under a fence for one lease from now on."""
     until_s = boottime_s() + lease_s
     grants._node.leases.table = SimpleNamespace(
-        serving=lambda state, now_s: [("booking", PIECE, fence, until_s)]
+        serving=lambda state, now_s: [("booking", SLICE, fence, until_s)]
     )
 
 
@@ -75,7 +75,7 @@
     about the higher fence.
     """
     grants = make_grants(backend("i-1", 1, FixedAnswerOrders()))
-    served = [("booking", PIECE, 10, boottime_s() + 1.5)]
+    served = [("booking", SLICE, 10, boottime_s() + 1.5)]
     (late,) = grants.book.due_orders(served, boottime_s())
     serve(grants, 20)
     gevent.joinall(grants.push())
@@ -103,7 +103,7 @@
     fence. No order has carried that fence yet, so that the book doesn't have it.
     """
     grants = make_grants(backend("i-1", 1, FixedAnswerOrders(GrantAnswer.OUTDATED)))
-    served = [("booking", PIECE, 10, boottime_s() + 1.5)]
+    served = [("booking", SLICE, 10, boottime_s() + 1.5)]
     (late,) = grants.book.due_orders(served, boottime_s())
     serve(grants, 20)
     grants._send(grants._node.backend, 1, late)
@@ -120,7 +120,7 @@
     grants = make_grants(backend("i-1", 1, FixedAnswerOrders(GrantAnswer.OUTDATED)))
     until_s = boottime_s() + 1.5
     other = Slice(start=0, end=KEY_SPACE, owner="a", epoch=6)
-    served = [("booking", PIECE, 10, until_s), ("lookup", other, 12, until_s)]
+    served = [("booking", SLICE, 10, until_s), ("lookup", other, 12, until_s)]
     orders = grants.book.due_orders(served, boottime_s())
     serve_nothing(grants)
     for order in orders:
@@ -141,7 +141,7 @@
     """
     orders = FixedAnswerOrders()
     grants = make_grants(backend("i-1", 1, orders))
-    served = [("booking", PIECE, 10, boottime_s() + 1.5)]
+    served = [("booking", SLICE, 10, boottime_s() + 1.5)]
     (late,) = grants.book.due_orders(served, boottime_s())
     serve(grants, 20)
     gevent.joinall(grants.push())
--- a/comfreywharf/daemon/tests/test_planner_rounds.py
+++ b/comfreywharf/daemon/tests/test_planner_rounds.py
@@ -38,13 +38,13 @@
 def slices_added(cluster, per_slice_s, first_s):
     """Return how many slices one round adds if the first slice has another load."""
     cluster.run_rounds()
-    rates = {piece.start: per_slice_s for piece in cluster.pieces}
+    rates = {slice_.start: per_slice_s for slice_ in cluster.slices}
     rates[0] = first_s
     cluster.now_s += 1.0
     cluster.report(rates)
-    before = len(cluster.pieces)
+    before = len(cluster.slices)
     make_planner(cluster)._run_round(cluster.now_s)
-    return len(cluster.pieces) - before
+    return len(cluster.slices) - before
 
 
 def test_hot_slice_is_split_repeatedly_in_one_round():
--- a/comfreywharf/daemon/tests/test_range_grants.py
+++ b/comfreywharf/daemon/tests/test_range_grants.py
@@ -14,7 +14,7 @@
 from comfreywharf.records import KEY_SPACE, Slice
 from comfreywharf.routing import Reason
 
-PIECE = Slice(start=0, end=KEY_SPACE, owner="a", epoch=5)
+SLICE = Slice(start=0, end=KEY_SPACE, owner="a", epoch=5)
 
 
 class SlowOrders(Orders):
@@ -39,7 +39,7 @@
     """Return the grants of a node that may serve one slice."""
     until_s = boottime_s() + 60
     table = SimpleNamespace(
-        serving=lambda state, now_s: [("booking", PIECE, 10, until_s)]
+        serving=lambda state, now_s: [("booking", SLICE, 10, until_s)]
     )
     node = SimpleNamespace(
         backend=SimpleNamespace(
@@ -105,7 +105,7 @@
     )
     orders.may_answer.set()
     gevent.joinall(tasks)
-    assert not grants.book.awaits_answer("booking", PIECE.start, PIECE.end)
+    assert not grants.book.awaits_answer("booking", SLICE.start, SLICE.end)
 
 
 def test_release_of_an_earlier_fence_ends_after_a_newer_grant():
@@ -115,11 +115,11 @@
     is granted under a higher fence. The pending release must not be tried again.
     """
     grants = make_grants(SlowOrders())
-    slice_range = ("booking", PIECE.start, PIECE.end)
+    slice_range = ("booking", SLICE.start, SLICE.end)
     gevent.joinall(grants.push())
     assert grants._may_be_held(slice_range, 10)
     grants._node.leases.table.serving = lambda state, now_s: [
-        ("booking", PIECE, 20, now_s + 60)
+        ("booking", SLICE, 20, now_s + 60)
     ]
     gevent.joinall(grants.push())
     assert not grants._may_be_held(slice_range, 10)
--- a/comfreywharf/events/ownership.py
+++ b/comfreywharf/events/ownership.py
@@ -62,15 +62,15 @@
 
     def _owned(self, state):
         owned = state.owned_by(self._node_id)
-        return {(service, piece.start) for service, piece in owned}
+        return {(service, slice_.start) for service, slice_ in owned}
 
     def _compare(self, state, record, slice_id, gained, lost):
         service, start = slice_id
-        piece = state.slices[service].at_start(start)
-        owner = piece.owner if piece else ""
+        slice_ = state.slices[service].at_start(start)
+        owner = slice_.owner if slice_ else ""
         if owner == self._node_id and slice_id not in self._own_slices:
             self._own_slices.add(slice_id)
-            gained[service, _previous_owner(record, piece)] += 1
+            gained[service, _previous_owner(record, slice_)] += 1
         elif owner != self._node_id and slice_id in self._own_slices:
             self._own_slices.discard(slice_id)
             lost[service, owner] += 1
@@ -90,5 +90,5 @@
         ]
 
 
-def _previous_owner(record, piece):
-    return record.owner_id if isinstance(record, SlicesTaken) else piece.previous
+def _previous_owner(record, slice_):
+    return record.owner_id if isinstance(record, SlicesTaken) else slice_.previous
--- a/comfreywharf/ownership/agent.py
+++ b/comfreywharf/ownership/agent.py
@@ -333,8 +333,11 @@
         server may hold such a slice until its grants end, and the next owner has
         to wait for that.
         """
-        pieces = [state.slices[key.service].at_start(key.start) for key in claim.share]
-        return all(p and self._node_id in (p.owner, p.previous) for p in pieces)
+        slices = [state.slices[key.service].at_start(key.start) for key in claim.share]
+        return all(
+            slice_ and self._node_id in (slice_.owner, slice_.previous)
+            for slice_ in slices
+        )
 
     def _outstanding(self, state, claim):
         """Return ``(takes, completions)`` that the log lacks for a claim's share.
@@ -344,15 +347,15 @@
         """
         takes, completions = [], []
         for key in claim.share:
-            piece = state.slices[key.service].at_start(key.start)
-            if piece is None or piece.epoch != key.epoch:
+            slice_ = state.slices[key.service].at_start(key.start)
+            if slice_ is None or slice_.epoch != key.epoch:
                 continue
-            if piece.owner == claim.owner_id:
+            if slice_.owner == claim.owner_id:
                 take = SliceTake(
                     service=key.service, start=key.start, base_epoch=key.epoch
                 )
                 takes.append(take)
-            elif piece.previous == claim.owner_id:
+            elif slice_.previous == claim.owner_id:
                 completions.append(key)
         return takes, completions
 
@@ -398,10 +401,10 @@
     def _scan(self, state, now_s):
         """Request the awaited releases, and record the received ones in the log."""
         actions = []
-        for key, piece in self.table.awaited_releases(state, now_s):
+        for key, slice_ in self.table.awaited_releases(state, now_s):
             if key not in self._requested_releases:
                 self._requested_releases.add(key)
-                actions.append(RequestRelease(piece.previous, key))
+                actions.append(RequestRelease(slice_.previous, key))
         for key in self.table.unrecorded_releases(state):
             actions += self._complete(key, now_s)
         return actions
--- a/comfreywharf/ownership/claims.py
+++ b/comfreywharf/ownership/claims.py
@@ -25,15 +25,15 @@
     standby it is.
     """
     share = set()
-    for service, pieces in state.slices.items():
-        for piece in pieces.slices:
-            stands_by = piece.owner == owner_id and piece.standby == taker_id
-            awaits = piece.previous == owner_id and taker_id in (
-                piece.owner,
-                piece.standby,
+    for service, slice_map in state.slices.items():
+        for slice_ in slice_map.slices:
+            stands_by = slice_.owner == owner_id and slice_.standby == taker_id
+            awaits = slice_.previous == owner_id and taker_id in (
+                slice_.owner,
+                slice_.standby,
             )
             if stands_by or awaits:
-                share.add(SliceKey(service, piece.start, piece.epoch))
+                share.add(SliceKey(service, slice_.start, slice_.epoch))
     return frozenset(share)
 
 
--- a/comfreywharf/ownership/handover.py
+++ b/comfreywharf/ownership/handover.py
@@ -32,16 +32,16 @@
     """
     if state.next_offset <= epoch:
         return ReleaseDecision(released=False, retry_after_s=RETRY_S)
-    pieces = state.slices.get(service)
-    piece = pieces.at_start(start) if pieces else None
-    if piece is None or piece.epoch != epoch:
+    slice_map = state.slices.get(service)
+    slice_ = slice_map.at_start(start) if slice_map else None
+    if slice_ is None or slice_.epoch != epoch:
         return ReleaseDecision(released=False, retry_after_s=OUTDATED_RETRY_S)
     table.stop_serving(service, start)
     if table.holder.lease.acknowledged_portfolio_epoch() < epoch:
         return ReleaseDecision(
             released=False, retry_after_s=RETRY_S, notify_witnesses=True
         )
-    busy_until_s = table.inflight.busy_until_s(service, piece.start, piece.end, now_s)
+    busy_until_s = table.inflight.busy_until_s(service, slice_.start, slice_.end, now_s)
     if busy_until_s > now_s and not table.fenced:
         retry_after_s = min(busy_until_s - now_s, RETRY_S)
         return ReleaseDecision(released=False, retry_after_s=retry_after_s)
--- a/comfreywharf/ownership/hold_lists.py
+++ b/comfreywharf/ownership/hold_lists.py
@@ -298,13 +298,13 @@
     def _candidates(self, service, serving, now_s):
         """Return the ranges to list; those that are already held come first."""
         candidates = [
-            _Candidate(piece.start, piece.end, fence, until_s)
-            for name, piece, fence, until_s in serving.served
-            if name == service and not self.book.is_stopped((name, piece.start), fence)
+            _Candidate(slice_.start, slice_.end, fence, until_s)
+            for name, slice_, fence, until_s in serving.served
+            if name == service and not self.book.is_stopped((name, slice_.start), fence)
         ]
-        for name, piece in serving.pending:
+        for name, slice_ in serving.pending:
             if name == service:
-                kept = self.book.held_parts(name, piece.start, piece.end, now_s)
+                kept = self.book.held_parts(name, slice_.start, slice_.end, now_s)
                 candidates += [
                     _Candidate(*found, serving.lease_until_s) for found in kept
                 ]
--- a/comfreywharf/ownership/holds.py
+++ b/comfreywharf/ownership/holds.py
@@ -214,9 +214,9 @@
         may serve.
         """
         orders = []
-        for service, piece, fence, until_s in served:
+        for service, slice_, fence, until_s in served:
             order = self._order(
-                (service, piece.start), piece.end, fence, until_s, now_s
+                (service, slice_.start), slice_.end, fence, until_s, now_s
             )
             if order is not None:
                 orders.append(order)
--- a/comfreywharf/ownership/slicewatch.py
+++ b/comfreywharf/ownership/slicewatch.py
@@ -36,18 +36,18 @@
         """Copy all slices, for example after a snapshot or for a new service."""
         self._copied_from = state
         self._slices = {
-            (service, piece.start): piece
-            for service, pieces in state.slices.items()
-            for piece in pieces.slices
+            (service, slice_.start): slice_
+            for service, slice_map in state.slices.items()
+            for slice_ in slice_map.slices
         }
 
     def _merged(self, state, record):
         """Drop the slice that was merged into the one before it."""
-        pieces = state.slices[record.service]
+        slice_map = state.slices[record.service]
         gone = [
             start
             for service, start in self._slices
-            if service == record.service and pieces.at_start(start) is None
+            if service == record.service and slice_map.at_start(start) is None
         ]
         for start in gone:
             del self._slices[(record.service, start)]
--- a/comfreywharf/ownership/table.py
+++ b/comfreywharf/ownership/table.py
@@ -93,55 +93,55 @@
         if not key:
             return Right(service=service, deadline_s=deadline_s)
         value = key_hash(key)
-        piece = state.slice_at(service, value)
-        if piece is None or not piece.owner:
+        slice_ = state.slice_at(service, value)
+        if slice_ is None or not slice_.owner:
             return Right(reason=Reason.NO_OWNER)
-        basis = self._basis(state, service, piece, now_s)
+        basis = self._basis(state, service, slice_, now_s)
         if isinstance(basis, Right):
             return basis
         covered_until_s = min(lease.covered_until_s() for lease in basis.leases)
         return Right(
             service=service,
             key_hash=value,
-            slice_start=piece.start,
+            slice_start=slice_.start,
             fence=basis.fence,
             deadline_s=deadline_s,
-            vouched_since_s=self._vouched_since_s.get((service, piece.start), now_s),
+            vouched_since_s=self._vouched_since_s.get((service, slice_.start), now_s),
             covered=self.fenced or deadline_s <= covered_until_s,
         )
 
-    def _basis(self, state, service, piece, now_s):
+    def _basis(self, state, service, slice_, now_s):
         """Return the `_Basis` to serve a slice on, or a `Right` with a reason."""
-        key = SliceKey(service, piece.start, piece.epoch)
-        if piece.owner == self._node_id:
-            return self._owner_basis(state, key, piece, now_s)
-        unreleased = self._unreleased.get((service, piece.start))
-        if unreleased is not None and unreleased.epoch == piece.epoch:
+        key = SliceKey(service, slice_.start, slice_.epoch)
+        if slice_.owner == self._node_id:
+            return self._owner_basis(state, key, slice_, now_s)
+        unreleased = self._unreleased.get((service, slice_.start))
+        if unreleased is not None and unreleased.epoch == slice_.epoch:
             if self.holder.owns(now_s) and self._is_acknowledged(unreleased.fence):
                 return _Basis(unreleased.fence, (self.holder.lease,))
-        if piece.standby == self._node_id:
-            return self._taker_basis(state, key, piece, now_s)
-        return Right(reason=Reason.WRONG_OWNER, owner_hint=piece.owner)
+        if slice_.standby == self._node_id:
+            return self._taker_basis(state, key, slice_, now_s)
+        return Right(reason=Reason.WRONG_OWNER, owner_hint=slice_.owner)
 
-    def _owner_basis(self, state, key, piece, now_s):
+    def _owner_basis(self, state, key, slice_, now_s):
         if not self.holder.owns(now_s):
-            return Right(reason=Reason.NOT_YET_OWNER, owner_hint=piece.standby)
-        leases = self._release_leases(key, piece, now_s)
+            return Right(reason=Reason.NOT_YET_OWNER, owner_hint=slice_.standby)
+        leases = self._release_leases(key, slice_, now_s)
         if leases is None:
-            return Right(reason=Reason.NOT_YET_OWNER, owner_hint=piece.previous)
-        fence = self._fence_in_use((key.service, piece.start), piece, state)
+            return Right(reason=Reason.NOT_YET_OWNER, owner_hint=slice_.previous)
+        fence = self._fence_in_use((key.service, slice_.start), slice_, state)
         if fence is None:
             return Right(reason=Reason.NOT_YET_OWNER)
         return _Basis(fence, (self.holder.lease, *leases))
 
-    def _fence_in_use(self, slice_id, piece, state):
+    def _fence_in_use(self, slice_id, slice_, state):
         """Return the newest fence of an own slice that may be used, or ``None``."""
-        fence = state.fence(piece)
+        fence = state.fence(slice_)
         if self._is_acknowledged(fence):
-            self._last_fences[slice_id] = _LastFence(piece.end, fence)
+            self._last_fences[slice_id] = _LastFence(slice_.end, fence)
             return fence
         used = self._last_fences.get(slice_id)
-        return used.fence if used is not None and used.end == piece.end else None
+        return used.fence if used is not None and used.end == slice_.end else None
 
     def _is_acknowledged(self, fence):
         """Return whether any further claim leads to a higher fence than this one."""
@@ -151,26 +151,26 @@
         """Return the epoch to be acknowledged before all slices can be served."""
         return max(lease_epoch, self._newest_slice_epoch)
 
-    def _taker_basis(self, state, key, piece, now_s):
-        claim = self.claims.get(piece.owner)
+    def _taker_basis(self, state, key, slice_, now_s):
+        claim = self.claims.get(slice_.owner)
         if claim is None or not claim.holds(key, now_s):
-            return Right(reason=Reason.WRONG_OWNER, owner_hint=piece.owner)
+            return Right(reason=Reason.WRONG_OWNER, owner_hint=slice_.owner)
         if not self.holder.owns(now_s):
-            return Right(reason=Reason.NOT_YET_OWNER, owner_hint=piece.owner)
-        leases = self._release_leases(key, piece, now_s)
+            return Right(reason=Reason.NOT_YET_OWNER, owner_hint=slice_.owner)
+        leases = self._release_leases(key, slice_, now_s)
         if leases is None:
-            return Right(reason=Reason.NOT_YET_OWNER, owner_hint=piece.previous)
+            return Right(reason=Reason.NOT_YET_OWNER, owner_hint=slice_.previous)
         leases = (self.holder.lease, claim.lease, *leases)
-        return _Basis(state.takeover_fence(piece), leases)
+        return _Basis(state.takeover_fence(slice_), leases)
 
-    def _release_leases(self, key, piece, now_s):
+    def _release_leases(self, key, slice_, now_s):
         """Return the leases that replace a missing release, if any.
 
         ``None`` means that the earlier owner may still serve the slice.
         """
-        if piece.previous in ("", self._node_id) or key in self._released:
+        if slice_.previous in ("", self._node_id) or key in self._released:
             return ()
-        claim = self.claims.get(piece.previous)
+        claim = self.claims.get(slice_.previous)
         if claim is not None and claim.holds(key, now_s):
             return (claim.lease,)
         return None
@@ -191,21 +191,21 @@
 
     def serving(self, state, now_s):
         """Yield ``(service, slice, fence, until_s)`` for what may be served now."""
-        for service, pieces in state.slices.items():
-            for piece in pieces.slices:
-                if self._node_id in (piece.owner, piece.standby, piece.previous):
-                    basis = self._basis(state, service, piece, now_s)
+        for service, slice_map in state.slices.items():
+            for slice_ in slice_map.slices:
+                if self._node_id in (slice_.owner, slice_.standby, slice_.previous):
+                    basis = self._basis(state, service, slice_, now_s)
                     if isinstance(basis, _Basis):
                         until_s = min(lease.until_s() for lease in basis.leases)
-                        yield service, piece, basis.fence, until_s
+                        yield service, slice_, basis.fence, until_s
 
     def pending(self, state, now_s):
         """Yield ``(service, slice)`` for what is owned but can't be served yet."""
         if not self.holder.owns(now_s):
             return
-        for service, piece in state.owned_by(self._node_id):
-            if not isinstance(self._basis(state, service, piece, now_s), _Basis):
-                yield service, piece
+        for service, slice_ in state.owned_by(self._node_id):
+            if not isinstance(self._basis(state, service, slice_, now_s), _Basis):
+                yield service, slice_
 
     def slice_changed(self, state, service, before, after, now_s):
         """Register that a record changed a slice."""
@@ -252,10 +252,10 @@
         elif not self._has_claim_on(service, before):
             self._vouched_since_s[slice_id] = now_s
 
-    def _has_claim_on(self, service, piece):
+    def _has_claim_on(self, service, slice_):
         """Return whether a slice is in the share of a claim of this node."""
-        claim = self.claims.get(piece.owner)
-        key = SliceKey(service, piece.start, piece.epoch)
+        claim = self.claims.get(slice_.owner)
+        key = SliceKey(service, slice_.start, slice_.epoch)
         return claim is not None and key in claim.share
 
     def slice_split(self, service, start, at):
@@ -281,9 +281,9 @@
         self._unreleased.clear()
         self._last_fences.clear()
         self._vouched_since_s.clear()
-        for service, piece in state.owned_by(self._node_id):
-            self._vouched_since_s[(service, piece.start)] = now_s
-            self._newest_slice_epoch = max(self._newest_slice_epoch, piece.epoch)
+        for service, slice_ in state.owned_by(self._node_id):
+            self._vouched_since_s[(service, slice_.start)] = now_s
+            self._newest_slice_epoch = max(self._newest_slice_epoch, slice_.epoch)
 
     def claim_gained(self, claim, now_s):
         """Register that a claim gave this node a share."""
@@ -297,34 +297,34 @@
 
     def awaited_releases(self, state, now_s):
         """Yield ``(key, slice)`` for each slice whose release has to be requested."""
-        for service, pieces in state.slices.items():
-            for piece in pieces.slices:
-                if not piece.previous or piece.previous == self._node_id:
+        for service, slice_map in state.slices.items():
+            for slice_ in slice_map.slices:
+                if not slice_.previous or slice_.previous == self._node_id:
                     continue
-                key = SliceKey(service, piece.start, piece.epoch)
+                key = SliceKey(service, slice_.start, slice_.epoch)
                 if key in self._released:
                     continue
-                if self._serves_next(key, piece, now_s):
-                    yield key, piece
+                if self._serves_next(key, slice_, now_s):
+                    yield key, slice_
 
     def unrecorded_releases(self, state):
         """Yield received releases that are not yet recorded in the log."""
         for key in list(self._released):
-            pieces = state.slices.get(key.service)
-            piece = pieces.at_start(key.start) if pieces else None
-            if piece is None or piece.epoch != key.epoch or not piece.previous:
+            slice_map = state.slices.get(key.service)
+            slice_ = slice_map.at_start(key.start) if slice_map else None
+            if slice_ is None or slice_.epoch != key.epoch or not slice_.previous:
                 self._released.discard(key)
-            elif piece.owner == self._node_id:
+            elif slice_.owner == self._node_id:
                 yield key
 
-    def _serves_next(self, key, piece, now_s):
+    def _serves_next(self, key, slice_, now_s):
         """Return whether this node serves a slice once its release is received."""
         if not self.holder.owns(now_s):
             return False
-        if piece.owner == self._node_id:
+        if slice_.owner == self._node_id:
             return True
-        claim = self.claims.get(piece.owner)
-        is_standby = piece.standby == self._node_id
+        claim = self.claims.get(slice_.owner)
+        is_standby = slice_.standby == self._node_id
         return is_standby and claim is not None and claim.holds(key, now_s)
 
     def stop_serving(self, service, start):
--- a/comfreywharf/ownership/tests/builders.py
+++ b/comfreywharf/ownership/tests/builders.py
@@ -136,15 +136,15 @@
     def role(self, name, key):
         """Return the node that has a role for a key according to the whole log."""
         state = self.folded_log()
-        piece = state.slice_at(SERVICE, key_hash(key))
-        watched = piece.previous or piece.owner
+        slice_ = state.slice_at(SERVICE, key_hash(key))
+        watched = slice_.previous or slice_.owner
         witnesses = state.members[watched].witnesses
-        taken = {piece.owner, piece.standby, piece.previous, *witnesses}
-        other = min(set(self.nodes) - taken, default=piece.owner)
+        taken = {slice_.owner, slice_.standby, slice_.previous, *witnesses}
+        other = min(set(self.nodes) - taken, default=slice_.owner)
         named = {
-            "owner": piece.owner,
-            "standby": piece.standby,
-            "previous": piece.previous,
+            "owner": slice_.owner,
+            "standby": slice_.standby,
+            "previous": slice_.previous,
             "other": other,
             **{f"witness{index}": node for index, node in enumerate(witnesses)},
         }
@@ -180,8 +180,8 @@
         serving = node.agent.table.serving(node.state, node.now_s())
         return next(
             until_s
-            for _, piece, _, until_s in serving
-            if piece.start == right.slice_start
+            for _, slice_, _, until_s in serving
+            if slice_.start == right.slice_start
         )
 
     def released(self, node_id, slice_key):
@@ -191,12 +191,12 @@
         """
         if not self.fenced:
             return
-        pieces = self.nodes[node_id].state.slices[slice_key.service]
+        slice_map = self.nodes[node_id].state.slices[slice_key.service]
         self.forwarded = [
             f
             for f in self.forwarded
             if f.node_id != node_id
-            or pieces.at_hash(key_hash(f.key)).start != slice_key.start
+            or slice_map.at_hash(key_hash(f.key)).start != slice_key.start
         ]
 
     def _cover(self, node, key, right):
@@ -255,12 +255,12 @@
     moves = [
         SliceMove(
             service=SERVICE,
-            start=piece.start,
-            base_epoch=piece.epoch,
+            start=slice_.start,
+            base_epoch=slice_.epoch,
             owner=node_ids[index % count],
             standby=node_ids[(index + 1) % count],
         )
-        for index, piece in enumerate(
+        for index, slice_ in enumerate(
             world.nodes["node-1"].state.slices[SERVICE].slices
         )
     ]
--- a/comfreywharf/ownership/tests/incarnation_parts.py
+++ b/comfreywharf/ownership/tests/incarnation_parts.py
@@ -73,8 +73,8 @@
         for name, lease_epoch in zip(NODE_NAMES, lease_epochs, strict=True)
     }
     state = ClusterState(members=members)
-    piece = Slice(start=0, end=SLICE_END, owner=owner, standby=standby, epoch=epoch)
-    return state.fence(piece), state.takeover_fence(piece)
+    slice_ = Slice(start=0, end=SLICE_END, owner=owner, standby=standby, epoch=epoch)
+    return state.fence(slice_), state.takeover_fence(slice_)
 
 
 @functools.lru_cache(maxsize=1 << 12)
--- a/comfreywharf/ownership/tests/list_world.py
+++ b/comfreywharf/ownership/tests/list_world.py
@@ -24,7 +24,7 @@
 TERMS = HoldTerms(lease_s=2.0, longest_s=10.0)
 SLOWNESS = 1.02
 SERVICE = "booking"
-PIECES = ((0, 99), (100, 199))
+NUMBER_RANGES = ((0, 99), (100, 199))
 LATEST_ANSWER_S = 6.0
 
 
@@ -50,9 +50,9 @@
     seen: dict = attrs.Factory(dict)
     released: list = attrs.Factory(list)
 
-    def holds(self, piece, now_s):
-        """Return the fence under which a piece is held, or ``None``."""
-        fence, until_s = self.held.get(piece, (None, float("-inf")))
+    def holds(self, number_range, now_s):
+        """Return the fence under which a number range is held, or ``None``."""
+        fence, until_s = self.held.get(number_range, (None, float("-inf")))
         return fence if now_s < until_s else None
 
     def take(self, answer, now_s):
@@ -60,21 +60,21 @@
         if answer.incarnation != self.incarnation:
             return
         listed = {
-            piece: row
+            number_range: row
             for row in answer.rows
-            for piece in PIECES
-            if row.first <= piece[0] and piece[1] <= row.last
+            for number_range in NUMBER_RANGES
+            if row.first <= number_range[0] and number_range[1] <= row.last
         }
         until_s = answer.sent_s + answer.hold_s * SLOWNESS
-        for piece in PIECES:
-            row = listed.get(piece)
+        for number_range in NUMBER_RANGES:
+            row = listed.get(number_range)
             if row is None:
-                if self.holds(piece, now_s) is not None:
-                    self.released.append((piece, f"h{now_s}"))
-                self.held.pop(piece, None)
-            elif row.fence >= self.seen.get(piece, -1):
-                self.seen[piece] = row.fence
-                self.held[piece] = (row.fence, until_s)
+                if self.holds(number_range, now_s) is not None:
+                    self.released.append((number_range, f"h{now_s}"))
+                self.held.pop(number_range, None)
+            elif row.fence >= self.seen.get(number_range, -1):
+                self.seen[number_range] = row.fence
+                self.held[number_range] = (row.fence, until_s)
 
 
 @attrs.define
@@ -83,7 +83,9 @@
 
     now_s: float = 100.0
     epoch: int = 1
-    own_pieces: dict = attrs.Factory(lambda: {piece: 2 for piece in PIECES})
+    own_ranges: dict = attrs.Factory(
+        lambda: {number_range: 2 for number_range in NUMBER_RANGES}
+    )
     others: dict = attrs.Factory(dict)
     lease_until_s: float = 102.0
     server: Server = attrs.Factory(Server)
@@ -102,7 +104,9 @@
         self.lists = HoldLists(self.book)
         self.releasing.clear()
         self.epoch += 1
-        self.own_pieces = {piece: 2 * self.epoch for piece in self.own_pieces}
+        self.own_ranges = {
+            number_range: 2 * self.epoch for number_range in self.own_ranges
+        }
 
     def pass_time(self, duration_s):
         """Advance the time, without a renewal of the lease."""
@@ -117,8 +121,8 @@
         if self.now_s >= self.lease_until_s:
             return None
         served = tuple(
-            (SERVICE, self._slice(piece), fence, self.lease_until_s)
-            for piece, fence in self.own_pieces.items()
+            (SERVICE, self._slice(number_range), fence, self.lease_until_s)
+            for number_range, fence in self.own_ranges.items()
         )
         if self.book.has_used_fence(fence for _, _, fence, _ in served):
             self.begin_lease()
@@ -126,14 +130,16 @@
         return Serving(served=served, pending=(), lease_until_s=self.lease_until_s)
 
     @staticmethod
-    def _slice(piece):
-        start, end = range_of_numbers(*piece)
+    def _slice(number_range):
+        start, end = range_of_numbers(*number_range)
         return Slice(start=start, end=end, owner="a")
 
     def begin_lease(self):
         """Start a new lease, with higher fences."""
         self.epoch += 1
-        self.own_pieces = {piece: 2 * self.epoch for piece in self.own_pieces}
+        self.own_ranges = {
+            number_range: 2 * self.epoch for number_range in self.own_ranges
+        }
 
     def heartbeat(self, delay_s, answered, kept):
         """Send a heartbeat; its answer arrives if ``answered``, or stays in transit.
@@ -145,13 +151,15 @@
             connection=(self.server.incarnation, self.server.connection),
             arrived_s=self.now_s + delay_s,
             held=tuple(
-                HeldRange(first=piece[0], last=piece[1], fence=fence)
-                for piece, (fence, until_s) in self.server.held.items()
+                HeldRange(first=number_range[0], last=number_range[1], fence=fence)
+                for number_range, (fence, until_s) in self.server.held.items()
                 if self.now_s < until_s
             ),
             released=tuple(
-                ReleasedRange(first=piece[0], last=piece[1], handover=handover)
-                for piece, handover in self.server.released
+                ReleasedRange(
+                    first=number_range[0], last=number_range[1], handover=handover
+                )
+                for number_range, handover in self.server.released
             ),
         )
         sent_s = self.now_s
@@ -182,35 +190,45 @@
             self._take(self.in_transit.pop(0))
 
     def _take(self, answer):
-        before = {piece: self.server.holds(piece, self.now_s) for piece in PIECES}
+        before = {
+            number_range: self.server.holds(number_range, self.now_s)
+            for number_range in NUMBER_RANGES
+        }
         self.server.take(answer, self.now_s)
-        for piece in PIECES:
-            fence = self.server.holds(piece, self.now_s)
-            if fence is not None and fence != before[piece]:
-                self._record_fence(piece, fence, ("server", self.server.incarnation))
-
-    def _record_fence(self, piece, fence, holder):
-        for other, known in self.fences.get(piece, {}).items():
-            assert other == holder or fence > known, (piece, fence, holder, self.fences)
-        known = self.fences.setdefault(piece, {})
+        for number_range in NUMBER_RANGES:
+            fence = self.server.holds(number_range, self.now_s)
+            if fence is not None and fence != before[number_range]:
+                self._record_fence(
+                    number_range, fence, ("server", self.server.incarnation)
+                )
+
+    def _record_fence(self, number_range, fence, holder):
+        for other, known in self.fences.get(number_range, {}).items():
+            assert other == holder or fence > known, (
+                number_range,
+                fence,
+                holder,
+                self.fences,
+            )
+        known = self.fences.setdefault(number_range, {})
         known[holder] = max(fence, known.get(holder, -1))
 
-    def move_away(self, piece):
-        """Have the planner assign a piece to the other node."""
-        if piece not in self.own_pieces or piece in self.releasing:
+    def move_away(self, number_range):
+        """Have the planner assign a number range to the other node."""
+        if number_range not in self.own_ranges or number_range in self.releasing:
             return
-        del self.own_pieces[piece]
+        del self.own_ranges[number_range]
         self.epoch += 1
-        start, end = range_of_numbers(*piece)
+        start, end = range_of_numbers(*number_range)
         fence = self.book.stop(SERVICE, start, end, 2 * self.epoch, self.now_s)
-        self.releasing[piece] = fence
+        self.releasing[number_range] = fence
         self.lists.release()
         self._end_releases()
 
     def _end_releases(self):
         """Grant the other node's server what this node's server no longer holds."""
-        for piece, fence in list(self.releasing.items()):
-            start, end = range_of_numbers(*piece)
+        for number_range, fence in list(self.releasing.items()):
+            start, end = range_of_numbers(*number_range)
             service_range = (SERVICE, start, end)
             held = fence is not None and not self.book.granted_above(
                 *service_range, fence
@@ -219,29 +237,29 @@
                 continue
             if self.now_s < self.book.lost_until_s(*service_range):
                 continue
-            del self.releasing[piece]
-            self._grant_other(piece)
+            del self.releasing[number_range]
+            self._grant_other(number_range)
 
-    def _grant_other(self, piece):
+    def _grant_other(self, number_range):
         self.epoch += 1
-        self.others[piece] = 2 * self.epoch
-        self._record_fence(piece, 2 * self.epoch, "other")
+        self.others[number_range] = 2 * self.epoch
+        self._record_fence(number_range, 2 * self.epoch, "other")
 
-    def move_back(self, piece):
-        """Have the other node's server release a piece to this node."""
-        if piece in self.others:
-            del self.others[piece]
+    def move_back(self, number_range):
+        """Have the other node's server release a number range to this node."""
+        if number_range in self.others:
+            del self.others[number_range]
             self.epoch += 1
-            self.own_pieces[piece] = 2 * self.epoch
+            self.own_ranges[number_range] = 2 * self.epoch
 
     def take_over(self):
         """Have the other node claim everything, once the lease is over."""
         if self.now_s < self.lease_until_s:
             return
         self.releasing.clear()
-        for piece in list(self.own_pieces):
-            del self.own_pieces[piece]
-            self._grant_other(piece)
+        for number_range in list(self.own_ranges):
+            del self.own_ranges[number_range]
+            self._grant_other(number_range)
 
     def restart_server(self):
         """Restart the server under the same id."""
@@ -251,6 +269,6 @@
 
     def check(self):
         """Raise `AssertionError` where a key has two holders."""
-        for piece in self.others:
-            fence = self.server.holds(piece, self.now_s)
-            assert fence is None, f"{piece} has two holders at {self.now_s}"
+        for number_range in self.others:
+            fence = self.server.holds(number_range, self.now_s)
+            assert fence is None, f"{number_range} has two holders at {self.now_s}"
--- a/comfreywharf/ownership/tests/test_acknowledged_fences.py
+++ b/comfreywharf/ownership/tests/test_acknowledged_fences.py
@@ -25,7 +25,7 @@
     """Return the fence under which a node's server may be granted the key now."""
     serving = node.agent.table.serving(node.state, node.now_s())
     value = key_hash(KEY)
-    fences = [f for _, piece, f, _ in serving if piece.start <= value < piece.end]
+    fences = [f for _, slice_, f, _ in serving if slice_.start <= value < slice_.end]
     return max(fences, default=-1)
 
 
@@ -92,54 +92,54 @@
     assert taken > max(before, owned)
 
 
-def change_standby(world, piece):
+def change_standby(world, slice_):
     other = world.role("other", KEY)
     change = SliceMove(
         service=SERVICE,
-        start=piece.start,
-        base_epoch=piece.epoch,
-        owner=piece.owner,
+        start=slice_.start,
+        base_epoch=slice_.epoch,
+        owner=slice_.owner,
         standby=other,
     )
     move(world, [change])
 
 
-def split_slice(world, piece):
-    at = (piece.start + piece.end) // 2
+def split_slice(world, slice_):
+    at = (slice_.start + slice_.end) // 2
     append(
         world,
         SliceSplit(
             record_id=world.make_id(),
             service=SERVICE,
-            start=piece.start,
-            base_epoch=piece.epoch,
+            start=slice_.start,
+            base_epoch=slice_.epoch,
             at=at,
         ),
     )
 
 
-def split_and_merge(world, piece):
-    split_slice(world, piece)
+def split_and_merge(world, slice_):
+    split_slice(world, slice_)
     epoch = len(world.log)
     append(
         world,
         SlicesMerged(
             record_id=world.make_id(),
             service=SERVICE,
-            start=piece.start,
+            start=slice_.start,
             base_epoch=epoch,
             next_base_epoch=epoch,
         ),
     )
 
 
-def record_witnesses(world, piece):
-    member = world.folded_log().members[piece.owner]
+def record_witnesses(world, slice_):
+    member = world.folded_log().members[slice_.owner]
     append(
         world,
         LeaseStarted(
             record_id=world.make_id(),
-            node_id=piece.owner,
+            node_id=slice_.owner,
             incarnation=member.incarnation,
             base_lease_epoch=member.lease_epoch,
             witnesses=member.witnesses,
@@ -156,7 +156,7 @@
 CHANGES = (change_standby, split_slice, split_and_merge, record_witnesses)
 
 
-def piece_of(world):
+def slice_of(world):
     return world.folded_log().slice_at(SERVICE, key_hash(KEY))
 
 
@@ -165,7 +165,7 @@
     owner = owner_of(world)
     only_reader(world, owner)
     world.log_up = False
-    change(world, piece_of(world))
+    change(world, slice_of(world))
     return fences_around_a_partition(world)
 
 
@@ -201,7 +201,7 @@
         world.run(STEP_S)
     before = fence_of(world, owner)
     rounds = count_rounds(owner)
-    change(world, piece_of(world))
+    change(world, slice_of(world))
     world.run(2 * STEP_S)
     assert fence_of(world, owner) > before
     assert len(rounds) == 1
@@ -244,36 +244,36 @@
     continue under the fence that it last used for a slice with that start."""
     world = make_world(fenced=True)
     owner = owner_of(world)
-    piece = piece_of(world)
+    slice_ = slice_of(world)
     highest = -1
     for change in (split_slice, merge_again, split_slice):
         if change is split_slice and highest > -1:
             isolate(world, owner)
-        change(world, piece_of(world) if change is split_slice else piece)
+        change(world, slice_of(world) if change is split_slice else slice_)
         for _ in range(6):
             world.run(STEP_S)
-            fences = [fence_of(world, owner), *fences_within(owner, piece)]
+            fences = [fence_of(world, owner), *fences_within(owner, slice_)]
             served = [fence for fence in fences if fence > -1]
             assert all(fence >= highest for fence in served)
         highest = max([highest, *served])
 
 
-def fences_within(node, piece):
+def fences_within(node, slice_):
     serving = node.agent.table.serving(node.state, node.now_s())
-    return [f for _, p, f, _ in serving if piece.start <= p.start < piece.end]
+    return [f for _, p, f, _ in serving if slice_.start <= p.start < slice_.end]
 
 
-def merge_again(world, piece):
+def merge_again(world, slice_):
     """Merge the two parts of a slice that was split."""
-    pieces = world.folded_log().slices[SERVICE]
-    first = pieces.at_start(piece.start)
+    slice_map = world.folded_log().slices[SERVICE]
+    first = slice_map.at_start(slice_.start)
     append(
         world,
         SlicesMerged(
             record_id=world.make_id(),
             service=SERVICE,
-            start=piece.start,
+            start=slice_.start,
             base_epoch=first.epoch,
-            next_base_epoch=pieces.at_start(first.end).epoch,
+            next_base_epoch=slice_map.at_start(first.end).epoch,
         ),
     )
--- a/comfreywharf/ownership/tests/test_busy_takers.py
+++ b/comfreywharf/ownership/tests/test_busy_takers.py
@@ -18,13 +18,13 @@
 
 def plan(world, owner_id=None, standby_id=None):
     """Have the planner assign another owner or standby to the key's slice."""
-    piece = world.folded_log().slice_at(SERVICE, key_hash(KEY))
+    slice_ = world.folded_log().slice_at(SERVICE, key_hash(KEY))
     change = SliceMove(
         service=SERVICE,
-        start=piece.start,
-        base_epoch=piece.epoch,
-        owner=owner_id or piece.owner,
-        standby=standby_id or piece.standby,
+        start=slice_.start,
+        base_epoch=slice_.epoch,
+        owner=owner_id or slice_.owner,
+        standby=standby_id or slice_.standby,
     )
     move(world, [change])
 
--- a/comfreywharf/ownership/tests/test_hold_lists.py
+++ b/comfreywharf/ownership/tests/test_hold_lists.py
@@ -13,7 +13,7 @@
 from comfreywharf.ownership import hold_lists, listed_holds
 from comfreywharf.ownership.hold_lists import HeldRange, HoldReport, HoldRow, Serving
 from comfreywharf.ownership.listed_holds import ListedHoldBook
-from comfreywharf.ownership.tests.list_world import PIECES, TERMS, ListWorld
+from comfreywharf.ownership.tests.list_world import NUMBER_RANGES, TERMS, ListWorld
 from comfreywharf.records import Slice, range_of_numbers
 
 NOW_S = 100.0
@@ -25,8 +25,8 @@
     return Slice(start=start, end=end, owner="a")
 
 
-def serving(*pieces, fence=10, until_s=UNTIL_S, pending=()):
-    served = tuple(("booking", piece, fence, until_s) for piece in pieces)
+def serving(*slices, fence=10, until_s=UNTIL_S, pending=()):
+    served = tuple(("booking", slice_, fence, until_s) for slice_ in slices)
     return Serving(served=served, pending=pending, lease_until_s=until_s)
 
 
@@ -62,8 +62,8 @@
 def test_adjacent_ranges_with_one_fence_are_one_row():
     """Guards against answers of more than 4 KiB, which don't count as answers, for a
     server that holds hundreds of slices."""
-    pieces = [make_slice(n, n + 9) for n in (0, 10, 30, 20)]
-    assert rows(make_lists().decide(report(), serving(*pieces), NOW_S)) == [(0, 39, 10)]
+    slices = [make_slice(n, n + 9) for n in (0, 10, 30, 20)]
+    assert rows(make_lists().decide(report(), serving(*slices), NOW_S)) == [(0, 39, 10)]
 
 
 def test_held_ranges_stay_listed_if_not_all_fit():
@@ -211,13 +211,13 @@
     def deliver_late_answer(self):
         self.world.deliver_late_answer()
 
-    @rule(piece=st.sampled_from(PIECES))
-    def move_away(self, piece):
-        self.world.move_away(piece)
+    @rule(number_range=st.sampled_from(NUMBER_RANGES))
+    def move_away(self, number_range):
+        self.world.move_away(number_range)
 
-    @rule(piece=st.sampled_from(PIECES))
-    def move_back(self, piece):
-        self.world.move_back(piece)
+    @rule(number_range=st.sampled_from(NUMBER_RANGES))
+    def move_back(self, number_range):
+        self.world.move_back(number_range)
 
     @rule()
     def take_over(self):
@@ -299,7 +299,7 @@
             ("renew",),
             LOST,
             ("pass_time", 0.9),
-            ("move_away", PIECES[0]),
+            ("move_away", NUMBER_RANGES[0]),
             LOST,
             ("deliver_late_answer",),
         ],
--- a/comfreywharf/ownership/tests/test_holds.py
+++ b/comfreywharf/ownership/tests/test_holds.py
@@ -8,15 +8,15 @@
 
 TERMS = HoldTerms(lease_s=1.5, longest_s=10.0)
 NOW_S = 100.0
-PIECE = Slice(start=0, end=1000, owner="a", epoch=5)
+SLICE = Slice(start=0, end=1000, owner="a", epoch=5)
 
 
-def served(piece=PIECE, fence=10, until_s=NOW_S + 1.5):
-    return [("booking", piece, fence, until_s)]
+def served(slice_=SLICE, fence=10, until_s=NOW_S + 1.5):
+    return [("booking", slice_, fence, until_s)]
 
 
-def granted(book, piece=PIECE, fence=10, now_s=NOW_S, answer=GrantAnswer.TAKEN):
-    (order,) = book.due_orders(served(piece, fence, now_s + 1.5), now_s)
+def granted(book, slice_=SLICE, fence=10, now_s=NOW_S, answer=GrantAnswer.TAKEN):
+    (order,) = book.due_orders(served(slice_, fence, now_s + 1.5), now_s)
     book.answered(order, answer, now_s)
     return order
 
@@ -101,7 +101,7 @@
     """Guards against the same fault when the first half already has a new grant."""
     book = HoldBook(TERMS)
     granted(book)
-    left = attrs.evolve(PIECE, end=500, epoch=7)
+    left = attrs.evolve(SLICE, end=500, epoch=7)
     granted(book, left, fence=14, now_s=NOW_S + 0.1)
     assert book.stop("booking", 500, 1000, 20, NOW_S + 0.2) == 10
 
@@ -212,7 +212,7 @@
     """The order's hold isn't the current one when its answer arrives."""
     book = HoldBook(TERMS)
     (order,) = book.due_orders(served(), NOW_S)
-    (newer,) = book.due_orders(served(attrs.evolve(PIECE, end=500), fence=14), NOW_S)
+    (newer,) = book.due_orders(served(attrs.evolve(SLICE, end=500), fence=14), NOW_S)
     book.answered(order, GrantAnswer.LOST, NOW_S + 0.4)
     book.answered(newer, GrantAnswer.TAKEN, NOW_S + 0.4)
     assert not book.awaits_answer("booking", 0, 1000)
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -56,15 +56,15 @@
     def serves(self, node, wanted_s=0.1):
         return self.world.request(node.node_id, KEY, wanted_s)
 
-    def piece(self):
+    def slice_of_key(self):
         return self.world.folded_log().slice_at(SERVICE, key_hash(KEY))
 
     def plan(self, owner, standby):
-        piece = self.piece()
+        slice_ = self.slice_of_key()
         change = SliceMove(
             service=SERVICE,
-            start=piece.start,
-            base_epoch=piece.epoch,
+            start=slice_.start,
+            base_epoch=slice_.epoch,
             owner=owner.node_id,
             standby=standby.node_id,
         )
@@ -287,9 +287,9 @@
 def two_shares(cluster):
     """Give the owner a second slice, whose standby is another node."""
     other = cluster.spare()
-    first = cluster.piece()
-    pieces = cluster.world.folded_log().slices[SERVICE].slices
-    second = next(piece for piece in pieces if piece.start != first.start)
+    first = cluster.slice_of_key()
+    slices = cluster.world.folded_log().slices[SERVICE].slices
+    second = next(slice_ for slice_ in slices if slice_.start != first.start)
     change = SliceMove(
         service=SERVICE,
         start=second.start,
--- a/comfreywharf/ownership/tests/test_orders_in_transit.py
+++ b/comfreywharf/ownership/tests/test_orders_in_transit.py
@@ -6,7 +6,7 @@
 from comfreywharf.records import Slice
 
 TERMS = HoldTerms(lease_s=1.5, longest_s=10.0)
-PIECE = Slice(start=0, end=1000, owner="a", epoch=5)
+SLICE = Slice(start=0, end=1000, owner="a", epoch=5)
 LEFT_S = 1.2
 WAITED_S = 0.35
 """Shorter than the timeout of an order's answer."""
@@ -21,7 +21,7 @@
     sufficient."""
     book = HoldBook(TERMS)
     now_s = 100.0
-    (order,) = book.due_orders([("booking", PIECE, 10, now_s + LEFT_S)], now_s)
+    (order,) = book.due_orders([("booking", SLICE, 10, now_s + LEFT_S)], now_s)
     reported_s = book.all_held_until_s(now_s + WAITED_S)
     book.answered(order, GrantAnswer.LOST, now_s + WAITED_S)
     assert reported_s >= book.all_held_until_s(now_s + WAITED_S)
@@ -41,7 +41,7 @@
     (claim,) = standby.agent.claims.values()
     book = HoldBook(TERMS)
     until_s = claim.lease.until_s()
-    (order,) = book.due_orders([("booking", PIECE, 11, until_s)], standby.now_s())
+    (order,) = book.due_orders([("booking", SLICE, 11, until_s)], standby.now_s())
     world.run(WAITED_S)
     now_s = standby.now_s()
     claim_left_s = claim.lease.until_s() - now_s
--- a/comfreywharf/ownership/tests/test_snapshot.py
+++ b/comfreywharf/ownership/tests/test_snapshot.py
@@ -18,13 +18,13 @@
     incomplete.
     """
     agent = OwnershipAgent("a", 1, LeaseTerms(lease_s=1.0, drift=0.01), lambda: "id")
-    piece = Slice(start=0, end=1 << 63, owner="a", epoch=3)
-    state = ClusterState(next_offset=5, slices={SERVICE: SliceMap([piece])})
+    slice_ = Slice(start=0, end=1 << 63, owner="a", epoch=3)
+    state = ClusterState(next_offset=5, slices={SERVICE: SliceMap([slice_])})
     record = UnknownRecord(record_id="r", kind="x")
     agent.folded(state, record, fold(state, 5, record), now_s=1.0)
     agent.table.lease_began(state, 1.0)
     assert agent.table.vouched_since_s(SERVICE, 0) == 1.0
-    back = SliceMap([attrs.evolve(piece, epoch=90)])
+    back = SliceMap([attrs.evolve(slice_, epoch=90)])
     state.replace_by(ClusterState(next_offset=100, slices={SERVICE: back}))
     agent.loaded(state, now_s=50.0)
     assert agent.table.vouched_since_s(SERVICE, 0) == 50.0
--- a/comfreywharf/ownership/tests/test_sole_ownership.py
+++ b/comfreywharf/ownership/tests/test_sole_ownership.py
@@ -128,14 +128,14 @@
     @rule(owner=roles, standby=roles, reader=roles)
     def plan(self, owner, standby, reader):
         """Move a slice, as a planner with a fresh or stale fold would."""
-        piece = self.node(reader).state.slice_at(SERVICE, key_hash(KEY))
+        slice_ = self.node(reader).state.slice_at(SERVICE, key_hash(KEY))
         owner, standby = self.node(owner).node_id, self.node(standby).node_id
-        if piece is None or owner == standby:
+        if slice_ is None or owner == standby:
             return
         change = SliceMove(
             service=SERVICE,
-            start=piece.start,
-            base_epoch=piece.epoch,
+            start=slice_.start,
+            base_epoch=slice_.epoch,
             owner=owner,
             standby=standby,
         )
@@ -166,10 +166,10 @@
 def test_standby_takes_over(log_up):
     """A lost owner's keys are served by its standby, with and without the log."""
     world = make_world()
-    piece = world.nodes["node-1"].state.slice_at(SERVICE, key_hash(KEYS[0]))
+    slice_ = world.nodes["node-1"].state.slice_at(SERVICE, key_hash(KEYS[0]))
     world.log_up = log_up
-    world.nodes[piece.owner].frozen = True
+    world.nodes[slice_.owner].frozen = True
     world.run(2.0)
-    assert world.request(piece.standby, KEYS[0])
+    assert world.request(slice_.standby, KEYS[0])
     world.run(5.0)
     assert all(world.served(key) for key in KEYS)
--- a/comfreywharf/placement/mandatory.py
+++ b/comfreywharf/placement/mandatory.py
@@ -19,25 +19,25 @@
     """
     if not view.targets:
         return
-    unserved = [piece for piece in view.pieces if _needs_owner(view, piece)]
-    unserved.sort(key=lambda piece: (-view.weights[piece.start], piece.start))
-    for piece in unserved:
-        view.move(piece, _new_owner(view, piece))
+    unserved = [slice_ for slice_ in view.slices if _needs_owner(view, slice_)]
+    unserved.sort(key=lambda slice_: (-view.weights[slice_.start], slice_.start))
+    for slice_ in unserved:
+        view.move(slice_, _new_owner(view, slice_))
 
 
-def _needs_owner(view, piece):
-    if not piece.owner or piece.owner not in view.members:
+def _needs_owner(view, slice_):
+    if not slice_.owner or slice_.owner not in view.members:
         return True
     # The fold refuses to move a slice whose release by its previous owner is
     # still awaited.
-    if piece.previous:
+    if slice_.previous:
         return False
-    if view.members[piece.owner].draining:
+    if view.members[slice_.owner].draining:
         return True
-    return view.lost_s.get(piece.owner, 0.0) > TAKEOVER_GRACE_S
+    return view.lost_s.get(slice_.owner, 0.0) > TAKEOVER_GRACE_S
 
 
-def _new_owner(view, piece):
-    if piece.owner in view.lost_s and piece.standby in view.targets:
-        return piece.standby
+def _new_owner(view, slice_):
+    if slice_.owner in view.lost_s and slice_.standby in view.targets:
+        return slice_.standby
     return view.least_loaded()
--- a/comfreywharf/placement/meter.py
+++ b/comfreywharf/placement/meter.py
@@ -60,11 +60,11 @@
         The measurement of a slice whose bounds changed starts over.
         """
         kept = {}
-        for service, piece in owned:
-            slice_key = (service, piece.start)
+        for service, slice_ in owned:
+            slice_key = (service, slice_.start)
             rate = self._rates.get(slice_key)
-            if rate is None or rate.end != piece.end:
-                rate = _Rate(service, piece.end)
+            if rate is None or rate.end != slice_.end:
+                rate = _Rate(service, slice_.end)
             kept[slice_key] = rate
         self._rates = kept
 
--- a/comfreywharf/placement/planning.py
+++ b/comfreywharf/placement/planning.py
@@ -151,11 +151,11 @@
 
 
 def _plan_service(state, cluster, service, now_s):
-    pieces = cluster.slices[service.name].slices
-    state.table.prune(service.name, [piece.start for piece in pieces])
+    slices = cluster.slices[service.name].slices
+    state.table.prune(service.name, [slice_.start for slice_ in slices])
     warm_up = state.switches.warm_up
     view = build_view(cluster, state.table, service.name, now_s, warm_up, state.tuning)
-    if _awaits_first_nodes(state, pieces, now_s):
+    if _awaits_first_nodes(state, slices, now_s):
         return view
     plan_mandatory_moves(view)
     state.policy(service).plan(view, now_s)
@@ -163,7 +163,7 @@
     return view
 
 
-def _awaits_first_nodes(state, pieces, now_s):
+def _awaits_first_nodes(state, slices, now_s):
     """Return whether the first assignment still waits for nodes to come up.
 
     If all slices were assigned to the first few nodes, nearly all would move
@@ -171,7 +171,7 @@
     """
     if now_s - state.table.started_s >= state.tuning.gather_s:
         return False
-    return not any(piece.owner for piece in pieces)
+    return not any(slice_.owner for slice_ in slices)
 
 
 def _resize(state, view):
@@ -204,9 +204,9 @@
     report_timeout = report_timeout_s(len(cluster.members))
     needed = {
         node_id
-        for pieces in cluster.slices.values()
-        for piece in pieces.slices
-        for node_id in (piece.owner, piece.previous)
+        for slice_map in cluster.slices.values()
+        for slice_ in slice_map.slices
+        for node_id in (slice_.owner, slice_.previous)
     }
     for member in cluster.members.values():
         if member.node_id in needed:
--- a/comfreywharf/placement/rebalance.py
+++ b/comfreywharf/placement/rebalance.py
@@ -85,7 +85,7 @@
         if len(view.targets) < 2 or not self._is_due(view, now_s):
             return
         max_moves = max(
-            MIN_MOVE_LIMIT_PER_ROUND, int(self.moved_share * len(view.pieces))
+            MIN_MOVE_LIMIT_PER_ROUND, int(self.moved_share * len(view.slices))
         )
         self._plan_moves(view, now_s, max_moves)
 
@@ -108,52 +108,52 @@
         return now_s - self._above_since_s >= patience_s
 
     def _plan_moves(self, view, now_s, moves_left):
-        pieces = self._movable(view)
-        sources = sorted(pieces, key=view.relative_load, reverse=True)
+        slices_by_owner = self._movable(view)
+        sources = sorted(slices_by_owner, key=view.relative_load, reverse=True)
         for source in sources:
             while moves_left > 0:
-                best_move = self._best_move(view, source, pieces[source])
+                best_move = self._best_move(view, source, slices_by_owner[source])
                 if best_move is None:
                     break
-                piece, owner = best_move
-                if not self.budget.spend(view.weights[piece.start] / view.total_load):
+                slice_, owner = best_move
+                if not self.budget.spend(view.weights[slice_.start] / view.total_load):
                     return
-                pieces[source].remove(piece)
-                view.move(piece, owner)
-                self._moved_s[piece.start] = now_s
+                slices_by_owner[source].remove(slice_)
+                view.move(slice_, owner)
+                self._moved_s[slice_.start] = now_s
                 moves_left -= 1
 
     def _movable(self, view):
-        pieces = {node_id: [] for node_id in view.targets}
-        for piece in view.pieces:
-            immovable = piece.previous or piece.start in self._moved_s
+        slices_by_owner = {node_id: [] for node_id in view.targets}
+        for slice_ in view.slices:
+            immovable = slice_.previous or slice_.start in self._moved_s
             if (
-                piece.owner in pieces
+                slice_.owner in slices_by_owner
                 and not immovable
-                and piece.start not in view.planned_owners
+                and slice_.start not in view.planned_owners
             ):
-                pieces[piece.owner].append(piece)
-        return pieces
+                slices_by_owner[slice_.owner].append(slice_)
+        return slices_by_owner
 
-    def _best_move(self, view, source, pieces):
-        """Return the ``(piece, owner)`` that best removes a server's excess load.
+    def _best_move(self, view, source, slices):
+        """Return the ``(slice, owner)`` that best removes a server's excess load.
 
         Return ``None`` if there is no such move.
         """
         limit = self.target * view.mean_relative_load
         excess = view.loads[source] - limit * view.targets[source]
-        if excess <= 0 or not pieces:
+        if excess <= 0 or not slices:
             return None
         owner = view.least_loaded()
         headroom = limit * view.targets[owner] - view.loads[owner]
         candidates = [
-            piece for piece in pieces if view.weights[piece.start] <= headroom
+            slice_ for slice_ in slices if view.weights[slice_.start] <= headroom
         ]
         if not candidates or owner == source:
             return None
         best = min(
             candidates,
-            key=lambda piece: (abs(view.weights[piece.start] - excess), piece.start),
+            key=lambda slice_: (abs(view.weights[slice_.start] - excess), slice_.start),
         )
         return best, owner
 
--- a/comfreywharf/placement/resize.py
+++ b/comfreywharf/placement/resize.py
@@ -67,7 +67,7 @@
     if not view.targets or view.total_load <= 0:
         return []
     fair_load = view.total_load / len(view.targets)
-    max_splits = slice_limit(view.config, len(view.members)) - len(view.pieces)
+    max_splits = slice_limit(view.config, len(view.members)) - len(view.slices)
     splits = _splits(view, fair_load)[: max(0, min(max_splits, MAX_RESIZES_PER_ROUND))]
     split_starts = {split.start for split in splits}
     merges_left = MAX_RESIZES_PER_ROUND - len(splits)
@@ -81,27 +81,27 @@
         if rate >= PIN_SHARE * fair_load
     )
     splits = []
-    for piece in view.pieces:
-        if piece.end - piece.start == 1 or not _is_stable(view, piece):
+    for slice_ in view.slices:
+        if slice_.end - slice_.start == 1 or not _is_stable(view, slice_):
             continue
-        weight = view.weights[piece.start]
-        if view.slots_needed(piece) < MIN_SLOTS_TO_SPLIT:
+        weight = view.weights[slice_.start]
+        if view.slots_needed(slice_) < MIN_SLOTS_TO_SPLIT:
             continue
-        while hot and hot[0] < piece.start:
+        while hot and hot[0] < slice_.start:
             hot.pop(0)
-        if hot and hot[0] < piece.end:
+        if hot and hot[0] < slice_.end:
             # A slice with little load besides its hot key can be moved as a
             # whole; pinning the key would gain nothing.
             if weight - view.hot_keys[hot[0]] > MIN_REST_SHARE * fair_load:
-                splits.append((weight, _pin(view, piece, hot[0])))
+                splits.append((weight, _pin(view, slice_, hot[0])))
         elif weight > SPLIT_SHARE * fair_load:
-            middle = _middle(view, piece)
-            splits.append((weight, _split(view, piece, middle, weight / 2)))
+            middle = _middle(view, slice_)
+            splits.append((weight, _split(view, slice_, middle, weight / 2)))
     splits.sort(key=lambda entry: (-entry[0], entry[1].start))
     return [split for _, split in splits]
 
 
-def _middle(view, piece):
+def _middle(view, slice_):
     """Return the key hash at which to split a slice so that its load is halved.
 
     Busy keys are adjacent. If a slice of 2,000 keys is split in the middle of its
@@ -111,46 +111,46 @@
     hot_inside = sorted(
         (key_hash, rate)
         for key_hash, rate in view.hot_keys.items()
-        if piece.start < key_hash < piece.end
+        if slice_.start < key_hash < slice_.end
     )
     hot = sum(rate for _, rate in hot_inside)
-    if hot < MIN_HOT_SHARE * view.weights[piece.start]:
-        return (piece.start + piece.end) // 2
+    if hot < MIN_HOT_SHARE * view.weights[slice_.start]:
+        return (slice_.start + slice_.end) // 2
     cumulative = 0.0
     for key_hash, rate in hot_inside:
         cumulative += rate
         if cumulative >= hot / 2:
             return key_hash
-    return (piece.start + piece.end) // 2
+    return (slice_.start + slice_.end) // 2
 
 
-def _pin(view, piece, key_hash):
+def _pin(view, slice_, key_hash):
     """Return the next of the two splits that isolate a key in its own slice."""
     rate = view.hot_keys[key_hash]
-    weight = view.weights[piece.start]
-    if key_hash > piece.start:
+    weight = view.weights[slice_.start]
+    if key_hash > slice_.start:
         rest = max(0.0, weight - rate)
-        right_fraction = (piece.end - key_hash) / (piece.end - piece.start)
-        return _split(view, piece, key_hash, rate + rest * right_fraction)
-    return _split(view, piece, key_hash + 1, max(0.0, weight - rate))
+        right_fraction = (slice_.end - key_hash) / (slice_.end - slice_.start)
+        return _split(view, slice_, key_hash, rate + rest * right_fraction)
+    return _split(view, slice_, key_hash + 1, max(0.0, weight - rate))
 
 
-def _split(view, piece, at, right_per_s):
+def _split(view, slice_, at, right_per_s):
     return Split(
         service=view.config.name,
-        start=piece.start,
-        base_epoch=piece.epoch,
+        start=slice_.start,
+        base_epoch=slice_.epoch,
         at=at,
         right_per_s=right_per_s,
     )
 
 
 def _merges(view, fair_load, split_starts):
-    surplus = len(view.pieces) - view.config.slices
+    surplus = len(view.slices) - view.config.slices
     merges = []
     index = 0
-    while index + 1 < len(view.pieces) and len(merges) < surplus:
-        left, right = view.pieces[index : index + 2]
+    while index + 1 < len(view.slices) and len(merges) < surplus:
+        left, right = view.slices[index : index + 2]
         if _mergeable(view, left, right, fair_load, split_starts):
             merges.append(
                 Merge(
@@ -179,10 +179,10 @@
     return not any(left.start <= key_hash < right.end for key_hash in view.hot_keys)
 
 
-def _is_stable(view, piece):
-    if piece.previous or not piece.owner:
+def _is_stable(view, slice_):
+    if slice_.previous or not slice_.owner:
         return False
     return (
-        piece.start not in view.planned_owners
-        and piece.start not in view.planned_standbys
+        slice_.start not in view.planned_owners
+        and slice_.start not in view.planned_standbys
     )
--- a/comfreywharf/placement/standbys.py
+++ b/comfreywharf/placement/standbys.py
@@ -65,23 +65,23 @@
 def _slices_to_assign(view, eligible, domains):
     """Return the slices that need another standby, by owner."""
     to_assign = defaultdict(list)
-    for piece in view.pieces:
-        owner = view.owner(piece)
+    for slice_ in view.slices:
+        owner = view.owner(slice_)
         if owner in view.members and not _is_suitable(
-            view, owner, view.standby(piece), eligible, domains
+            view, owner, view.standby(slice_), eligible, domains
         ):
-            to_assign[owner].append(piece)
+            to_assign[owner].append(slice_)
     return to_assign
 
 
 def _kept_standby_loads(view, to_assign):
     """Return the standby load of the slices that keep their standby."""
-    changing = {piece.start for pieces in to_assign.values() for piece in pieces}
+    changing = {slice_.start for slices in to_assign.values() for slice_ in slices}
     standby_loads = _StandbyLoads()
-    for piece in view.pieces:
-        owner = view.owner(piece)
-        if owner in view.members and piece.start not in changing:
-            standby_loads.add(owner, view.standby(piece), view.weights[piece.start])
+    for slice_ in view.slices:
+        owner = view.owner(slice_)
+        if owner in view.members and slice_.start not in changing:
+            standby_loads.add(owner, view.standby(slice_), view.weights[slice_.start])
     return standby_loads
 
 
@@ -94,13 +94,13 @@
     return domains <= {domain}
 
 
-def _assign_round_robin(view, owner, pieces, candidates, standby_loads):
+def _assign_round_robin(view, owner, slices, candidates, standby_loads):
     """Assign slices to candidates round-robin, the heaviest slice first."""
-    pieces.sort(key=lambda piece: (-view.weights[piece.start], piece.start))
-    for number, piece in enumerate(pieces):
+    slices.sort(key=lambda slice_: (-view.weights[slice_.start], slice_.start))
+    for number, slice_ in enumerate(slices):
         standby = candidates[number % len(candidates)] if candidates else ""
-        view.set_standby(piece, standby)
-        standby_loads.add(owner, standby, view.weights[piece.start])
+        view.set_standby(slice_, standby)
+        standby_loads.add(owner, standby, view.weights[slice_.start])
 
 
 def _candidates(view, owner, eligible):
--- a/comfreywharf/placement/tests/builders.py
+++ b/comfreywharf/placement/tests/builders.py
@@ -51,7 +51,7 @@
             self.start(f"node-{index}", DOMAINS[index % len(DOMAINS)])
 
     @property
-    def pieces(self):
+    def slices(self):
         return self.state.slices[SERVICE].slices
 
     def append(self, kind, **fields):
@@ -91,15 +91,15 @@
     def lose(self, node_id):
         """Lose a node; its standbys take over, and the planner is notified."""
         del self.live[node_id]
-        takers = {p.standby for p in self.pieces if p.owner == node_id}
+        takers = {slice_.standby for slice_ in self.slices if slice_.owner == node_id}
         for taker in sorted(takers & set(self.live)):
             self._take(node_id, taker)
 
     def _take(self, owner_id, taker_id):
         taken = [
-            SliceTake(service=SERVICE, start=piece.start, base_epoch=piece.epoch)
-            for piece in self.pieces
-            if (piece.owner, piece.standby) == (owner_id, taker_id)
+            SliceTake(service=SERVICE, start=slice_.start, base_epoch=slice_.epoch)
+            for slice_ in self.slices
+            if (slice_.owner, slice_.standby) == (owner_id, taker_id)
         ]
         accepted = self.append(
             SlicesTaken,
@@ -116,7 +116,7 @@
     def report(self, rates=None):
         """Deliver a report of each live node; ``rates`` are by slice start."""
         for node_id, incarnation in self.live.items():
-            owned = [p.start for p in self.pieces if p.owner == node_id]
+            owned = [slice_.start for slice_ in self.slices if slice_.owner == node_id]
             report = NodeReport(
                 node_id=node_id,
                 incarnation=incarnation,
@@ -143,13 +143,13 @@
         return accepted
 
     def complete_moves(self):
-        for piece in list(self.pieces):
-            if piece.previous:
+        for slice_ in list(self.slices):
+            if slice_.previous:
                 self.append(
                     MoveCompleted,
                     service=SERVICE,
-                    start=piece.start,
-                    epoch=piece.epoch,
+                    start=slice_.start,
+                    epoch=slice_.epoch,
                 )
 
     def run_rounds(self, rounds=5, rates=None, step_s=1.0):
--- a/comfreywharf/placement/tests/test_planning.py
+++ b/comfreywharf/placement/tests/test_planning.py
@@ -45,7 +45,9 @@
     def lose(self, node):
         node_id = f"node-{node}"
         if node_id in self.cluster.live and len(self.cluster.live) > 1:
-            owned = [p for p in self.cluster.pieces if p.owner == node_id]
+            owned = [
+                slice_ for slice_ in self.cluster.slices if slice_.owner == node_id
+            ]
             self.cluster.lose(node_id)
             self.lost_s[node_id] = self.cluster.now_s
             if owned:
@@ -57,8 +59,8 @@
 
     @rule(number=st.integers(0, 40), rate=st.floats(0, 500))
     def load(self, number, rate):
-        pieces = self.cluster.pieces
-        self.rates[pieces[number % len(pieces)].start] = rate
+        slices = self.cluster.slices
+        self.rates[slices[number % len(slices)].start] = rate
 
     @rule()
     def hand_over(self):
@@ -75,7 +77,7 @@
     @rule(records_lost=st.booleans())
     def plan(self, records_lost):
         self.cluster.report(self.rates)
-        before = {p.start: p for p in self.cluster.pieces}
+        before = {slice_.start: slice_ for slice_ in self.cluster.slices}
         actions = self.cluster.plan()
         moves = [m for a in actions if isinstance(a, Move) for m in a.moves]
         for move in moves:
@@ -84,10 +86,10 @@
         if not records_lost:
             assert all(self.cluster.apply(actions))
 
-    def check_move(self, piece, move):
+    def check_move(self, slice_, move):
         members = self.cluster.state.members
-        if move.owner != piece.owner:
-            assert not piece.previous
+        if move.owner != slice_.owner:
+            assert not slice_.previous
             assert not members[move.owner].draining
             if move.owner not in self.cluster.live:
                 silent_s = self.cluster.now_s - self.lost_s[move.owner]
@@ -111,15 +113,15 @@
         for node_id in self.cluster.live:
             self.cluster.drain(node_id, draining=False)
         self.cluster.run_rounds(30, self.rates, step_s=2.0)
-        for piece in self.cluster.pieces:
-            assert piece.owner in self.cluster.live
-            assert piece.standby in self.cluster.live or len(self.cluster.live) == 1
+        for slice_ in self.cluster.slices:
+            assert slice_.owner in self.cluster.live
+            assert slice_.standby in self.cluster.live or len(self.cluster.live) == 1
 
     @invariant()
     def slices_are_bounded(self):
         state = self.cluster.state
         limit = slice_limit(state.config.services[SERVICE], len(state.members))
-        assert len(self.cluster.pieces) <= limit
+        assert len(self.cluster.slices) <= limit
 
 
 TestPlanner = PlannerMachine.TestCase
@@ -129,7 +131,7 @@
 
 
 def owners(cluster):
-    return {piece.owner for piece in cluster.pieces}
+    return {slice_.owner for slice_ in cluster.slices}
 
 
 def test_nothing_moves_to_a_node_that_was_taken_over():
@@ -141,7 +143,9 @@
     until the next takeover.
     """
     cluster = PlannedCluster(nodes=6, slices=24)
-    cluster.run_rounds(8, dict.fromkeys([p.start for p in cluster.pieces], 50.0))
+    cluster.run_rounds(
+        8, dict.fromkeys([slice_.start for slice_ in cluster.slices], 50.0)
+    )
     cluster.lose("node-0")
     cluster.now_s += 0.1
     for _ in range(20):
@@ -162,10 +166,10 @@
     cluster.report()
     late = cluster.plan()
     cluster.run_rounds(3)
-    before = list(cluster.pieces)
+    before = list(cluster.slices)
     assert late
     assert not any(cluster.apply(late))
-    assert cluster.pieces == before
+    assert cluster.slices == before
 
 
 def test_standbys_of_one_owner_are_spread():
@@ -173,7 +177,9 @@
     cluster = PlannedCluster(nodes=9, slices=54)
     cluster.run_rounds(5)
     for owner in owners(cluster):
-        standbys = [p.standby for p in cluster.pieces if p.owner == owner]
+        standbys = [
+            slice_.standby for slice_ in cluster.slices if slice_.owner == owner
+        ]
         candidates = 6
         most = max(standbys.count(node_id) for node_id in set(standbys))
         assert most <= -(-len(standbys) // candidates)
@@ -183,17 +189,17 @@
 def test_small_differences_move_nothing(churn_weight):
     """Load that varies by a few percent, as counts do, causes no moves."""
     cluster = PlannedCluster(nodes=7, slices=70, churn_weight=churn_weight)
-    starts = [p.start for p in cluster.pieces]
+    starts = [slice_.start for slice_ in cluster.slices]
     cluster.run_rounds(10, dict.fromkeys(starts, 100.0))
-    before = {p.start: p.owner for p in cluster.pieces}
+    before = {slice_.start: slice_.owner for slice_ in cluster.slices}
     for step in range(60):
         rates = {s: 100.0 + (step * 7 + i * 3) % 11 for i, s in enumerate(starts)}
         cluster.run_rounds(1, rates)
-    assert {p.start: p.owner for p in cluster.pieces} == before
+    assert {slice_.start: slice_.owner for slice_ in cluster.slices} == before
 
 
 def starts_awaiting_release(cluster):
-    return {piece.start for piece in cluster.pieces if piece.previous}
+    return {slice_.start for slice_ in cluster.slices if slice_.previous}
 
 
 def assert_slices_awaiting_release_stay(cluster, rates, rounds=40):
@@ -202,7 +208,7 @@
     for _ in range(rounds):
         cluster.now_s += 2.0
         cluster.report(rates)
-        owner = {p.start: p.owner for p in cluster.pieces}
+        owner = {slice_.start: slice_.owner for slice_ in cluster.slices}
         moves = [m for a in cluster.plan() if isinstance(a, Move) for m in a.moves]
         moved = {m.start for m in moves if m.owner != owner[m.start]}
         assert not moved & waiting
@@ -226,15 +232,20 @@
 def test_balance_doesnt_move_a_slice_whose_release_is_awaited():
     """The same if the new owner becomes overloaded before the release."""
     cluster = PlannedCluster(nodes=4, slices=40)
-    rates = dict.fromkeys([p.start for p in cluster.pieces], 100.0)
+    rates = dict.fromkeys([slice_.start for slice_ in cluster.slices], 100.0)
     cluster.run_rounds(8, rates)
-    rates.update({p.start: 300.0 for p in cluster.pieces if p.owner == "node-0"})
+    rates.update(
+        {slice_.start: 300.0 for slice_ in cluster.slices if slice_.owner == "node-0"}
+    )
     while not starts_awaiting_release(cluster):
         cluster.now_s += 2.0
         cluster.report(rates)
         cluster.apply(cluster.plan())
-    new_owner = next(p.owner for p in cluster.pieces if p.previous)
-    rates = {p.start: 500.0 if p.owner == new_owner else 50.0 for p in cluster.pieces}
+    new_owner = next(slice_.owner for slice_ in cluster.slices if slice_.previous)
+    rates = {
+        slice_.start: 500.0 if slice_.owner == new_owner else 50.0
+        for slice_ in cluster.slices
+    }
     assert_slices_awaiting_release_stay(cluster, rates)
 
 
@@ -244,13 +255,13 @@
     for node_id in ("node-0", "node-3"):
         cluster.start(node_id, "teika")
     cluster.run_rounds(3)
-    assert {p.standby for p in cluster.pieces} == {"node-0", "node-3"}
+    assert {slice_.standby for slice_ in cluster.slices} == {"node-0", "node-3"}
     cluster.start("node-1", "agenskalns")
     cluster.run_rounds(3)
-    for piece in cluster.pieces:
+    for slice_ in cluster.slices:
         domains = {
             cluster.state.members[n].failure_domain
-            for n in (piece.owner, piece.standby)
+            for n in (slice_.owner, slice_.standby)
         }
         assert len(domains) == 2
 
@@ -259,12 +270,12 @@
     """Splits that try to isolate an unknown hot key stop at the service's limit."""
     cluster = PlannedCluster(nodes=1, slices=16)
     for _ in range(80):
-        rates = {p.start: 20.0 for p in cluster.pieces}
+        rates = {slice_.start: 20.0 for slice_ in cluster.slices}
         rates[0] = 40.0 * len(rates)
         cluster.run_rounds(1, rates)
     state = cluster.state
     limit = slice_limit(state.config.services[SERVICE], len(state.members))
-    assert 16 < len(cluster.pieces) <= limit
+    assert 16 < len(cluster.slices) <= limit
 
 
 def is_rebalanced(cluster, rate_per_slice, load_factor, rounds):
@@ -274,14 +285,18 @@
     """
     cluster.service_ms = 130.0
     cluster.run_rounds()
-    before = {piece.start: piece.owner for piece in cluster.pieces}
+    before = {slice_.start: slice_.owner for slice_ in cluster.slices}
     heavy = before[0]
     rates = {
         start: rate_per_slice * (load_factor if owner == heavy else 1.0)
         for start, owner in before.items()
     }
     cluster.run_rounds(rounds=rounds, rates=rates)
-    after = {p.start: p.owner for p in cluster.pieces if p.start in before}
+    after = {
+        slice_.start: slice_.owner
+        for slice_ in cluster.slices
+        if slice_.start in before
+    }
     return any(after[start] != before[start] for start in after)
 
 
--- a/comfreywharf/placement/view.py
+++ b/comfreywharf/placement/view.py
@@ -46,7 +46,7 @@
     members: dict
     targets: dict[str, float]
     lost_s: dict[str, float]
-    pieces: list
+    slices: list
     weights: dict[int, float]
     loads: dict[str, float]
     hot_keys: dict[int, float]
@@ -85,10 +85,10 @@
         ]
         return max(shares, default=math.inf)
 
-    def slots_needed(self, piece):
+    def slots_needed(self, slice_):
         """Return how many slots a slice's load needs; infinite if unknown."""
-        service_s = self.service_s.get(piece.owner, 0.0)
-        return self.weights[piece.start] * service_s if service_s > 0 else math.inf
+        service_s = self.service_s.get(slice_.owner, 0.0)
+        return self.weights[slice_.start] * service_s if service_s > 0 else math.inf
 
     def least_loaded(self):
         """Return the target with the lowest relative load."""
@@ -96,20 +96,20 @@
             heappop(self._load_heap)
         return self._load_heap[0][1]
 
-    def owner(self, piece):
+    def owner(self, slice_):
         """Return a slice's owner with the planned moves applied."""
-        return self.planned_owners.get(piece.start, piece.owner)
+        return self.planned_owners.get(slice_.start, slice_.owner)
 
-    def standby(self, piece):
+    def standby(self, slice_):
         """Return a slice's standby with the planned changes applied."""
-        return self.planned_standbys.get(piece.start, piece.standby)
+        return self.planned_standbys.get(slice_.start, slice_.standby)
 
-    def move(self, piece, owner):
+    def move(self, slice_, owner):
         """Plan a new owner for a slice."""
-        weight = self.weights[piece.start]
-        self._add_load(self.owner(piece), -weight)
+        weight = self.weights[slice_.start]
+        self._add_load(self.owner(slice_), -weight)
         self._add_load(owner, weight)
-        self.planned_owners[piece.start] = owner
+        self.planned_owners[slice_.start] = owner
 
     def _add_load(self, node_id, weight):
         if node_id in self.loads:
@@ -117,28 +117,29 @@
         if node_id in self.targets:
             heappush(self._load_heap, (self.relative_load(node_id), node_id))
 
-    def set_standby(self, piece, standby):
+    def set_standby(self, slice_, standby):
         """Plan a new standby for a slice."""
-        if standby != self.standby(piece):
-            self.planned_standbys[piece.start] = standby
+        if standby != self.standby(slice_):
+            self.planned_standbys[slice_.start] = standby
 
     def moves(self):
         """Return the planned moves, those that change an owner first."""
         changed = [
-            (self.owner(piece) == piece.owner, piece)
-            for piece in self.pieces
-            if (self.owner(piece), self.standby(piece)) != (piece.owner, piece.standby)
+            (self.owner(slice_) == slice_.owner, slice_)
+            for slice_ in self.slices
+            if (self.owner(slice_), self.standby(slice_))
+            != (slice_.owner, slice_.standby)
         ]
         changed.sort(key=lambda entry: entry[0])
         return [
             SliceMove(
                 service=self.config.name,
-                start=piece.start,
-                base_epoch=piece.epoch,
-                owner=self.owner(piece),
-                standby=self.standby(piece),
+                start=slice_.start,
+                base_epoch=slice_.epoch,
+                owner=self.owner(slice_),
+                standby=self.standby(slice_),
             )
-            for _, piece in changed
+            for _, slice_ in changed
         ]
 
 
@@ -159,12 +160,12 @@
         for node_id, member in sorted(members.items())
         if node_id in live and not member.draining
     }
-    pieces = cluster.slices[name].slices
-    weights = _weights(pieces, table.rates.get(name, {}))
+    slices = cluster.slices[name].slices
+    weights = _weights(slices, table.rates.get(name, {}))
     loads = dict.fromkeys(members, 0.0)
-    for piece in pieces:
-        if piece.owner in loads:
-            loads[piece.owner] += weights[piece.start]
+    for slice_ in slices:
+        if slice_.owner in loads:
+            loads[slice_.owner] += weights[slice_.start]
     return ServiceView(
         config=cluster.config.services[name],
         members=members,
@@ -174,7 +175,7 @@
             for node_id, member in members.items()
             if node_id not in live
         },
-        pieces=pieces,
+        slices=slices,
         weights=weights,
         loads=loads,
         hot_keys=table.hot_keys(name, now_s),
@@ -214,12 +215,14 @@
     }
 
 
-def _weights(pieces, rates):
+def _weights(slices, rates):
     """Return the weight of each slice by its start.
 
     A slice without a reported rate gets the mean rate.
     """
-    known = [rates[piece.start] for piece in pieces if piece.start in rates]
+    known = [rates[slice_.start] for slice_ in slices if slice_.start in rates]
     mean = sum(known) / len(known) if known else 0.0
     min_weight = MIN_WEIGHT_SHARE * mean if mean > IDLE_PER_S else 1.0
-    return {piece.start: rates.get(piece.start, mean) + min_weight for piece in pieces}
+    return {
+        slice_.start: rates.get(slice_.start, mean) + min_weight for slice_ in slices
+    }
--- a/comfreywharf/records/fold.py
+++ b/comfreywharf/records/fold.py
@@ -203,22 +203,22 @@
 
 
 def _apply_move(state, offset, move):
-    piece = _find_slice(state, move.service, move.start)
-    if piece is None or piece.epoch != move.base_epoch:
+    slice_ = _find_slice(state, move.service, move.start)
+    if slice_ is None or slice_.epoch != move.base_epoch:
         return False
     if move.owner not in state.members:
         return False
-    changes_owner = move.owner != piece.owner
+    changes_owner = move.owner != slice_.owner
     # While the release of a slice is awaited, two nodes may consider themselves
     # its owner. A second move would make it three, and the releases of the
     # first and the second owner could no longer be distinguished.
-    if piece.previous and changes_owner:
+    if slice_.previous and changes_owner:
         return False
-    previous = piece.owner if changes_owner else piece.previous
+    previous = slice_.owner if changes_owner else slice_.previous
     moved = attrs.evolve(
-        piece, owner=move.owner, standby=move.standby, epoch=offset, previous=previous
+        slice_, owner=move.owner, standby=move.standby, epoch=offset, previous=previous
     )
-    _replace_slice(state, offset, move.service, piece, moved)
+    _replace_slice(state, offset, move.service, slice_, moved)
     return True
 
 
@@ -240,57 +240,57 @@
 
 
 def _apply_take(state, offset, record, take):
-    piece = _find_slice(state, take.service, take.start)
-    if piece is None or piece.epoch != take.base_epoch:
+    slice_ = _find_slice(state, take.service, take.start)
+    if slice_ is None or slice_.epoch != take.base_epoch:
         return False
-    if piece.owner != record.owner_id or piece.standby != record.taker_id:
+    if slice_.owner != record.owner_id or slice_.standby != record.taker_id:
         return False
     taken = attrs.evolve(
-        piece,
+        slice_,
         owner=record.taker_id,
         standby=take.standby,
         epoch=offset,
-        previous=_awaited_after_take(piece, record.taker_id),
+        previous=_awaited_after_take(slice_, record.taker_id),
     )
-    _replace_slice(state, offset, take.service, piece, taken)
+    _replace_slice(state, offset, take.service, slice_, taken)
     return True
 
 
-def _awaited_after_take(piece, taker_id):
+def _awaited_after_take(slice_, taker_id):
     """Return the node whose release the taker of a slice still has to await.
 
     A standby may take over from a new owner that never received the release of
     the earlier owner. The earlier owner may still be serving; if it were dropped
     here, two nodes would serve the slice.
     """
-    return "" if piece.previous == taker_id else piece.previous
+    return "" if slice_.previous == taker_id else slice_.previous
 
 
 @_apply.register
 def _(record: messages.MoveCompleted, state, offset):
-    piece = _find_slice(state, record.service, record.start)
-    if piece is None:
+    slice_ = _find_slice(state, record.service, record.start)
+    if slice_ is None:
         return _refuse(Refusal.UNKNOWN_SLICE)
-    if piece.epoch != record.epoch or not piece.previous:
+    if slice_.epoch != record.epoch or not slice_.previous:
         return _refuse(Refusal.STALE_EPOCH)
     # The epoch stays the same, and so does the fence, since the owner already
     # serves under it.
-    done = attrs.evolve(piece, previous="")
-    _replace_slice(state, offset, record.service, piece, done)
+    done = attrs.evolve(slice_, previous="")
+    _replace_slice(state, offset, record.service, slice_, done)
     return FoldResult(accepted=True, changed=((record.service, record.start),))
 
 
 @_apply.register
 def _(record: messages.SliceSplit, state, offset):
-    piece = _find_slice(state, record.service, record.start)
-    if piece is None:
+    slice_ = _find_slice(state, record.service, record.start)
+    if slice_ is None:
         return _refuse(Refusal.UNKNOWN_SLICE)
-    if piece.epoch != record.base_epoch:
+    if slice_.epoch != record.base_epoch:
         return _refuse(Refusal.STALE_EPOCH)
-    if piece.previous or not piece.start < record.at < piece.end:
+    if slice_.previous or not slice_.start < record.at < slice_.end:
         return _refuse(Refusal.NOT_ALLOWED)
     state.slices[record.service].split(record.start, record.at, offset)
-    _set_portfolio_epochs(state, offset, piece)
+    _set_portfolio_epochs(state, offset, slice_)
     return FoldResult(
         accepted=True,
         changed=((record.service, record.start), (record.service, record.at)),
@@ -299,18 +299,18 @@
 
 @_apply.register
 def _(record: messages.SlicesMerged, state, offset):
-    piece = _find_slice(state, record.service, record.start)
-    if piece is None or piece.end == KEY_SPACE:
+    slice_ = _find_slice(state, record.service, record.start)
+    if slice_ is None or slice_.end == KEY_SPACE:
         return _refuse(Refusal.UNKNOWN_SLICE)
     right = state.slices[record.service].next_after(record.start)
-    if (piece.epoch, right.epoch) != (record.base_epoch, record.next_base_epoch):
+    if (slice_.epoch, right.epoch) != (record.base_epoch, record.next_base_epoch):
         return _refuse(Refusal.STALE_EPOCH)
-    if (piece.owner, piece.standby) != (right.owner, right.standby):
+    if (slice_.owner, slice_.standby) != (right.owner, right.standby):
         return _refuse(Refusal.NOT_ALLOWED)
-    if piece.previous or right.previous:
+    if slice_.previous or right.previous:
         return _refuse(Refusal.NOT_ALLOWED)
     state.slices[record.service].merge(record.start, offset)
-    _set_portfolio_epochs(state, offset, piece)
+    _set_portfolio_epochs(state, offset, slice_)
     return FoldResult(accepted=True, changed=((record.service, record.start),))
 
 
@@ -332,8 +332,11 @@
         return _refuse(Refusal.STALE_INCARNATION)
     # A node that still owns keys can't be removed: the lease that has to expire
     # before the next owner may serve would then be unknown.
-    for pieces in state.slices.values():
-        if any(record.node_id in (p.owner, p.previous) for p in pieces.slices):
+    for slice_map in state.slices.values():
+        if any(
+            record.node_id in (slice_.owner, slice_.previous)
+            for slice_ in slice_map.slices
+        ):
             return _refuse(Refusal.NOT_ALLOWED)
     del state.members[record.node_id]
     return _ACCEPTED
@@ -359,8 +362,8 @@
 
 
 def _find_slice(state, service, start):
-    pieces = state.slices.get(service)
-    return pieces.at_start(start) if pieces else None
+    slice_map = state.slices.get(service)
+    return slice_map.at_start(start) if slice_map else None
 
 
 def _replace_slice(state, offset, service, earlier, later):
@@ -369,9 +372,9 @@
     _set_portfolio_epochs(state, offset, later)
 
 
-def _set_portfolio_epochs(state, offset, piece):
+def _set_portfolio_epochs(state, offset, slice_):
     """Set the portfolio epoch of a slice's owner, standby and previous owner."""
-    for node_id in {piece.owner, piece.standby, piece.previous}:
+    for node_id in {slice_.owner, slice_.standby, slice_.previous}:
         member = state.members.get(node_id)
         if member is not None:
             state.members[node_id] = attrs.evolve(member, portfolio_epoch=offset)
--- a/comfreywharf/records/slices.py
+++ b/comfreywharf/records/slices.py
@@ -99,7 +99,7 @@
 
     def index(self):
         """Rebuild the index of starts after ``slices`` was filled."""
-        self._starts = [piece.start for piece in self.slices]
+        self._starts = [slice_.start for slice_ in self.slices]
 
     @classmethod
     def divide(cls, count, epoch):
@@ -123,9 +123,9 @@
             return None
         return self.slices[index]
 
-    def replace(self, piece):
+    def replace(self, slice_):
         """Replace the slice that has the same start."""
-        self.slices[self._index(piece.start)] = piece
+        self.slices[self._index(slice_.start)] = slice_
 
     def split(self, start, at, epoch):
         """Split the slice at ``start``; both parts keep its owner and standby."""
--- a/comfreywharf/records/snapshots.py
+++ b/comfreywharf/records/snapshots.py
@@ -184,8 +184,8 @@
     for config in state.config_history:
         yield "history", [config]
     yield from _in_chunks("members", list(state.members.values()))
-    for name, pieces in state.slices.items():
-        yield from _in_chunks(f"slices {name}", pieces.slices)
+    for name, slice_map in state.slices.items():
+        yield from _in_chunks(f"slices {name}", slice_map.slices)
     yield from _in_chunks("outcomes", list(state.outcomes.items()))
 
 
@@ -218,8 +218,8 @@
         ValueError,
     ):
         return None
-    for pieces in state.slices.values():
-        pieces.index()
+    for slice_map in state.slices.values():
+        slice_map.index()
     return state
 
 
@@ -233,8 +233,8 @@
             state.members[member.node_id] = member
     elif kind.startswith("slices "):
         name = kind.removeprefix("slices ")
-        pieces = state.slices.setdefault(name, SliceMap([]))
-        pieces.slices += converter.structure(items, list[Slice])
+        slice_map = state.slices.setdefault(name, SliceMap([]))
+        slice_map.slices += converter.structure(items, list[Slice])
     elif kind == "outcomes":
         for record_id, outcome in items:
             state.outcomes[record_id] = converter.structure(outcome, FoldOutcome)
--- a/comfreywharf/records/state.py
+++ b/comfreywharf/records/state.py
@@ -104,33 +104,34 @@
         copied.config_history = list(self.config_history)
         copied.members = dict(self.members)
         copied.slices = {
-            name: SliceMap(list(pieces.slices)) for name, pieces in self.slices.items()
+            name: SliceMap(list(slice_map.slices))
+            for name, slice_map in self.slices.items()
         }
         copied.outcomes = OrderedDict(self.outcomes)
         return copied
 
     def slice_at(self, service, value):
         """Return the slice of a service that contains a hash, or ``None``."""
-        pieces = self.slices.get(service)
-        return pieces.at_hash(value) if pieces else None
+        slice_map = self.slices.get(service)
+        return slice_map.at_hash(value) if slice_map else None
 
     def owned_by(self, node_id):
         """Yield ``(service, slice)`` for each slice that a node owns."""
-        for service, pieces in self.slices.items():
-            for piece in pieces.slices:
-                if piece.owner == node_id:
-                    yield service, piece
+        for service, slice_map in self.slices.items():
+            for slice_ in slice_map.slices:
+                if slice_.owner == node_id:
+                    yield service, slice_
 
-    def fence(self, piece):
+    def fence(self, slice_):
         """Return the fence of a slice's owner, which never decreases.
 
         Offsets are doubled so that a standby that takes over while the log is
         unavailable has a fence of its own (`takeover_fence`), above the owner's
         and below that of any later record.
         """
-        return 2 * max(piece.epoch, self._lease_epoch(piece.owner))
+        return 2 * max(slice_.epoch, self._lease_epoch(slice_.owner))
 
-    def takeover_fence(self, piece):
+    def takeover_fence(self, slice_):
         """Return the fence of the standby that took a slice over.
 
         It increases with the standby's own lease, which is reacquired after each loss
@@ -139,8 +140,8 @@
         the same fence as the lost one, and late orders to the lost server could not
         be distinguished from orders to the next one.
         """
-        own = 2 * self._lease_epoch(piece.standby)
-        return max(self.fence(piece), own) + 1
+        own = 2 * self._lease_epoch(slice_.standby)
+        return max(self.fence(slice_), own) + 1
 
     def _lease_epoch(self, node_id):
         member = self.members.get(node_id)
--- a/comfreywharf/records/tests/builders.py
+++ b/comfreywharf/records/tests/builders.py
@@ -93,13 +93,13 @@
     return rng.choice(NODES)
 
 
-def _piece(rng, state):
+def _random_slice(rng, state):
     """Return a service and one of its slices, or ``None`` if it has no slices."""
     service = rng.choice(SERVICES)
-    pieces = state.slices.get(service)
-    if pieces is None:
+    slice_map = state.slices.get(service)
+    if slice_map is None:
         return service, None
-    return service, rng.choice(pieces.slices)
+    return service, rng.choice(slice_map.slices)
 
 
 def _incarnation(rng, state, node_id):
@@ -145,11 +145,11 @@
 
 
 def _move(rng, state, record_id):
-    service, piece = _piece(rng, state)
+    service, slice_ = _random_slice(rng, state)
     move = SliceMove(
         service=service,
-        start=piece.start if piece else 0,
-        base_epoch=_maybe_stale(rng, piece.epoch if piece else 0),
+        start=slice_.start if slice_ else 0,
+        base_epoch=_maybe_stale(rng, slice_.epoch if slice_ else 0),
         owner=_node(rng),
         standby=_node(rng),
     )
@@ -158,53 +158,53 @@
 
 
 def _take(rng, state, record_id):
-    service, piece = _piece(rng, state)
-    owner = piece.owner if piece else "a"
+    service, slice_ = _random_slice(rng, state)
+    owner = slice_.owner if slice_ else "a"
     member = state.members.get(owner)
     take = SliceTake(
         service=service,
-        start=piece.start if piece else 0,
-        base_epoch=_maybe_stale(rng, piece.epoch if piece else 0),
+        start=slice_.start if slice_ else 0,
+        base_epoch=_maybe_stale(rng, slice_.epoch if slice_ else 0),
     )
     return SlicesTaken(
         record_id=record_id,
         owner_id=owner,
         lease_epoch=_maybe_stale(rng, member.lease_epoch if member else -1),
-        taker_id=piece.standby if piece else "b",
+        taker_id=slice_.standby if slice_ else "b",
         taker_incarnation=1,
         slices=(take,),
     )
 
 
 def _complete(rng, state, record_id):
-    service, piece = _piece(rng, state)
+    service, slice_ = _random_slice(rng, state)
     return MoveCompleted(
         record_id=record_id,
         service=service,
-        start=piece.start if piece else 0,
-        epoch=_maybe_stale(rng, piece.epoch if piece else 0),
+        start=slice_.start if slice_ else 0,
+        epoch=_maybe_stale(rng, slice_.epoch if slice_ else 0),
     )
 
 
 def _split(rng, state, record_id):
-    service, piece = _piece(rng, state)
+    service, slice_ = _random_slice(rng, state)
     return SliceSplit(
         record_id=record_id,
         service=service,
-        start=piece.start if piece else 0,
-        base_epoch=_maybe_stale(rng, piece.epoch if piece else 0),
+        start=slice_.start if slice_ else 0,
+        base_epoch=_maybe_stale(rng, slice_.epoch if slice_ else 0),
         at=rng.randint(0, KEY_SPACE),
     )
 
 
 def _merge(rng, state, record_id):
-    service, piece = _piece(rng, state)
-    right = state.slices[service].next_after(piece.start) if piece else None
+    service, slice_ = _random_slice(rng, state)
+    right = state.slices[service].next_after(slice_.start) if slice_ else None
     return SlicesMerged(
         record_id=record_id,
         service=service,
-        start=piece.start if piece else 0,
-        base_epoch=_maybe_stale(rng, piece.epoch if piece else 0),
+        start=slice_.start if slice_ else 0,
+        base_epoch=_maybe_stale(rng, slice_.epoch if slice_ else 0),
         next_base_epoch=right.epoch if right else 0,
     )
 
--- a/comfreywharf/records/tests/test_fences.py
+++ b/comfreywharf/records/tests/test_fences.py
@@ -3,7 +3,7 @@
 from comfreywharf.records import ClusterState, Slice
 from comfreywharf.records.tests.builders import make_member
 
-PIECE = Slice(start=0, end=10, owner="owner", standby="standby", epoch=5)
+SLICE = Slice(start=0, end=10, owner="owner", standby="standby", epoch=5)
 
 
 def takeover_fence(owner_lease, standby_lease):
@@ -11,7 +11,7 @@
         "owner": make_member("owner", lease_epoch=owner_lease),
         "standby": make_member("standby", lease_epoch=standby_lease),
     }
-    return ClusterState(members=members).takeover_fence(PIECE)
+    return ClusterState(members=members).takeover_fence(SLICE)
 
 
 def test_a_standby_takes_over_under_a_higher_fence_after_each_loss_of_its_server():
--- a/comfreywharf/records/tests/test_number_keys.py
+++ b/comfreywharf/records/tests/test_number_keys.py
@@ -17,8 +17,8 @@
 @given(st.integers(1, 300), NUMBERS)
 def test_each_number_is_in_the_range_of_its_slice(count, number):
     """A grant of a slice's range covers exactly the keys that are routed to it."""
-    piece = SliceMap.divide(count, 0).at_hash(key_hash(number_key(number)))
-    first, last = numbers_in(piece.start, piece.end)
+    slice_ = SliceMap.divide(count, 0).at_hash(key_hash(number_key(number)))
+    first, last = numbers_in(slice_.start, slice_.end)
     assert first <= number <= last
 
 
--- a/comfreywharf_dev/bench/list_cost.py
+++ b/comfreywharf_dev/bench/list_cost.py
@@ -75,6 +75,6 @@
     served = []
     for index in range(size):
         start, end = range_of_numbers(index * WIDTH, (index + 1) * WIDTH - 1)
-        piece = Slice(start=start, end=end, owner="a")
-        served.append(("booking", piece, 10 + index % fences, until_s))
+        slice_ = Slice(start=start, end=end, owner="a")
+        served.append(("booking", slice_, 10 + index % fences, until_s))
     return Serving(served=tuple(served), pending=(), lease_until_s=until_s)
--- a/comfreywharf_dev/bench/placement_cost.py
+++ b/comfreywharf_dev/bench/placement_cost.py
@@ -156,8 +156,8 @@
     """Return a planner's state that has a reported rate for each slice."""
     state = PlanningState.begin(0.0)
     owned = {}
-    for _, piece in _pieces(cluster):
-        owned.setdefault(piece.owner, []).append(piece.start)
+    for _, slice_ in _slices(cluster):
+        owned.setdefault(slice_.owner, []).append(slice_.start)
     for node_id, starts in owned.items():
         rates = tuple(
             SliceRate(service=SERVICE, start=start, requests_per_s=RATE_PER_S)
@@ -168,8 +168,8 @@
     return state
 
 
-def _pieces(cluster):
-    return [(SERVICE, piece) for piece in cluster.slices[SERVICE].slices]
+def _slices(cluster):
+    return [(SERVICE, slice_) for slice_ in cluster.slices[SERVICE].slices]
 
 
 def _round_s(state, cluster):
--- a/comfreywharf_dev/bench/placement_replay.py
+++ b/comfreywharf_dev/bench/placement_replay.py
@@ -238,23 +238,23 @@
                 )
 
     @property
-    def _pieces(self):
+    def _slices(self):
         return self.cluster.slices[self.trace.deployment.service.name].slices
 
     def _take_over(self):
         taken = defaultdict(list)
-        for piece in self._pieces:
-            if piece.owner and piece.owner not in self._meters:
-                if piece.standby in self._meters:
-                    self._tally.lost(TAKEOVER_S, self._share(piece))
-                    taken[piece.owner, piece.standby].append(piece)
+        for slice_ in self._slices:
+            if slice_.owner and slice_.owner not in self._meters:
+                if slice_.standby in self._meters:
+                    self._tally.lost(TAKEOVER_S, self._share(slice_))
+                    taken[slice_.owner, slice_.standby].append(slice_)
                 else:
-                    self._tally.lost(self._step_s, self._share(piece))
-        for (owner, taker), pieces in taken.items():
-            self._append_takes(owner, taker, pieces)
+                    self._tally.lost(self._step_s, self._share(slice_))
+        for (owner, taker), slices in taken.items():
+            self._append_takes(owner, taker, slices)
 
-    def _append_takes(self, owner, taker, pieces):
-        self._tally.takeovers += len(pieces)
+    def _append_takes(self, owner, taker, slices):
+        self._tally.takeovers += len(slices)
         event = TakeoverFolded(owner_id=owner)
         planning.decide(self._planning, event, self._now_s)
         self._append(
@@ -267,23 +267,23 @@
                 slices=tuple(
                     SliceTake(
                         service=self.trace.deployment.service.name,
-                        start=piece.start,
-                        base_epoch=piece.epoch,
+                        start=slice_.start,
+                        base_epoch=slice_.epoch,
                     )
-                    for piece in pieces
+                    for slice_ in slices
                 ),
             )
         )
 
     def _complete_moves(self):
-        for piece in list(self._pieces):
-            if piece.previous:
+        for slice_ in list(self._slices):
+            if slice_.previous:
                 self._append(
                     MoveCompleted(
                         record_id=self._record_id(),
                         service=self.trace.deployment.service.name,
-                        start=piece.start,
-                        epoch=piece.epoch,
+                        start=slice_.start,
+                        epoch=slice_.epoch,
                     )
                 )
 
@@ -291,26 +291,26 @@
 
     def _slice_rates(self):
         """Return the requests per second of each slice, by its start."""
-        starts = np.array([piece.start for piece in self._pieces], dtype=np.int64)
+        starts = np.array([slice_.start for slice_ in self._slices], dtype=np.int64)
         places = np.searchsorted(starts, self.trace.positions, side="right") - 1
         sums = np.bincount(places, weights=self._key_rates, minlength=len(starts))
         return dict(zip(starts.tolist(), sums.tolist(), strict=True))
 
-    def _share(self, piece):
-        return self._rates[piece.start] / sum(self._rates.values())
+    def _share(self, slice_):
+        return self._rates[slice_.start] / sum(self._rates.values())
 
     def _send_reports(self):
         service = self.trace.deployment.service.name
         owned = defaultdict(list)
-        for piece in self._pieces:
-            owned[piece.owner].append((service, piece))
+        for slice_ in self._slices:
+            owned[slice_.owner].append((service, slice_))
         hot = self._hot_keys()
         interval_s = report_interval_s(len(self.cluster.members))
         for node_id, meter in self._meters.items():
             meter.set_owned(owned[node_id])
-            for _, piece in owned[node_id]:
-                expected = self._rates[piece.start] * self._step_s
-                meter.count(service, piece.start, self._rng.poisson(expected))
+            for _, slice_ in owned[node_id]:
+                expected = self._rates[slice_.start] * self._step_s
+                meter.count(service, slice_.start, self._rng.poisson(expected))
             if self._now_s >= self._next_report_s[node_id]:
                 self._next_report_s[node_id] = self._now_s + interval_s
                 self._send(node_id, meter, hot.get(node_id, ()))
@@ -352,19 +352,19 @@
             self._append(record)
 
     def _count_moves(self, record):
-        pieces = self.cluster.slices[self.trace.deployment.service.name]
+        slice_map = self.cluster.slices[self.trace.deployment.service.name]
         for move in record.moves:
-            piece = pieces.at_start(move.start)
-            if piece.owner and piece.owner != move.owner:
-                self._tally.moved(self._now_s, self._share(piece))
+            slice_ = slice_map.at_start(move.start)
+            if slice_.owner and slice_.owner != move.owner:
+                self._tally.moved(self._now_s, self._share(slice_))
 
     def _measure(self):
         rates = self._slice_rates()
         members = self.cluster.members
         loads = {n: 0.0 for n in self._meters if not members[n].draining}
-        for piece in self._pieces:
-            if piece.owner in loads:
-                loads[piece.owner] += rates[piece.start]
+        for slice_ in self._slices:
+            if slice_.owner in loads:
+                loads[slice_.owner] += rates[slice_.start]
         cold = {n for n in loads if self._now_s - self._started_s[n] < COLD_S}
         self._tally.step(self._now_s, self._step_s, loads, cold)
-        self._tally.max_slices = max(self._tally.max_slices, len(self._pieces))
+        self._tally.max_slices = max(self._tally.max_slices, len(self._slices))
--- a/comfreywharf_dev/bench/planned_stop.py
+++ b/comfreywharf_dev/bench/planned_stop.py
@@ -125,8 +125,8 @@
     observer = next(one for one in cluster.plans if one != node_id)
 
     def owns():
-        pieces = cluster.state(observer)["slices"]["booking"]["slices"]
-        return any(piece["owner"] == node_id for piece in pieces)
+        slices = cluster.state(observer)["slices"]["booking"]["slices"]
+        return any(slice_["owner"] == node_id for slice_ in slices)
 
     try:
         wait_until(owns, TIMEOUT_S / 3)
--- a/comfreywharf_dev/bench/snapshots.py
+++ b/comfreywharf_dev/bench/snapshots.py
@@ -40,16 +40,16 @@
     began_s = time.perf_counter()
     copied = state.copy()
     steps_s = [time.perf_counter() - began_s]
-    pieces = []
+    encoded = []
     sections = encode_sections(copied)
     while True:
         step_began_s = time.perf_counter()
-        piece = next(sections, None)
-        if piece is None:
+        section = next(sections, None)
+        if section is None:
             break
-        pieces.append(piece)
+        encoded.append(section)
         steps_s.append(time.perf_counter() - step_began_s)
-    parts = make_parts(b"".join(pieces), "bench", state.next_offset)
+    parts = make_parts(b"".join(encoded), "bench", state.next_offset)
     encoded_s = time.perf_counter() - began_s
     began_s = time.perf_counter()
     assembler = SnapshotAssembler()
@@ -95,17 +95,17 @@
         attrs.evolve(state.config, version=version) for version in range(VERSIONS)
     ]
     for name in services:
-        pieces = SliceMap.divide(SLICES, 10)
-        pieces.slices = [
+        slice_map = SliceMap.divide(SLICES, 10)
+        slice_map.slices = [
             attrs.evolve(
-                piece,
+                slice_,
                 owner=rng.choice(names),
                 standby=rng.choice(names),
                 epoch=rng.randrange(50_000),
             )
-            for piece in pieces.slices
+            for slice_ in slice_map.slices
         ]
-        state.slices[name] = pieces
+        state.slices[name] = slice_map
     for number in range(OUTCOMES):
         record_id = f"{rng.getrandbits(128):032x}"
         state.outcomes[record_id] = FoldOutcome(offset=40_000 + number, accepted=True)
--- a/comfreywharf_dev/bench/state_size.py
+++ b/comfreywharf_dev/bench/state_size.py
@@ -117,12 +117,12 @@
     return [
         SliceMove(
             service=SERVICE,
-            start=piece.start,
-            base_epoch=piece.epoch,
+            start=slice_.start,
+            base_epoch=slice_.epoch,
             owner=members[index % len(members)],
             standby=members[(index + 1) % len(members)],
         )
-        for index, piece in enumerate(state.slices[SERVICE].slices)
+        for index, slice_ in enumerate(state.slices[SERVICE].slices)
     ]
 
 
@@ -249,9 +249,9 @@
 
 def _reports(state):
     owned = {node_id: [] for node_id in state.members}
-    for piece in state.slices[SERVICE].slices:
-        rate = SliceRate(service=SERVICE, start=piece.start, requests_per_s=700.0)
-        owned[piece.owner].append(rate)
+    for slice_ in state.slices[SERVICE].slices:
+        rate = SliceRate(service=SERVICE, start=slice_.start, requests_per_s=700.0)
+        owned[slice_.owner].append(rate)
     return [
         NodeReport(node_id=node_id, incarnation=1, slices=tuple(rates))
         for node_id, rates in owned.items()
--- a/comfreywharf_dev/bench/takeover.py
+++ b/comfreywharf_dev/bench/takeover.py
@@ -134,8 +134,8 @@
     """Wait until a restarted node owns a slice, or for a third of `TIMEOUT_S`."""
 
     def owns():
-        pieces = cluster.state(observer)["slices"]["booking"]["slices"]
-        return any(piece["owner"] == node_id for piece in pieces)
+        slices = cluster.state(observer)["slices"]["booking"]["slices"]
+        return any(slice_["owner"] == node_id for slice_ in slices)
 
     try:
         wait_until(owns, TIMEOUT_S / 3)
--- a/comfreywharf_dev/failures/tests/builders.py
+++ b/comfreywharf_dev/failures/tests/builders.py
@@ -127,8 +127,8 @@
 
 def owns_any_slice(cluster, seen_by, node_id):
     """Return whether a node owns any slice in the state of the node ``seen_by``."""
-    pieces = cluster.state(seen_by)["slices"]["booking"]["slices"]
-    return any(piece["owner"] == node_id for piece in pieces)
+    slices = cluster.state(seen_by)["slices"]["booking"]["slices"]
+    return any(slice_["owner"] == node_id for slice_ in slices)
 
 
 class BackgroundCall:
--- a/comfreywharf_dev/standins/cluster.py
+++ b/comfreywharf_dev/standins/cluster.py
@@ -383,9 +383,9 @@
         Raises `KeyError` if no slice contains it.
         """
         value = key_hash(key.encode())
-        for piece in self.state(seen_by)["slices"][service]["slices"]:
-            if piece["start"] <= value < piece["end"]:
-                return piece
+        for slice_ in self.state(seen_by)["slices"][service]["slices"]:
+            if slice_["start"] <= value < slice_["end"]:
+                return slice_
         raise KeyError(key)
 
     def wait_owned(self, service, timeout_s=START_TIMEOUT_S):
@@ -421,8 +421,8 @@
 
     def _all_standbys_ready(self, service):
         running = self._running_node_ids()
-        pieces = self.state(running[0])["slices"][service]["slices"]
-        return all(piece["standby"] for piece in pieces) and all(
+        slices = self.state(running[0])["slices"][service]["slices"]
+        return all(slice_["standby"] for slice_ in slices) and all(
             self.status(node_id)["lease"] == "held" for node_id in running
         )
 
@@ -443,8 +443,10 @@
 
     def _all_owned(self, service):
         for node_id in self.plans:
-            pieces = self.state(node_id)["slices"].get(service)
-            if not pieces or not all(piece["owner"] for piece in pieces["slices"]):
+            slice_map = self.state(node_id)["slices"].get(service)
+            if not slice_map or not all(
+                slice_["owner"] for slice_ in slice_map["slices"]
+            ):
                 return False
         return True
 
--- a/comfreywharf_dev/standins/tests/test_planner.py
+++ b/comfreywharf_dev/standins/tests/test_planner.py
@@ -15,8 +15,8 @@
 def owners(cluster, seen_by):
     """Return how many slices of the booking service each node owns."""
     counts = {}
-    for piece in cluster.state(seen_by)["slices"]["booking"]["slices"]:
-        counts[piece["owner"]] = counts.get(piece["owner"], 0) + 1
+    for slice_ in cluster.state(seen_by)["slices"]["booking"]["slices"]:
+        counts[slice_["owner"]] = counts.get(slice_["owner"], 0) + 1
     return counts
 
 
@@ -61,5 +61,5 @@
 
 def slices_with_standby(cluster, seen_by, node_id):
     """Return the slices whose standby is a node."""
-    pieces = cluster.state(seen_by)["slices"]["booking"]["slices"]
-    return [piece for piece in pieces if piece["standby"] == node_id]
+    slices = cluster.state(seen_by)["slices"]["booking"]["slices"]
+    return [slice_ for slice_ in slices if slice_["standby"] == node_id]
