--- a/comfreywharf/daemon/ownership/lease_calls.py
+++ b/comfreywharf/daemon/ownership/lease_calls.py
@@ -80,7 +80,7 @@
         answers, more = node.memory.export_answers(
             service, slice_.start, slice_.end, request.skip, now_s
         )
-        since_s = node.leases.table.vouched_since_s(service, start)
+        since_s = node.leases.table.memory_complete_since_s(service, start)
         if not more:
             node.report("slice_released", service=service, start=start)
         return ReleaseReply(
--- a/comfreywharf/daemon/requests/forwarder.py
+++ b/comfreywharf/daemon/requests/forwarder.py
@@ -120,7 +120,7 @@
             key,
             mark=resend_mark(request, body),
             first_sent_s=self._first_sent_s(request, now_s),
-            vouched_since_s=right.vouched_since_s,
+            memory_complete_since_s=right.memory_complete_since_s,
             now_s=now_s,
         )
         if found.begin_status == BeginStatus.FIRST:
--- a/comfreywharf/ownership/table.py
+++ b/comfreywharf/ownership/table.py
@@ -18,10 +18,10 @@
 
     A permission has a fence and a deadline. ``deadline_s`` is on this machine's
     monotonic clock, which the local backend server shares. The node keeps a memory of
-    request ids so that no request runs twice; ``vouched_since_s`` says since when it is
-    complete for this key. An earlier request may have run on another node without a
-    trace in this memory. ``covered`` is false if a taker
-    wouldn't wait until the deadline; such a request must not be forwarded before the
+    request ids so that no request runs twice; ``memory_complete_since_s`` says since
+    when it is complete for this key. An earlier request may have run on another node
+    without a trace in this memory. ``covered`` is false if a taker wouldn't wait
+    until the deadline; such a request must not be forwarded before the
     witnesses have received its deadline.
     """
 
@@ -32,7 +32,7 @@
     slice_start: int = -1
     fence: int = -1
     deadline_s: float = 0.0
-    vouched_since_s: float = ALWAYS_S
+    memory_complete_since_s: float = ALWAYS_S
     covered: bool = True
     ticket: int = 0
 
@@ -83,7 +83,7 @@
         self.claims = {}
         self._released = set()
         self._unreleased = {}
-        self._vouched_since_s = {}
+        self._memory_complete_since_s = {}
         self._newest_slice_epoch = -1
         self._last_fences = {}
 
@@ -106,7 +106,9 @@
             slice_start=slice_.start,
             fence=basis.fence,
             deadline_s=deadline_s,
-            vouched_since_s=self._vouched_since_s.get((service, slice_.start), now_s),
+            memory_complete_since_s=self._memory_complete_since_s.get(
+                (service, slice_.start), now_s
+            ),
             covered=self.fenced or deadline_s <= covered_until_s,
         )
 
@@ -246,11 +248,11 @@
         """
         slice_id = (service, after.start)
         if before is None:
-            self._vouched_since_s[slice_id] = now_s
+            self._memory_complete_since_s[slice_id] = now_s
         elif not before.owner and self.holder.owns(now_s):
-            self._vouched_since_s[slice_id] = ALWAYS_S
+            self._memory_complete_since_s[slice_id] = ALWAYS_S
         elif not self._has_claim_on(service, before):
-            self._vouched_since_s[slice_id] = now_s
+            self._memory_complete_since_s[slice_id] = now_s
 
     def _has_claim_on(self, service, slice_):
         """Return whether a slice is in the share of a claim of this node."""
@@ -260,17 +262,17 @@
 
     def slice_split(self, service, start, at):
         """Copy the state of the memory to the second part of a split slice."""
-        since_s = self._vouched_since_s.get((service, start))
+        since_s = self._memory_complete_since_s.get((service, start))
         if since_s is not None:
-            self._vouched_since_s[(service, at)] = since_s
+            self._memory_complete_since_s[(service, at)] = since_s
 
     def slices_merged(self, service, start, next_start):
         """Count the memory of a merged slice from the later of its parts' starts."""
         self._last_fences.pop((service, next_start), None)
-        since_s = self._vouched_since_s.pop((service, next_start), ALWAYS_S)
-        if (service, start) in self._vouched_since_s:
-            kept_s = self._vouched_since_s[(service, start)]
-            self._vouched_since_s[(service, start)] = max(kept_s, since_s)
+        since_s = self._memory_complete_since_s.pop((service, next_start), ALWAYS_S)
+        if (service, start) in self._memory_complete_since_s:
+            kept_s = self._memory_complete_since_s[(service, start)]
+            self._memory_complete_since_s[(service, start)] = max(kept_s, since_s)
 
     def lease_began(self, state, now_s):
         """Register a new lease, before which another node may have held it.
@@ -280,20 +282,22 @@
         """
         self._unreleased.clear()
         self._last_fences.clear()
-        self._vouched_since_s.clear()
+        self._memory_complete_since_s.clear()
         for service, slice_ in state.owned_by(self._node_id):
-            self._vouched_since_s[(service, slice_.start)] = now_s
+            self._memory_complete_since_s[(service, slice_.start)] = now_s
             self._newest_slice_epoch = max(self._newest_slice_epoch, slice_.epoch)
 
     def claim_gained(self, claim, now_s):
         """Register that a claim gave this node a share."""
         for key in claim.share:
-            self._vouched_since_s[(key.service, key.start)] = now_s
+            self._memory_complete_since_s[(key.service, key.start)] = now_s
 
-    def release_received(self, key, vouched_since_s):
+    def release_received(self, key, memory_complete_since_s):
         """Register a release, and since when the earlier owner's memory is complete."""
         self._released.add(key)
-        self._vouched_since_s[(key.service, key.start)] = vouched_since_s
+        self._memory_complete_since_s[(key.service, key.start)] = (
+            memory_complete_since_s
+        )
 
     def awaited_releases(self, state, now_s):
         """Yield ``(key, slice)`` for each slice whose release has to be requested."""
@@ -331,6 +335,6 @@
         """Accept no further requests for a slice that the new owner has requested."""
         self._unreleased.pop((service, start), None)
 
-    def vouched_since_s(self, service, start):
+    def memory_complete_since_s(self, service, start):
         """Return since when the memory of a slice is complete; ``None`` if it isn't."""
-        return self._vouched_since_s.get((service, start))
+        return self._memory_complete_since_s.get((service, start))
--- a/comfreywharf/ownership/tests/test_restarted_memory.py
+++ b/comfreywharf/ownership/tests/test_restarted_memory.py
@@ -21,4 +21,4 @@
     start = world.folded_log().slice_at(SERVICE, key_hash(KEY)).start
     node.restart()
     node.fold_some(len(world.log))
-    assert node.agent.table.vouched_since_s(SERVICE, start) > ALWAYS_S
+    assert node.agent.table.memory_complete_since_s(SERVICE, start) > ALWAYS_S
--- a/comfreywharf/ownership/tests/test_snapshot.py
+++ b/comfreywharf/ownership/tests/test_snapshot.py
@@ -23,8 +23,8 @@
     record = UnknownRecord(record_id="r", kind="x")
     agent.folded(state, record, fold(state, 5, record), now_s=1.0)
     agent.table.lease_began(state, 1.0)
-    assert agent.table.vouched_since_s(SERVICE, 0) == 1.0
+    assert agent.table.memory_complete_since_s(SERVICE, 0) == 1.0
     back = SliceMap([attrs.evolve(slice_, epoch=90)])
     state.replace_by(ClusterState(next_offset=100, slices={SERVICE: back}))
     agent.loaded(state, now_s=50.0)
-    assert agent.table.vouched_since_s(SERVICE, 0) == 50.0
+    assert agent.table.memory_complete_since_s(SERVICE, 0) == 50.0
--- a/comfreywharf/routing/memory.py
+++ b/comfreywharf/routing/memory.py
@@ -144,7 +144,7 @@
 
     >>> memory = AnswerMemory(MemoryLimits())
     >>> key = RequestKey("booking", 7, "a")
-    >>> begin = dict(mark=1, first_sent_s=0.0, vouched_since_s=-1.0, now_s=0.0)
+    >>> begin = dict(mark=1, first_sent_s=0.0, memory_complete_since_s=-1.0, now_s=0.0)
     >>> memory.begin(key, **begin).begin_status
     <BeginStatus.FIRST: 1>
     >>> memory.begin(key, **begin).begin_status
@@ -173,15 +173,15 @@
         """Return the approximate size of the finished entries in bytes."""
         return self._size_bytes
 
-    def begin(self, key, *, mark, first_sent_s, vouched_since_s, now_s):
+    def begin(self, key, *, mark, first_sent_s, memory_complete_since_s, now_s):
         """Return whether a request may run, and record it as running if so.
 
         ``mark`` is its `resend_fingerprint`, by which it is compared with an earlier
         request of the same id. ``first_sent_s`` is the earliest time at which its
         caller may have sent it for the first time, or ``None`` if this is the
-        first send, so that nothing can have run. ``vouched_since_s`` is
-        the time since when this node, as the key's owner, is known to remember
-        all requests for the key.
+        first send, so that nothing can have run. ``memory_complete_since_s``
+        is the time since when this node, as the key's owner, is known to
+        remember all requests for the key.
         """
         self._expire(now_s)
         running_mark = self._running.get(key)
@@ -197,7 +197,7 @@
             # A resend of a request that ran before entries were lost looks
             # like a new request. Running it again would cause two effects
             # under one request id, for instance two bookings.
-            if first_sent_s <= max(complete_since_s, vouched_since_s):
+            if first_sent_s <= max(complete_since_s, memory_complete_since_s):
                 return _NOT_VOUCHED
         self._running[key] = mark
         return _FIRST
--- a/comfreywharf/routing/tests/test_memory.py
+++ b/comfreywharf/routing/tests/test_memory.py
@@ -38,7 +38,7 @@
         super().__init__()
         self.now_s = 0.0
         self.memory = AnswerMemory(LIMITS)
-        self.vouched_since_s = float("-inf")
+        self.memory_complete_since_s = float("-inf")
         self.first_sent_s = {}
         self.running = set()
         self.may_have_run = set()
@@ -58,7 +58,7 @@
             request_key(number),
             mark=MARK,
             first_sent_s=first_sent_s,
-            vouched_since_s=self.vouched_since_s,
+            memory_complete_since_s=self.memory_complete_since_s,
             now_s=self.now_s,
         )
         if found.begin_status == BeginStatus.FIRST:
@@ -107,7 +107,7 @@
     @rule()
     def lose_the_owner(self):
         self.memory = AnswerMemory(LIMITS)
-        self.vouched_since_s = self.now_s
+        self.memory_complete_since_s = self.now_s
         self.running.clear()
 
     def teardown(self):
@@ -126,7 +126,7 @@
         key,
         mark=mark,
         first_sent_s=first_sent_s,
-        vouched_since_s=float("-inf"),
+        memory_complete_since_s=float("-inf"),
         now_s=0.0,
     )
 
--- a/comfreywharf_dev/bench/state_size.py
+++ b/comfreywharf_dev/bench/state_size.py
@@ -131,7 +131,9 @@
     memory = AnswerMemory(MemoryLimits(entries=count, total_bytes=1 << 40))
     for index in range(count):
         key = RequestKey(SERVICE, key_hash(b"%d" % index), f"{index:032x}")
-        memory.begin(key, mark=1, first_sent_s=None, vouched_since_s=0.0, now_s=1.0)
+        memory.begin(
+            key, mark=1, first_sent_s=None, memory_complete_since_s=0.0, now_s=1.0
+        )
         answer = Answer(
             outcome=Outcome.ANSWERED,
             status=200,
