--- a/comfreywharf/daemon/connections/bound_pool.py
+++ b/comfreywharf/daemon/connections/bound_pool.py
@@ -28,9 +28,9 @@
     Its requests are orders, which grant ranges of keys to the server. A process must
     not execute an order that was meant for an earlier one.
 
-    `reach` returns the number of the process; `borrow` returns a connection to it, and
-    `exchange` sends a request on that connection. Each answer confirms that other
-    connections lead to the same process.
+    `connect_to_process` returns the number of the process; `borrow` returns a
+    connection to it, and `exchange` sends a request on that connection. Each answer
+    confirms that other connections lead to the same process.
 
     The process can no longer be identified once its last confirmed connection is
     closed. Orders may use up one connection after the other, since at times half of
@@ -51,13 +51,13 @@
         """Return the class of the pool, which tracks the process."""
         return _BoundPool
 
-    def reach(self):
+    def connect_to_process(self):
         """Return the number of the process that listens at the address.
 
         Opens a connection if no process is known. Raises `ConnectionRefusedError` if
         nothing listens, and `OSError` if the connection fails for another reason.
         """
-        process = self._pool.reach()
+        process = self._pool.connect_to_process()
         if self._wants_refill():
             # The refill is scheduled now even if it is due later: the order that
             # this call serves may wait for it, and no further call may follow.
@@ -132,7 +132,7 @@
             return 0
         return max(0, self.size - len(self._open) - self._opening)
 
-    def reach(self):
+    def connect_to_process(self):
         """Return the number of the process at the address; see `BoundClient`."""
         self._drop_closed()
         if not self.tracker.process and not self._closed:
@@ -256,7 +256,8 @@
         try:
             self._open_one()
         except OSError:
-            # The next refill tries again, and `reach` raises the error to its caller.
+            # The next refill tries again, and `connect_to_process` raises the error to
+            # its caller.
             return
 
     def _open_one(self):
--- a/comfreywharf/daemon/ownership/range_grants.py
+++ b/comfreywharf/daemon/ownership/range_grants.py
@@ -24,7 +24,7 @@
     """The orders to a backend server that grant and release hash numbers."""
 
     @abstractmethod
-    def reach(self):
+    def connect_to_process(self):
         """Return the number of the server process that a grant would reach now.
 
         Raises `ConnectionRefusedError` if nothing listens on the port, and `OSError`
@@ -74,7 +74,7 @@
         backend = self._node.backend
         if backend is None or not self._served():
             return []
-        process = self._reach(backend)
+        process = self._connect_to_process(backend)
         if not process or backend is not self._node.backend:
             return []
         self._track_process(backend, process)
@@ -87,7 +87,7 @@
             for order in self.book.due_orders(served, boottime_s())
         ]
 
-    def _reach(self, backend):
+    def _connect_to_process(self, backend):
         """Return the number of the process that grants would reach, or zero.
 
         A refused connection shows at once that the server has crashed. Detecting the
@@ -97,7 +97,7 @@
         """
         for _ in range(2):
             try:
-                return backend.orders.reach()
+                return backend.orders.connect_to_process()
             except ConnectionRefusedError:
                 gevent.sleep(REFUSED_RETRY_S)
             except OSError:
@@ -107,11 +107,11 @@
         return 0
 
     def _track_process(self, backend, process):
-        reached = (backend, process)
-        if self._process not in (None, reached):
+        connected = (backend, process)
+        if self._process not in (None, connected):
             self.book.process_changed()
             self._node.report("grants_begin_anew", name=backend.announcement.instance)
-        self._process = reached
+        self._process = connected
 
     def _send(self, backend, process, order):
         answer = GrantAnswer.LOST
--- a/comfreywharf/daemon/tests/test_bound_pool.py
+++ b/comfreywharf/daemon/tests/test_bound_pool.py
@@ -96,17 +96,17 @@
 def test_an_order_is_never_sent_to_the_next_process(client, server):
     """Guards against an order that a later incarnation of the server executes.
 
-    The server crashes and restarts at the same address between `reach` and the order.
-    A new connection for the old order would lead to the new process.
+    The server crashes and restarts at the same address between `connect_to_process`
+    and the order. A new connection for the old order would lead to the new process.
     """
-    process = client.reach()
+    process = client.connect_to_process()
     assert order(client, process)
     server.stop_process()
     server.start_process("second")
-    wait_until(lambda: client.reach() != process)
+    wait_until(lambda: client.connect_to_process() != process)
     assert not order(client, process)
     assert server.received_by == ["first"]
-    assert order(client, client.reach())
+    assert order(client, client.connect_to_process())
     assert server.received_by == ["first", "second"]
 
 
@@ -116,10 +116,10 @@
     One that only doesn't answer may still hold them, so that both have to be
     distinguished.
     """
-    process = client.reach()
+    process = client.connect_to_process()
     server.stop_process()
     with pytest.raises(ConnectionRefusedError):
-        wait_until(lambda: client.reach() != process)
+        wait_until(lambda: client.connect_to_process() != process)
 
 
 def test_the_process_stays_known_while_its_connections_end_one_by_one(client):
@@ -129,18 +129,27 @@
     process couldn't be identified any more if only its first connection counted as
     confirmed.
     """
-    process = client.reach()
+    process = client.connect_to_process()
     for _ in range(10):
-        wait_until(lambda: client.reach() and client._pool.tracker.confirmed_count == 3)
+        wait_until(
+            lambda: (
+                client.connect_to_process()
+                and client._pool.tracker.confirmed_count == 3
+            )
+        )
         assert order(client, process)
         client._pool.release_socket(client.borrow(process))
-        assert client.reach() == process
+        assert client.connect_to_process() == process
 
 
 def test_borrow_returns_none_once_the_process_is_gone(client, server):
     """A waiting order must not wait for connections that were closed for good."""
-    process = client.reach()
-    wait_until(lambda: client.reach() and client._pool.tracker.confirmed_count == 3)
+    process = client.connect_to_process()
+    wait_until(
+        lambda: (
+            client.connect_to_process() and client._pool.tracker.confirmed_count == 3
+        )
+    )
     taken = [client.borrow(process) for _ in range(2)]
     waiting = gevent.spawn(client.borrow, process)
     gevent.idle()
@@ -160,8 +169,12 @@
     the process could no longer be identified. The last connection must not count as
     the only one that the server accepts before another was tried.
     """
-    process = client.reach()
-    wait_until(lambda: client.reach() and client._pool.tracker.confirmed_count == 3)
+    process = client.connect_to_process()
+    wait_until(
+        lambda: (
+            client.connect_to_process() and client._pool.tracker.confirmed_count == 3
+        )
+    )
     lost = [client.borrow(process) for _ in range(2)]
     waiting = gevent.spawn(client.borrow, process)
     gevent.idle()
@@ -169,9 +182,9 @@
         client._pool.release_socket(sock)
     gevent.idle()
     assert not waiting.ready()
-    wait_until(lambda: client.reach() and waiting.ready())
+    wait_until(lambda: client.connect_to_process() and waiting.ready())
     client._pool.release_socket(waiting.value)
-    assert client.reach() == process
+    assert client.connect_to_process() == process
 
 
 def test_connections_lost_during_a_refill_dont_lower_the_limit(client, server):
@@ -182,8 +195,12 @@
     opened are reset. The remaining one must not count as all that the server accepts,
     since it accepted one more when the refill started.
     """
-    process = client.reach()
-    wait_until(lambda: client.reach() and client._pool.tracker.confirmed_count == 3)
+    process = client.connect_to_process()
+    wait_until(
+        lambda: (
+            client.connect_to_process() and client._pool.tracker.confirmed_count == 3
+        )
+    )
     in_use = [client.borrow(process) for _ in range(2)]
 
     def probe_target():
@@ -193,7 +210,7 @@
     client._probe_target = probe_target
     server.accept_limit = 0
     client._pool.release_socket(in_use.pop())
-    wait_until(lambda: client.reach() and not client._refilling.ready())
+    wait_until(lambda: client.connect_to_process() and not client._refilling.ready())
     client._refilling.join(timeout=WAIT_S)
     waiting = gevent.spawn(client.borrow, process)
     gevent.idle()
@@ -218,7 +235,7 @@
     The resets arrive while the probe is answered. Connections whose end hasn't been
     noticed yet must not count as accepted.
     """
-    process = client.reach()
+    process = client.connect_to_process()
 
     def probe_target():
         for sock in client._pool._idle:
@@ -247,7 +264,7 @@
         waiting.kill()
 
     client._pool.after_connect = open_slowly
-    wait_until(lambda: client.reach() and taken)
+    wait_until(lambda: client.connect_to_process() and taken)
     assert not any(taken)
 
 
@@ -258,7 +275,7 @@
     connection to the next process before further ones were tried.
     """
     client._pool.release_socket(client.borrow(fill_then_lift_limit(client, server)))
-    waiting = gevent.spawn(client.borrow, client.reach())
+    waiting = gevent.spawn(client.borrow, client.connect_to_process())
     gevent.idle()
     assert client._pool.tracker.confirmed_count > 1 or not waiting.ready()
     waiting.kill()
@@ -267,9 +284,9 @@
 def fill_then_lift_limit(client, server):
     """Send an order to a server that accepts one connection, then lift its limit."""
     server.accept_limit = 1
-    process = client.reach()
+    process = client.connect_to_process()
     sent = gevent.spawn(order, client, process)
-    wait_until(lambda: client.reach() and sent.ready())
+    wait_until(lambda: client.connect_to_process() and sent.ready())
     assert sent.value
     server.accept_limit = 1000
     return process
--- a/comfreywharf/daemon/tests/test_crash_detection.py
+++ b/comfreywharf/daemon/tests/test_crash_detection.py
@@ -49,7 +49,7 @@
     with ScriptedServer(Reply(complete_answer(b""), wait_s=SLOW_S)) as server:
         announced = backend_for(server).announcement
         backend = PlatformBackend(announced, lambda: "/")
-        process = backend.orders.reach()
+        process = backend.orders.connect_to_process()
         granting = gevent.spawn(backend.orders.grant, process, (0, 9), order)
         while not server.requests:
             gevent.sleep(0.01)
--- a/comfreywharf/daemon/tests/test_outdated_grants.py
+++ b/comfreywharf/daemon/tests/test_outdated_grants.py
@@ -22,7 +22,7 @@
         self.answer = answer
         self.fences = []
 
-    def reach(self):
+    def connect_to_process(self):
         return 1
 
     def grant(self, process, numbers, order):
--- a/comfreywharf/daemon/tests/test_range_grants.py
+++ b/comfreywharf/daemon/tests/test_range_grants.py
@@ -23,7 +23,7 @@
     def __init__(self):
         self.granted = 0
 
-    def reach(self):
+    def connect_to_process(self):
         return 1
 
     def grant(self, process, numbers, order):
--- a/comfreywharf/platform/backends.py
+++ b/comfreywharf/platform/backends.py
@@ -81,9 +81,9 @@
             connect_timeout_s=CONNECT_TIMEOUT_S,
         )
 
-    def reach(self):
+    def connect_to_process(self):
         """Return the number of the server process that grants would reach now."""
-        return self._grants.reach()
+        return self._grants.connect_to_process()
 
     def grant(self, process, numbers, order):
         """Return the `GrantAnswer` to an order; ``numbers`` is ``(first, last)``."""
--- a/comfreywharf/platform/tests/test_orders.py
+++ b/comfreywharf/platform/tests/test_orders.py
@@ -85,7 +85,7 @@
     monkeypatch.setattr(backends, "GRANT_CONNECTIONS", 1)
     server = serve(delay_s=0.02)
     orders = make_orders(server.port)
-    process = orders.reach()
+    process = orders.connect_to_process()
     tasks = [
         gevent.spawn(orders.grant, process, (i, i), make_order(server.steps))
         for i in range(3)
@@ -98,7 +98,7 @@
 def test_an_order_that_is_too_late_returns_its_connection(serve):
     """The next order needs the connection."""
     orders = make_orders(serve().port)
-    process = orders.reach()
+    process = orders.connect_to_process()
     late = SimpleNamespace(fence=5, handover="", hold_s_at=lambda now_s: 0.0)
     for _ in range(20):
         assert orders.grant(process, (0, 9), late) is GrantAnswer.UNSENT
@@ -113,10 +113,10 @@
     """
     server = serve(headers=[("Connection", "close")])
     orders = make_orders(server.port)
-    process = orders.reach()
+    process = orders.connect_to_process()
     for _ in range(5):
         connect_all(orders)
-        assert orders.reach() == process
+        assert orders.connect_to_process() == process
         orders.grant(process, (0, 9), make_order())
 
 
@@ -124,7 +124,7 @@
     """Wait until all connections of the orders are open and confirmed."""
     pool = orders._grants._pool
     for _ in range(200):
-        orders.reach()
+        orders.connect_to_process()
         if pool.tracker.confirmed_count == backends.GRANT_CONNECTIONS:
             return
         gevent.sleep(0.01)
@@ -138,7 +138,7 @@
     """
     server = serve()
     orders = make_orders(server.port)
-    gevent.joinall([gevent.spawn(orders.reach) for _ in range(40)])
+    gevent.joinall([gevent.spawn(orders.connect_to_process) for _ in range(40)])
     connect_all(orders)
     assert server.connections <= backends.GRANT_CONNECTIONS
 
@@ -151,7 +151,7 @@
     """
     server = serve(delay_s=0.3)
     orders = make_orders(server.port)
-    process = orders.reach()
+    process = orders.connect_to_process()
     connect_all(orders)
     tasks = [
         gevent.spawn(orders.grant, process, (i, i), make_order()) for i in range(16)
@@ -184,12 +184,12 @@
 
     accepting = gevent.spawn(accept)
     orders = make_orders(listener.getsockname()[1])
-    process = orders.reach()
+    process = orders.connect_to_process()
     tasks = [
         gevent.spawn(orders.grant, process, (i, i), make_order()) for i in range(8)
     ]
     for _ in range(20):
-        orders.reach()
+        orders.connect_to_process()
         gevent.sleep(0.01)
     gevent.joinall(tasks)
     accepting.kill()
@@ -217,7 +217,7 @@
     server = WSGIServer(("127.0.0.1", 0), answer, log=None, spawn=Pool())
     server.start()
     orders = make_orders(server.server_port)
-    process = orders.reach()
+    process = orders.connect_to_process()
     connect_all(orders)
     for _ in range(3):
         tasks = [
@@ -225,5 +225,5 @@
         ]
         gevent.joinall(tasks)
         connect_all(orders)
-        assert orders.reach() == process
+        assert orders.connect_to_process() == process
     server.stop(timeout=0)
