--- a/comfreywharf/daemon/connections/bound_pool.py
+++ b/comfreywharf/daemon/connections/bound_pool.py
@@ -74,10 +74,10 @@
 
     def exchange(self, sock, method, target, header_lines, body):
         """Send on a connection and return the answer, which confirms others."""
-        asked = self._pool.tracker.request_sent()
+        request_number = self._pool.tracker.request_sent()
 
         def confirm_connections():
-            self._pool.answered(sock, asked)
+            self._pool.record_answer(sock, request_number)
 
         request = (method, target, header_lines, body)
         return super().exchange(sock, *request, answered=confirm_connections)
@@ -174,12 +174,12 @@
         self._drop_closed()
         return bool(process) and self.tracker.process == process and not self._closed
 
-    def answered(self, sock, asked):
+    def record_answer(self, sock, request_number):
         """Record an answer, and notify waiters that connections may be available.
 
-        ``asked`` is the tracker's number for the sending of the answered request.
+        ``request_number`` is the tracker's number of the answered request.
         """
-        self.tracker.answered(sock, asked)
+        self.tracker.answered(sock, request_number)
         self.notify_waiters()
 
     def refill(self, send_probe):
--- a/comfreywharf/daemon/ownership/range_grants.py
+++ b/comfreywharf/daemon/ownership/range_grants.py
@@ -183,14 +183,14 @@
         """
         if not right.key_hash:
             return True
-        place = (right.service, right.slice_start)
-        if self.book.holds(place, right.fence, now_s):
+        slice_id = (right.service, right.slice_start)
+        if self.book.holds(slice_id, right.fence, now_s):
             return True
         self.push()
         end_s = now_s + ENSURE_TIMEOUT_S
-        while self.book.awaits_answer_at(place) and boottime_s() < end_s:
+        while self.book.awaits_answer_at(slice_id) and boottime_s() < end_s:
             gevent.sleep(PENDING_GRANT_POLL_S)
-        return self.book.holds(place, right.fence, boottime_s())
+        return self.book.holds(slice_id, right.fence, boottime_s())
 
     def _try_release(self, slice_range, numbers, fence):
         backend = self._node.backend
