--- a/comfreywharf/daemon/ownership/service_declarer.py
+++ b/comfreywharf/daemon/ownership/service_declarer.py
@@ -43,14 +43,14 @@
     def _services_to_declare(self, now_s):
         """Return the services to declare, by name.
 
-        A new service is declared only once its servers had ``gather_s`` to
-        announce themselves, since the number of slices depends on the number of
+        A new service is declared only once its servers had ``first_nodes_wait_s``
+        to announce themselves, since the number of slices depends on the number of
         servers. With a single server announced, a service gets 16 slices, a few
         of which can exceed the load of one server.
         """
         state = self._node.follower.state
-        gather_s = self._node.ports.placement.gather_s
-        awaiting_servers = now_s - self._planning_since_s < gather_s
+        first_nodes_wait_s = self._node.ports.placement.first_nodes_wait_s
+        awaiting_servers = now_s - self._planning_since_s < first_nodes_wait_s
         to_declare = {}
         for name, service in self._node.routes.services.items():
             declared = state.config.services.get(name)
--- a/comfreywharf/daemon/requests/caller_server.py
+++ b/comfreywharf/daemon/requests/caller_server.py
@@ -217,16 +217,20 @@
     """Serve callers with an application: ``application(head, request) -> Answer``.
 
     Pipelined requests are served concurrently and answered in their order. A request
-    for which ``waits_for_others(head)`` is true starts only once all earlier ones on
-    its connection are answered. ``limits()`` returns the current
+    for which ``waits_for_earlier_requests(head)`` is true starts only once all earlier
+    ones on its connection are answered. ``limits()`` returns the current
     `CallerConnectionLimits`. After `retire`, each connection is closed with its last
     answer; after `refuse_new`, no new request is served.
     """
 
-    def __init__(self, host, port, application, limits, waits_for_others=None):
+    def __init__(
+        self, host, port, application, limits, waits_for_earlier_requests=None
+    ):
         self._application = application
         self._limits = limits
-        self._waits_for_others = waits_for_others or (lambda head: False)
+        self._waits_for_earlier_requests = waits_for_earlier_requests or (
+            lambda head: False
+        )
         self._connections = set()
         self._retiring = False
         self._refusing = False
@@ -298,7 +302,7 @@
             bad = Answer(status=error.status)
             self._answer_in_turn(connection, None, lambda: bad, connection.begin())
             return False
-        if connection.running and self._waits_for_others(request.head):
+        if connection.running and self._waits_for_earlier_requests(request.head):
             connection.await_fewer_than(1)
         if not self._may_begin(connection):
             return False
--- a/comfreywharf/daemon/requests/memory.py
+++ b/comfreywharf/daemon/requests/memory.py
@@ -33,9 +33,9 @@
         self.answers = AnswerMemory(limits)
         self._waiters = {}
 
-    def begin(self, key, **facts):
+    def begin(self, key, **kwargs):
         """Return whether a request may run; see `AnswerMemory.begin`."""
-        return self.answers.begin(key, **facts)
+        return self.answers.begin(key, **kwargs)
 
     def finish(self, key, answer, now_s):
         """Remember an answer, and wake the requests that wait for it."""
--- a/comfreywharf/daemon/tests/test_lease_and_log.py
+++ b/comfreywharf/daemon/tests/test_lease_and_log.py
@@ -19,7 +19,7 @@
     """Have the only witness of a lease grant it."""
     holder.use_witnesses([("w",)])
     renewal = holder.renewal(OwnLease(), now_s, now_s)
-    holder.granted("w", renewal.round, 1, now_s)
+    holder.grant_received("w", renewal.round, 1, now_s)
 
 
 @pytest.mark.parametrize("heartbeat_first", [False, True])
--- a/comfreywharf/daemon/tests/test_service_declarer.py
+++ b/comfreywharf/daemon/tests/test_service_declarer.py
@@ -22,7 +22,7 @@
     node = SimpleNamespace(
         routes=routes,
         follower=SimpleNamespace(state=ClusterState(members=members)),
-        ports=SimpleNamespace(placement=PlacementTuning(gather_s=2.0)),
+        ports=SimpleNamespace(placement=PlacementTuning(first_nodes_wait_s=2.0)),
     )
     declarer = ServiceDeclarer(node)
     declarer._planning_since_s = 0.0
--- a/comfreywharf/ownership/agent.py
+++ b/comfreywharf/ownership/agent.py
@@ -167,7 +167,7 @@
     def renewal_granted(self, witness, number, term, now_s):
         """Register a witness's grant of a renewal; return the actions to take."""
         before = self.holder.phase
-        self.holder.granted(witness, number, term, now_s)
+        self.holder.grant_received(witness, number, term, now_s)
         if (before, self.holder.phase) == ("lapsed", "held"):
             self.rescan()
             return [report("lease_healed")]
@@ -263,7 +263,7 @@
     def claim_granted(self, owner_id, witness, number, term, now_s):
         """Register a witness's grant of a claim; return the actions to take."""
         claim = self.claims.get(owner_id)
-        if claim is None or not claim.granted(witness, number, term, now_s):
+        if claim is None or not claim.grant_received(witness, number, term, now_s):
             return []
         self.table.claim_gained(claim, now_s)
         self.rescan()
@@ -300,7 +300,7 @@
                 self._claim_not_before_s[claim.owner_id] = now_s + pause_s
             return self._end_claim(claim, now_s)
         actions = []
-        if forced or claim.due(now_s):
+        if forced or claim.round_due(now_s):
             actions += self._send_claim(claim, now_s)
         if claim.held_since_s is not None:
             actions += self._record_claim(state, claim, now_s)
--- a/comfreywharf/ownership/claims.py
+++ b/comfreywharf/ownership/claims.py
@@ -64,7 +64,7 @@
         """Return the owner's lease epoch on which the claim is based."""
         return self._lease_epoch
 
-    def due(self, now_s):
+    def round_due(self, now_s):
         """Return whether it is time to send the claim to the witnesses."""
         interval_s = self._terms.renew_interval_s
         if self.held_since_s is None:
@@ -86,7 +86,7 @@
             round=number,
         )
 
-    def granted(self, witness, number, term, now_s):
+    def grant_received(self, witness, number, term, now_s):
         """Register a witness's grant; return whether it gave the first majority."""
         self.tick(now_s)
         if self.over:
--- a/comfreywharf/ownership/holder.py
+++ b/comfreywharf/ownership/holder.py
@@ -183,7 +183,7 @@
         granting = [w for w in group if now_s < self._lease.granted_until_s(w)]
         return 2 * len(granting) > len(group)
 
-    def granted(self, witness, number, term, now_s):
+    def grant_received(self, witness, number, term, now_s):
         """Register a grant, and change the state if it gives a majority."""
         if self.phase in ("surrendered", "superseded"):
             return
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -457,13 +457,13 @@
     return sent_s + self.lease_s * (1 + self.drift)
 
 
-def start_without_record(original=Holder.granted):
-    def granted(self, witness, number, term, now_s):
+def start_without_record(original=Holder.grant_received):
+    def grant_received(self, witness, number, term, now_s):
         original(self, witness, number, term, now_s)
         if self.phase == "starting":
             self._chart.fire("started")
 
-    return granted
+    return grant_received
 
 
 def always_covered(original=OwnershipTable.right_to_serve):
@@ -526,7 +526,7 @@
     ),
     "the lease starts with a record": (
         early_record,
-        lambda: off(Holder, "granted", start_without_record()),
+        lambda: off(Holder, "grant_received", start_without_record()),
     ),
     "a claim keeps its share": (
         share_that_grows,
--- a/comfreywharf/placement/planning.py
+++ b/comfreywharf/placement/planning.py
@@ -169,7 +169,7 @@
     If all slices were assigned to the first few nodes, nearly all would move
     again within seconds, each with a record that every node reads.
     """
-    if now_s - state.table.started_s >= state.tuning.gather_s:
+    if now_s - state.table.started_s >= state.tuning.first_nodes_wait_s:
         return False
     return not any(slice_.owner for slice_ in slices)
 
--- a/comfreywharf/placement/tuning.py
+++ b/comfreywharf/placement/tuning.py
@@ -13,8 +13,8 @@
 
     ``warm_up_s`` is the time over which the load of a backend server is ramped up
     after its start, ``smoothing_s`` the time constant of measured rates. The
-    first assignment of all slices waits ``gather_s`` for nodes to come up. Nodes
-    report their load at most once per ``report_s``, and count hot keys over
+    first assignment of all slices waits ``first_nodes_wait_s`` for nodes to come up.
+    Nodes report their load at most once per ``report_s``, and count hot keys over
     windows of ``hot_window_s``. Where ``cheap_moves`` is true, a move costs little: the
     planner reacts to smaller imbalances, sooner, and with an hourly budget that
     only runaway moves reach. With ``scale_by_speed``, a backend server's capacity is
@@ -23,7 +23,7 @@
 
     warm_up_s: float = 60.0
     smoothing_s: float = SMOOTHING_S
-    gather_s: float = 0.0
+    first_nodes_wait_s: float = 0.0
     report_s: float = 1.0
     hot_window_s: float = 2.0
     cheap_moves: bool = False
--- a/comfreywharf/platform/callers.py
+++ b/comfreywharf/platform/callers.py
@@ -70,7 +70,7 @@
             idle_timeout_s=limits.idle_timeout_ms / 1000,
         )
 
-    def waits_for_others(self, head):
+    def waits_for_earlier_requests(self, head):
         """Return whether a request waits for earlier ones of its connection.
 
         A request that must not run twice starts only after all earlier requests have
--- a/comfreywharf/platform/ports.py
+++ b/comfreywharf/platform/ports.py
@@ -81,7 +81,7 @@
     placement = PlacementTuning(
         warm_up_s=3.0,
         smoothing_s=2.0,
-        gather_s=2.0,
+        first_nodes_wait_s=2.0,
         report_s=0.5,
         hot_window_s=1.0,
         cheap_moves=True,
@@ -155,7 +155,7 @@
             settings.callers.port,
             application,
             application.limits,
-            application.waits_for_others,
+            application.waits_for_earlier_requests,
         )
         self.lifecycle = BackendLifecycle(node, settings.drain_s)
         operators = OperatorPort(node)
