--- a/comfreywharf/ownership/claims.py
+++ b/comfreywharf/ownership/claims.py
@@ -25,15 +25,15 @@
     standby it is.
     """
     share = set()
-    for service, pieces in state.slices.items():
-        for piece in pieces.slices:
-            stands_by = piece.owner == owner_id and piece.standby == taker_id
-            awaits = piece.previous == owner_id and taker_id in (
-                piece.owner,
-                piece.standby,
+    for service, slice_map in state.slices.items():
+        for slice_ in slice_map.slices:
+            stands_by = slice_.owner == owner_id and slice_.standby == taker_id
+            awaits = slice_.previous == owner_id and taker_id in (
+                slice_.owner,
+                slice_.standby,
             )
             if stands_by or awaits:
-                share.add(SliceKey(service, piece.start, piece.epoch))
+                share.add(SliceKey(service, slice_.start, slice_.epoch))
     return frozenset(share)
 
 
@@ -64,7 +64,7 @@
         """Return the owner's lease epoch on which the claim is based."""
         return self._lease_epoch
 
-    def due(self, now_s):
+    def round_due(self, now_s):
         """Return whether it is time to send the claim to the witnesses."""
         interval_s = self._terms.renew_interval_s
         if self.held_since_s is None:
@@ -86,7 +86,7 @@
             round=number,
         )
 
-    def granted(self, witness, number, term, now_s):
+    def grant_received(self, witness, number, term, now_s):
         """Register a witness's grant; return whether it gave the first majority."""
         self.tick(now_s)
         if self.over:
--- a/comfreywharf/ownership/tests/test_mechanisms.py
+++ b/comfreywharf/ownership/tests/test_mechanisms.py
@@ -56,15 +56,15 @@
     def serves(self, node, wanted_s=0.1):
         return self.world.request(node.node_id, KEY, wanted_s)
 
-    def piece(self):
+    def slice_of_key(self):
         return self.world.folded_log().slice_at(SERVICE, key_hash(KEY))
 
     def plan(self, owner, standby):
-        piece = self.piece()
+        slice_ = self.slice_of_key()
         change = SliceMove(
             service=SERVICE,
-            start=piece.start,
-            base_epoch=piece.epoch,
+            start=slice_.start,
+            base_epoch=slice_.epoch,
             owner=owner.node_id,
             standby=standby.node_id,
         )
@@ -287,9 +287,9 @@
 def two_shares(cluster):
     """Give the owner a second slice, whose standby is another node."""
     other = cluster.spare()
-    first = cluster.piece()
-    pieces = cluster.world.folded_log().slices[SERVICE].slices
-    second = next(piece for piece in pieces if piece.start != first.start)
+    first = cluster.slice_of_key()
+    slices = cluster.world.folded_log().slices[SERVICE].slices
+    second = next(slice_ for slice_ in slices if slice_.start != first.start)
     change = SliceMove(
         service=SERVICE,
         start=second.start,
@@ -457,13 +457,13 @@
     return sent_s + self.lease_s * (1 + self.drift)
 
 
-def start_without_record(original=Holder.granted):
-    def granted(self, witness, number, term, now_s):
+def start_without_record(original=Holder.grant_received):
+    def grant_received(self, witness, number, term, now_s):
         original(self, witness, number, term, now_s)
         if self.phase == "starting":
             self._chart.fire("started")
 
-    return granted
+    return grant_received
 
 
 def always_covered(original=OwnershipTable.right_to_serve):
@@ -526,7 +526,7 @@
     ),
     "the lease starts with a record": (
         early_record,
-        lambda: off(Holder, "granted", start_without_record()),
+        lambda: off(Holder, "grant_received", start_without_record()),
     ),
     "a claim keeps its share": (
         share_that_grows,
--- a/comfreywharf_dev/bench/snapshots.py
+++ b/comfreywharf_dev/bench/snapshots.py
@@ -95,17 +95,17 @@
         attrs.evolve(state.config, version=version) for version in range(VERSIONS)
     ]
     for name in services:
-        pieces = SliceMap.divide(SLICES, 10)
-        pieces.slices = [
+        slice_map = SliceMap.divide(SLICES, 10)
+        slice_map.slices = [
             attrs.evolve(
-                piece,
+                slice_,
                 owner=rng.choice(names),
                 standby=rng.choice(names),
                 epoch=rng.randrange(50_000),
             )
-            for piece in pieces.slices
+            for slice_ in slice_map.slices
         ]
-        state.slices[name] = pieces
+        state.slices[name] = slice_map
     for number in range(OUTCOMES):
         record_id = f"{rng.getrandbits(128):032x}"
         state.outcomes[record_id] = FoldOutcome(offset=40_000 + number, accepted=True)
--- a/comfreywharf_dev/bench/state_size.py
+++ b/comfreywharf_dev/bench/state_size.py
@@ -117,12 +117,12 @@
     return [
         SliceMove(
             service=SERVICE,
-            start=piece.start,
-            base_epoch=piece.epoch,
+            start=slice_.start,
+            base_epoch=slice_.epoch,
             owner=members[index % len(members)],
             standby=members[(index + 1) % len(members)],
         )
-        for index, piece in enumerate(state.slices[SERVICE].slices)
+        for index, slice_ in enumerate(state.slices[SERVICE].slices)
     ]
 
 
@@ -131,7 +131,9 @@
     memory = AnswerMemory(MemoryLimits(entries=count, total_bytes=1 << 40))
     for index in range(count):
         key = RequestKey(SERVICE, key_hash(b"%d" % index), f"{index:032x}")
-        memory.begin(key, mark=1, first_sent_s=None, vouched_since_s=0.0, now_s=1.0)
+        memory.begin(
+            key, mark=1, first_sent_s=None, memory_complete_since_s=0.0, now_s=1.0
+        )
         answer = Answer(
             outcome=Outcome.ANSWERED,
             status=200,
@@ -252,9 +254,9 @@
 
 def _reports(state):
     owned = {node_id: [] for node_id in state.members}
-    for piece in state.slices[SERVICE].slices:
-        rate = SliceRate(service=SERVICE, start=piece.start, requests_per_s=700.0)
-        owned[piece.owner].append(rate)
+    for slice_ in state.slices[SERVICE].slices:
+        rate = SliceRate(service=SERVICE, start=slice_.start, requests_per_s=700.0)
+        owned[slice_.owner].append(rate)
     return [
         NodeReport(node_id=node_id, incarnation=1, slices=tuple(rates))
         for node_id, rates in owned.items()
