--- a/comfreywharf_dev/standins/cluster.py
+++ b/comfreywharf_dev/standins/cluster.py
@@ -147,6 +147,7 @@
             self.start_server(plan.node_id)
         for plan in self.plans.values():
             wait_listening(plan.caller_port)
+            wait_listening(plan.operator_port)
             wait_listening(plan.server_port)
 
     def join(self, plan):
